--- a/bench/list.cpp
+++ b/bench/list.cpp
@@ -19,10 +19,10 @@
 #include <iostream>
 #include <thread>
 
-#include "app/membership_source.h"
 #include "measure.h"
 #include "membership/member_codec.h"
-#include "node/proxy.h"
+#include "proxy/proxy.h"
+#include "proxy_main/membership_source.h"
 #include "standins/etcd.h"
 
 namespace badgerbridge::bench {
@@ -170,24 +170,24 @@
   Checks checks;
   EtcdProcess etcd(members);
   asio::io_context io(1);
-  const node::Config config = node::ParseConfig(kConfig, [](const char*) { return nullptr; });
-  const node::NodeClock clock;
-  node::Backends backends(io, clock, node::Backends::Limits::From(config));
-  node::Proxy proxy(io, clock, backends, config);
-  operator_file::Etcd table;
+  const proxy::Config config = proxy::ParseConfig(kConfig, [](const char*) { return nullptr; });
+  const proxy::ProxyClock clock;
+  proxy::Backends backends(io, clock, proxy::Backends::Limits::From(config));
+  proxy::Proxy proxy(io, clock, backends, config);
+  operator_config::Etcd table;
   table.endpoints = {etcd.address()};
   bool whole = false;
   std::size_t ready = 0, draining = 0;
   double longest_slice_ms = 0;  // of 32 at most, at the module and the pool
-  app::MembershipSource source(
+  proxy_main::MembershipSource source(
       io, config, table,
-      [&](const node::EndpointList& list) {
-        for (const node::Endpoint& endpoint : list.endpoints) {
-          ready += endpoint.entry.state == fordlb::ServerState::kReady;
-          draining += endpoint.entry.state == fordlb::ServerState::kDraining;
+      [&](const proxy::EndpointList& list) {
+        for (const proxy::Endpoint& endpoint : list.endpoints) {
+          ready += endpoint.entry.state == balancer::BackendState::kReady;
+          draining += endpoint.entry.state == balancer::BackendState::kDraining;
         }
         const double before = ThreadCpuMs();
-        proxy.UpdateList(fordlb::ListKind::kDelta, list);
+        proxy.UpdateList(balancer::EndpointListKind::kDelta, list);
         longest_slice_ms = std::max(longest_slice_ms, ThreadCpuMs() - before);
       },
       [&] { whole = true; });
--- a/src/membership/etcd_settings.cpp
+++ b/src/membership/etcd_settings.cpp
@@ -6,30 +6,30 @@
 #include <utility>
 #include <vector>
 
-#include "api/address.h"
+#include "http_api/address.h"
 
 namespace badgerbridge::membership {
 namespace {
 
-std::vector<boost::asio::ip::tcp::endpoint> ParseEndpoints(const operator_file::EtcdLink& table) {
+std::vector<boost::asio::ip::tcp::endpoint> ParseEndpoints(const operator_config::EtcdLink& table) {
   std::vector<boost::asio::ip::tcp::endpoint> endpoints;
   for (const std::string& text : table.endpoints) {
-    if (const auto endpoint = api::ParseAddress(text)) endpoints.push_back(*endpoint);
+    if (const auto endpoint = http_api::ParseAddress(text)) endpoints.push_back(*endpoint);
   }
   return endpoints;
 }
 
-etcd::ChannelOptions MakeChannelOptions(const operator_file::EtcdLink& table) {
+etcd::ChannelOptions MakeChannelOptions(const operator_config::EtcdLink& table) {
   etcd::ChannelOptions channel;
   channel.ping_every = table.ping_every;
   channel.ping_timeout = table.ping_timeout;
   channel.server_name = table.server_name;
   if (!table.certificate.empty())
-    channel.tls = api::TlsFiles{table.certificate, table.key, table.client_authority};
+    channel.tls = http_api::TlsFiles{table.certificate, table.key, table.client_authority};
   return channel;
 }
 
-Result<std::string> ReadPassword(const operator_file::EtcdLink& table) {
+Result<std::string> ReadPassword(const operator_config::EtcdLink& table) {
   std::string password;
   std::ifstream file(table.password_file);
   if (!std::getline(file, password))
@@ -39,7 +39,7 @@
 
 // Fills in what the settings of the source and of the client have in common.
 template <typename Settings>
-Result<Settings> WithLink(Settings settings, const operator_file::EtcdLink& table) {
+Result<Settings> WithLink(Settings settings, const operator_config::EtcdLink& table) {
   settings.endpoints = ParseEndpoints(table);
   settings.channel = MakeChannelOptions(table);
   if (table.user.empty()) return settings;
@@ -52,14 +52,14 @@
 
 }  // namespace
 
-Result<EtcdSourceSettings> MakeEtcdSourceSettings(const operator_file::Etcd& table) {
+Result<EtcdSourceSettings> MakeEtcdSourceSettings(const operator_config::Etcd& table) {
   EtcdSourceSettings settings;
   settings.follower.prefix = table.prefix;
   if (!table.services.empty()) settings.FollowServices(table.services_prefix, table.services);
   return WithLink(std::move(settings), table);
 }
 
-Result<etcd::ClientSettings> MakeEtcdClientSettings(const operator_file::EtcdLink& table) {
+Result<etcd::ClientSettings> MakeEtcdClientSettings(const operator_config::EtcdLink& table) {
   return WithLink(etcd::ClientSettings(), table);
 }
 
--- a/src/membership/etcd_settings.h
+++ b/src/membership/etcd_settings.h
@@ -8,15 +8,15 @@
 #include "etcd/client.h"
 #include "membership/error.h"
 #include "membership/etcd_source.h"
-#include "operator/operator_file.h"
+#include "operator_config/operator_file.h"
 
 namespace badgerbridge::membership {
 
 /// The settings to follow the members with. Reads the password's file. Error: kUnreadablePassword.
-Result<EtcdSourceSettings> MakeEtcdSourceSettings(const operator_file::Etcd& table);
+Result<EtcdSourceSettings> MakeEtcdSourceSettings(const operator_config::Etcd& table);
 
 /// The settings for single calls. Reads the password's file. Error: kUnreadablePassword.
-Result<etcd::ClientSettings> MakeEtcdClientSettings(const operator_file::EtcdLink& table);
+Result<etcd::ClientSettings> MakeEtcdClientSettings(const operator_config::EtcdLink& table);
 
 }  // namespace badgerbridge::membership
 
--- a/tests/membership/members_command_test.cpp
+++ b/tests/membership/members_command_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgerctl members, end to end: tool, agent and proxies as processes, a stand-in etcd.
+// badgerbridge-ctl members, end to end: tool, agent and proxies as processes, a stand-in etcd.
 #include <gtest/gtest.h>
 
 #include <boost/json.hpp>
@@ -27,7 +27,7 @@
   MembersCommandTest() {
     SiteSettings settings;
     settings.proxies = 2;
-    settings.converters = 3;
+    settings.backends = 3;
     site = std::make_unique<Site>(io, settings);
     etcd = std::make_unique<Etcd>(io, EtcdSettings{});
     const auto at = etcd->address(0);
@@ -46,14 +46,14 @@
   void Put(int i, const std::string& key = "") {
     Member member;
     member.name = "c-" + std::to_string(i + 1);
-    member.address = site->converters()[static_cast<std::size_t>(i)]->address();
+    member.address = site->backends()[static_cast<std::size_t>(i)]->address();
     member.zone = "a";
     member.group = 1;
     etcd->Put(kPrefix + (key.empty() ? member.name : key), SerializeMember(member));
   }
   // The state of a member at one proxy, with " held" where its departure is held back; "": not in its list.
   std::string StateAt(const std::string& instance, const std::string& name) {
-    const api::Reply reply = site->Call("GET", "/v1/instances/" + instance + "/members");
+    const http_api::Reply reply = site->Call("GET", "/v1/instances/" + instance + "/members");
     if (!reply.ok()) return reply.Why();
     for (const json::value& member : reply.body.at("members").as_array()) {
       if (member.at("name").as_string() == name)
@@ -153,7 +153,7 @@
 }
 
 TEST_F(MembersCommandTest, AnotherWriterIsNeverOverwrittenAndOneThatNeverStopsIsAConflict) {
-  // The converter itself writes its key between the tool's read and its transaction: once, then for ever.
+  // The backend itself writes its key between the tool's read and its transaction: once, then for ever.
   int writes = 0, most = 1;
   etcd->BeforeTxn([&] {
     if (writes >= most) return;
@@ -207,7 +207,7 @@
   for (const char* name : {"c-1", "c-2", "c-3"}) etcd->Delete(kPrefix + name);
   ASSERT_TRUE(site->Until([&] { return All("c-1", "ready held") || All("c-3", "ready held"); }));
   CommandResult result = site->Ctl({"members", "n1"});
-  EXPECT_NE(result.out.find("HELD; if they have really left: badgerctl members release n1"),
+  EXPECT_NE(result.out.find("HELD; if they have really left: badgerbridge-ctl members release n1"),
             std::string::npos)
       << result.out;
   EXPECT_EQ(site->Ctl({"members", "release"}).code, 2) << "the instance must be named";
--- a/tests/membership/membership_source_test.cpp
+++ b/tests/membership/membership_source_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a proxy is given of a list from a stand-in etcd, and in which order.
-#include "app/membership_source.h"
+#include "proxy_main/membership_source.h"
 
 #include <gtest/gtest.h>
 
@@ -10,16 +10,16 @@
 #include <random>
 
 #include "membership/member_codec.h"
-#include "node_harness.h"
+#include "proxy/proxy_harness.h"
 #include "standins/etcd.h"
 
-namespace badgerbridge::app {
+namespace badgerbridge::proxy_main {
 namespace {
 
 namespace json = boost::json;
-using fordlb::ServerState;
+using balancer::BackendState;
 using membership::MemberState;
-using node::EndpointList;
+using proxy::EndpointList;
 
 /// A stand-in etcd, the source that follows it, and a proxy's list as the source fills it.
 class MembershipSourceTest : public ::testing::Test {
@@ -29,11 +29,11 @@
 
   /// Starts the source.
   void Start(std::size_t max_members = membership::kMaxMembers) {
-    operator_file::Etcd table;
+    operator_config::Etcd table;
     table.endpoints = {"127.0.0.1:" + std::to_string(etcd.address(0).port())};
     table.services = services;
     source.emplace(
-        io, node::testing::TestConfig({}), table, [this](const EndpointList& list) { Take(list); },
+        io, proxy::testing::TestConfig({}), table, [this](const EndpointList& list) { Take(list); },
         [this] {
           ++completions;
           size_at_completion = proxy.size();
@@ -64,14 +64,14 @@
   void Take(const EndpointList& list) {
     EXPECT_FALSE(list.snapshot);
     largest = std::max(largest, list.endpoints.size());
-    for (const node::Endpoint& endpoint : list.endpoints) {
+    for (const proxy::Endpoint& endpoint : list.endpoints) {
       order.push_back(endpoint.entry.state);
       proxy[endpoint.name] = endpoint.entry.state;
-      if (endpoint.entry.state == ServerState::kGone) proxy.erase(endpoint.name);
+      if (endpoint.entry.state == BackendState::kGone) proxy.erase(endpoint.name);
     }
   }
   /// Runs until `holds`; whether it came to hold in time.
-  bool Until(const std::function<bool()>& holds) { return node::testing::RunUntil(io, holds); }
+  bool Until(const std::function<bool()>& holds) { return proxy::testing::RunUntil(io, holds); }
   /// The status of the source etcd.
   json::object EtcdSource() { return source->Describe().at("sources").at(0).as_object(); }
 
@@ -79,8 +79,8 @@
   standins::Etcd etcd{io, {}};
   std::optional<MembershipSource> source;
   std::vector<std::string> services;
-  std::map<std::string, ServerState> proxy;
-  std::vector<ServerState> order;  // of all entries, as they came
+  std::map<std::string, BackendState> proxy;
+  std::vector<BackendState> order;  // of all entries, as they came
   std::size_t largest = 0, size_at_completion = 0;
   int completions = 0;
 };
@@ -114,7 +114,7 @@
   EXPECT_EQ(largest, MembershipSource::kSliceMembers);
   EXPECT_EQ(order.size(), 1000u) << "each once";
   Write({Pair("m7", MemberState::kDraining)});
-  ASSERT_TRUE(Until([&] { return proxy["m7"] == ServerState::kDraining; }));
+  ASSERT_TRUE(Until([&] { return proxy["m7"] == BackendState::kDraining; }));
   EXPECT_EQ(completions, 1);
   EXPECT_EQ(source->Describe().at("pending").to_number<int>(), 0);
 }
@@ -133,9 +133,9 @@
   for (const auto& pair : Numbered("m", 300, MemberState::kDraining)) pairs.push_back(pair);
   Write(pairs);
   ASSERT_TRUE(Until([&] { return proxy.size() == 900 && order.size() == 800; }));
-  const auto first_join = std::find(order.begin(), order.end(), ServerState::kReady);
+  const auto first_join = std::find(order.begin(), order.end(), BackendState::kReady);
   EXPECT_EQ(first_join - order.begin(), 300);
-  EXPECT_EQ(std::count(order.begin(), order.end(), ServerState::kDraining), 300);
+  EXPECT_EQ(std::count(order.begin(), order.end(), BackendState::kDraining), 300);
   EXPECT_EQ(largest, MembershipSource::kSliceMembers);
 }
 
@@ -150,7 +150,7 @@
   etcd.Compact(etcd.store().revision());
   etcd.Up(0);
   ASSERT_TRUE(Until([&] { return proxy.count("m3") == 0 && proxy.count("new") == 1; }));
-  EXPECT_EQ(proxy["m5"], ServerState::kDraining);
+  EXPECT_EQ(proxy["m5"], BackendState::kDraining);
   EXPECT_EQ(order.size(), 3u);
   EXPECT_EQ(proxy.size(), 700u);
 }
@@ -192,7 +192,7 @@
   PutIn("billing", "new");
   DeleteIn("billing", "billing3");
   ASSERT_TRUE(Until([&] {
-    return proxy["search7"] == ServerState::kDraining && proxy.count("new") == 1 &&
+    return proxy["search7"] == BackendState::kDraining && proxy.count("new") == 1 &&
            proxy.count("billing3") == 0;
   }));
   EXPECT_EQ(proxy.size(), 600u);
@@ -211,7 +211,7 @@
   PutIn("y", "c", MemberState::kDraining);
   PutIn("empty", "d");
   etcd.Up(0);
-  ASSERT_TRUE(Until([&] { return proxy["c"] == ServerState::kDraining && proxy.count("d") == 1; }));
+  ASSERT_TRUE(Until([&] { return proxy["c"] == BackendState::kDraining && proxy.count("d") == 1; }));
   EXPECT_EQ(source->Describe().at("etcd").at("lists").to_number<int>(), 1);
   EXPECT_EQ(source->Describe().at("etcd").at("resumes").to_number<int>(), 1);
   etcd.Down(0);
@@ -244,7 +244,7 @@
   services = {"x", "y", "z"};
   Start();
   std::mt19937 random(7);
-  std::map<std::string, ServerState> world;
+  std::map<std::string, BackendState> world;
   for (int round = 0; round < 40; ++round) {
     etcd.CutAfter(0, random() % 2500);
     for (unsigned n = random() % 4 + 1; n > 0; --n) {
@@ -256,7 +256,7 @@
         world.erase(name);
       } else {
         PutIn(service, name, what == 1 ? MemberState::kReady : MemberState::kDraining);
-        world[name] = what == 1 ? ServerState::kReady : ServerState::kDraining;
+        world[name] = what == 1 ? BackendState::kReady : BackendState::kDraining;
       }
     }
     if (random() % 4 == 0 && etcd.store().revision() > etcd.store().compacted() + 1)
@@ -275,4 +275,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::app
+}  // namespace badgerbridge::proxy_main
--- a/tests/membership/registrar_test.cpp
+++ b/tests/membership/registrar_test.cpp
@@ -175,11 +175,11 @@
   }
   ~TlsTest() override { std::filesystem::remove_all(folder); }
   /// The files of one certificate, and of the authority that is trusted.
-  api::TlsFiles Files(const std::string& name, const std::string& ca = "ca") const {
+  http_api::TlsFiles Files(const std::string& name, const std::string& ca = "ca") const {
     return {folder + "/" + name + ".pem", folder + "/" + name + ".key", folder + "/" + ca + ".pem"};
   }
   /// Why a source cannot follow with these files; empty: it follows.
-  std::string Follow(const api::TlsFiles& files, const std::string& server_name = "") {
+  std::string Follow(const http_api::TlsFiles& files, const std::string& server_name = "") {
     EtcdSourceSettings settings;
     settings.endpoints = {front->address()};
     settings.channel.tls = files;
