--- /dev/null
+++ b/tests/compatibility/proxy_compatibility_test.cpp
@@ -0,0 +1,127 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+/// What the platform gives to a proxy: config.json with every setting, the environment, and discovery's
+/// lists; read as before.
+#include <gtest/gtest.h>
+
+#include <boost/json.hpp>
+#include <map>
+#include <sstream>
+
+#include "compatibility/golden_file.h"
+#include "compatibility/settings_dump.h"
+#include "node/config.h"
+#include "node/discovery.h"
+#include "node/json_values.h"
+
+namespace badgerbridge::compatibility {
+namespace {
+
+namespace json = boost::json;
+
+node::Environment EnvironmentOf(const std::map<std::string, std::string>& variables) {
+  return [&variables](const char* name) -> const char* {
+    const auto found = variables.find(name);
+    return found == variables.end() ? nullptr : found->second.c_str();
+  };
+}
+
+std::string TextOf(const boost::asio::ip::tcp::endpoint& address) {
+  std::ostringstream text;
+  text << address;
+  return text.str();
+}
+
+std::string DumpOf(const node::Config& config) {
+  KeyValueDump dump;
+  dump.Add("name", config.name);
+  dump.Add("listen", TextOf(config.listen));
+  dump.Add("discovery", TextOf(config.discovery));
+  dump.Add("seed", config.seed);
+  dump.Add("clients, from limits", config.max_clients);
+  dump.Add("backend connections, from limits", config.max_backend_connections);
+  dump.Add("settings.classes[].name", config.classes);
+  dump.Add("settings.tenants[].name", config.tenants);
+  dump.Add("settings.zones", config.zones);
+  dump.Add("settings.kinds", config.kinds);
+  dump.Add("settings.permissions.connectTimeoutMs", config.connect_timeout);
+  dump.Add("settings.permissions.connIdleMs", config.idle_limit);
+  dump.Add("known", json::serialize(config.known));
+  AddSettings(config.settings, &dump);
+  return dump.text();
+}
+
+node::Config ConfigOf(const std::string& name, const std::map<std::string, std::string>& variables = {}) {
+  return node::ParseConfig(ReadGoldenFile("proxy/" + name), EnvironmentOf(variables));
+}
+
+TEST(ProxyConfigCompatibility, FileWithEverySettingIsReadAsBefore) {
+  EXPECT_TRUE(
+      MatchesGoldenFile("proxy/config_every_setting.txt", DumpOf(ConfigOf("config_every_setting.json"))));
+}
+
+TEST(ProxyConfigCompatibility, FileWithRequiredSettingsAloneHasTheDefaultsOfBefore) {
+  EXPECT_TRUE(MatchesGoldenFile("proxy/config_defaults.txt", DumpOf(ConfigOf("config_defaults.json"))));
+}
+
+TEST(ProxyConfigCompatibility, VariablesOfTheEnvironmentGoBeforeTheFile) {
+  const node::Config config = ConfigOf("config_defaults.json", {{"ROUTER_NAME", "other"},
+                                                                {"ROUTER_LISTEN", "127.0.0.5:5005"},
+                                                                {"ROUTER_DISCOVERY", "127.0.0.6:6006"}});
+  EXPECT_EQ(config.name, "other");
+  EXPECT_EQ(TextOf(config.listen), "127.0.0.5:5005");
+  EXPECT_EQ(TextOf(config.discovery), "127.0.0.6:6006");
+}
+
+TEST(ProxyConfigCompatibility, RouterConfigNamesTheFileAndDiscoveryIsReadFromItAgain) {
+  const std::map<std::string, std::string> variables = {
+      {"ROUTER_CONFIG", GoldenPath("proxy/config_defaults.json")},
+      {"ROUTER_NAME", "other"},
+      {"ROUTER_DISCOVERY", "127.0.0.6:6006"}};
+  EXPECT_EQ(TextOf(node::ReadConfig(EnvironmentOf(variables)).discovery), "127.0.0.6:6006");
+  const node::Config again = node::RereadConfig(EnvironmentOf(variables));
+  EXPECT_EQ(again.name, "other");
+  EXPECT_EQ(TextOf(again.discovery), "127.0.0.1:7001");
+}
+
+void AddEndpoint(const node::Endpoint& endpoint, KeyValueDump* dump) {
+  dump->BeginTable("  endpoints");
+  dump->Add("name", endpoint.name);
+  dump->Add("address", TextOf(endpoint.address));
+  dump->Add("status", endpoint.entry.state);
+  dump->Add("id, of the name", endpoint.entry.server);
+  dump->Add("zone", endpoint.entry.zone);
+  dump->Add("type", endpoint.entry.kind);
+  dump->Add("group", endpoint.entry.cell);
+  dump->Add("weight", endpoint.entry.weight);
+  dump->Add("since_ms", endpoint.entry.up_since.time_since_epoch());
+}
+
+/// The lists of a watch on discovery, one after another.
+std::string DumpOfWatch(std::string_view bytes, node::ListReader reader) {
+  constexpr std::size_t kMaxListBytes = 1 << 20;
+  node::JsonValues values(kMaxListBytes);
+  KeyValueDump dump;
+  for (;;) {
+    const node::JsonValues::Found found = values.Next(&bytes);
+    if (found == node::JsonValues::Found::kNothing) return dump.text();
+    dump.BeginTable("");
+    if (found == node::JsonValues::Found::kEmptyLine) {
+      dump.Add("heartbeat", true);
+      continue;
+    }
+    const node::EndpointList list = reader.Read(values.Take());
+    dump.Add("snapshot", list.snapshot);
+    dump.Add("index", reader.index());
+    for (const node::Endpoint& endpoint : list.endpoints) AddEndpoint(endpoint, &dump);
+  }
+}
+
+TEST(DiscoveryListCompatibility, ListsOfAWatchAreReadAsBefore) {
+  const std::string watch = ReadGoldenFile("proxy/discovery_watch.json");
+  const node::Config config = ConfigOf("config_every_setting.json");
+  EXPECT_TRUE(MatchesGoldenFile("proxy/discovery_watch.txt", DumpOfWatch(watch, node::ListReader(config))));
+}
+
+}  // namespace
+}  // namespace badgerbridge::compatibility
