--- a/tests/scripts/run_tests_test.sh
+++ b/tests/scripts/run_tests_test.sh
@@ -35,6 +35,7 @@
   run 1 "KNOWN-RED.txt: $1"
   ! grep -q 'Start ' "$work/out" || { echo "FAILED: tests ran in spite of '$1'"; exit 1; }
 }
+# shellcheck disable=SC2059 # the callers' texts are formats
 file() { printf "$@" >"$work/KNOWN-RED.txt"; }
 
 run 8 "build: 67% tests passed, 2 tests failed out of 6; 0 passed over as known to fail"
--- a/tests/simulator/scenarios_test.sh
+++ b/tests/simulator/scenarios_test.sh
@@ -36,6 +36,7 @@
   code=0
   # shellcheck disable=SC2086
   "$lab" $command >"$work/out" 2>"$work/error" || code=$?
+  # shellcheck disable=SC2015 # the braces end the script
   [ "$code" = 2 ] && [ -s "$work/error" ] || { echo "FAILED: $command: exit code $code"; exit 1; }
   passed=$((passed + 1))
 done
