--- a/bench/scale_rig/source_process.cpp
+++ b/bench/scale_rig/source_process.cpp
@@ -191,7 +191,7 @@
       const auto member = membership::ParseMember(name, kv.value());
       if (!member) throw std::runtime_error("a value that can't be read");
       const std::size_t service = ServiceOf(size_, std::stoull(name.substr(name.rfind('-') + 1)));
-      digests_.try_emplace(service, &digest_keys_[service]).first->second.Put(name, VersionOf(member));
+      digests_.try_emplace(service, &digest_keys_[service]).first->second.Put(name, VersionOf(*member));
     }
     return static_cast<std::size_t>(response.kvs_size());
   }
--- a/src/membership/error.h
+++ b/src/membership/error.h
@@ -26,8 +26,8 @@
 
 /// One error: what went wrong, where, and the value that was wrong.
 struct MembershipError {
-  ErrorCode code = ErrorCode::kNotJsonObject;
-  std::string where;  ///< The field, the file, or the source of a report.
+  ErrorCode code = ErrorCode::kNotJsonObject;  ///< What went wrong.
+  std::string where;                           ///< The field, the file, or the source of a report.
   std::string value;  ///< The wrong value, as far as it is worth showing; may be empty.
 };
 
