--- a/tests/fingerprint/orders_fingerprint_test.cpp
+++ b/tests/fingerprint/orders_fingerprint_test.cpp
@@ -16,17 +16,17 @@
 #include <variant>
 #include <vector>
 
+#include "agent/orders.h"
 #include "fingerprint/fingerprint.h"
 #include "fingerprint/json_digest.h"
 #include "fingerprint/random.h"
-#include "fleet/orders.h"
 
 namespace badgerbridge::fingerprint {
 namespace {
 
-using fleet::Order;
-using fleet::OrderState;
-using fleet::Time;
+using agent::Order;
+using agent::OrderState;
+using agent::Time;
 
 constexpr std::uint64_t kSeeds = 6;
 constexpr int kSteps = 8000;
@@ -78,8 +78,8 @@
     std::uint64_t reloads_applied = 0, reloads_refused = 0;
   };
 
-  fleet::Supervision DrawSupervision() {
-    fleet::Supervision supervision;
+  agent::Supervision DrawSupervision() {
+    agent::Supervision supervision;
     supervision.first_backoff = Time(random_.Integer(50, 400));
     supervision.most_backoff = Time(random_.Integer(1000, 10000));
     supervision.short_life = Time(random_.Integer(500, 10000));
@@ -105,9 +105,9 @@
       ToggleHang(DrawName());
     } else if (draw < 81) {
       now_ += Time(random_.Integer(1000, 8000));
-      Handle(fleet::Tick{});
+      Handle(agent::Tick{});
     } else {
-      Handle(fleet::Tick{});
+      Handle(agent::Tick{});
     }
   }
 
@@ -116,8 +116,8 @@
     if (!known_id) ++next_order_;
     Order order;
     order.id = "o" + std::to_string(next_order_);
-    order.verb = random_.Chance(0.15) ? fleet::Verb::kReload
-                                      : static_cast<fleet::Verb>(random_.Integer(0, kVerbs - 1));
+    order.verb = random_.Chance(0.15) ? agent::Verb::kReload
+                                      : static_cast<agent::Verb>(random_.Integer(0, kVerbs - 1));
     std::set<std::string> names;
     for (int count = random_.Integer(random_.Chance(0.05) ? 0 : 1, 4); count > 0; --count)
       names.insert(DrawName());
@@ -129,12 +129,12 @@
     order.at_most = static_cast<unsigned>(random_.Integer(0, 2));
     const auto back = static_cast<std::uint64_t>(random_.Integer(0, 2));
     if (random_.Chance(0.2)) order.against = fleet_.generation() - std::min(fleet_.generation(), back);
-    if (order.verb == fleet::Verb::kApply || random_.Chance(0.02)) {
+    if (order.verb == agent::Verb::kApply || random_.Chance(0.02)) {
       for (const std::string& name : names) order.definitions[name] = random_.Chance(0.2) ? "" : "new";
     }
     if (random_.Chance(0.02)) order.deadline = Time(0);
-    if (random_.Chance(0.02)) order.id = std::string(fleet::kMostId + 1, 'x');
-    const fleet::Verdict verdict = fleet_.Submit(now_, 1700000000000 + now_.count(), order, &actions_);
+    if (random_.Chance(0.02)) order.id = std::string(agent::kMostId + 1, 'x');
+    const agent::Verdict verdict = fleet_.Submit(now_, 1700000000000 + now_.count(), order, &actions_);
     ++coverage_->verdicts[static_cast<std::size_t>(verdict.kind)];
     fingerprint_.digest().Add(verdict.kind, !verdict.text.empty(), verdict.order);
   }
@@ -145,7 +145,7 @@
     const std::string name = DrawName();
     Process& process = processes_[name];
     if (process.pid == 0) return;
-    if (hung_.count(name)) return Handle(fleet::Silent{name, "no answer"});
+    if (hung_.count(name)) return Handle(agent::Silent{name, "no answer"});
     if (process.terminating && random_.Chance(0.7)) return EndProcess(name, "exited with 0");
     Observe(name, process);
   }
@@ -153,9 +153,9 @@
   void EndSpawn() {
     const std::string name = *spawning_.begin();
     spawning_.erase(spawning_.begin());
-    if (random_.Chance(0.2)) return Handle(fleet::Spawned{name, 0, "cannot be started"});
+    if (random_.Chance(0.2)) return Handle(agent::Spawned{name, 0, "cannot be started"});
     processes_[name] = Process{.pid = ++last_pid_, .refuses_reload = random_.Chance(0.3)};
-    Handle(fleet::Spawned{name, last_pid_, ""});
+    Handle(agent::Spawned{name, last_pid_, ""});
   }
 
   void EndCall() {
@@ -164,11 +164,11 @@
     Process& process = processes_[name];
     const bool answered = process.pid != 0 && !hung_.count(name);
     if (answered) process.drained = drain;
-    Handle(fleet::CallEnded{name, answered ? "" : "no answer"});
+    Handle(agent::CallEnded{name, answered ? "" : "no answer"});
   }
 
   void Observe(const std::string& name, const Process& process) {
-    fleet::Observation seen;
+    agent::Observation seen;
     if (process.terminating) {
       seen.state = "stopping";
     } else if (process.drained) {
@@ -180,13 +180,13 @@
     seen.reloads_applied = process.reloads_applied;
     seen.reloads_refused = process.reloads_refused;
     if (process.reloads_refused > 0) seen.reload_error = "bad file";
-    Handle(fleet::Observed{name, seen, now_ - Time(random_.Chance(0.2) ? 300 : 0)});
+    Handle(agent::Observed{name, seen, now_ - Time(random_.Chance(0.2) ? 300 : 0)});
   }
 
   void EndProcess(const std::string& name, const std::string& how) {
     if (processes_[name].pid == 0) return;
     processes_[name] = {};
-    Handle(fleet::Exited{name, how});
+    Handle(agent::Exited{name, how});
   }
 
   void ToggleHang(const std::string& name) {
@@ -197,7 +197,7 @@
   void RestartAgent() {
     ++coverage_->restarts;
     const bool same_boot = random_.Chance(0.8);
-    fleet::Fleet fresh(random_.Next());
+    agent::Fleet fresh(random_.Next());
     for (const std::string& record : stored_) fresh.Restore(record);
     calls_.clear();
     for (const std::string& name : spawning_) {  // a start that was under way may have come to be
@@ -211,10 +211,10 @@
     }
     fresh.Restored(now_, same_boot, running);
     fleet_ = std::move(fresh);
-    Handle(fleet::Tick{});
+    Handle(agent::Tick{});
   }
 
-  void Handle(const fleet::Event& event) { fleet_.Handle(now_, event, &actions_); }
+  void Handle(const agent::Event& event) { fleet_.Handle(now_, event, &actions_); }
 
   // ---- what the core answers ----
 
@@ -224,26 +224,26 @@
       stored_.push_back(std::move(record));
     }
     if (stored_.size() > 300) stored_ = fleet_.Everything();
-    const std::vector<fleet::Action> actions = std::exchange(actions_, {});
+    const std::vector<agent::Action> actions = std::exchange(actions_, {});
     fingerprint_.digest().Add(actions.size());
-    for (const fleet::Action& action : actions) std::visit([this](const auto& act) { Perform(act); }, action);
+    for (const agent::Action& action : actions) std::visit([this](const auto& act) { Perform(act); }, action);
     const std::vector<std::string> killed = std::exchange(killed_, {});
     for (const std::string& name : killed) EndProcess(name, "was killed by signal 9");
     if (!killed.empty()) CarryOut();
   }
 
   // The first number that each adds stands for the kind of action.
-  void Perform(const fleet::Spawn& action) {
+  void Perform(const agent::Spawn& action) {
     fingerprint_.digest().Add(1, action.instance, action.definition);
     ++coverage_->spawns;
     spawning_.insert(action.instance);
   }
-  void Perform(const fleet::Call& action) {
+  void Perform(const agent::Call& action) {
     fingerprint_.digest().Add(2, action.instance, action.drain, action.deadline);
     ++(action.drain ? coverage_->drains : coverage_->undrains);
     calls_.emplace(action.instance, action.drain);
   }
-  void Perform(const fleet::Signal& action) {
+  void Perform(const agent::Signal& action) {
     fingerprint_.digest().Add(3, action.instance, action.number);
     Process& process = processes_[action.instance];
     if (action.number == SIGKILL) {
@@ -262,7 +262,7 @@
     Digest& digest = fingerprint_.digest();
     digest.Add(fleet_.generation(), fleet_.instances().size(), fleet_.orders().size());
     for (const auto& [name, instance] : fleet_.instances()) {
-      const std::string_view state = fleet::Fleet::StateOf(instance);
+      const std::string_view state = agent::Fleet::StateOf(instance);
       coverage_->states.insert(std::string(state));
       digest.Add(name, state, fleet_.Eager(name), instance.wanted, instance.wanted_drained, instance.pid);
       digest.Add(instance.spawn_after, instance.call_after, instance.deaths, !instance.gave_up.empty());
@@ -270,7 +270,7 @@
     for (const OrderState& order : fleet_.orders()) {
       if (order.ended) continue;
       digest.Add(order.order.id, order.generation, order.superseded_by, order.halted);
-      for (const fleet::Part& part : order.parts) {
+      for (const agent::Part& part : order.parts) {
         ++coverage_->results[static_cast<std::size_t>(part.result)];
         digest.Add(part.instance, part.at, part.result, part.issued, part.forced);
         digest.Add(part.step_began, part.retry_at, !part.last_try.empty(),
@@ -282,13 +282,13 @@
   }
 
   Random random_;
-  fleet::Fleet fleet_;
+  agent::Fleet fleet_;
   Fingerprint fingerprint_;
   Coverage* coverage_;
   Time now_{1000000};
   pid_t last_pid_ = 0;
   int next_order_ = 0;
-  std::vector<fleet::Action> actions_;  // of the step that is under way
+  std::vector<agent::Action> actions_;  // of the step that is under way
   std::map<std::string, Process> processes_;
   std::set<std::string> spawning_, hung_;
   std::set<std::pair<std::string, bool>> calls_;  // instance, and whether it is to drain
--- a/tests/fingerprint/simulator_fingerprint_test.cpp
+++ b/tests/fingerprint/simulator_fingerprint_test.cpp
@@ -12,8 +12,8 @@
 #include <vector>
 
 #include "fingerprint/fingerprint.h"
-#include "lab/scenario.h"
-#include "lab/world.h"
+#include "simulator/scenario.h"
+#include "simulator/world.h"
 
 namespace badgerbridge::fingerprint {
 namespace {
@@ -30,19 +30,19 @@
   return names;
 }
 
-lab::Model SmallerModel(const std::string& scenario) {
-  operator_file::Problems problems;
-  lab::Model model = lab::LoadScenario(SOURCE_DIR "/scenarios/" + scenario + ".toml", problems);
-  EXPECT_TRUE(problems.empty()) << operator_file::Lines(problems);
-  const int slots_before = model.converters * model.converter.slots;
+simulator::Model SmallerModel(const std::string& scenario) {
+  operator_config::Problems problems;
+  simulator::Model model = simulator::LoadScenario(SOURCE_DIR "/scenarios/" + scenario + ".toml", problems);
+  EXPECT_TRUE(problems.empty()) << operator_config::Lines(problems);
+  const int slots_before = model.backends * model.backend.slots;
   model.proxies = std::max(model.zones, model.proxies / kSmaller);
-  model.converters = std::max(2 * model.zones, model.converters / kSmaller);
-  model.converter.slots = std::max(1, model.converter.slots / kSmaller);
-  model.clients.per_second *= static_cast<double>(model.converters * model.converter.slots) / slots_before;
+  model.backends = std::max(2 * model.zones, model.backends / kSmaller);
+  model.backend.slots = std::max(1, model.backend.slots / kSmaller);
+  model.clients.per_second *= static_cast<double>(model.backends * model.backend.slots) / slots_before;
   return model;
 }
 
-void AddClass(const lab::ClassResult& result, Digest* digest) {
+void AddClass(const simulator::ClassResult& result, Digest* digest) {
   digest->Add(result.asked, result.served, result.in_aim, result.refused, result.failed, result.left);
   digest->Add(result.unreached, result.cut_short, result.tries, result.attempts, result.crossed, result.far);
   digest->Add(result.worth_asked, result.worth_served, result.latency.count());
@@ -50,8 +50,8 @@
   for (const double quantile : kQuantiles) digest->Add(result.latency.Quantile(quantile));
 }
 
-void AddResult(const lab::Result& result, Digest* digest) {
-  for (const lab::ClassResult& each : result.classes) AddClass(each, digest);
+void AddResult(const simulator::Result& result, Digest* digest) {
+  for (const simulator::ClassResult& each : result.classes) AddClass(each, digest);
   digest->Add(result.steps, result.attempts, result.repeats_dropped, result.length, result.digest);
   for (const double busy : result.busy) digest->Add(busy);
   digest->Add(result.slow_start.calls, result.slow_start.work, result.breach.has_value());
@@ -59,13 +59,13 @@
 }
 
 /// Plays the model, and compares what came of it with what is recorded for `core`.
-void CheckRun(const lab::Model& model, const std::string& core, std::uint64_t seed) {
-  lab::World world(model, seed);
-  const lab::Result result = world.Run();
+void CheckRun(const simulator::Model& model, const std::string& core, std::uint64_t seed) {
+  simulator::World world(model, seed);
+  const simulator::Result result = world.Run();
   Fingerprint fingerprint(core, seed);
   AddResult(result, &fingerprint.digest());
   if (world.members()) {
-    const lab::EtcdModel& etcd = world.members()->etcd();
+    const simulator::EtcdModel& etcd = world.members()->etcd();
     fingerprint.digest().Add(etcd.revision(), etcd.calls(), etcd.bytes());
   }
   fingerprint.EndPart();
@@ -77,13 +77,13 @@
 class SimulatorFingerprint : public ::testing::TestWithParam<std::string> {};
 
 TEST_P(SimulatorFingerprint, Scenario_SameResultAsRecorded) {
-  const lab::Model model = SmallerModel(GetParam());
+  const simulator::Model model = SmallerModel(GetParam());
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) CheckRun(model, "simulator/" + GetParam(), seed);
 }
 
 TEST_P(SimulatorFingerprint, ScenarioWithZoneFailover_SameResultAsRecorded) {
-  lab::Model model = SmallerModel(GetParam());
-  model.decision.decide = lab::RegionsModel::Decide::kTogether;
+  simulator::Model model = SmallerModel(GetParam());
+  model.decision.decide = simulator::RegionsModel::Decide::kTogether;
   CheckRun(model, "simulator_with_zone_failover/" + GetParam(), 1);
 }
 
--- a/tests/fingerprint/watch_cache_fingerprint_test.cpp
+++ b/tests/fingerprint/watch_cache_fingerprint_test.cpp
@@ -17,8 +17,8 @@
 #include "etcd/key_range.h"
 #include "fingerprint/fingerprint.h"
 #include "fingerprint/random.h"
-#include "relay/relay.h"
 #include "standins/etcd_store.h"
+#include "watch_cache/relay.h"
 
 namespace badgerbridge::fingerprint {
 namespace {
@@ -27,11 +27,11 @@
 using etcd::Code;
 using etcd::Ending;
 using etcd::Status;
-using relay::ReadId;
-using relay::Relay;
-using relay::SubscriberId;
-using relay::Time;
 using standins::EtcdStore;
+using watch_cache::ReadId;
+using watch_cache::Relay;
+using watch_cache::SubscriberId;
+using watch_cache::Time;
 
 constexpr std::uint64_t kSeeds = 20;
 constexpr int kSteps = 4000;
@@ -75,8 +75,8 @@
     Time answered{0};
   };
 
-  relay::Settings DrawSettings() {
-    relay::Settings settings;
+  watch_cache::Settings DrawSettings() {
+    watch_cache::Settings settings;
     settings.prefix = kPrefix;
     settings.member_id = 7;
     settings.window_events = static_cast<std::size_t>(random_.Integer(20, 100));
--- a/tests/fingerprint/zone_failover_fingerprint_test.cpp
+++ b/tests/fingerprint/zone_failover_fingerprint_test.cpp
@@ -18,17 +18,17 @@
 #include "fingerprint/fingerprint.h"
 #include "fingerprint/json_digest.h"
 #include "fingerprint/random.h"
-#include "lab/etcd.h"
-#include "regions/evacuation.h"
-#include "regions/member.h"
+#include "simulator/etcd.h"
+#include "zone_failover/evacuation.h"
+#include "zone_failover/member.h"
 
 namespace badgerbridge::fingerprint {
 namespace {
 
-using fordlb::Duration;
-using fordlb::TimePoint;
-using regions::Decision;
-using regions::Member;
+using balancer::Duration;
+using balancer::TimePoint;
+using zone_failover::Decision;
+using zone_failover::Member;
 
 constexpr std::uint64_t kSeeds = 16;
 constexpr int kSteps = 5000;
@@ -44,7 +44,7 @@
   std::array<std::uint64_t, kZoneStates> zone_states{};
 };
 
-void AddMatrix(const regions::Matrix& matrix, Digest* digest) {
+void AddMatrix(const zone_failover::Matrix& matrix, Digest* digest) {
   digest->Add(matrix.zones());
   for (std::size_t origin = 0; origin < matrix.zones(); ++origin) {
     for (std::size_t receiver = 0; receiver < matrix.zones(); ++receiver)
@@ -117,8 +117,8 @@
 
   void DrawRules(std::size_t zones) {
     rules_.zones = zones;
-    rules_.round_trip = regions::Matrix(zones);
-    rules_.price = regions::Matrix(zones);
+    rules_.round_trip = zone_failover::Matrix(zones);
+    rules_.price = zone_failover::Matrix(zones);
     for (std::size_t origin = 0; origin < zones; ++origin) {
       for (std::size_t receiver = 0; receiver < origin; ++receiver) {
         const double round_trip = random_.Between(1, 120);
@@ -127,7 +127,7 @@
         rules_.price.at(origin, receiver) = rules_.price.at(receiver, origin) = price;
       }
     }
-    rules_.aim = random_.Between(150, 600);
+    rules_.latency_objective = random_.Between(150, 600);
     rules_.hold = Duration(random_.Between(2000, 6000));
     rules_.forget = Duration(random_.Between(8000, 60000));
     rules_.step = Duration(random_.Between(200, 800));
@@ -145,7 +145,7 @@
   }
 
   void StartMember(SimulatedMember* member) {
-    regions::MemberSettings settings;
+    zone_failover::MemberSettings settings;
     settings.name = member->name;
     settings.zone = static_cast<int>(member->zone);
     settings.rules = rules_;
@@ -262,7 +262,7 @@
     double left = work;
     for (std::size_t offset = 0; offset < zones_.size(); ++offset) {
       const std::size_t receiver = (member->zone + offset) % zones_.size();
-      const bool limited = shares[receiver] != regions::kFree;
+      const bool limited = shares[receiver] != zone_failover::kFree;
       coverage_->limited += limited && shares[receiver] > 0;
       const double part = limited ? std::min(left, shares[receiver] * kWorkIntervalMs) : left;
       if (part <= 0) continue;
@@ -277,9 +277,10 @@
     member->member->Sent(now, attempt, receiver);
     zone.load += work;
     if (zone.silent) return;
-    regions::Meter::End end = zone.capacity > 0 ? regions::Meter::End::kServed : regions::Meter::End::kFailed;
-    if (random_.Chance(0.02)) end = regions::Meter::End::kFull;
-    if (random_.Chance(0.02)) end = regions::Meter::End::kNothing;
+    zone_failover::Meter::End end =
+        zone.capacity > 0 ? zone_failover::Meter::End::kServed : zone_failover::Meter::End::kFailed;
+    if (random_.Chance(0.02)) end = zone_failover::Meter::End::kFull;
+    if (random_.Chance(0.02)) end = zone_failover::Meter::End::kNothing;
     const Duration took(zone.slow * random_.Between(15, 30));
     member->member->Ended(now + Duration(20), attempt, static_cast<std::size_t>(random_.Integer(0, 1)), end,
                           took, work, zone.used);
@@ -338,20 +339,20 @@
   }
 
   void AddEvacuationPlan(const Decision& decision, std::size_t zone) {
-    const regions::Evacuation plan =
-        regions::PlanEvacuation(decision, rules_.round_trip, rules_.price, rules_.aim, zone);
+    const zone_failover::Evacuation plan = zone_failover::PlanEvacuation(
+        decision, rules_.round_trip, rules_.price, rules_.latency_objective, zone);
     fingerprint_.digest().Add(plan.moved, plan.unplaced, plan.receivers.size());
-    for (const regions::Evacuation::Receiver& receiver : plan.receivers)
+    for (const zone_failover::Evacuation::Receiver& receiver : plan.receivers)
       fingerprint_.digest().Add(receiver.zone, receiver.carries, receiver.would, receiver.limit);
   }
 
   Random random_;
-  regions::Rules rules_;
+  zone_failover::Rules rules_;
   bool together_ = true;  ///< Else each member decides for itself.
   std::vector<SimulatedMember> members_;
   std::vector<Zone> zones_;
-  lab::EtcdModel etcd_;
-  std::optional<lab::EtcdModel> backup_;
+  simulator::EtcdModel etcd_;
+  std::optional<simulator::EtcdModel> backup_;
   bool etcd_down_ = false;
   double now_ms_ = 0;
   Fingerprint fingerprint_;
