--- a/tests/install_test.sh
+++ b/tests/install_test.sh
@@ -57,7 +57,7 @@
 cat >"$work/user/CMakeLists.txt" <<CMAKE
 cmake_minimum_required(VERSION 3.25)
 project(user LANGUAGES CXX)
-find_package(fordlb REQUIRED)
+find_package(badgerbridge REQUIRED)
 add_executable(user $source/examples/minimal.cpp)
 target_link_libraries(user PRIVATE badgerbridge::balancer)
 CMAKE
--- a/tests/multiprocess/trial_test.sh
+++ b/tests/multiprocess/trial_test.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
 # SPDX-License-Identifier: Apache-2.0
 #
-# trial_test.sh BADGERTRIAL: a trial that does not hold says so, with its timeline and exit code 1; what is no plan gets a
+# trial_test.sh PROGRAM: a trial that does not hold says so, with its timeline and exit code 1; what is no plan gets a
 # line and 2; a trial that is killed leaves no process.
 set -euo pipefail
 trial=$1
@@ -21,7 +21,7 @@
 expect "not all of the worth" $code 1
 expect "its last line" "$(tail -1 "$work/out" | grep -c 'lost=0 .* BROKEN$')" 1
 expect "its timeline" "$(grep -c 'ms  stop' "$work/out")" 1
-expect "folders left" "$(find "$work" -maxdepth 1 -name 'badgertrial_*' | wc -l)" 0
+expect "folders left" "$(find "$work" -maxdepth 1 -name 'multiprocess_test_*' | wc -l)" 0
 for command in "run $work/none.toml" "run" "fly" "role nobody"; do
   code=0
   # shellcheck disable=SC2086
