--- a/src/cli/completion.cpp
+++ b/src/cli/completion.cpp
@@ -6,7 +6,7 @@
 // clang-format off
 const char kBashCompletion[] =
     R"bash(# bash completion for badgerbridge-ctl; source it, or put it where bash-completion looks
-_badgerctl() {
+_badgerbridge_ctl() {
   local cur="${COMP_WORDS[COMP_CWORD]}" command="" word
   for word in "${COMP_WORDS[@]:1:COMP_CWORD-1}"; do
     case "$word" in
@@ -29,7 +29,7 @@
     *) COMPREPLY=($(compgen -W "$(badgerbridge-ctl status -o names --timeout 1s 2>/dev/null)" -- "$cur")) ;;
   esac
 }
-complete -F _badgerctl badgerbridge-ctl
+complete -F _badgerbridge_ctl badgerbridge-ctl badgerctl
 )bash";
 // clang-format on
 
--- a/tests/agent/agent_test.cpp
+++ b/tests/agent/agent_test.cpp
@@ -374,8 +374,9 @@
   EXPECT_EQ(site->Ctl({"check", site->folder() + "/n1.toml"}).code, 0);
   site->Write("bad.toml", "[control]\n");
   EXPECT_EQ(site->Ctl({"check", site->folder() + "/bad.toml"}).code, 1);
-  EXPECT_NE(site->Ctl({"completion", "bash"}).out.find("complete -F _badgerctl badgerbridge-ctl"),
-            std::string::npos);
+  EXPECT_NE(
+      site->Ctl({"completion", "bash"}).out.find("complete -F _badgerbridge_ctl badgerbridge-ctl badgerctl"),
+      std::string::npos);
   EXPECT_EQ(site->Ctl({"drain", "n1", "--dry-run"}).out.find("done"), std::string::npos);
   EXPECT_EQ(site->StateOf("n1"), "ready");
   site->KillAgent(SIGKILL);
--- a/tests/agent/hard_cases_test.cpp
+++ b/tests/agent/hard_cases_test.cpp
@@ -205,7 +205,7 @@
     return Shell("BADGERCTL_CONTEXT=" + site->folder() + "/context.toml PATH=" +
                  std::filesystem::path(Binary("badgerbridge-ctl")).parent_path().string() +
                  ":$PATH bash -c '" + "source <(badgerbridge-ctl completion bash); COMP_WORDS=(" + words +
-                 "); COMP_CWORD=" + std::to_string(at) + "; _badgerctl; echo ${COMPREPLY[@]}'");
+                 "); COMP_CWORD=" + std::to_string(at) + "; _badgerbridge_ctl; echo ${COMPREPLY[@]}'");
   };
   EXPECT_EQ(complete("badgerbridge-ctl dr", 1), "drain\nexit 0");
   EXPECT_EQ(complete("badgerbridge-ctl mem", 1), "members\nexit 0");
--- a/tests/install_test.sh
+++ b/tests/install_test.sh
@@ -37,6 +37,19 @@
     bash -c "grep -q '^.TH' '$prefix/share/man/man1/$program.1' && grep -q version '$prefix/share/man/man1/$program.1'"
 done
 expect "badgerbridge-ctl.1 has the commands' own options" grep -q -e '\\-\\-force' "$prefix/share/man/man1/badgerbridge-ctl.1"
+# Scripts and units of administrators that still use the names before 0.2.0 go on working.
+for pair in badgeragent:badgerbridge-agent badgerctl:badgerbridge-ctl badgerlab:badgerbridge-simulator badgerrelay:badgerbridge-relay; do
+  former=${pair%%:*} current=${pair#*:}
+  expect "$former is a link to $current" test "$(readlink "$prefix/bin/$former")" = "$current"
+  expect "$former runs as $current" bash -c "'$prefix/bin/$former' --version | grep -q '^$current [0-9.]*'"
+  expect "$former.1 is a link to $current.1" test "$(readlink "$prefix/share/man/man1/$former.1")" = "$current.1"
+done
+for pair in badgeragent:badgerbridge-agent badgerrelay:badgerbridge-relay; do
+  expect "${pair%%:*}.service is an alias" \
+    test "$(readlink "$prefix/lib/systemd/system/${pair%%:*}.service")" = "${pair#*:}.service"
+done
+expect "the completion is found by the former name" \
+  test "$(readlink "$prefix/share/bash-completion/completions/badgerctl")" = badgerbridge-ctl
 # The example names an operator's file of the instance, which the administrator writes: here the example itself.
 sed -i "s|operator_file = \"[^\"]*\"|operator_file = \"$prefix/etc/badgerbridge/operator.toml\"|" \
   "$prefix/etc/badgerbridge/fleet.toml"
@@ -68,10 +81,10 @@
 expect "a Debian package is made" cpack --config "$build/CPackConfig.cmake" -B "$work/package"
 package=$(ls "$work"/package/*.deb)
 dpkg-deb --contents "$package" | awk '{ print $6 }' >"$work/contents"
-for file in ./usr/bin/badgerbridge ./usr/bin/badgerbridge-agent ./usr/bin/badgerbridge-ctl ./etc/badgerbridge/operator.toml \
+for file in ./usr/bin/badgerbridge ./usr/bin/badgeragent ./usr/bin/badgerctl ./usr/bin/badgerrelay ./usr/bin/badgerbridge-agent ./usr/bin/badgerbridge-ctl ./etc/badgerbridge/operator.toml \
   ./etc/badgerbridge/fleet.toml ./etc/badgerbridge/context.toml ./usr/lib/systemd/system/badgerbridge-agent.service \
   ./usr/bin/badgerbridge-relay ./etc/badgerbridge/relay.toml ./usr/lib/systemd/system/badgerbridge-relay.service \
-  ./usr/share/man/man1/badgerbridge-ctl.1 ./usr/share/bash-completion/completions/badgerbridge-ctl ./usr/include/fordlb/balancer.h; do
+  ./usr/share/man/man1/badgerbridge-ctl.1 ./usr/share/bash-completion/completions/badgerbridge-ctl ./usr/include/badgerbridge/balancer.h; do
   expect "the package has $file" grep -qx "$file" "$work/contents"
 done
 expect "nothing of the package is under /usr/etc" bash -c "! grep -q '^./usr/etc' '$work/contents'"
--- a/tests/standins/demo.cpp
+++ b/tests/standins/demo.cpp
@@ -78,12 +78,12 @@
     site.For(milliseconds(1000));
     if (keep && !interrupted) {
       Say("It stays up until Ctrl-C. In another terminal:");
-      std::cout
-          << "export PATH=" << Binary("") << ":$PATH BADGERCTL_CONTEXT=" << site.folder()
-          << "/context.toml\n"
-             "badgerbridge-ctl watch\nbadgerctl get n1\nbadgerctl drain --all\nbadgerctl undrain --all\n"
-             "badgerbridge-ctl orders\nbadgerctl logs n1\n"
-          << "curl --unix-socket " << site.folder() << "/n1.sock http://x/v1/converters" << std::endl;
+      std::cout << "export PATH=" << Binary("") << ":$PATH BADGERCTL_CONTEXT=" << site.folder()
+                << "/context.toml\n"
+                   "badgerbridge-ctl watch\nbadgerbridge-ctl get n1\nbadgerbridge-ctl drain "
+                   "--all\nbadgerbridge-ctl undrain --all\n"
+                   "badgerbridge-ctl orders\nbadgerbridge-ctl logs n1\n"
+                << "curl --unix-socket " << site.folder() << "/n1.sock http://x/v1/converters" << std::endl;
       while (!interrupted) site.For(milliseconds(100));
     }
     clients.Stop();
