--- a/tests/fingerprint/decision_module_fingerprint_test.cpp
+++ b/tests/fingerprint/decision_module_fingerprint_test.cpp
@@ -207,7 +207,7 @@
     if (random_.Chance(0.05))
       timeline_.After(ending.after * 0.5, [this, id = action.request, number] { StartStream(id, number); });
   }
-  void Perform(const balancer::Abandon& action) {
+  void Perform(const balancer::CancelAttempt& action) {
     fingerprint_.digest().Add(2, action.request, action.attempt);
     ++coverage_->cancellations;
     const auto number = static_cast<std::size_t>(action.attempt);
@@ -215,13 +215,13 @@
     timeline_.After(Duration(random_.Chance(0.5) ? 0 : 1),
                     [this, id = action.request, number] { EndAttempt(id, number, Outcome::kOk); });
   }
-  void Perform(const balancer::Refuse& action) {
+  void Perform(const balancer::Reject& action) {
     fingerprint_.digest().Add(3, action.request, action.retry_after);
     ++coverage_->rejections;
     coverage_->rejections_with_advice += action.retry_after > Duration(0);
     requests_[action.request].settled = true;
   }
-  void Perform(const balancer::Fail& action) {
+  void Perform(const balancer::FailRequest& action) {
     fingerprint_.digest().Add(4, action.request);
     ++coverage_->failures;
     requests_[action.request].settled = true;
