--- /dev/null
+++ b/src/balancer/backend_list.cpp
@@ -0,0 +1,94 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "balancer/backend_list.h"
+
+#include <cstddef>
+#include <set>
+
+#include "balancer/reserve.h"
+
+namespace fordlb {
+namespace {
+
+constexpr Duration kMaxGoneTime{60000};        // one that is gone for this long loses its state
+constexpr std::size_t kMaxSingleUpdates = 32;  // of a list: more are put on the ring all at once
+
+}  // namespace
+
+void BackendList::Apply(const ListUpdate& update, TimePoint now, Aperture& aperture) {
+  const bool rebuild = update.entries.size() > kMaxSingleUpdates;
+  Aperture* const updated_one_by_one = rebuild ? nullptr : &aperture;
+  if (rebuild) aperture.Clear();
+  if (update.kind != ListKind::kDelta) RemoveUnlisted(update, now, updated_one_by_one);
+  for (const ServerEntry& endpoint : update.entries) {
+    const auto [position, added] = backends_.try_emplace(endpoint.server);
+    Backend& backend = position->second;
+    if (added) backend.ring_position = aperture.RingPosition(endpoint.server);
+    const ServerState state_before = backend.endpoint.state;
+    backend.endpoint = endpoint;
+    backend.endpoint.state = state_before;
+    SetState(backend, endpoint.state, now);
+    if (updated_one_by_one != nullptr) updated_one_by_one->Update(backend);
+  }
+  if (rebuild) aperture.Rebuild(backends_);
+  ForgetGone(now);
+}
+
+Backend* BackendList::Find(ServerId id) {
+  const auto found = backends_.find(id);
+  return found == backends_.end() ? nullptr : &found->second;
+}
+
+const Backend* BackendList::Find(ServerId id) const {
+  const auto found = backends_.find(id);
+  return found == backends_.end() ? nullptr : &found->second;
+}
+
+void BackendList::MarkActive(Backend& backend) {
+  if (!backend.active) active_.push_back(&backend);
+  backend.active = true;
+}
+
+void BackendList::ReserveActive() { ReserveOne(active_); }
+
+void BackendList::RetireIdle() {
+  for (Backend* backend : active_) backend->active = !backend->IsIdle();
+  std::erase_if(active_, [](const Backend* backend) { return !backend->active; });
+}
+
+void BackendList::SetState(Backend& backend, ServerState state, TimePoint now) {
+  if (state == ServerState::kGone && backend.endpoint.state != state) {
+    backend.gone_at = now;
+    gone_.push_back(backend.endpoint.server);
+  }
+  backend.endpoint.state = state;
+}
+
+// The aperture is null if it is rebuilt anyway.
+void BackendList::RemoveUnlisted(const ListUpdate& update, TimePoint now, Aperture* aperture) {
+  std::set<ServerId> listed;
+  for (const ServerEntry& endpoint : update.entries) listed.insert(endpoint.server);
+  for (auto& [id, backend] : backends_) {
+    if (listed.count(id) > 0) continue;
+    SetState(backend, ServerState::kGone, now);
+    if (aperture != nullptr) aperture->Update(backend);
+  }
+}
+
+// The longest gone first; one that has come back, or is still active, is looked at again when it is due next.
+void BackendList::ForgetGone(TimePoint now) {
+  for (std::size_t left = gone_.size(); left > 0; --left) {
+    const ServerId id = gone_.front();
+    const auto found = backends_.find(id);
+    const bool is_gone = found != backends_.end() && found->second.endpoint.state == ServerState::kGone;
+    if (is_gone && now - found->second.gone_at <= kMaxGoneTime) break;
+    gone_.pop_front();
+    if (!is_gone) continue;
+    if (found->second.active) {
+      gone_.push_back(id);
+    } else {
+      backends_.erase(found);
+    }
+  }
+}
+
+}  // namespace fordlb
--- /dev/null
+++ b/src/balancer/ewma_stats.h
@@ -0,0 +1,42 @@
+// SPDX-License-Identifier: Apache-2.0
+/// \file
+/// Exponentially weighted mean and mean deviation.
+#ifndef FORDLB_SRC_BALANCER_EWMA_STATS_H_
+#define FORDLB_SRC_BALANCER_EWMA_STATS_H_
+
+#include <algorithm>
+#include <cmath>
+
+namespace fordlb {
+
+/// Mean and mean absolute deviation of a series, as RFC 6298 keeps them for round-trip times. Until
+/// 1 / kMinGain samples have come, every sample has the same weight.
+class EwmaStats {
+ public:
+  /// Takes in one sample.
+  void Add(double sample) {
+    ++samples_;
+    const double gain = std::max(kMinGain, 1.0 / samples_);
+    if (samples_ == 1) {
+      mean_ = sample;
+      deviation_ = sample / 2;
+    }
+    deviation_ += gain * (std::abs(sample - mean_) - deviation_);
+    mean_ += gain * (sample - mean_);
+  }
+
+  double mean() const { return mean_; }            ///< 0 before the first sample.
+  double deviation() const { return deviation_; }  ///< Mean absolute deviation; 0 before the first sample.
+  int samples() const { return samples_; }         ///< Number of samples taken in.
+
+ private:
+  static constexpr double kMinGain = 0.02;  // weight of one sample once there are many
+
+  double mean_ = 0;
+  double deviation_ = 0;
+  int samples_ = 0;
+};
+
+}  // namespace fordlb
+
+#endif  // FORDLB_SRC_BALANCER_EWMA_STATS_H_
--- /dev/null
+++ b/src/balancer/key_affinity.h
@@ -0,0 +1,42 @@
+// SPDX-License-Identifier: Apache-2.0
+/// \file
+/// Which idempotency keys a backend has been sent lately.
+#ifndef FORDLB_SRC_BALANCER_KEY_AFFINITY_H_
+#define FORDLB_SRC_BALANCER_KEY_AFFINITY_H_
+
+#include <cstdint>
+#include <map>
+
+#include "fordlb/balancer.h"
+
+namespace fordlb {
+
+/// The keys for which a backend is assumed to hold warm state. Per backend; empty unless the settings say
+/// that keys are warm.
+class KeyAffinity {
+ public:
+  /// Notes that a request with `key` is sent to the backend.
+  void Record(std::uint64_t key, TimePoint now) { last_sent_[key] = now; }
+
+  /// Whether the backend is assumed to serve `key` with less work.
+  bool IsWarm(std::uint64_t key, TimePoint now) const {
+    const auto found = last_sent_.find(key);
+    return found != last_sent_.end() && now - found->second < kMaxAge;
+  }
+
+  /// Forgets the keys that are no longer warm.
+  void Expire(TimePoint now) {
+    std::erase_if(last_sent_, [now](const auto& entry) { return now - entry.second >= kMaxAge; });
+  }
+
+  bool empty() const { return last_sent_.empty(); }  ///< Whether no key is remembered.
+
+ private:
+  static constexpr Duration kMaxAge{4000};  // how long a key is taken to be warm
+
+  std::map<std::uint64_t, TimePoint> last_sent_;
+};
+
+}  // namespace fordlb
+
+#endif  // FORDLB_SRC_BALANCER_KEY_AFFINITY_H_
--- /dev/null
+++ b/src/balancer/outlier_detection.cpp
@@ -0,0 +1,101 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "balancer/outlier_detection.h"
+
+#include <algorithm>
+
+#include "balancer/backend.h"
+
+namespace fordlb {
+namespace {
+
+// In A50's terms.
+constexpr Duration kBaseEjectionTime{2000};   // the first ejection: as long as one interval
+constexpr Duration kMaxEjectionTime{16000};   // a recovered backend is tried again within this
+constexpr int kMinHosts = 2;                  // backends to compare with each other
+constexpr double kMinFailureThreshold = 0.4;  // share of failures; well over what noise and overlap produce
+constexpr double kMaxEjectionPercent = 50;    // the rest must be able to carry the load
+constexpr double kEnforcingPercent = 100;     // every finding is enforced
+
+// What the backends in comparison with one of them have.
+struct Comparison {
+  int with_volume = 0;     // backends with the request volume, the one in question included
+  int ejected = 0;         // backends out of service
+  int other_failures = 0;  // of the others in service
+  int other_attempts = 0;
+};
+
+Comparison CompareWithOthers(const Backend& backend, const std::vector<Backend*>& active) {
+  Comparison comparison;
+  for (const Backend* other : active) {
+    if (!other->IsReady()) continue;
+    const OutlierState& state = other->outlier;
+    comparison.with_volume += state.HasRequestVolume() ? 1 : 0;
+    comparison.ejected += state.ejected ? 1 : 0;
+    if (other == &backend || state.ejected) continue;
+    comparison.other_failures += state.failures;
+    comparison.other_attempts += state.attempts();
+  }
+  return comparison;
+}
+
+// The threshold rises with the share failing elsewhere, to twice that while it is small and to 1 with it:
+// overloaded backends must not all be ejected, but one that always fails is, however bad the rest.
+double FailureThreshold(const Comparison& comparison) {
+  const double failing_elsewhere =
+      comparison.other_attempts > 0
+          ? static_cast<double>(comparison.other_failures) / comparison.other_attempts
+          : 0;
+  return std::max(kMinFailureThreshold, failing_elsewhere * (2 - failing_elsewhere));
+}
+
+}  // namespace
+
+bool OutlierDetector::EjectIfOutlier(Backend& backend, TimePoint now, const std::vector<Backend*>& active,
+                                     std::size_t ready_backends, Random& random) {
+  OutlierState& state = backend.outlier;
+  if (state.ejected || !state.HasRequestVolume()) return false;
+  const Comparison comparison = CompareWithOthers(backend, active);
+  if (comparison.with_volume < kMinHosts) return false;
+  if (!(state.failures > FailureThreshold(comparison) * state.attempts())) return false;
+  if (!(100.0 * comparison.ejected < kMaxEjectionPercent * static_cast<double>(ready_backends))) return false;
+  if (!(100.0 * random.Unit() < kEnforcingPercent)) return false;
+  ++state.ejection_multiplier;
+  state.ejected = true;
+  state.ejected_until = now + std::min(kBaseEjectionTime * state.ejection_multiplier,
+                                       std::max(kBaseEjectionTime, kMaxEjectionTime));
+  next_unejection_at_ = std::min(next_unejection_at_, state.ejected_until);
+  return true;
+}
+
+std::vector<ServerId> OutlierDetector::UnejectDue(TimePoint now, const std::vector<Backend*>& active) {
+  std::vector<ServerId> returned;
+  if (now < next_unejection_at_) return returned;
+  next_unejection_at_ = kNever;
+  for (Backend* backend : active) {
+    OutlierState& state = backend->outlier;
+    if (!state.ejected) continue;
+    if (now < state.ejected_until) {
+      next_unejection_at_ = std::min(next_unejection_at_, state.ejected_until);
+      continue;
+    }
+    state.ejected = false;
+    state.ejection_multiplier = std::max(0, state.ejection_multiplier - 1);
+    returned.push_back(backend->endpoint.server);
+  }
+  return returned;
+}
+
+void OutlierDetector::EndIntervalIfDue(TimePoint now, double requests_per_ms, double aperture,
+                                       const std::vector<Backend*>& active) {
+  if (now < interval_ends_at_) return;
+  const double needed = requests_per_ms > 0 ? 2 * kMinRequestVolume * aperture / requests_per_ms : 0;
+  interval_ends_at_ = now + std::clamp(Duration(needed), kMinOutlierInterval, kMaxEjectionTime / 2);
+  for (Backend* backend : active) {
+    OutlierState& state = backend->outlier;
+    state.successes = 0;
+    state.failures = 0;
+    if (!state.ejected) state.ejection_multiplier = std::max(0, state.ejection_multiplier - 1);
+  }
+}
+
+}  // namespace fordlb
--- /dev/null
+++ b/src/balancer/rate_estimator.h
@@ -0,0 +1,42 @@
+// SPDX-License-Identifier: Apache-2.0
+/// \file
+/// The rate of an event that is counted one by one.
+#ifndef FORDLB_SRC_BALANCER_RATE_ESTIMATOR_H_
+#define FORDLB_SRC_BALANCER_RATE_ESTIMATOR_H_
+
+#include <algorithm>
+
+#include "fordlb/balancer.h"
+
+namespace fordlb {
+
+/// Over how long rates of requests and of successful responses are averaged.
+constexpr Duration kRateAveragingTime{1500};
+
+/// Events per millisecond, averaged over kRateAveragingTime. The estimate starts from 0 and trusts its first
+/// samples: a new proxy that floods the backends at its start leaves queues that take far longer to drain
+/// than the start took.
+class RateEstimator {
+ public:
+  /// Counts one event.
+  void Count() { ++events_since_sample_; }
+
+  /// Takes in the events counted within the last `elapsed_ms`, which must be positive.
+  void Sample(double elapsed_ms) {
+    ++samples_;
+    const double gain = std::min(1.0, std::max(elapsed_ms / kRateAveragingTime.count(), 1.0 / samples_));
+    per_ms_ += gain * (events_since_sample_ / elapsed_ms - per_ms_);
+    events_since_sample_ = 0;
+  }
+
+  double per_ms() const { return per_ms_; }  ///< Events per millisecond as of the last sample.
+
+ private:
+  double events_since_sample_ = 0;
+  double per_ms_ = 0;
+  int samples_ = 0;
+};
+
+}  // namespace fordlb
+
+#endif  // FORDLB_SRC_BALANCER_RATE_ESTIMATOR_H_
--- /dev/null
+++ b/src/balancer/request_stats.cpp
@@ -0,0 +1,36 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "balancer/request_stats.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace fordlb {
+namespace {
+
+constexpr double kMaxWorkMs = 1e6;    // a larger hint is taken as this
+constexpr double kInitialWorkMs = 1;  // of a request without a hint, before any other
+
+}  // namespace
+
+double RequestStats::RecordSubmit(const Submit& submit, Duration objective) {
+  const bool hinted = submit.has_hint && std::isfinite(submit.work_ms) && submit.work_ms > 0;
+  const bool is_first = work_.samples() == 0;
+  work_was_hinted_ |= hinted;
+  double work_ms = is_first ? kInitialWorkMs : work_.mean();
+  if (hinted) work_ms = std::min(submit.work_ms, kMaxWorkMs);
+  if (hinted || is_first) {
+    work_.Add(work_ms);
+    class_work_[static_cast<std::size_t>(submit.request_class)].Add(work_ms);
+  }
+  objective_.Add(objective.count());
+  arrivals_.Count();
+  return work_ms;
+}
+
+double RequestStats::LatencyScale(int request_class, double work_ms) const {
+  const double mean = class_work_[static_cast<std::size_t>(request_class)].mean();
+  const double ratio = mean > 0 ? work_ms / mean : 1;
+  return ratio > 1 ? ratio : 0.5 + 0.5 * ratio;
+}
+
+}  // namespace fordlb
--- /dev/null
+++ b/src/balancer/request_stats.h
@@ -0,0 +1,55 @@
+// SPDX-License-Identifier: Apache-2.0
+/// \file
+/// Statistics of the requests that were submitted, whatever became of them.
+#ifndef FORDLB_SRC_BALANCER_REQUEST_STATS_H_
+#define FORDLB_SRC_BALANCER_REQUEST_STATS_H_
+
+#include <cstddef>
+#include <vector>
+
+#include "balancer/ewma_stats.h"
+#include "balancer/rate_estimator.h"
+#include "fordlb/balancer.h"
+
+namespace fordlb {
+
+/// Work, latency objectives and arrival rate of submitted requests.
+class RequestStats {
+ public:
+  /// For `class_count` request classes.
+  explicit RequestStats(std::size_t class_count) : class_work_(class_count) {}
+
+  /// Counts a request of a known class, whose latency objective is `objective`, and estimates its work in ms
+  /// on a standard core: its hint, or the mean of all if it has no usable one.
+  double RecordSubmit(const Submit& submit, Duration objective);
+
+  /// Brings the arrival rate up to date; `elapsed_ms` since the last call.
+  void SampleRate(double elapsed_ms) { arrivals_.Sample(elapsed_ms); }
+
+  /// Mean work of a request in ms; 0 before the first.
+  double mean_work_ms() const { return work_.mean(); }
+
+  /// Mean latency objective of a request in ms; 0 before the first.
+  double mean_objective_ms() const { return objective_.mean(); }
+
+  /// Whether any request has told its work.
+  bool work_was_hinted() const { return work_was_hinted_; }
+
+  /// Requests submitted per millisecond.
+  double arrivals_per_ms() const { return arrivals_.per_ms(); }
+
+  /// How much longer than a mean request of its class one with `work_ms` is expected to take. Half of the
+  /// time of a small request is taken not to depend on its work.
+  double LatencyScale(int request_class, double work_ms) const;
+
+ private:
+  std::vector<EwmaStats> class_work_;
+  EwmaStats work_;
+  EwmaStats objective_;
+  RateEstimator arrivals_;
+  bool work_was_hinted_ = false;
+};
+
+}  // namespace fordlb
+
+#endif  // FORDLB_SRC_BALANCER_REQUEST_STATS_H_
--- /dev/null
+++ b/src/balancer/selection.h
@@ -0,0 +1,77 @@
+// SPDX-License-Identifier: Apache-2.0
+/// \file
+/// Selects the backend for an attempt.
+#ifndef FORDLB_SRC_BALANCER_SELECTION_H_
+#define FORDLB_SRC_BALANCER_SELECTION_H_
+
+#include <vector>
+
+#include "balancer/aperture.h"
+#include "balancer/attempt_permission.h"
+#include "balancer/backend.h"
+#include "balancer/random.h"
+#include "balancer/request.h"
+#include "balancer/request_stats.h"
+#include "balancer/slow_start.h"
+#include "balancer/zone_quota.h"
+#include "fordlb/balancer.h"
+
+namespace fordlb {
+
+/// What a selection has found.
+struct Selection {
+  /// Where to send the attempt; null: nowhere now.
+  Backend* backend = nullptr;
+  /// The first backend that was passed over because its slow-start budget is used up; null: none.
+  const Backend* over_slow_start_budget = nullptr;
+};
+
+/// Selects, among the backends of the aperture, the one with the least estimated work of this proxy in
+/// flight; ties are broken at random.
+///
+/// Exceptions: a crossing of zones counts as the work that its cost is worth; where keys are warm, a backend
+/// that was sent this one lately serves it with less work, and what it saves serves others; backends over
+/// their slow-start budget or in a zone over its quota are passed over; those that the request has tried come
+/// last; if no backend that may be tried is in service, an ejected one is used: a request is never lost for
+/// that.
+class BackendSelector {
+ public:
+  /// Keeps references to all, which must outlive it.
+  BackendSelector(const Settings& settings, const RequestStats& requests, const Aperture& aperture,
+                  SlowStart& slow_start, ZoneQuotas& zone_quotas, Random& random)
+      : settings_(settings),
+        requests_(requests),
+        aperture_(aperture),
+        slow_start_(slow_start),
+        zone_quotas_(zone_quotas),
+        random_(random) {}
+
+  /// Selects a backend for an attempt of `request` that `permission` allows. `active`: the backends that this
+  /// proxy has dealt with lately.
+  Selection Select(const Request& request, const AttemptPermission& permission,
+                   const std::vector<Backend*>& active, TimePoint now);
+
+ private:
+  // The best backend so far.
+  struct Candidate {
+    Backend* backend = nullptr;
+    int rank = 0;  // the lowest wins, whatever the scores
+    int ties = 0;  // backends with this rank and score
+    double score = 0;
+  };
+
+  bool AwaitsResponse(const Request& request, const Backend& backend, TimePoint now) const;
+  double Score(const Request& request, const Backend& backend, TimePoint now) const;
+  void Consider(const Request& request, Backend& backend, bool tried, TimePoint now, Candidate& best);
+
+  const Settings& settings_;
+  const RequestStats& requests_;
+  const Aperture& aperture_;
+  SlowStart& slow_start_;
+  ZoneQuotas& zone_quotas_;
+  Random& random_;
+};
+
+}  // namespace fordlb
+
+#endif  // FORDLB_SRC_BALANCER_SELECTION_H_
--- /dev/null
+++ b/src/balancer/slow_start.cpp
@@ -0,0 +1,165 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "balancer/slow_start.h"
+
+#include <algorithm>
+
+#include "balancer/backend.h"
+#include "balancer/reserve.h"
+
+namespace fordlb {
+namespace {
+
+constexpr double kOverloadSafety =
+    0.55;  // of the overload factor: the rest is for chance and for late updates
+constexpr double kMinBackendCores = 0.25;          // standard cores that a warm backend has at the very least
+constexpr double kWindowSlack = 1.1;               // rolling window over that of the settings, for delays
+constexpr Duration kCompletedAveragingTime{8000};  // of work completed by warm backends
+constexpr double kInitialZeroSamples = 20;         // with which that average begins at a proxy that is new
+constexpr double kMinWorkRate = 1e-9;              // of a backend that counts as busy
+constexpr double kMinWorkUnit = 1e-3;              // ms; guards a division
+
+}  // namespace
+
+void SentWindow::Add(TimePoint now, double work_ms) {
+  sent_.push_back({now, work_ms});
+  sum_ += work_ms;
+}
+
+void SentWindow::ReserveNext() { ReserveOne(sent_); }
+
+double SentWindow::ForgetAndSum(TimePoint now, Duration window) {
+  while (first_ < sent_.size() && now - sent_[first_].at > window) {
+    sum_ -= sent_[first_].work_ms;
+    ++first_;
+  }
+  if (2 * first_ >= sent_.size()) {
+    sent_.erase(sent_.begin(), sent_.begin() + static_cast<std::ptrdiff_t>(first_));
+    first_ = 0;
+    if (sent_.empty()) sent_.shrink_to_fit();
+  }
+  if (sent_.empty()) sum_ = 0;  // rounding must not accumulate
+  return sum_;
+}
+
+void SentWindow::Refund(TimePoint sent_at, double work_ms) {
+  const auto begin = sent_.begin() + static_cast<std::ptrdiff_t>(first_);
+  const auto found = std::find_if(
+      begin, sent_.end(), [&](const Sent& sent) { return sent.at == sent_at && sent.work_ms == work_ms; });
+  if (found == sent_.end()) return;
+  sum_ -= work_ms;
+  sent_.erase(found);
+}
+
+double SentWindow::Sum(TimePoint now, Duration window) const {
+  double sum = 0;
+  for (auto sent = sent_.rbegin(); sent != sent_.rend() && now - sent->at <= window; ++sent) {
+    sum += sent->work_ms;
+  }
+  return sum;
+}
+
+void CompletedWorkRate::Sample(double elapsed_ms) {
+  ++samples_;
+  const double gain = std::min(1.0, elapsed_ms / kCompletedAveragingTime.count());
+  work_per_ms_ += std::max(gain, 1 / (kInitialZeroSamples + samples_)) *
+                  (work_since_sample_ms_ / elapsed_ms - work_per_ms_);
+}
+
+bool CompletedWorkRate::IsIdle() const { return work_since_sample_ms_ == 0 && work_per_ms_ < kMinWorkRate; }
+
+SlowStart::SlowStart(const Settings& settings, const RequestStats& requests, const LatencyStats& latencies,
+                     Random& random)
+    : floor_(settings.cold_from),
+      warm_up_window_(settings.warm_up),
+      overload_factor_(settings.fall_multiple),
+      overload_window_(settings.overload_for),
+      rolling_window_(settings.overload_for * kWindowSlack),
+      balancer_count_(settings.balancers),
+      requests_(requests),
+      latencies_(latencies),
+      random_(random) {}
+
+double SlowStart::CapacityShareAtAge(double age_ms) const {
+  const double warm_up_ms = warm_up_window_.count();
+  if (warm_up_ms <= 0 || age_ms >= warm_up_ms) return 1;
+  return floor_ + (1 - floor_) * std::max(0.0, age_ms) / warm_up_ms;
+}
+
+bool SlowStart::WithinBudget(Backend& backend, double work_ms, TimePoint now,
+                             const std::vector<Backend*>& active) {
+  SlowStartState& state = backend.slow_start;
+  const double share = CapacityShare(backend.endpoint, now);
+  const double sent_ms = state.sent.ForgetAndSum(now, rolling_window_);
+  if (share >= 1 || overload_factor_ <= 0) return true;
+  const double rate = SlowStartRate(backend, share, now, active);
+  AccrueSlowStartToken(backend, std::max(rate, MinSlowStartRate(share)), now);
+  if (sent_ms + work_ms <= rate * overload_window_.count()) return true;
+  return now - backend.responsiveness.last_sent_at >= rolling_window_ &&
+         state.tokens >= std::max(1.0, work_ms / requests_.mean_work_ms());
+}
+
+// A budget of less than one request is one in so many windows, accrued at the budget's rate, the first from a
+// part that is drawn at random: proxies that learn of a start together, or that start themselves and know
+// nothing yet, would each send their one request at once.
+void SlowStart::AccrueSlowStartToken(Backend& backend, double work_rate, TimePoint now) {
+  SlowStartState& state = backend.slow_start;
+  if (state.token_epoch != backend.endpoint.up_since) {  // it started anew
+    const bool one_per_window = work_rate * rolling_window_.count() >= requests_.mean_work_ms();
+    state.tokens = one_per_window ? 1 : random_.Unit();
+    state.token_epoch = backend.endpoint.up_since;
+  } else {
+    state.tokens += std::min(state.tokens_work_rate, work_rate) * (now - state.tokens_as_of).count() /
+                    requests_.mean_work_ms();
+  }
+  state.tokens_work_rate = work_rate;
+  state.tokens_as_of = now;
+}
+
+double SlowStart::Budget(const Backend& backend, double capacity_share, TimePoint now,
+                         const std::vector<Backend*>& active) const {
+  return SlowStartRate(backend, capacity_share, now, active) * overload_window_.count();
+}
+
+double SlowStart::SentWithinWindow(const Backend& backend, TimePoint now) const {
+  return backend.slow_start.sent.Sum(now, rolling_window_);
+}
+
+// Work a ms.
+double SlowStart::SlowStartRate(const Backend& backend, double capacity_share, TimePoint now,
+                                const std::vector<Backend*>& active) const {
+  return kOverloadSafety * overload_factor_ * capacity_share * WarmBackendRate(backend, now, active);
+}
+
+// Where no request tells its work, each counts as 1, and is about as long as one takes without contention;
+// until that is known, as one may take.
+double SlowStart::MinSlowStartRate(double capacity_share) const {
+  double work_unit = 1;
+  if (!requests_.work_was_hinted()) {
+    const double uncontended = latencies_.uncontended_time_per_work();
+    work_unit = uncontended > 0 ? uncontended : kMaxQueueingShare * requests_.mean_objective_ms();
+  }
+  return kMinBackendCores * overload_factor_ * capacity_share / balancer_count_ /
+         std::max(work_unit, kMinWorkUnit);
+}
+
+// Work a ms that a warm backend of the same kind completes for this proxy; of any kind if there is none.
+double SlowStart::WarmBackendRate(const Backend& like, TimePoint now,
+                                  const std::vector<Backend*>& active) const {
+  double same_kind_rate = 0;
+  double total_rate = 0;
+  int same_kind = 0;
+  int total = 0;
+  for (const Backend* backend : active) {
+    const bool in_service = backend->IsReady() && !backend->outlier.ejected;
+    if (!in_service || CapacityShare(backend->endpoint, now) < 1) continue;
+    total_rate += backend->completed_work.work_per_ms();
+    ++total;
+    if (backend->endpoint.kind != like.endpoint.kind) continue;
+    same_kind_rate += backend->completed_work.work_per_ms();
+    ++same_kind;
+  }
+  if (same_kind > 0) return same_kind_rate / same_kind;
+  return total > 0 ? total_rate / total : 0;
+}
+
+}  // namespace fordlb
--- /dev/null
+++ b/src/balancer/zone_quota.cpp
@@ -0,0 +1,44 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "balancer/zone_quota.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace fordlb {
+
+ZoneQuotas::ZoneQuotas(const Settings& settings) {
+  for (const ClassSettings& request_class : settings.classes) {
+    max_priority_weight_ = std::max(max_priority_weight_, request_class.worth);
+  }
+}
+
+void ZoneQuotas::Update(const ZoneShares& quotas, TimePoint now) {
+  buckets_.resize(quotas.work_per_ms.size());
+  for (std::size_t zone = 0; zone < buckets_.size(); ++zone) {
+    Bucket& bucket = buckets_[zone];
+    if (bucket.work_per_ms < 0) {
+      bucket.work_ms = 0;  // a zone that had no limit starts with an empty bucket
+      bucket.refilled_at = now;
+    }
+    Refill(bucket, now);  // what has been accrued until now was by the old rate
+    const double rate = quotas.work_per_ms[zone];
+    bucket.work_per_ms = std::isfinite(rate) ? rate : -1;
+  }
+}
+
+void ZoneQuotas::Spend(int zone, double work_ms) {
+  if (Bucket* const bucket = Find(zone)) bucket->work_ms -= work_ms;
+}
+
+void ZoneQuotas::Refund(int zone, double work_ms) {
+  if (Bucket* const bucket = Find(zone)) bucket->work_ms += work_ms;
+}
+
+void ZoneQuotas::Refill(Bucket& bucket, TimePoint now) {
+  const double max_work_ms = std::max(0.0, bucket.work_per_ms) * kBurst.count();
+  bucket.work_ms =
+      std::min(max_work_ms, bucket.work_ms + bucket.work_per_ms * (now - bucket.refilled_at).count());
+  bucket.refilled_at = now;
+}
+
+}  // namespace fordlb
