--- a/src/balancer/attempt_recorder.h
+++ b/src/balancer/attempt_recorder.h
@@ -23,7 +23,7 @@
   /// Keeps references to all, which must outlive it.
   AttemptRecorder(const Settings& settings, const RequestStats& requests, const WarmCapacity& warm_capacity,
                   const SlowBackends& slow_backends, LatencyStats& latencies, ConcurrencyLimit& concurrency,
-                  ZoneQuotas& zone_quotas)
+                  ZoneQuotaBuckets& zone_quotas)
       : settings_(settings),
         requests_(requests),
         warm_capacity_(warm_capacity),
@@ -49,7 +49,7 @@
   const SlowBackends& slow_backends_;
   LatencyStats& latencies_;
   ConcurrencyLimit& concurrency_;
-  ZoneQuotas& zone_quotas_;
+  ZoneQuotaBuckets& zone_quotas_;
 };
 
 }  // namespace fordlb
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -51,7 +51,7 @@
 constexpr int kMinRetryTicks = 4;         // a request that is retried may be queued for at least so long
 constexpr int kDeadlineMarginTicks = 2;   // but not longer than so long before its deadline
 
-std::string BackendName(ServerId id) { return "server " + std::to_string(id); }
+std::string BackendName(ServerId id) { return "backend " + std::to_string(id); }
 
 }  // namespace
 
@@ -218,7 +218,7 @@
     const Backend* const skipped = selection.over_slow_start_budget;
     if (skipped != nullptr && log_throttle_.Permits(LogTopic::kSlowStart, now_)) {
       const double share = slow_start_.CapacityShare(skipped->endpoint, now_);
-      WriteLog(BackendName(skipped->endpoint.server) + " held back: cold, at " +
+      WriteLog(BackendName(skipped->endpoint.server) + " passed over: warming up, at " +
                std::to_string(static_cast<int>(100 * share)) + "% or more of its capacity");
     }
     return selection.backend;
@@ -277,9 +277,9 @@
       const std::string last = request.attempts.empty()
                                    ? "not in time"
                                    : "last at " + BackendName(request.attempts.back().backend);
-      WriteLog((may_reject ? "refusing: " : "failing: ") + last + "; " +
+      WriteLog((may_reject ? "rejecting: " : "failing: ") + last + "; " +
                std::to_string(concurrency_.in_flight()) + " in flight, " + std::to_string(queue_.size()) +
-               " held");
+               " queued");
     }
     if (may_reject) {
       actions_->push_back(Refuse{request.id, retry_after});
@@ -466,7 +466,7 @@
   SlowBackends slow_backends_;
   OutlierDetector outlier_detector_;
 
-  ZoneQuotas zone_quotas_;
+  ZoneQuotaBuckets zone_quotas_;
   TenantQuotas tenant_quotas_;
   RetryBudget retry_budget_;
   ConcurrencyLimit concurrency_;
--- a/src/balancer/selection.h
+++ b/src/balancer/selection.h
@@ -38,7 +38,7 @@
  public:
   /// Keeps references to all, which must outlive it.
   BackendSelector(const Settings& settings, const RequestStats& requests, const Aperture& aperture,
-                  SlowStart& slow_start, ZoneQuotas& zone_quotas, Random& random)
+                  SlowStart& slow_start, ZoneQuotaBuckets& zone_quotas, Random& random)
       : settings_(settings),
         requests_(requests),
         aperture_(aperture),
@@ -68,7 +68,7 @@
   const RequestStats& requests_;
   const Aperture& aperture_;
   SlowStart& slow_start_;
-  ZoneQuotas& zone_quotas_;
+  ZoneQuotaBuckets& zone_quotas_;
   Random& random_;
 };
 
--- a/src/balancer/zone_quota.cpp
+++ b/src/balancer/zone_quota.cpp
@@ -6,13 +6,13 @@
 
 namespace fordlb {
 
-ZoneQuotas::ZoneQuotas(const Settings& settings) {
+ZoneQuotaBuckets::ZoneQuotaBuckets(const Settings& settings) {
   for (const ClassSettings& request_class : settings.classes) {
     max_priority_weight_ = std::max(max_priority_weight_, request_class.worth);
   }
 }
 
-void ZoneQuotas::Update(const ZoneShares& quotas, TimePoint now) {
+void ZoneQuotaBuckets::Update(const ZoneShares& quotas, TimePoint now) {
   buckets_.resize(quotas.work_per_ms.size());
   for (std::size_t zone = 0; zone < buckets_.size(); ++zone) {
     Bucket& bucket = buckets_[zone];
@@ -26,15 +26,15 @@
   }
 }
 
-void ZoneQuotas::Spend(int zone, double work_ms) {
+void ZoneQuotaBuckets::Spend(int zone, double work_ms) {
   if (Bucket* const bucket = Find(zone)) bucket->work_ms -= work_ms;
 }
 
-void ZoneQuotas::Refund(int zone, double work_ms) {
+void ZoneQuotaBuckets::Refund(int zone, double work_ms) {
   if (Bucket* const bucket = Find(zone)) bucket->work_ms += work_ms;
 }
 
-void ZoneQuotas::Refill(Bucket& bucket, TimePoint now) {
+void ZoneQuotaBuckets::Refill(Bucket& bucket, TimePoint now) {
   const double max_work_ms = std::max(0.0, bucket.work_per_ms) * kBurst.count();
   bucket.work_ms =
       std::min(max_work_ms, bucket.work_ms + bucket.work_per_ms * (now - bucket.refilled_at).count());
--- a/src/balancer/zone_quota.h
+++ b/src/balancer/zone_quota.h
@@ -15,10 +15,10 @@
 ///
 /// Exception, where something decides how much goes to each zone (ZoneShares): a zone whose quota is used up
 /// is passed over. Each bucket holds a second's worth; requests of low priority leave most of it to others.
-class ZoneQuotas {
+class ZoneQuotaBuckets {
  public:
   /// No zone has a limit until the first update.
-  explicit ZoneQuotas(const Settings& settings);
+  explicit ZoneQuotaBuckets(const Settings& settings);
 
   /// Sets the quotas from here on.
   void Update(const ZoneShares& quotas, TimePoint now);
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1188,7 +1188,7 @@
     note();
   }
   ASSERT_EQ(lines.size(), 1u) << "others within ten seconds are not told";
-  EXPECT_NE(lines[0].find("refusing: not in time"), std::string::npos) << lines[0];
+  EXPECT_NE(lines[0].find("rejecting: not in time"), std::string::npos) << lines[0];
   rig.now += 100;
   rig.List({Entry(1, 0, 0, ServerState::kReady, rig.now)});
   for (int i = 0; i < 10; ++i) {
@@ -1196,7 +1196,7 @@
     note();
   }
   ASSERT_EQ(lines.size(), 2u);
-  EXPECT_NE(lines[1].find("server 1 held back: cold, at 25%"), std::string::npos) << lines[1];
+  EXPECT_NE(lines[1].find("backend 1 passed over: warming up, at 25%"), std::string::npos) << lines[1];
 }
 
 TEST(BadInput, IsIgnoredOrRefused) {
