--- /dev/null
+++ b/tests/balancer/aperture_test.cpp
@@ -0,0 +1,119 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Over how many backends a proxy spreads its requests, and which.
+#include <gtest/gtest.h>
+
+#include <iterator>
+#include <map>
+#include <set>
+
+#include "balancer/traffic.h"
+#include "fordlb/balancer.h"
+#include "harness.h"
+
+namespace fordlb {
+namespace {
+
+using testing::next_request_id;
+using testing::Rig;
+using testing::SubmitAndSucceed;
+using testing::Usual;
+
+Settings OneProxyOf(int proxies, int index) {
+  Settings s = Usual();
+  s.balancers = proxies;
+  s.me = index;
+  return s;
+}
+
+TEST(Aperture, FewRequests_FewBackendsAreUsed) {
+  Rig rig(OneProxyOf(400, 7));
+  rig.ListBackends(100);
+  std::set<ServerId> used;
+  for (int i = 0; i < 300; ++i) {
+    rig.AdvanceTime(200);
+    used.insert(*SubmitAndSucceed(rig));
+  }
+  EXPECT_LE(used.size(), 8u);
+  EXPECT_GE(used.size(), 4u);
+}
+
+TEST(Aperture, ManyRequests_AllBackendsAreUsed) {
+  Rig rig(OneProxyOf(2, 1));
+  rig.ListBackends(20);
+  std::set<ServerId> used;
+  for (int i = 0; i < 2000; ++i) {
+    rig.AdvanceTime(5);
+    used.insert(*SubmitAndSucceed(rig));
+  }
+  EXPECT_EQ(used.size(), 20u);
+}
+
+TEST(Aperture, AllProxies_BackendsAreInAboutAsManyAperturesEach) {
+  std::map<ServerId, int> users;
+  for (int index = 0; index < 200; ++index) {
+    Rig rig(OneProxyOf(200, index));
+    rig.ListBackends(50);
+    std::set<ServerId> used;
+    for (int i = 0; i < 60; ++i) {
+      rig.AdvanceTime(200);
+      used.insert(*SubmitAndSucceed(rig));
+    }
+    for (ServerId s : used) ++users[s];
+  }
+  ASSERT_EQ(users.size(), 50u) << "no backend is left out";
+  // 24 in the mean; places drawn at random would differ by 4.6 (one deviation) and reach far lower and
+  // higher.
+  for (const auto& [s, n] : users) {
+    EXPECT_GE(n, 15) << "backend " << s;
+    EXPECT_LE(n, 33) << "backend " << s;
+  }
+}
+
+TEST(Aperture, EjectedBackend_IsMadeUpForByTheNext) {
+  Settings settings = OneProxyOf(400, 3);
+  settings.max_attempts = 1;
+  Rig rig(settings);
+  rig.ListBackends(100);
+  std::set<ServerId> first;
+  for (int i = 0; i < 60; ++i) {
+    rig.AdvanceTime(200);
+    first.insert(*SubmitAndSucceed(rig));
+  }
+  ASSERT_GE(first.size(), 4u);
+  const std::set<ServerId> failing = {*first.begin(), *std::next(first.begin())};
+  std::set<ServerId> fresh;
+  int at_failing = 0;
+  for (int i = 0; i < 100; ++i) {
+    const RequestId id = next_request_id++;
+    rig.AdvanceTime(100);
+    const auto s = rig.SubmitRequest(id, 2, 10, 5000);
+    ASSERT_TRUE(s.has_value());
+    const bool fails = failing.count(*s) > 0;
+    at_failing += fails;
+    if (!first.count(*s)) fresh.insert(*s);
+    rig.EndAttempt(id, 0, *s, fails ? Outcome::kReset : Outcome::kOk);
+  }
+  EXPECT_LE(at_failing, 20) << "in service throughout they would get 28";
+  EXPECT_GE(fresh.size(), 1u);
+}
+
+TEST(Aperture, FewRequests_OutlierIntervalCoversTheRequestVolume) {
+  Rig rig(OneProxyOf(400, 3));
+  rig.ListBackends(100);
+  // Two requests a second over six backends: three answers of one backend take nine seconds.
+  std::map<ServerId, int> failed;
+  for (int i = 0; i < 200; ++i) {
+    const RequestId id = next_request_id++;
+    rig.AdvanceTime(250);
+    const auto s = rig.SubmitRequest(id, 2, 10, 5000);
+    ASSERT_TRUE(s.has_value());
+    const bool bad = *s % 6 == 0;
+    failed[*s] += bad;
+    rig.EndAttempt(id, 0, *s, bad ? Outcome::kReset : Outcome::kOk);
+  }
+  for (const auto& [s, n] : failed) EXPECT_LE(n, 28) << "backend " << s << " was never ejected";
+}
+
+}  // namespace
+}  // namespace fordlb
--- a/tests/list_test.cpp
+++ b/tests/balancer/backend_list_test.cpp
@@ -1,17 +1,41 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A list that is told change by change and one that is told whole leave the module with the same servers in
-// the same order: it makes the same decisions, ties included.
+// What the balancer makes of the endpoint list and its changes.
 #include <gtest/gtest.h>
 
+#include <map>
 #include <random>
+#include <utility>
+#include <vector>
 
+#include "balancer/traffic.h"
+#include "fordlb/balancer.h"
 #include "harness.h"
 
-namespace fordlb::testing {
+namespace fordlb {
 namespace {
 
-TEST(List, ChangesOneByOneAndAWholeListDecideAlike) {
+using testing::Entry;
+using testing::Rig;
+using testing::SubmitAndSucceed;
+using testing::Usual;
+
+TEST(BackendList, DrainingOrGoneBackend_GetsNothingNew) {
+  for (ServerState state : {ServerState::kDraining, ServerState::kGone}) {
+    Rig rig;
+    rig.ListBackends(2);
+    rig.UpdateEndpoints({Entry(1, 0, 0, state)}, ListKind::kDelta);
+    for (int i = 0; i < 20; ++i) EXPECT_EQ(SubmitAndSucceed(rig), ServerId{2});
+  }
+  Rig rig;
+  rig.ListBackends(2);
+  rig.UpdateEndpoints({Entry(2)});  // absent from a full list: removed
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(SubmitAndSucceed(rig), ServerId{2});
+}
+
+// A list that is told change by change and one that is told whole leave the module with the same backends in
+// the same order: it makes the same decisions, ties included.
+TEST(BackendList, ChangesOneByOneOrWholeList_SameDecisions) {
   std::uint64_t dispatches = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     Settings settings = Usual();
@@ -38,8 +62,8 @@
       for (const auto& [id, entry] : world) entries.push_back(entry);
       return entries;
     };
-    by_change.List(all());
-    whole.List(all());
+    by_change.UpdateEndpoints(all());
+    whole.UpdateEndpoints(all());
     RequestId id = 0;
     std::vector<std::pair<RequestId, ServerId>> out;
     for (int step = 0; step < 2000; ++step) {
@@ -49,13 +73,14 @@
       if (random() % 4 == 0) {
         std::vector<ServerEntry> changes;
         for (auto n = random() % 3 + 1; n > 0; --n) changes.push_back(change());
-        by_change.List(changes, ListKind::kDelta);
-        whole.List(all());
+        by_change.UpdateEndpoints(changes, ListKind::kDelta);
+        whole.UpdateEndpoints(all());
       } else if (random() % 2 == 0 || out.empty()) {
         const int cls = static_cast<int>(random() % 3);
         const double work = 5 + static_cast<double>(random() % 20);
         ++id;
-        const auto a = by_change.Ask(id, cls, work, 1000, id), b = whole.Ask(id, cls, work, 1000, id);
+        const auto a = by_change.SubmitRequest(id, cls, work, 1000, id),
+                   b = whole.SubmitRequest(id, cls, work, 1000, id);
         ASSERT_EQ(a, b) << "seed " << seed << ", step " << step;
         if (a) out.emplace_back(id, *a), ++dispatches;
       } else {
@@ -63,8 +88,8 @@
         out.erase(out.begin());
         const Outcome outcome = random() % 10 == 0 ? Outcome::kError : Outcome::kOk;
         const double took = 10 + static_cast<double>(random() % 30);
-        by_change.End(request, 0, server, outcome, took, true);
-        whole.End(request, 0, server, outcome, took, true);
+        by_change.EndAttempt(request, 0, server, outcome, took, true);
+        whole.EndAttempt(request, 0, server, outcome, took, true);
       }
       ASSERT_EQ(by_change.sent.size(), whole.sent.size()) << "seed " << seed << ", step " << step;
     }
@@ -75,4 +100,4 @@
 }
 
 }  // namespace
-}  // namespace fordlb::testing
+}  // namespace fordlb
--- /dev/null
+++ b/tests/balancer/log_throttle_test.cpp
@@ -0,0 +1,45 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// The lines that the balancer logs.
+#include <gtest/gtest.h>
+
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "balancer/traffic.h"
+#include "fordlb/balancer.h"
+#include "harness.h"
+
+namespace fordlb {
+namespace {
+
+using testing::Entry;
+using testing::next_request_id;
+using testing::Rig;
+
+TEST(LogThrottle, RepeatedEvents_FewLinesEachNamingBackendAndReason) {
+  Rig rig;
+  std::vector<std::string> lines;
+  auto note = [&] {
+    for (const Action& a : rig.actions)
+      if (const auto* log = std::get_if<Log>(&a)) lines.push_back(log->text);
+  };
+  for (int i = 0; i < 5; ++i) {
+    rig.SubmitRequest(next_request_id++, 0, 10, -50);  // due in the past
+    note();
+  }
+  ASSERT_EQ(lines.size(), 1u) << "others within ten seconds are not told";
+  EXPECT_NE(lines[0].find("rejecting: not in time"), std::string::npos) << lines[0];
+  rig.now += 100;
+  rig.UpdateEndpoints({Entry(1, 0, 0, ServerState::kReady, rig.now)});
+  for (int i = 0; i < 10; ++i) {
+    rig.SubmitRequest(next_request_id++);
+    note();
+  }
+  ASSERT_EQ(lines.size(), 2u);
+  EXPECT_NE(lines[1].find("backend 1 passed over: warming up, at 25%"), std::string::npos) << lines[1];
+}
+
+}  // namespace
+}  // namespace fordlb
--- a/tests/rules_test.cpp
+++ b/tests/balancer/random_schedules_test.cpp
@@ -170,7 +170,7 @@
       EXPECT_EQ(++r.finals, 1);
       for (const Try& t : r.tries) {
         EXPECT_TRUE(NeverRan(t) || settings_.classes[static_cast<std::size_t>(r.cls)].effect == Effect::kSafe)
-            << "refused though it may have run";
+            << "rejected though it may have run";
       }
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
       EXPECT_EQ(++open_.at(fail->request).finals, 1);
@@ -189,7 +189,7 @@
   std::map<RequestId, Open> open_;
 };
 
-TEST(Rules, RandomRoundsKeepThem) {
+TEST(RandomSchedules, LegalEvents_RulesOfAttemptsAreKept) {
   std::size_t attempts = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
--- /dev/null
+++ b/tests/balancer/request_queue_test.cpp
@@ -0,0 +1,56 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// The order in which queued requests are dispatched.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <vector>
+
+#include "balancer/traffic.h"
+#include "fordlb/balancer.h"
+#include "harness.h"
+
+namespace fordlb {
+namespace {
+
+using testing::next_request_id;
+using testing::Rig;
+using testing::SubmitUntilQueued;
+using testing::Usual;
+
+TEST(RequestQueue, HigherPriority_IsDispatchedFirst) {
+  Settings s = Usual();
+  s.classes[2].worth = 1;
+  s.classes[0].worth = 9;
+  Rig rig(s);
+  rig.ListBackends(1);
+  const RequestId first = next_request_id;
+  SubmitUntilQueued(rig, 2);
+  const RequestId poor = next_request_id++, rich = next_request_id++;
+  EXPECT_FALSE(rig.SubmitRequest(poor, 2, 10, 5000).has_value());
+  EXPECT_FALSE(rig.SubmitRequest(rich, 0, 10, 5000).has_value());
+  for (RequestId id : {first, first + 1}) rig.EndAttempt(id, 0, 1, Outcome::kOk, 10);
+  std::vector<RequestId> order;
+  for (const Dispatch& d : rig.sent) order.push_back(d.request);
+  const auto rich_at = std::find(order.begin(), order.end(), rich);
+  ASSERT_NE(rich_at, order.end());
+  EXPECT_EQ(std::find(order.begin(), rich_at, poor), rich_at);
+}
+
+// Oldest first, an overloaded proxy would send only what has hardly any of its objective left.
+TEST(RequestQueue, EqualPriority_NewestIsDispatchedFirst) {
+  Rig rig;
+  rig.ListBackends(1);
+  const RequestId first = next_request_id;
+  SubmitUntilQueued(rig, 0);
+  for (RequestId id : {601u, 602u}) {
+    rig.AdvanceTime(10);
+    EXPECT_FALSE(rig.SubmitRequest(id, 0, 10, 900).has_value());
+  }
+  rig.sent.clear();
+  for (RequestId id = first; rig.sent.empty(); ++id) rig.EndAttempt(id, 0, 1, Outcome::kOk, 20);
+  EXPECT_EQ(rig.sent[0].request, 602u);
+}
+
+}  // namespace
+}  // namespace fordlb
--- /dev/null
+++ b/tests/balancer/retry_budget_test.cpp
@@ -0,0 +1,32 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// The bound on retries.
+#include <gtest/gtest.h>
+
+#include "balancer/traffic.h"
+#include "fordlb/balancer.h"
+#include "harness.h"
+
+namespace fordlb {
+namespace {
+
+using testing::next_request_id;
+using testing::Rig;
+
+TEST(RetryBudget, AllAttemptsFail_RetriesAreBounded) {
+  Rig rig;
+  rig.ListBackends(5);
+  for (int i = 0; i < 300; ++i) {
+    const RequestId id = next_request_id++;
+    auto s = rig.SubmitRequest(id, 0);
+    for (int attempt = 0; s; ++attempt) {
+      rig.EndAttempt(id, attempt, *s, Outcome::kError);
+      s = rig.SentTo(id);
+    }
+  }
+  EXPECT_LE(rig.sent.size(), 300u + 20u + 61u) << "a store of 20, and a fifth of the first sends";
+  EXPECT_GE(rig.sent.size(), 300u + 20u);
+}
+
+}  // namespace
+}  // namespace fordlb
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -4,9 +4,7 @@
 #ifndef FORDLB_TESTS_HARNESS_H_
 #define FORDLB_TESTS_HARNESS_H_
 
-#include <map>
 #include <optional>
-#include <set>
 #include <utility>
 #include <variant>
 #include <vector>
@@ -15,8 +13,10 @@
 
 namespace fordlb::testing {
 
+/// The point in time `ms` after the origin of the clock.
 inline TimePoint At(double ms) { return TimePoint(Duration(ms)); }
 
+/// A request class with the latency objective and the deadline in ms; keyed ones are remembered for 500 ms.
 inline ClassSettings Class(Effect effect, double aim = 200, double deadline = 1000) {
   ClassSettings c;
   c.effect = effect;
@@ -26,7 +26,8 @@
   return c;
 }
 
-// Three classes: 0 safe, 1 keyed (cell), 2 unsafe.
+/// Settings of one proxy with three classes: 0 idempotent, 1 idempotent by key within a cell, 2 not
+/// idempotent.
 inline Settings Usual() {
   Settings s;
   s.classes = {Class(Effect::kSafe), Class(Effect::kKeyed), Class(Effect::kUnsafe)};
@@ -41,6 +42,7 @@
   return s;
 }
 
+/// A backend of the endpoint list; `up_since` in ms, 0: long ago.
 inline ServerEntry Entry(ServerId id, int zone = 0, int cell = 0, ServerState state = ServerState::kReady,
                          double up_since = 0) {
   ServerEntry e;
@@ -52,51 +54,64 @@
   return e;
 }
 
+/// A Balancer and its clock. Nothing happens but what a test says: timers that are set don't fire by
+/// themselves.
 class Rig {
  public:
   explicit Rig(Settings settings = Usual(), std::uint64_t seed = 1) : balancer_(std::move(settings), seed) {}
 
-  double now = 100000;
-  std::vector<Action> actions;  // of the last event
+  double now = 100000;          ///< In ms; a test may advance it.
+  std::vector<Action> actions;  ///< Of the last event.
+  std::vector<Dispatch> sent;   ///< Of all events.
 
-  const std::vector<Action>& Do(const Event& event) {
+  /// Passes an event on; what is to be done because of it.
+  const std::vector<Action>& Handle(const Event& event) {
     actions.clear();
     balancer_.Handle(At(now), event, &actions);
-    for (const Action& a : actions) {
-      if (const auto* d = std::get_if<Dispatch>(&a)) ++attempts_[d->request], sent.push_back(*d);
+    for (const Action& action : actions) {
+      if (const auto* dispatch = std::get_if<Dispatch>(&action)) sent.push_back(*dispatch);
     }
     return actions;
   }
-  void List(std::vector<ServerEntry> entries, ListKind kind = ListKind::kFull) {
-    Do(ListUpdate{kind, std::move(entries)});
+
+  /// An endpoint list arrives, or a change of it.
+  void UpdateEndpoints(std::vector<ServerEntry> entries, ListKind kind = ListKind::kFull) {
+    Handle(ListUpdate{kind, std::move(entries)});
+  }
+
+  /// A list of ready, warm backends with the ids 1 to `count` arrives.
+  void ListBackends(int count) {
+    std::vector<ServerEntry> entries;
+    for (int i = 1; i <= count; ++i) entries.push_back(Entry(static_cast<ServerId>(i)));
+    UpdateEndpoints(entries);
   }
-  // What the module holds of a server.
+
+  /// What the balancer holds of a backend.
   ServerView View(ServerId id) const {
     for (const ServerView& view : balancer_.Inspect()) {
       if (view.entry.server == id) return view;
     }
     return {};
   }
-  void Servers(int n) {
-    std::vector<ServerEntry> entries;
-    for (int i = 1; i <= n; ++i) entries.push_back(Entry(static_cast<ServerId>(i)));
-    List(entries);
-  }
-  // Submits and returns the server it was sent to at once, if any.
-  std::optional<ServerId> Ask(RequestId id, int cls = 0, double work = 10, double patience = 1000,
-                              std::uint64_t key = 0) {
+
+  /// Submits a request and returns the backend that it was sent to at once, if any. `work` in ms, 0: no hint;
+  /// the client gives up after `patience` ms.
+  std::optional<ServerId> SubmitRequest(RequestId id, int request_class = 0, double work = 10,
+                                        double patience = 1000, std::uint64_t key = 0) {
     Submit s;
     s.request = id;
-    s.request_class = cls;
+    s.request_class = request_class;
     s.has_hint = work > 0;
     s.work_ms = work;
     s.key = key;
     s.due = At(now + patience);
-    Do(s);
+    Handle(s);
     return SentTo(id);
   }
-  void End(RequestId id, int attempt, ServerId server, Outcome outcome, double took = 10,
-           bool settled = false) {
+
+  /// An attempt ends `took` ms after its dispatch; a success settles the request.
+  void EndAttempt(RequestId id, int attempt, ServerId server, Outcome outcome, double took = 10,
+                  bool settled = false) {
     AttemptEnded e;
     e.request = id;
     e.attempt = attempt;
@@ -104,31 +119,34 @@
     e.outcome = outcome;
     e.settled = settled || outcome == Outcome::kOk;
     e.took = Duration(took);
-    Do(e);
+    Handle(e);
   }
-  void Tick(double ms) {
+
+  /// `ms` pass, and a timer fires.
+  void AdvanceTime(double ms) {
     now += ms;
-    Do(TimerFired{});
+    Handle(TimerFired{});
   }
+
+  /// Where the last event had a request sent to, if anywhere.
   std::optional<ServerId> SentTo(RequestId id) const {
-    for (const Action& a : actions) {
-      const auto* d = std::get_if<Dispatch>(&a);
-      if (d && d->request == id) return d->server;
+    for (const Action& action : actions) {
+      const auto* dispatch = std::get_if<Dispatch>(&action);
+      if (dispatch && dispatch->request == id) return dispatch->server;
     }
     return std::nullopt;
   }
+
+  /// Number of actions of type T that the last event caused.
   template <typename T>
-  int Count() const {
-    int n = 0;
-    for (const Action& a : actions) n += std::holds_alternative<T>(a);
-    return n;
+  int CountActions() const {
+    int count = 0;
+    for (const Action& action : actions) count += std::holds_alternative<T>(action) ? 1 : 0;
+    return count;
   }
 
-  std::vector<Dispatch> sent;
-
  private:
   Balancer balancer_;
-  std::map<RequestId, int> attempts_;
 };
 
 }  // namespace fordlb::testing
--- a/tests/sample_settings.h
+++ b/tests/sample_settings.h
@@ -1,9 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// Settings as the platform writes them.
 #ifndef FORDLB_TESTS_SAMPLE_SETTINGS_H_
 #define FORDLB_TESTS_SAMPLE_SETTINGS_H_
 
 namespace fordlb::testing {
 
+/// Two classes and a tenant, one `key=value` a line.
 inline constexpr char kSampleSettings[] = R"(
 balancers=2
 classes.count=2
