--- a/tests/balancer/admission_test.cpp
+++ b/tests/balancer/admission_test.cpp
@@ -20,7 +20,10 @@
   rig.ListBackends(1);
   EXPECT_NEAR(SubmitUntilQueued(rig, 2), 4.7, 0.9) << "1.5 a backend, a deviation of that and two in a burst";
   double waited = 0;
-  while (rig.CountActions<Refuse>() == 0 && waited < 2000) rig.AdvanceTime(5), waited += 5;
+  while (rig.CountActions<Refuse>() == 0 && waited < 2000) {
+    rig.AdvanceTime(5);
+    waited += 5;
+  }
   EXPECT_EQ(rig.CountActions<Refuse>(), 1);
   EXPECT_LE(waited, 205) << "within the objective, not at the deadline";
 }
--- a/tests/balancer/aperture_test.cpp
+++ b/tests/balancer/aperture_test.cpp
@@ -20,10 +20,10 @@
 using testing::Usual;
 
 Settings OneProxyOf(int proxies, int index) {
-  Settings s = Usual();
-  s.balancers = proxies;
-  s.me = index;
-  return s;
+  Settings settings = Usual();
+  settings.balancers = proxies;
+  settings.me = index;
+  return settings;
 }
 
 TEST(Aperture, FewRequests_FewBackendsAreUsed) {
@@ -59,14 +59,14 @@
       rig.AdvanceTime(200);
       used.insert(*SubmitAndSucceed(rig));
     }
-    for (ServerId s : used) ++users[s];
+    for (ServerId backend : used) ++users[backend];
   }
   ASSERT_EQ(users.size(), 50u) << "no backend is left out";
   // 24 in the mean; places drawn at random would differ by 4.6 (one deviation) and reach far lower and
   // higher.
-  for (const auto& [s, n] : users) {
-    EXPECT_GE(n, 15) << "backend " << s;
-    EXPECT_LE(n, 33) << "backend " << s;
+  for (const auto& [backend, n] : users) {
+    EXPECT_GE(n, 15) << "backend " << backend;
+    EXPECT_LE(n, 33) << "backend " << backend;
   }
 }
 
@@ -87,12 +87,12 @@
   for (int i = 0; i < 100; ++i) {
     const RequestId id = next_request_id++;
     rig.AdvanceTime(100);
-    const auto s = rig.SubmitRequest(id, 2, 10, 5000);
-    ASSERT_TRUE(s.has_value());
-    const bool fails = failing.count(*s) > 0;
+    const auto backend = rig.SubmitRequest(id, 2, 10, 5000);
+    ASSERT_TRUE(backend.has_value());
+    const bool fails = failing.count(*backend) > 0;
     at_failing += fails;
-    if (!first.count(*s)) fresh.insert(*s);
-    rig.EndAttempt(id, 0, *s, fails ? Outcome::kReset : Outcome::kOk);
+    if (!first.count(*backend)) fresh.insert(*backend);
+    rig.EndAttempt(id, 0, *backend, fails ? Outcome::kReset : Outcome::kOk);
   }
   EXPECT_LE(at_failing, 20) << "in service throughout they would get 28";
   EXPECT_GE(fresh.size(), 1u);
@@ -106,13 +106,13 @@
   for (int i = 0; i < 200; ++i) {
     const RequestId id = next_request_id++;
     rig.AdvanceTime(250);
-    const auto s = rig.SubmitRequest(id, 2, 10, 5000);
-    ASSERT_TRUE(s.has_value());
-    const bool bad = *s % 6 == 0;
-    failed[*s] += bad;
-    rig.EndAttempt(id, 0, *s, bad ? Outcome::kReset : Outcome::kOk);
+    const auto backend = rig.SubmitRequest(id, 2, 10, 5000);
+    ASSERT_TRUE(backend.has_value());
+    const bool bad = *backend % 6 == 0;
+    failed[*backend] += bad;
+    rig.EndAttempt(id, 0, *backend, bad ? Outcome::kReset : Outcome::kOk);
   }
-  for (const auto& [s, n] : failed) EXPECT_LE(n, 28) << "backend " << s << " was never ejected";
+  for (const auto& [backend, n] : failed) EXPECT_LE(n, 28) << "backend " << backend << " was never ejected";
 }
 
 }  // namespace
--- a/tests/balancer/attempt_permission_test.cpp
+++ b/tests/balancer/attempt_permission_test.cpp
@@ -49,9 +49,9 @@
       EXPECT_EQ(rig.CountActions<Fail>(), 1);
     }
     // And with no attempt left: rejected only where that is permitted.
-    Settings s = Usual();
-    s.max_attempts = 1;
-    Rig last(s);
+    Settings settings = Usual();
+    settings.max_attempts = 1;
+    Rig last(settings);
     last.ListBackends(3);
     const auto only = last.SubmitRequest(1, v.cls);
     last.EndAttempt(1, 0, *only, v.outcome);
@@ -98,9 +98,9 @@
 }
 
 TEST(AttemptPermission, MaxAttemptsSent_IsRejected) {
-  Settings s = Usual();
-  s.max_attempts = 2;
-  Rig rig(s);
+  Settings settings = Usual();
+  settings.max_attempts = 2;
+  Rig rig(settings);
   rig.ListBackends(5);
   const auto first = rig.SubmitRequest(1, 0);
   rig.EndAttempt(1, 0, *first, Outcome::kConnectFailed);
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -38,21 +38,21 @@
   EXPECT_EQ(rig.CountActions<Refuse>(), 1) << "due in the past";
   for (double work : {0.0, -5.0, inf, nan, 1e300}) {
     const RequestId id = 100 + next_request_id++;
-    Submit s;
-    s.request = id;
-    s.due = At(rig.now + 500);
-    s.has_hint = true;
-    s.work_ms = work;
-    s.tenant = 4000;
-    rig.Handle(s);
+    Submit submit;
+    submit.request = id;
+    submit.due = At(rig.now + 500);
+    submit.has_hint = true;
+    submit.work_ms = work;
+    submit.tenant = 4000;
+    rig.Handle(submit);
     ASSERT_TRUE(rig.SentTo(id).has_value()) << work;
-    AttemptEnded e;
-    e.request = id;
-    e.server = 1;
-    e.outcome = Outcome::kOk;
-    e.settled = true;
-    e.took = Duration(nan);
-    rig.Handle(e);
+    AttemptEnded ended;
+    ended.request = id;
+    ended.server = 1;
+    ended.outcome = Outcome::kOk;
+    ended.settled = true;
+    ended.took = Duration(nan);
+    rig.Handle(ended);
   }
   EXPECT_TRUE(rig.SubmitRequest(next_request_id + 1000, 0).has_value());
 }
@@ -62,9 +62,9 @@
   for (Rig* rig : {&a, &b}) {
     rig->ListBackends(5);
     for (RequestId id = 1; id <= 200; ++id) {
-      const auto s = rig->SubmitRequest(id, static_cast<int>(id % 3));
+      const auto backend = rig->SubmitRequest(id, static_cast<int>(id % 3));
       rig->AdvanceTime(3);
-      if (s && id % 4) rig->EndAttempt(id, 0, *s, id % 5 ? Outcome::kOk : Outcome::kError);
+      if (backend && id % 4) rig->EndAttempt(id, 0, *backend, id % 5 ? Outcome::kOk : Outcome::kError);
     }
   }
   ASSERT_EQ(a.sent.size(), b.sent.size());
--- a/tests/balancer/client_timeout_test.cpp
+++ b/tests/balancer/client_timeout_test.cpp
@@ -26,16 +26,16 @@
   Rig rig(settings);
   rig.ListBackends(3);
   auto served = [&](double left, bool repeat = false) {
-    Submit s;
-    s.request = next_request_id++;
-    s.request_class = 2;
-    s.has_hint = true;
-    s.work_ms = 10;
-    s.due = At(rig.now + left);
-    s.client_retry = repeat;
-    rig.Handle(s);
-    const auto server = rig.SentTo(s.request);
-    if (server) rig.EndAttempt(s.request, 0, *server, Outcome::kOk);
+    Submit submit;
+    submit.request = next_request_id++;
+    submit.request_class = 2;
+    submit.has_hint = true;
+    submit.work_ms = 10;
+    submit.due = At(rig.now + left);
+    submit.client_retry = repeat;
+    rig.Handle(submit);
+    const auto server = rig.SentTo(submit.request);
+    if (server) rig.EndAttempt(submit.request, 0, *server, Outcome::kOk);
     return server.has_value();
   };
   for (int i = 0; i < 10; ++i) EXPECT_TRUE(served(i % 2 ? 600 : 500)) << "no usual time yet";
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -24,9 +24,9 @@
 
 // 65 backends that had just started tripled what was always in order, and the fleet was overdriven.
 TEST(ConcurrencyLimit, BackendsWarmingUp_RaiseTheLimitByTheirShareOnly) {
-  Settings s = Usual();
-  s.balancers = 2;
-  Rig rig(s);
+  Settings settings = Usual();
+  settings.balancers = 2;
+  Rig rig(settings);
   std::vector<ServerEntry> list = {Entry(1), Entry(2)};
   for (ServerId id = 3; id <= 10; ++id) list.push_back(Entry(id, 0, 0, ServerState::kReady, rig.now));
   rig.UpdateEndpoints(list);
@@ -37,9 +37,9 @@
 
 // A new proxy that floods the fleet before it knows any rate leaves queues that last far longer.
 TEST(ConcurrencyLimit, NewProxy_StartsFromTheMinimum) {
-  Settings s = Usual();
-  s.balancers = 2;
-  Rig rig(s);
+  Settings settings = Usual();
+  settings.balancers = 2;
+  Rig rig(settings);
   rig.ListBackends(4);
   for (int i = 0; i < 50; ++i) rig.SubmitRequest(next_request_id++, 0, 10, 900);
   EXPECT_NEAR(static_cast<double>(rig.sent.size()), 6.7, 0.9)
@@ -65,17 +65,17 @@
   for (int i = 0; i < 2000; ++i) {
     rig.AdvanceTime(5);
     const RequestId id = next_request_id++;
-    if (const auto s = rig.SubmitRequest(id, 2, 10, 900)) out.emplace_back(rig.now, id, *s);
+    if (const auto backend = rig.SubmitRequest(id, 2, 10, 900)) out.emplace_back(rig.now, id, *backend);
     // The fleet answers one in 20 ms, the oldest first.
     if (i % 4 == 0 && !out.empty()) {
       const auto [at, oldest, server] = out.front();
       out.pop_front();
       rig.EndAttempt(oldest, 0, server, Outcome::kOk, rig.now - at);
-      for (const Dispatch& d : rig.sent) {
+      for (const Dispatch& dispatch : rig.sent) {
         if (std::none_of(out.begin(), out.end(),
-                         [&](const auto& o) { return std::get<1>(o) == d.request; }) &&
-            rig.SentTo(d.request))
-          out.emplace_back(rig.now, d.request, d.server);
+                         [&](const auto& o) { return std::get<1>(o) == dispatch.request; }) &&
+            rig.SentTo(dispatch.request))
+          out.emplace_back(rig.now, dispatch.request, dispatch.server);
       }
     }
     if (i > 1000) most = std::max(most, out.size());
--- a/tests/balancer/endpoint_poller_test.cpp
+++ b/tests/balancer/endpoint_poller_test.cpp
@@ -16,17 +16,20 @@
 using testing::Usual;
 
 TEST(EndpointPoller, StartOrFailedCall_Polls) {
-  Settings s = Usual();
-  s.must_ask_for_list = true;
-  s.must_ask_within = Duration(10000);
-  Rig rig(s);
+  Settings settings = Usual();
+  settings.must_ask_for_list = true;
+  settings.must_ask_within = Duration(10000);
+  Rig rig(settings);
   rig.UpdateEndpoints({Entry(1)}, ListKind::kCached);
   EXPECT_EQ(rig.CountActions<Subscribe>(), 1);
   rig.AdvanceTime(100);
   EXPECT_EQ(rig.CountActions<Subscribe>(), 0) << "one call at a time";
   rig.UpdateEndpoints({}, ListKind::kFailed);
   double waited = 0;
-  while (rig.CountActions<Subscribe>() == 0 && waited < 20000) rig.AdvanceTime(10), waited += 10;
+  while (rig.CountActions<Subscribe>() == 0 && waited < 20000) {
+    rig.AdvanceTime(10);
+    waited += 10;
+  }
   EXPECT_GE(waited, 200);
   EXPECT_LE(waited, 2500);
   EXPECT_EQ(rig.SubmitRequest(next_request_id++), ServerId{1}) << "the old list serves";
@@ -48,15 +51,18 @@
 
 // Whatever the rules allow after a failed call: a change is to be heard of within 6 s of discovery's return.
 TEST(EndpointPoller, CallsFailRepeatedly_PollsWithinTwoSeconds) {
-  Settings s = Usual();
-  s.must_ask_for_list = true;
-  s.must_ask_within = Duration(40000);
-  Rig rig(s);
+  Settings settings = Usual();
+  settings.must_ask_for_list = true;
+  settings.must_ask_within = Duration(40000);
+  Rig rig(settings);
   rig.UpdateEndpoints({Entry(1)}, ListKind::kCached);
   for (int i = 0; i < 8; ++i) {
     rig.UpdateEndpoints({}, ListKind::kFailed);
     double waited = 0;
-    while (rig.CountActions<Subscribe>() == 0 && waited < 60000) rig.AdvanceTime(50), waited += 50;
+    while (rig.CountActions<Subscribe>() == 0 && waited < 60000) {
+      rig.AdvanceTime(50);
+      waited += 50;
+    }
     EXPECT_LE(waited, 2050) << i;
     EXPECT_GE(waited, 500) << "no storm of calls either";
   }
--- a/tests/balancer/event_timer_test.cpp
+++ b/tests/balancer/event_timer_test.cpp
@@ -27,8 +27,8 @@
   std::uint64_t token = 0;
   int finals = 0;
   for (int i = 0; i < 200 && finals == 0; ++i) {
-    for (const Action& a : rig.actions) {
-      if (const auto* timer = std::get_if<SetTimer>(&a)) {
+    for (const Action& action : rig.actions) {
+      if (const auto* timer = std::get_if<SetTimer>(&action)) {
         at = timer->at.time_since_epoch().count();
         token = timer->token;
       }
--- a/tests/balancer/log_throttle_test.cpp
+++ b/tests/balancer/log_throttle_test.cpp
@@ -22,8 +22,8 @@
   Rig rig;
   std::vector<std::string> lines;
   auto note = [&] {
-    for (const Action& a : rig.actions)
-      if (const auto* log = std::get_if<Log>(&a)) lines.push_back(log->text);
+    for (const Action& action : rig.actions)
+      if (const auto* log = std::get_if<Log>(&action)) lines.push_back(log->text);
   };
   for (int i = 0; i < 5; ++i) {
     rig.SubmitRequest(next_request_id++, 0, 10, -50);  // due in the past
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -47,10 +47,10 @@
   std::set<ServerId> late_on;
   for (int i = 0; i < 120; ++i) {
     const RequestId id = next_request_id++;
-    const auto s = rig.SubmitRequest(id, 2, 10, 5000);
-    ASSERT_TRUE(s.has_value());
-    if (i >= 80) late_on.insert(*s);
-    rig.EndAttempt(id, 0, *s, *s <= 4 ? Outcome::kReset : Outcome::kOk);
+    const auto backend = rig.SubmitRequest(id, 2, 10, 5000);
+    ASSERT_TRUE(backend.has_value());
+    if (i >= 80) late_on.insert(*backend);
+    rig.EndAttempt(id, 0, *backend, *backend <= 4 ? Outcome::kReset : Outcome::kOk);
   }
   EXPECT_EQ(late_on.size(), 3u) << "four of six always fail; three are out";
 }
@@ -88,9 +88,9 @@
 TEST(OutlierDetection, EachKindOfFailure_Ejects) {
   for (Outcome outcome :
        {Outcome::kError, Outcome::kFull, Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset}) {
-    Settings s = Usual();
-    s.max_attempts = 1;
-    Rig rig(s);
+    Settings settings = Usual();
+    settings.max_attempts = 1;
+    Rig rig(settings);
     rig.ListBackends(3);
     AnswerRounds(rig, 3, 3, outcome);
     EXPECT_FALSE(InService(rig, 1)) << static_cast<int>(outcome);
@@ -140,13 +140,13 @@
   rig.ListBackends(4);
   for (int i = 0; i < 60; ++i) {
     const RequestId id = next_request_id++;
-    const auto s = rig.SubmitRequest(id, 2, 10, 5000);
-    ASSERT_TRUE(s.has_value());
-    rig.EndAttempt(id, 0, *s, Outcome::kError);
+    const auto backend = rig.SubmitRequest(id, 2, 10, 5000);
+    ASSERT_TRUE(backend.has_value());
+    rig.EndAttempt(id, 0, *backend, Outcome::kError);
   }
   std::set<ServerId> in;
-  for (ServerId s = 1; s <= 4; ++s) {
-    if (InService(rig, s)) in.insert(s);
+  for (ServerId backend = 1; backend <= 4; ++backend) {
+    if (InService(rig, backend)) in.insert(backend);
   }
   EXPECT_GE(in.size(), 2u) << "never more than half";
 }
@@ -156,7 +156,7 @@
   rig.ListBackends(3);
   for (int i = 0; i < 40; ++i) SubmitAndEnd(rig, Outcome::kError, {1, 2, 3});
   int in = 0;
-  for (ServerId s = 1; s <= 3; ++s) in += InService(rig, s);
+  for (ServerId backend = 1; backend <= 3; ++backend) in += InService(rig, backend);
   EXPECT_EQ(in, 3);
 }
 
@@ -168,9 +168,9 @@
   rig.ListBackends(4);
   for (int i = 0; i < 24; ++i) {
     const RequestId id = next_request_id++;
-    const auto s = rig.SubmitRequest(id, 2, 10, 5000);
-    ASSERT_TRUE(s.has_value());
-    rig.EndAttempt(id, 0, *s, *s == 1 || i % 2 ? Outcome::kError : Outcome::kOk);
+    const auto backend = rig.SubmitRequest(id, 2, 10, 5000);
+    ASSERT_TRUE(backend.has_value());
+    rig.EndAttempt(id, 0, *backend, *backend == 1 || i % 2 ? Outcome::kError : Outcome::kOk);
   }
   EXPECT_FALSE(InService(rig, 1));
 }
--- a/tests/balancer/random_schedules_test.cpp
+++ b/tests/balancer/random_schedules_test.cpp
@@ -18,7 +18,7 @@
 using testing::Entry;
 using testing::Usual;
 
-struct Try {
+struct SentAttempt {
   ServerId server;
   double sent_at;
   double ends_at;
@@ -28,7 +28,7 @@
 struct Open {
   int cls;
   double due;
-  std::vector<Try> tries;
+  std::vector<SentAttempt> attempts;
   int finals = 0;
 };
 
@@ -49,7 +49,7 @@
     }
     now_ += 5000;
     Step(false);
-    for (const auto& [id, r] : open_) EXPECT_EQ(r.finals, 1) << "request " << id;
+    for (const auto& [id, request] : open_) EXPECT_EQ(request.finals, 1) << "request " << id;
   }
   std::size_t attempts = 0;
 
@@ -58,7 +58,7 @@
 
   std::vector<ServerEntry> All() const {
     std::vector<ServerEntry> all;
-    for (const auto& [id, e] : servers_) all.push_back(e);
+    for (const auto& [id, endpoint] : servers_) all.push_back(endpoint);
     return all;
   }
 
@@ -73,58 +73,59 @@
         timers_.erase(timers_.begin());
         Do(TimerFired{});
       }
-      if (what == 1) EndTries();
+      if (what == 1) EndAttempts();
       if (what == 2 && load) {
         for (int k = Roll(4); k > 0; --k) Arrive();
       }
       if (what == 3 && Roll(20) == 0) ChangeList();
     }
-    for (auto& [id, r] : open_) {
-      if (r.finals == 0 && r.due + 20 < now_)
-        ADD_FAILURE() << "request " << id << " due " << r.due << " has no answer at " << now_;
+    for (auto& [id, request] : open_) {
+      if (request.finals == 0 && request.due + 20 < now_)
+        ADD_FAILURE() << "request " << id << " due " << request.due << " has no answer at " << now_;
     }
   }
 
   void Arrive() {
-    Submit s;
-    s.request = ++last_id_;
-    s.request_class = Roll(3);
-    s.due = At(now_ + 30 + Roll(700));
-    s.has_hint = Roll(3) > 0;
-    s.work_ms = 1 + Roll(60);
-    open_[s.request] = Open{s.request_class, s.due.time_since_epoch().count(), {}};
-    Do(s);
+    Submit submit;
+    submit.request = ++last_id_;
+    submit.request_class = Roll(3);
+    submit.due = At(now_ + 30 + Roll(700));
+    submit.has_hint = Roll(3) > 0;
+    submit.work_ms = 1 + Roll(60);
+    open_[submit.request] = Open{submit.request_class, submit.due.time_since_epoch().count(), {}};
+    Do(submit);
   }
 
   void ChangeList() {
     const ServerId id = 1 + static_cast<ServerId>(Roll(8));
-    ServerEntry& e = servers_[id];
-    e.state = static_cast<ServerState>(Roll(3));
-    if (e.state == ServerState::kReady && Roll(2)) e.up_since = At(now_);
-    Push(Roll(5) ? ListKind::kDelta : ListKind::kFull, Roll(5) ? std::vector<ServerEntry>{e} : All());
+    ServerEntry& endpoint = servers_[id];
+    endpoint.state = static_cast<ServerState>(Roll(3));
+    if (endpoint.state == ServerState::kReady && Roll(2)) endpoint.up_since = At(now_);
+    Push(Roll(5) ? ListKind::kDelta : ListKind::kFull, Roll(5) ? std::vector<ServerEntry>{endpoint} : All());
   }
 
-  void EndTries() {
+  void EndAttempts() {
     std::vector<std::pair<RequestId, int>> ended;
-    for (auto& [id, r] : open_) {
-      for (std::size_t i = 0; i < r.tries.size(); ++i) {
-        if (r.tries[i].out && r.tries[i].ends_at <= now_) ended.emplace_back(id, static_cast<int>(i));
+    for (auto& [id, request] : open_) {
+      for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+        if (request.attempts[i].out && request.attempts[i].ends_at <= now_)
+          ended.emplace_back(id, static_cast<int>(i));
       }
     }
     std::shuffle(ended.begin(), ended.end(), rng_);
     for (const auto& [id, i] : ended) {
-      Open& r = open_[id];
-      Try& t = r.tries[static_cast<std::size_t>(i)];
-      t.out = false;
-      if (t.outcome == Outcome::kOk && r.finals == 0) r.finals = 1;
-      AttemptEnded e;
-      e.request = id;
-      e.attempt = i;
-      e.server = t.server;
-      e.outcome = t.outcome;
-      e.settled = r.finals > 0;
-      e.took = Duration(now_ - t.sent_at);
-      Do(e);
+      Open& request = open_[id];
+      SentAttempt& attempt = request.attempts[static_cast<std::size_t>(i)];
+      attempt.out = false;
+      if (attempt.outcome == Outcome::kOk && request.finals == 0) request.finals = 1;
+      AttemptEnded event;
+      event.request = id;
+      event.attempt = i;
+      event.server = attempt.server;
+      event.outcome = attempt.outcome;
+      event.settled = request.finals > 0;
+      event.took = Duration(now_ - attempt.sent_at);
+      Do(event);
     }
   }
 
@@ -132,44 +133,62 @@
     // The lists that the instance was told decide about drains.
     if (const auto* list = std::get_if<ListUpdate>(&event)) {
       if (list->kind != ListKind::kDelta) told_.clear();
-      for (const ServerEntry& e : list->entries) told_[e.server] = e;
+      for (const ServerEntry& endpoint : list->entries) told_[endpoint.server] = endpoint;
     }
     std::vector<Action> actions;
     balancer_.Handle(At(now_), event, &actions);
-    for (const Action& a : actions) Judge(a);
+    for (const Action& action : actions) Judge(action);
   }
 
-  static bool NeverRan(const Try& t) {
-    return !t.out && (t.outcome == Outcome::kFull || t.outcome == Outcome::kConnectFailed ||
-                      t.outcome == Outcome::kMoot);
+  static bool NeverRan(const SentAttempt& attempt) {
+    return !attempt.out && (attempt.outcome == Outcome::kFull || attempt.outcome == Outcome::kConnectFailed ||
+                            attempt.outcome == Outcome::kMoot);
+  }
+
+  ClassSettings ClassOf(const Open& request) const {
+    return settings_.classes[static_cast<std::size_t>(request.cls)];
+  }
+
+  // The rules of idempotency, of one attempt at a time and of drains.
+  void CheckDispatch(const Dispatch& dispatch, const Open& request) {
+    EXPECT_EQ(request.finals, 0) << "sent after its final answer";
+    EXPECT_LT(static_cast<int>(request.attempts.size()), settings_.max_attempts);
+    EXPECT_TRUE(told_.count(dispatch.server) && told_[dispatch.server].state == ServerState::kReady)
+        << "drain";
+    const Effect effect = ClassOf(request).effect;
+    for (const SentAttempt& attempt : request.attempts) {
+      EXPECT_TRUE(!attempt.out) << "two at once";
+      if (NeverRan(attempt)) continue;
+      EXPECT_NE(effect, Effect::kUnsafe) << "an effect twice";
+      if (effect == Effect::kKeyed) {
+        EXPECT_EQ(servers_[attempt.server].cell, servers_[dispatch.server].cell);
+        EXPECT_LE(now_ - attempt.sent_at, ClassOf(request).window.count());
+      }
+    }
+  }
+
+  void Send(const Dispatch& dispatch, Open& request) {
+    SentAttempt attempt{dispatch.server, now_, now_ + Roll(400), static_cast<Outcome>(Roll(9))};
+    const double timeout =
+        dispatch.timeout.count() > 0 ? std::min(now_ + dispatch.timeout.count(), request.due) : request.due;
+    if (attempt.ends_at > timeout) {
+      attempt.ends_at = timeout;
+      attempt.outcome = Outcome::kTimeout;
+    }
+    request.attempts.push_back(attempt);
   }
 
   void Judge(const Action& action) {
-    if (const auto* d = std::get_if<Dispatch>(&action)) {
+    if (const auto* dispatch = std::get_if<Dispatch>(&action)) {
       ++attempts;
-      Open& r = open_.at(d->request);
-      EXPECT_EQ(r.finals, 0) << "sent after its final answer";
-      EXPECT_LT(static_cast<int>(r.tries.size()), settings_.max_attempts);
-      EXPECT_TRUE(told_.count(d->server) && told_[d->server].state == ServerState::kReady) << "drain";
-      const Effect effect = settings_.classes[static_cast<std::size_t>(r.cls)].effect;
-      for (const Try& t : r.tries) {
-        EXPECT_TRUE(!t.out) << "two at once";
-        if (NeverRan(t)) continue;
-        EXPECT_NE(effect, Effect::kUnsafe) << "an effect twice";
-        if (effect == Effect::kKeyed) {
-          EXPECT_EQ(servers_[t.server].cell, servers_[d->server].cell);
-          EXPECT_LE(now_ - t.sent_at, settings_.classes[static_cast<std::size_t>(r.cls)].window.count());
-        }
-      }
-      Try t{d->server, now_, now_ + Roll(400), static_cast<Outcome>(Roll(9))};
-      const double timeout = d->timeout.count() > 0 ? std::min(now_ + d->timeout.count(), r.due) : r.due;
-      if (t.ends_at > timeout) t.ends_at = timeout, t.outcome = Outcome::kTimeout;
-      r.tries.push_back(t);
+      Open& request = open_.at(dispatch->request);
+      CheckDispatch(*dispatch, request);
+      Send(*dispatch, request);
     } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-      Open& r = open_.at(refuse->request);
-      EXPECT_EQ(++r.finals, 1);
-      for (const Try& t : r.tries) {
-        EXPECT_TRUE(NeverRan(t) || settings_.classes[static_cast<std::size_t>(r.cls)].effect == Effect::kSafe)
+      Open& request = open_.at(refuse->request);
+      EXPECT_EQ(++request.finals, 1);
+      for (const SentAttempt& attempt : request.attempts) {
+        EXPECT_TRUE(NeverRan(attempt) || ClassOf(request).effect == Effect::kSafe)
             << "rejected though it may have run";
       }
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
@@ -193,11 +212,11 @@
   std::size_t attempts = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
-    Settings s = Usual();
-    s.max_attempts = 1 + static_cast<int>(seed % 5);
-    s.tenants = {{10}, {10}};
-    s.over_share_worth = 0.2;
-    World world(s, seed);
+    Settings settings = Usual();
+    settings.max_attempts = 1 + static_cast<int>(seed % 5);
+    settings.tenants = {{10}, {10}};
+    settings.over_share_worth = 0.2;
+    World world(settings, seed);
     world.Play();
     attempts += world.attempts;
   }
--- a/tests/balancer/request_queue_test.cpp
+++ b/tests/balancer/request_queue_test.cpp
@@ -19,10 +19,10 @@
 using testing::Usual;
 
 TEST(RequestQueue, HigherPriority_IsDispatchedFirst) {
-  Settings s = Usual();
-  s.classes[2].worth = 1;
-  s.classes[0].worth = 9;
-  Rig rig(s);
+  Settings settings = Usual();
+  settings.classes[2].worth = 1;
+  settings.classes[0].worth = 9;
+  Rig rig(settings);
   rig.ListBackends(1);
   const RequestId first = next_request_id;
   SubmitUntilQueued(rig, 2);
@@ -31,7 +31,7 @@
   EXPECT_FALSE(rig.SubmitRequest(rich, 0, 10, 5000).has_value());
   for (RequestId id : {first, first + 1}) rig.EndAttempt(id, 0, 1, Outcome::kOk, 10);
   std::vector<RequestId> order;
-  for (const Dispatch& d : rig.sent) order.push_back(d.request);
+  for (const Dispatch& dispatch : rig.sent) order.push_back(dispatch.request);
   const auto rich_at = std::find(order.begin(), order.end(), rich);
   ASSERT_NE(rich_at, order.end());
   EXPECT_EQ(std::find(order.begin(), rich_at, poor), rich_at);
--- a/tests/balancer/retry_budget_test.cpp
+++ b/tests/balancer/retry_budget_test.cpp
@@ -18,10 +18,10 @@
   rig.ListBackends(5);
   for (int i = 0; i < 300; ++i) {
     const RequestId id = next_request_id++;
-    auto s = rig.SubmitRequest(id, 0);
-    for (int attempt = 0; s; ++attempt) {
-      rig.EndAttempt(id, attempt, *s, Outcome::kError);
-      s = rig.SentTo(id);
+    auto backend = rig.SubmitRequest(id, 0);
+    for (int attempt = 0; backend; ++attempt) {
+      rig.EndAttempt(id, attempt, *backend, Outcome::kError);
+      backend = rig.SentTo(id);
     }
   }
   EXPECT_LE(rig.sent.size(), 300u + 20u + 61u) << "a store of 20, and a fifth of the first sends";
--- a/tests/balancer/selection_test.cpp
+++ b/tests/balancer/selection_test.cpp
@@ -39,9 +39,9 @@
 }
 
 TEST(BackendSelection, CrossingZonesHasACost_IdleBackendOfOwnZoneIsSelected) {
-  Settings s = Usual();
-  s.price_cross_zone = 0.02;
-  Rig rig(s);
+  Settings settings = Usual();
+  settings.price_cross_zone = 0.02;
+  Rig rig(settings);
   rig.UpdateEndpoints({Entry(1, 1), Entry(2, 0), Entry(3, 1)});
   for (int i = 0; i < 20; ++i) EXPECT_EQ(SubmitAndSucceed(rig), ServerId{2});
   rig.SubmitRequest(next_request_id++);
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -32,12 +32,12 @@
       std::vector<std::pair<RequestId, ServerId>> open;
       for (int k = 0; k < 3; ++k) {
         const RequestId id = next_request_id++;
-        const auto s = rig.SubmitRequest(id, 2, 10, 900);
-        if (!s) continue;
-        open.emplace_back(id, *s);
-        if (*s == 3) sent.emplace_back(rig.now, 10);
+        const auto backend = rig.SubmitRequest(id, 2, 10, 900);
+        if (!backend) continue;
+        open.emplace_back(id, *backend);
+        if (*backend == 3) sent.emplace_back(rig.now, 10);
       }
-      for (const auto& [id, s] : open) rig.EndAttempt(id, 0, s, Outcome::kOk, 5);
+      for (const auto& [id, backend] : open) rig.EndAttempt(id, 0, backend, Outcome::kOk, 5);
     }
     return sent;
   };
@@ -81,14 +81,14 @@
 // and again once three warm backends of a core each are through with that. The largest share of what the rule
 // allows the warming-up one.
 double WorstShareOfManyStartingTogether(int proxies, bool hinted) {
-  Settings s = Usual();
-  s.balancers = proxies;
+  Settings settings = Usual();
+  settings.balancers = proxies;
   const double work = std::min(100.0, 3000.0 / proxies), started = 99500;
   const int period = static_cast<int>(proxies * 4 * work / 3) / 10;  // steps
   std::vector<Rig> rigs;
   for (int i = 0; i < proxies; ++i) {
-    s.me = i;
-    rigs.emplace_back(s, static_cast<std::uint64_t>(i) + 1);
+    settings.me = i;
+    rigs.emplace_back(settings, static_cast<std::uint64_t>(i) + 1);
     rigs.back().UpdateEndpoints({Entry(1), Entry(2), Entry(3), Entry(4, 0, 0, ServerState::kReady, started)});
   }
   std::vector<double> sent;
@@ -108,7 +108,7 @@
     }
   }
   EXPECT_GT(sent.size(), static_cast<std::size_t>(proxies) / 4) << proxies << " proxies bring it back";
-  return WorstShareOfSlowStart(s, sent, started, 1, work);
+  return WorstShareOfSlowStart(settings, sent, started, 1, work);
 }
 
 TEST(SlowStart, ManyProxiesStartTogether_SendNoMoreThanTheBackendBears) {
@@ -125,9 +125,9 @@
 // An overloaded fleet is sent far more than it serves; the warming-up backend's budget must follow what is
 // served.
 TEST(SlowStart, BackendsAreOverloaded_BudgetFollowsCompletedWork) {
-  Settings s = Usual();
-  s.max_attempts = 1;
-  Rig rig(s);
+  Settings settings = Usual();
+  settings.max_attempts = 1;
+  Rig rig(settings);
   rig.UpdateEndpoints({Entry(1), Entry(2), Entry(3, 0, 0, ServerState::kReady, rig.now)});
   int sent = 0;
   for (int i = 0; i < 800; ++i) {
@@ -147,8 +147,10 @@
   int sent = 0;
   for (int i = 0; i < 50; ++i) {
     const RequestId id = next_request_id++;
-    const auto s = rig.SubmitRequest(id, 2, 10, 2000);
-    if (s) ++sent, rig.EndAttempt(id, 0, *s, Outcome::kFull);
+    const auto backend = rig.SubmitRequest(id, 2, 10, 2000);
+    if (!backend) continue;
+    ++sent;
+    rig.EndAttempt(id, 0, *backend, Outcome::kFull);
   }
   EXPECT_LE(sent, 2) << "nothing is known of warm backends: one mean request a window";
 }
@@ -157,9 +159,9 @@
 // the backend turned away has.
 TEST(SlowStart, AttemptNeverSent_BudgetIsRefundedOnce) {
   for (const Outcome outcome : {Outcome::kMoot, Outcome::kFull}) {
-    Settings s = Usual();
-    s.max_attempts = 1;
-    Rig rig(s);
+    Settings settings = Usual();
+    settings.max_attempts = 1;
+    Rig rig(settings);
     rig.UpdateEndpoints({Entry(1), Entry(2), Entry(3, 0, 0, ServerState::kReady, rig.now)});
     const auto cold = [&] { return rig.View(3); };
     RequestId at_cold = 0;
@@ -187,9 +189,9 @@
 // Where the budget is less than one request, one is sent in a while: one that was never sent is none.
 TEST(SlowStart, AttemptNeverSent_TokenIsRefunded) {
   const auto sent_of_two = [](Outcome first) {
-    Settings s = Usual();
-    s.max_attempts = 1;
-    Rig rig(s);
+    Settings settings = Usual();
+    settings.max_attempts = 1;
+    Rig rig(settings);
     rig.UpdateEndpoints({Entry(1, 0, 0, ServerState::kReady, rig.now - 1)});
     const RequestId id = next_request_id++;
     const auto server = rig.SubmitRequest(id, 2, 10, 900);
--- a/tests/balancer/tenant_quota_test.cpp
+++ b/tests/balancer/tenant_quota_test.cpp
@@ -16,10 +16,10 @@
 // A limit in work queued back and rejected one large request after another on a quiet day.
 // Heavy tails: a few requests that cannot be in time whatever is done took the place of all others.
 TEST(TenantQuota, TenantOverItsQuota_ComesLast) {
-  Settings s = Usual();
-  s.tenants = {{1}, {1}};
-  s.over_share_worth = 0.2;
-  Rig rig(s);
+  Settings settings = Usual();
+  settings.tenants = {{1}, {1}};
+  settings.over_share_worth = 0.2;
+  Rig rig(settings);
   rig.ListBackends(1);
   auto ask = [&](RequestId id, int tenant) {
     Submit submit;
--- a/tests/balancer/traffic.h
+++ b/tests/balancer/traffic.h
@@ -44,12 +44,12 @@
   bool seen = false;
   for (int i = 0; i < 3; ++i) {
     const RequestId id = next_request_id++;
-    const auto s = rig.SubmitRequest(id, 2, 10, 5000);
-    if (!s) break;
-    open.emplace_back(id, *s);
-    seen |= *s == server;
+    const auto backend = rig.SubmitRequest(id, 2, 10, 5000);
+    if (!backend) break;
+    open.emplace_back(id, *backend);
+    seen |= *backend == server;
   }
-  for (const auto& [id, s] : open) rig.EndAttempt(id, 0, s, Outcome::kCancelled);
+  for (const auto& [id, backend] : open) rig.EndAttempt(id, 0, backend, Outcome::kCancelled);
   return seen;
 }
 
@@ -59,14 +59,14 @@
     std::map<ServerId, RequestId> open;
     for (int k = 0; k < 3; ++k) {
       const RequestId id = next_request_id++;
-      const auto s = rig.SubmitRequest(id, 2, 10, 5000);
-      ASSERT_TRUE(s.has_value());
-      open[*s] = id;
+      const auto backend = rig.SubmitRequest(id, 2, 10, 5000);
+      ASSERT_TRUE(backend.has_value());
+      open[*backend] = id;
     }
     // Backend 1 last: the others qualify by then.
     for (auto it = open.rbegin(); it != open.rend(); ++it) {
-      const auto [s, id] = *it;
-      rig.EndAttempt(id, 0, s, s == 1 && i < failures ? outcome : Outcome::kOk);
+      const auto [backend, id] = *it;
+      rig.EndAttempt(id, 0, backend, backend == 1 && i < failures ? outcome : Outcome::kOk);
     }
   }
 }
--- a/tests/balancer/zone_quota_test.cpp
+++ b/tests/balancer/zone_quota_test.cpp
@@ -100,7 +100,8 @@
   for (RequestId id = 1; id <= 300; ++id) {
     const auto server = with.SubmitRequest(id, static_cast<int>(id % 3));
     ASSERT_EQ(server, without.SubmitRequest(id, static_cast<int>(id % 3)));
-    with.now += 7, without.now += 7;
+    with.now += 7;
+    without.now += 7;
     if (!server) continue;
     ++sent;
     with.EndAttempt(id, 0, *server, Outcome::kOk);
