--- a/src/balancer/admission.cpp
+++ b/src/balancer/admission.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstddef>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 constexpr double kMaxQueuedShare = 0.45;  // of a client's time: early enough to try elsewhere
@@ -36,4 +36,4 @@
   return std::min(settings.max_retry_after, class_settings.deadline);
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/admission.h
+++ b/src/balancer/admission.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Load shedding: with which priority a request is admitted, and how long it may wait in the queue.
-#ifndef FORDLB_SRC_BALANCER_ADMISSION_H_
-#define FORDLB_SRC_BALANCER_ADMISSION_H_
+#ifndef BADGERBRIDGE_BALANCER_ADMISSION_H_
+#define BADGERBRIDGE_BALANCER_ADMISSION_H_
 
+#include "badgerbridge/balancer.h"
 #include "balancer/latency_stats.h"
 #include "balancer/request.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// The time that a request has.
 struct TimeBudget {
@@ -32,6 +32,6 @@
 /// come back.
 Duration RetryAfter(const Settings& settings, int request_class);
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_ADMISSION_H_
+#endif  // BADGERBRIDGE_BALANCER_ADMISSION_H_
--- a/src/balancer/aperture.cpp
+++ b/src/balancer/aperture.cpp
@@ -8,7 +8,7 @@
 #include "balancer/outlier_detection.h"
 #include "balancer/random.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 constexpr double kMinAperture = 6;  // warm backends: two may fail and the rest still carry their share
@@ -24,7 +24,7 @@
     : balancer_index_(static_cast<std::uint64_t>(balancer_index)),
       group_size_(static_cast<std::uint64_t>(std::ceil(std::sqrt(static_cast<double>(balancer_count))))) {}
 
-std::uint64_t Aperture::RingPosition(ServerId id) const {
+std::uint64_t Aperture::RingPosition(BackendId id) const {
   return MixBits(id ^ MixBits(balancer_index_ / group_size_ + 1));
 }
 
@@ -39,7 +39,7 @@
   }
 }
 
-void Aperture::Rebuild(std::map<ServerId, Backend>& backends) {
+void Aperture::Rebuild(std::map<BackendId, Backend>& backends) {
   for (auto& [id, backend] : backends) {
     backend.on_ring = backend.IsReady();
     if (backend.on_ring) ring_.push_back(&backend);
@@ -56,4 +56,4 @@
                   std::max(kMinAperture, requests_per_ms * kMinOutlierInterval.count() / kMinRequestVolume));
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/aperture.h
+++ b/src/balancer/aperture.h
@@ -8,18 +8,18 @@
 /// taken. Proxies take positions evenly spaced on a ring of backends, a ring for each group of proxies, so
 /// that every backend is in as many apertures, and proxies that share one backend share no other. Backends
 /// that are ejected or warming up are made up for by the next ones on the ring.
-#ifndef FORDLB_SRC_BALANCER_APERTURE_H_
-#define FORDLB_SRC_BALANCER_APERTURE_H_
+#ifndef BADGERBRIDGE_BALANCER_APERTURE_H_
+#define BADGERBRIDGE_BALANCER_APERTURE_H_
 
 #include <cstddef>
 #include <cstdint>
 #include <map>
 #include <vector>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/backend.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// The ready backends in the order of their ring positions, and where this proxy starts on it. Holds pointers
 /// to backends that the BackendList owns.
@@ -29,7 +29,7 @@
   Aperture(int balancer_count, int balancer_index);
 
   /// The ring position of a backend, for all proxies of this proxy's group.
-  std::uint64_t RingPosition(ServerId id) const;
+  std::uint64_t RingPosition(BackendId id) const;
 
   /// Puts a backend on the ring or takes it off, as its state says; the rest stays where it is.
   void Update(Backend& backend);
@@ -38,7 +38,7 @@
   void Clear() { ring_.clear(); }
 
   /// Puts all ready backends of `backends` on the empty ring at once.
-  void Rebuild(std::map<ServerId, Backend>& backends);
+  void Rebuild(std::map<BackendId, Backend>& backends);
 
   /// The backends on the ring, in order.
   const std::vector<Backend*>& ring() const { return ring_; }
@@ -58,6 +58,6 @@
   std::vector<Backend*> ring_;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_APERTURE_H_
+#endif  // BADGERBRIDGE_BALANCER_APERTURE_H_
--- a/src/balancer/attempt_permission.cpp
+++ b/src/balancer/attempt_permission.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstddef>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 constexpr double kWindowMargin = 0.9;  // of the window in which a keyed retry is dropped
@@ -12,7 +12,7 @@
 }  // namespace
 
 bool ProvesNotRun(Outcome outcome) {
-  return outcome == Outcome::kFull || outcome == Outcome::kConnectFailed || outcome == Outcome::kMoot;
+  return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
 
 AttemptPermission PermissionFor(const Request& request, const Settings& settings, const BackendList& backends,
@@ -26,28 +26,31 @@
   const ClassSettings& request_class = settings.classes[static_cast<std::size_t>(request.request_class)];
   const auto first_run = std::find_if(request.attempts.begin(), request.attempts.end(),
                                       [](const Attempt& attempt) { return attempt.may_have_run; });
-  if (first_run == request.attempts.end() || request_class.effect == Effect::kSafe) return permission;
+  if (first_run == request.attempts.end() || request_class.effect == Idempotency::kIdempotent)
+    return permission;
 
-  permission.may_reject = request_class.effect == Effect::kKeyed && request_class.group == Group::kAll;
+  permission.may_reject =
+      request_class.effect == Idempotency::kIdempotencyKey && request_class.group == DeduplicationScope::kAll;
   permission.begin_before = first_run->sent_at + request_class.window * kWindowMargin;
   const Backend* const first_backend = backends.Find(first_run->backend);
-  if (request_class.effect == Effect::kUnsafe || now >= permission.begin_before || first_backend == nullptr) {
+  if (request_class.effect == Idempotency::kNotIdempotent || now >= permission.begin_before ||
+      first_backend == nullptr) {
     permission.may_dispatch = false;
   }
   if (permission.may_dispatch) permission.deduplicated_with = first_backend;
   return permission;
 }
 
-bool SharesDeduplication(Group scope, const ServerEntry& first, const ServerEntry& backend) {
+bool SharesDeduplication(DeduplicationScope scope, const BackendEntry& first, const BackendEntry& backend) {
   switch (scope) {
-    case Group::kAll:
+    case DeduplicationScope::kAll:
       return true;
-    case Group::kZone:
+    case DeduplicationScope::kZone:
       return backend.zone == first.zone;
-    case Group::kCell:
+    case DeduplicationScope::kCell:
       return backend.cell == first.cell && backend.zone == first.zone;
   }
   return false;
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/attempt_permission.h
+++ b/src/balancer/attempt_permission.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Which further attempts and which final answers a request permits: the rules of idempotency.
-#ifndef FORDLB_SRC_BALANCER_ATTEMPT_PERMISSION_H_
-#define FORDLB_SRC_BALANCER_ATTEMPT_PERMISSION_H_
+#ifndef BADGERBRIDGE_BALANCER_ATTEMPT_PERMISSION_H_
+#define BADGERBRIDGE_BALANCER_ATTEMPT_PERMISSION_H_
 
+#include "badgerbridge/balancer.h"
 #include "balancer/backend_list.h"
 #include "balancer/request.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// What may be done with a request now.
 struct AttemptPermission {
@@ -31,8 +31,8 @@
                                 TimePoint now);
 
 /// Whether `backend` drops the retries of a request that `first` may have acted on.
-bool SharesDeduplication(Group scope, const ServerEntry& first, const ServerEntry& backend);
+bool SharesDeduplication(DeduplicationScope scope, const BackendEntry& first, const BackendEntry& backend);
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_ATTEMPT_PERMISSION_H_
+#endif  // BADGERBRIDGE_BALANCER_ATTEMPT_PERMISSION_H_
--- a/src/balancer/attempt_recorder.cpp
+++ b/src/balancer/attempt_recorder.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <cstddef>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 constexpr double kMinLatencyMs = 1e-9;  // guards a division
@@ -18,10 +18,10 @@
                              Backend& backend, TimePoint now) {
   const Outcome outcome = ended.outcome;
   ReleaseLoad(request, attempt, outcome, backend, now);
-  if (outcome == Outcome::kMoot) RefundUnsent(request, attempt, backend);
+  if (outcome == Outcome::kNotSent) RefundUnsent(request, attempt, backend);
   backend.responsiveness.RecordOutcome(outcome, attempt.sent_at);
   const bool cancelled_by_client = outcome == Outcome::kCancelled && !attempt.cancelled;
-  if (cancelled_by_client || outcome == Outcome::kMoot || outcome == Outcome::kUnknown) return false;
+  if (cancelled_by_client || outcome == Outcome::kNotSent || outcome == Outcome::kUnknown) return false;
   const bool success = outcome == Outcome::kOk;
   if (success) {
     backend.completed_work.Count(request.work_ms);
@@ -44,7 +44,7 @@
 void AttemptRecorder::ReleaseLoad(const Request& request, const Attempt& attempt, Outcome outcome,
                                   Backend& backend, TimePoint now) {
   if (!attempt.overdue) concurrency_.AttemptReleased(&backend);
-  const bool responded = outcome != Outcome::kTimeout && outcome != Outcome::kMoot;
+  const bool responded = outcome != Outcome::kTimeout && outcome != Outcome::kNotSent;
   if (responded) backend.responsiveness.last_response_at = now;
   backend.in_flight.work_ms -= request.work_ms;
   --backend.in_flight.attempts;
@@ -68,7 +68,7 @@
   // Neither a request of the heavy tail, which is late whatever is done, nor a late response of a backend
   // slower than most says that the backends are overloaded.
   const bool many_warming_up = warm_capacity_.ManyWarmingUp();
-  const Duration objective = settings_.classes[static_cast<std::size_t>(request_class)].aim;
+  const Duration objective = settings_.classes[static_cast<std::size_t>(request_class)].latency_objective;
   const bool late = took_ms > objective.count();
   const double uncontended_ms = request.work_ms * latencies_.uncontended_time_per_work();
   const bool may_be_timely = uncontended_ms < kMaxTimelyShare * objective.count();
@@ -80,4 +80,4 @@
   SlowBackends::Record(backend.slowness, scaled_ms / std::max(usual.mean(), kMinLatencyMs), now);
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/attempt_recorder.h
+++ b/src/balancer/attempt_recorder.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Passes the end of an attempt on to the modules that learn from it.
-#ifndef FORDLB_SRC_BALANCER_ATTEMPT_RECORDER_H_
-#define FORDLB_SRC_BALANCER_ATTEMPT_RECORDER_H_
+#ifndef BADGERBRIDGE_BALANCER_ATTEMPT_RECORDER_H_
+#define BADGERBRIDGE_BALANCER_ATTEMPT_RECORDER_H_
 
+#include "badgerbridge/balancer.h"
 #include "balancer/backend.h"
 #include "balancer/concurrency_limit.h"
 #include "balancer/latency_stats.h"
@@ -12,9 +13,8 @@
 #include "balancer/slow_backends.h"
 #include "balancer/warm_capacity.h"
 #include "balancer/zone_quota.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// Releases what an attempt held, and takes in what its outcome tells of its backend, of its request class
 /// and of all backends together. Holds no state of its own.
@@ -52,6 +52,6 @@
   ZoneQuotaBuckets& zone_quotas_;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_ATTEMPT_RECORDER_H_
+#endif  // BADGERBRIDGE_BALANCER_ATTEMPT_RECORDER_H_
--- a/src/balancer/attempt_timeout.h
+++ b/src/balancer/attempt_timeout.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// How long attempts are waited for.
-#ifndef FORDLB_SRC_BALANCER_ATTEMPT_TIMEOUT_H_
-#define FORDLB_SRC_BALANCER_ATTEMPT_TIMEOUT_H_
+#ifndef BADGERBRIDGE_BALANCER_ATTEMPT_TIMEOUT_H_
+#define BADGERBRIDGE_BALANCER_ATTEMPT_TIMEOUT_H_
 
+#include "badgerbridge/balancer.h"
 #include "balancer/backend.h"
 #include "balancer/latency_stats.h"
 #include "balancer/request.h"
 #include "balancer/request_stats.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// Derives time-outs from the latencies seen. Holds no state of its own.
 class AttemptTimeouts {
@@ -44,6 +44,6 @@
   const LatencyStats& latencies_;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_ATTEMPT_TIMEOUT_H_
+#endif  // BADGERBRIDGE_BALANCER_ATTEMPT_TIMEOUT_H_
--- a/src/balancer/backend.h
+++ b/src/balancer/backend.h
@@ -1,20 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// The balancer's record of one backend: its endpoint, and what each module holds of it.
-#ifndef FORDLB_SRC_BALANCER_BACKEND_H_
-#define FORDLB_SRC_BALANCER_BACKEND_H_
+#ifndef BADGERBRIDGE_BALANCER_BACKEND_H_
+#define BADGERBRIDGE_BALANCER_BACKEND_H_
 
 #include <cmath>
 #include <cstdint>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/key_affinity.h"
 #include "balancer/outlier_detection.h"
 #include "balancer/responsiveness.h"
 #include "balancer/slow_backends.h"
 #include "balancer/slow_start.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// What this proxy has in flight at one backend.
 struct InFlightLoad {
@@ -25,7 +25,7 @@
 
 /// One backend. Owned by the BackendList; its address is stable.
 struct Backend {
-  ServerEntry endpoint;              ///< As it was listed last.
+  BackendEntry endpoint;             ///< As it was listed last.
   TimePoint gone_at{};               ///< While it is not listed: since when.
   InFlightLoad in_flight;            ///< Attempts of this proxy.
   OutlierState outlier;              ///< Owned by OutlierDetector.
@@ -39,7 +39,7 @@
   bool active = false;               ///< It is in BackendList::active().
 
   /// Whether it is listed and takes requests.
-  bool IsReady() const { return endpoint.state == ServerState::kReady; }
+  bool IsReady() const { return endpoint.state == BackendState::kReady; }
 
   /// Whether nothing is known of it that the passing of time would change.
   bool IsIdle() const {
@@ -50,6 +50,6 @@
   }
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_BACKEND_H_
+#endif  // BADGERBRIDGE_BALANCER_BACKEND_H_
--- a/src/balancer/backend_list.cpp
+++ b/src/balancer/backend_list.cpp
@@ -6,7 +6,7 @@
 
 #include "balancer/reserve.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 constexpr Duration kMaxGoneTime{60000};        // one that is gone for this long loses its state
@@ -14,16 +14,16 @@
 
 }  // namespace
 
-void BackendList::Apply(const ListUpdate& update, TimePoint now, Aperture& aperture) {
+void BackendList::Apply(const EndpointListUpdate& update, TimePoint now, Aperture& aperture) {
   const bool rebuild = update.entries.size() > kMaxSingleUpdates;
   Aperture* const updated_one_by_one = rebuild ? nullptr : &aperture;
   if (rebuild) aperture.Clear();
-  if (update.kind != ListKind::kDelta) RemoveUnlisted(update, now, updated_one_by_one);
-  for (const ServerEntry& endpoint : update.entries) {
+  if (update.kind != EndpointListKind::kDelta) RemoveUnlisted(update, now, updated_one_by_one);
+  for (const BackendEntry& endpoint : update.entries) {
     const auto [position, added] = backends_.try_emplace(endpoint.server);
     Backend& backend = position->second;
     if (added) backend.ring_position = aperture.RingPosition(endpoint.server);
-    const ServerState state_before = backend.endpoint.state;
+    const BackendState state_before = backend.endpoint.state;
     backend.endpoint = endpoint;
     backend.endpoint.state = state_before;
     SetState(backend, endpoint.state, now);
@@ -33,12 +33,12 @@
   ForgetGone(now);
 }
 
-Backend* BackendList::Find(ServerId id) {
+Backend* BackendList::Find(BackendId id) {
   const auto found = backends_.find(id);
   return found == backends_.end() ? nullptr : &found->second;
 }
 
-const Backend* BackendList::Find(ServerId id) const {
+const Backend* BackendList::Find(BackendId id) const {
   const auto found = backends_.find(id);
   return found == backends_.end() ? nullptr : &found->second;
 }
@@ -55,8 +55,8 @@
   std::erase_if(active_, [](const Backend* backend) { return !backend->active; });
 }
 
-void BackendList::SetState(Backend& backend, ServerState state, TimePoint now) {
-  if (state == ServerState::kGone && backend.endpoint.state != state) {
+void BackendList::SetState(Backend& backend, BackendState state, TimePoint now) {
+  if (state == BackendState::kGone && backend.endpoint.state != state) {
     backend.gone_at = now;
     gone_.push_back(backend.endpoint.server);
   }
@@ -64,12 +64,12 @@
 }
 
 // The aperture is null if it is rebuilt anyway.
-void BackendList::RemoveUnlisted(const ListUpdate& update, TimePoint now, Aperture* aperture) {
-  std::set<ServerId> listed;
-  for (const ServerEntry& endpoint : update.entries) listed.insert(endpoint.server);
+void BackendList::RemoveUnlisted(const EndpointListUpdate& update, TimePoint now, Aperture* aperture) {
+  std::set<BackendId> listed;
+  for (const BackendEntry& endpoint : update.entries) listed.insert(endpoint.server);
   for (auto& [id, backend] : backends_) {
     if (listed.count(id) > 0) continue;
-    SetState(backend, ServerState::kGone, now);
+    SetState(backend, BackendState::kGone, now);
     if (aperture != nullptr) aperture->Update(backend);
   }
 }
@@ -77,9 +77,9 @@
 // The longest gone first; one that has come back, or is still active, is looked at again when it is due next.
 void BackendList::ForgetGone(TimePoint now) {
   for (std::size_t left = gone_.size(); left > 0; --left) {
-    const ServerId id = gone_.front();
+    const BackendId id = gone_.front();
     const auto found = backends_.find(id);
-    const bool is_gone = found != backends_.end() && found->second.endpoint.state == ServerState::kGone;
+    const bool is_gone = found != backends_.end() && found->second.endpoint.state == BackendState::kGone;
     if (is_gone && now - found->second.gone_at <= kMaxGoneTime) break;
     gone_.pop_front();
     if (!is_gone) continue;
@@ -91,4 +91,4 @@
   }
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/backend_list.h
+++ b/src/balancer/backend_list.h
@@ -1,31 +1,31 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// The backends that this proxy knows.
-#ifndef FORDLB_SRC_BALANCER_BACKEND_LIST_H_
-#define FORDLB_SRC_BALANCER_BACKEND_LIST_H_
+#ifndef BADGERBRIDGE_BALANCER_BACKEND_LIST_H_
+#define BADGERBRIDGE_BALANCER_BACKEND_LIST_H_
 
 #include <deque>
 #include <map>
 #include <vector>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/aperture.h"
 #include "balancer/backend.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// Owns the backends. One that is no longer listed keeps its state for a while, in case it returns.
 class BackendList {
  public:
   /// Takes in an endpoint list or a change of it; the kind must not be kFailed. `aperture` is kept in step.
-  void Apply(const ListUpdate& update, TimePoint now, Aperture& aperture);
+  void Apply(const EndpointListUpdate& update, TimePoint now, Aperture& aperture);
 
   /// The backend with this id; null: unknown or forgotten.
-  Backend* Find(ServerId id);
-  const Backend* Find(ServerId id) const;  ///< The same.
+  Backend* Find(BackendId id);
+  const Backend* Find(BackendId id) const;  ///< The same.
 
   /// All backends, by id.
-  const std::map<ServerId, Backend>& all() const { return backends_; }
+  const std::map<BackendId, Backend>& all() const { return backends_; }
 
   /// The backends that this proxy has dealt with lately: work per event is theirs alone.
   const std::vector<Backend*>& active() const { return active_; }
@@ -40,15 +40,15 @@
   void RetireIdle();
 
  private:
-  void SetState(Backend& backend, ServerState state, TimePoint now);
-  void RemoveUnlisted(const ListUpdate& update, TimePoint now, Aperture* aperture);
+  void SetState(Backend& backend, BackendState state, TimePoint now);
+  void RemoveUnlisted(const EndpointListUpdate& update, TimePoint now, Aperture* aperture);
   void ForgetGone(TimePoint now);
 
-  std::map<ServerId, Backend> backends_;
+  std::map<BackendId, Backend> backends_;
   std::vector<Backend*> active_;
-  std::deque<ServerId> gone_;  // in the order in which they went
+  std::deque<BackendId> gone_;  // in the order in which they went
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_BACKEND_LIST_H_
+#endif  // BADGERBRIDGE_BALANCER_BACKEND_LIST_H_
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// The events of the balancer, in the order in which its modules take them in. The types of events and
-/// actions are in include/fordlb/balancer.h.
+/// actions are in include/badgerbridge/balancer.h.
 ///
 /// The ordinary path is gRFC A50 outlier detection (failure percentage) and, among the backends in service, a
 /// selection of the one with the least estimated work of this proxy's own in flight. Whatever departs from
 /// that is marked "Exception", in the module that it belongs to, with the condition under which it acts;
 /// docs/design.md lists them all.
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
 #include <algorithm>
 #include <cmath>
@@ -44,14 +44,14 @@
 #include "balancer/warm_capacity.h"
 #include "balancer/zone_quota.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 constexpr Duration kSampleInterval{100};  // between samples of rates
 constexpr int kMinRetryTicks = 4;         // a request that is retried may be queued for at least so long
 constexpr int kDeadlineMarginTicks = 2;   // but not longer than so long before its deadline
 
-std::string BackendName(ServerId id) { return "backend " + std::to_string(id); }
+std::string BackendName(BackendId id) { return "backend " + std::to_string(id); }
 
 }  // namespace
 
@@ -63,11 +63,11 @@
         request_stats_(settings_.classes.size()),
         latencies_(settings_.classes.size()),
         client_timeouts_(settings_.classes.size()),
-        aperture_(settings_.balancers, settings_.me),
+        aperture_(settings_.balancer_count, settings_.balancer_index),
         slow_start_(settings_, request_stats_, latencies_, random_),
         zone_quotas_(settings_),
         tenant_quotas_(settings_),
-        concurrency_(settings_.balancers),
+        concurrency_(settings_.balancer_count),
         timeouts_(settings_, request_stats_, latencies_),
         selector_(settings_, request_stats_, aperture_, slow_start_, zone_quotas_, random_),
         attempt_recorder_(settings_, request_stats_, warm_capacity_, slow_backends_, latencies_, concurrency_,
@@ -88,8 +88,8 @@
     actions_ = nullptr;
   }
 
-  std::vector<ServerView> Inspect() const {
-    std::vector<ServerView> views;
+  std::vector<BackendView> Inspect() const {
+    std::vector<BackendView> views;
     views.reserve(backends_.all().size());
     for (const auto& [id, backend] : backends_.all()) views.push_back(ViewOf(backend));
     return views;
@@ -100,19 +100,19 @@
 
   // ---- Events -----------------------------------------------------------------------------------------
 
-  void On(const ListUpdate& update) {
+  void On(const EndpointListUpdate& update) {
     poller_.RecordUpdate(update.kind, now_, random_);
-    if (update.kind == ListKind::kFailed) return;
+    if (update.kind == EndpointListKind::kFailed) return;
     backends_.Apply(update, now_, aperture_);
-    for (const ServerEntry& endpoint : update.entries) {
-      const bool is_ready = endpoint.state == ServerState::kReady;
+    for (const BackendEntry& endpoint : update.entries) {
+      const bool is_ready = endpoint.state == BackendState::kReady;
       if (is_ready && slow_start_.CapacityShare(endpoint, now_) < 1) warm_capacity_.Track(endpoint.server);
     }
     warm_capacity_.Update(backends_, aperture_.ready_backends(), slow_start_, now_);
     has_capacity_ = true;
   }
 
-  void On(const ZoneShares& quotas) {
+  void On(const ZoneQuotas& quotas) {
     zone_quotas_.Update(quotas, now_);
     has_capacity_ = true;
   }
@@ -126,7 +126,7 @@
     request.key = submit.key;
     if (submit.request_class < 0 || submit.request_class >= static_cast<int>(settings_.classes.size())) {
       // Nothing is known of what it may do twice, and it never ran: the client may try again.
-      actions_->push_back(Refuse{request.id, Duration(0)});
+      actions_->push_back(Reject{request.id, Duration(0)});
       return;
     }
     request.request_class = submit.request_class;
@@ -156,12 +156,12 @@
     has_capacity_ = true;
     if (ended.settled) request.finished = true;
     if (!request.finished && request.OutstandingAttempts() == 0 && !request.queued) {
-      Retry(request, attempt.may_have_run || ended.outcome == Outcome::kFull);
+      Retry(request, attempt.may_have_run || ended.outcome == Outcome::kRejected);
     }
     RemoveIfDone(found);
   }
 
-  void On(const ClientGone& event) {
+  void On(const ClientDisconnected& event) {
     const auto found = requests_.find(event.request);
     if (found == requests_.end()) return;
     found->second.finished = true;
@@ -181,11 +181,12 @@
   void Admit(const Submit& submit, Request& request) {
     const ClassSettings& request_class = ClassOf(request);
     const Duration elapsed = client_timeouts_.RecordAndEstimateElapsed(submit, request_class.deadline, now_);
-    const TimeBudget budget{request_class.aim, request_class.aim - elapsed, request.deadline};
-    request.work_ms = request_stats_.RecordSubmit(submit, request_class.aim);
+    const TimeBudget budget{request_class.latency_objective, request_class.latency_objective - elapsed,
+                            request.deadline};
+    request.work_ms = request_stats_.RecordSubmit(submit, request_class.latency_objective);
     const bool within_quota = tenant_quotas_.Acquire(submit.tenant);
-    const double weight = request_class.worth * (within_quota ? 1 : settings_.over_share_worth);
-    request.priority = Priority(weight, request_class.late_worth, request.work_ms, budget, now_, latencies_);
+    const double weight = request_class.priority_weight * (within_quota ? 1 : settings_.over_quota_weight);
+    request.priority = Priority(weight, request_class.late_weight, request.work_ms, budget, now_, latencies_);
     if (request.priority <= 0) return;
     const EwmaStats& latency = latencies_.Latency(request.request_class);
     request.reject_at = RejectTime(budget, latency, settings_.tick, now_);
@@ -254,7 +255,7 @@
     ReserveOne(request.attempts);
     ReserveOne(*actions_);
     backend.slow_start.sent.ReserveNext();
-    if (settings_.warm_keys && request.key != 0) backend.key_affinity.Record(request.key, now_);
+    if (settings_.key_affinity && request.key != 0) backend.key_affinity.Record(request.key, now_);
     if (timeouts_.IsBounded(request)) wakeups_.Add(now_ + MaxCountedTime(request), request.id);
   }
 
@@ -282,9 +283,9 @@
                " queued");
     }
     if (may_reject) {
-      actions_->push_back(Refuse{request.id, retry_after});
+      actions_->push_back(Reject{request.id, retry_after});
     } else {
-      actions_->push_back(Fail{request.id});
+      actions_->push_back(FailRequest{request.id});
     }
     request.finished = true;
   }
@@ -314,7 +315,7 @@
   }
 
   void ReturnEjectedBackends() {
-    for (const ServerId id : outlier_detector_.UnejectDue(now_, backends_.active())) {
+    for (const BackendId id : outlier_detector_.UnejectDue(now_, backends_.active())) {
       has_capacity_ = true;
       if (log_throttle_.Permits(LogTopic::kOutlier, now_)) WriteLog(BackendName(id) + " returns to service");
     }
@@ -394,7 +395,7 @@
     const bool stalled = backend != nullptr && backend->responsiveness.HasAnsweredLaterThan(attempt.sent_at);
     if (stalled && retry_budget_.HasToken()) {
       attempt.cancelled = true;
-      actions_->push_back(Abandon{request.id, static_cast<int>(&attempt - request.attempts.data())});
+      actions_->push_back(CancelAttempt{request.id, static_cast<int>(&attempt - request.attempts.data())});
     } else {
       wakeups_.Add(now_ + std::max(settings_.tick, MaxCountedTime(request) / 2), request.id);
     }
@@ -429,10 +430,10 @@
 
   void WriteLog(std::string text) { actions_->push_back(Log{std::move(text)}); }
 
-  ServerView ViewOf(const Backend& backend) const {
-    ServerView view{.entry = backend.endpoint,
-                    .ejected = backend.outlier.ejected,
-                    .silent = backend.responsiveness.unresponsive};
+  BackendView ViewOf(const Backend& backend) const {
+    BackendView view{.entry = backend.endpoint,
+                     .ejected = backend.outlier.ejected,
+                     .silent = backend.responsiveness.unresponsive};
     if (view.ejected) view.ejected_until = backend.outlier.ejected_until;
     view.in_flight = backend.in_flight.attempts;
     view.work_in_flight = backend.in_flight.work_ms;
@@ -490,6 +491,6 @@
 void Balancer::Handle(TimePoint now, const Event& event, std::vector<Action>* actions) {
   impl_->Handle(now, event, actions);
 }
-std::vector<ServerView> Balancer::Inspect() const { return impl_->Inspect(); }
+std::vector<BackendView> Balancer::Inspect() const { return impl_->Inspect(); }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/client_timeout.cpp
+++ b/src/balancer/client_timeout.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 constexpr double kTolerance = 0.04;         // part by which time-outs may differ and still be the same
@@ -34,4 +34,4 @@
   return submit.client_retry ? max_elapsed * kRetryElapsedShare : Duration(0);
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/client_timeout.h
+++ b/src/balancer/client_timeout.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Finds out how much of a client's time has passed before a request reached this proxy.
-#ifndef FORDLB_SRC_BALANCER_CLIENT_TIMEOUT_H_
-#define FORDLB_SRC_BALANCER_CLIENT_TIMEOUT_H_
+#ifndef BADGERBRIDGE_BALANCER_CLIENT_TIMEOUT_H_
+#define BADGERBRIDGE_BALANCER_CLIENT_TIMEOUT_H_
 
 #include <cstddef>
 #include <vector>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// The time that clients usually give an attempt, by request class.
 ///
@@ -34,6 +34,6 @@
   std::vector<UsualTimeout> usual_;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_CLIENT_TIMEOUT_H_
+#endif  // BADGERBRIDGE_BALANCER_CLIENT_TIMEOUT_H_
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 constexpr double kMaxContention = 3;    // times the latency of a mean request without contention
@@ -81,4 +81,4 @@
   return std::max(0.0, count);
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// How many attempts this proxy may have in flight.
-#ifndef FORDLB_SRC_BALANCER_CONCURRENCY_LIMIT_H_
-#define FORDLB_SRC_BALANCER_CONCURRENCY_LIMIT_H_
+#ifndef BADGERBRIDGE_BALANCER_CONCURRENCY_LIMIT_H_
+#define BADGERBRIDGE_BALANCER_CONCURRENCY_LIMIT_H_
 
+#include "badgerbridge/balancer.h"
 #include "balancer/backend.h"
 #include "balancer/latency_stats.h"
 #include "balancer/random.h"
 #include "balancer/rate_estimator.h"
 #include "balancer/request_stats.h"
 #include "balancer/slow_backends.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// Counts the attempts in flight and limits them.
 ///
@@ -66,6 +66,6 @@
   RateEstimator successes_;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_CONCURRENCY_LIMIT_H_
+#endif  // BADGERBRIDGE_BALANCER_CONCURRENCY_LIMIT_H_
--- a/src/balancer/endpoint_poller.cpp
+++ b/src/balancer/endpoint_poller.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 constexpr Duration kMaxBackoff{2000};  // after failed calls: a change must be learnt of within 6 s
@@ -13,13 +13,13 @@
 }  // namespace
 
 EndpointPoller::EndpointPoller(const Settings& settings)
-    : enabled_(settings.must_ask_for_list), max_interval_(settings.must_ask_within) {}
+    : enabled_(settings.polls_endpoint_list), max_interval_(settings.max_poll_interval) {}
 
-void EndpointPoller::RecordUpdate(ListKind kind, TimePoint now, Random& random) {
+void EndpointPoller::RecordUpdate(EndpointListKind kind, TimePoint now, Random& random) {
   if (!enabled_) return;
-  if (kind == ListKind::kCached) {
+  if (kind == EndpointListKind::kCached) {
     next_at_ = now;  // the proxy has just started: nothing is subscribed yet
-  } else if (kind == ListKind::kFailed) {
+  } else if (kind == EndpointListKind::kFailed) {
     backoff_ = std::min({max_interval_ / kMaxBackoffParts, kMaxBackoff,
                          std::max(max_interval_ / kMinBackoffParts, backoff_ * 2)});
     next_at_ = now + backoff_ * (0.5 + 0.5 * random.Unit());
@@ -35,4 +35,4 @@
   return true;
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/endpoint_poller.h
+++ b/src/balancer/endpoint_poller.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Polls discovery for the endpoint list where it must be asked for.
-#ifndef FORDLB_SRC_BALANCER_ENDPOINT_POLLER_H_
-#define FORDLB_SRC_BALANCER_ENDPOINT_POLLER_H_
+#ifndef BADGERBRIDGE_BALANCER_ENDPOINT_POLLER_H_
+#define BADGERBRIDGE_BALANCER_ENDPOINT_POLLER_H_
 
+#include "badgerbridge/balancer.h"
 #include "balancer/random.h"
 #include "balancer/time_limits.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// When the next call to discovery is due. Where lists are pushed, none ever is.
 class EndpointPoller {
@@ -17,7 +17,7 @@
   explicit EndpointPoller(const Settings& settings);
 
   /// Takes in the outcome of a call, or what the proxy started with.
-  void RecordUpdate(ListKind kind, TimePoint now, Random& random);
+  void RecordUpdate(EndpointListKind kind, TimePoint now, Random& random);
 
   /// Whether a call is due; if so, it counts as made.
   bool TakeDuePoll(TimePoint now);
@@ -32,6 +32,6 @@
   TimePoint next_at_ = kNever;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_ENDPOINT_POLLER_H_
+#endif  // BADGERBRIDGE_BALANCER_ENDPOINT_POLLER_H_
--- a/src/balancer/event_timer.h
+++ b/src/balancer/event_timer.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// The one timer that the balancer asks its caller for.
-#ifndef FORDLB_SRC_BALANCER_EVENT_TIMER_H_
-#define FORDLB_SRC_BALANCER_EVENT_TIMER_H_
+#ifndef BADGERBRIDGE_BALANCER_EVENT_TIMER_H_
+#define BADGERBRIDGE_BALANCER_EVENT_TIMER_H_
 
 #include <cstdint>
 #include <optional>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/time_limits.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// Which timer is set. One that is set earlier replaces it; the later one then fires for nothing.
 class EventTimer {
@@ -35,6 +35,6 @@
   std::uint64_t token_ = 0;  // of the timer that is set
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_EVENT_TIMER_H_
+#endif  // BADGERBRIDGE_BALANCER_EVENT_TIMER_H_
--- a/src/balancer/ewma_stats.h
+++ b/src/balancer/ewma_stats.h
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Exponentially weighted mean and mean deviation.
-#ifndef FORDLB_SRC_BALANCER_EWMA_STATS_H_
-#define FORDLB_SRC_BALANCER_EWMA_STATS_H_
+#ifndef BADGERBRIDGE_BALANCER_EWMA_STATS_H_
+#define BADGERBRIDGE_BALANCER_EWMA_STATS_H_
 
 #include <algorithm>
 #include <cmath>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// Mean and mean absolute deviation of a series, as RFC 6298 keeps them for round-trip times. Until
 /// 1 / kMinGain samples have come, every sample has the same weight.
@@ -37,6 +37,6 @@
   int samples_ = 0;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_EWMA_STATS_H_
+#endif  // BADGERBRIDGE_BALANCER_EWMA_STATS_H_
--- a/src/balancer/key_affinity.h
+++ b/src/balancer/key_affinity.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Which idempotency keys a backend has been sent lately.
-#ifndef FORDLB_SRC_BALANCER_KEY_AFFINITY_H_
-#define FORDLB_SRC_BALANCER_KEY_AFFINITY_H_
+#ifndef BADGERBRIDGE_BALANCER_KEY_AFFINITY_H_
+#define BADGERBRIDGE_BALANCER_KEY_AFFINITY_H_
 
 #include <cstdint>
 #include <map>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// The keys for which a backend is assumed to hold warm state. Per backend; empty unless the settings say
 /// that keys are warm.
@@ -37,6 +37,6 @@
   std::map<std::uint64_t, TimePoint> last_sent_;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_KEY_AFFINITY_H_
+#endif  // BADGERBRIDGE_BALANCER_KEY_AFFINITY_H_
--- a/src/balancer/latency_stats.cpp
+++ b/src/balancer/latency_stats.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 void LatencyStats::Record(int request_class, double scaled_ms) {
   ClassLatency& latency = classes_[static_cast<std::size_t>(request_class)];
@@ -23,4 +23,4 @@
   uncontended_time_per_work_ += gain * (time_per_work - uncontended_time_per_work_);
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/latency_stats.h
+++ b/src/balancer/latency_stats.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Latencies of attempts, by request class, and of requests that meet no contention.
-#ifndef FORDLB_SRC_BALANCER_LATENCY_STATS_H_
-#define FORDLB_SRC_BALANCER_LATENCY_STATS_H_
+#ifndef BADGERBRIDGE_BALANCER_LATENCY_STATS_H_
+#define BADGERBRIDGE_BALANCER_LATENCY_STATS_H_
 
 #include <cstddef>
 #include <vector>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/ewma_stats.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// Share of the latency objective that an attempt may take in the mean before it counts as queueing.
 constexpr double kMaxQueueingShare = 0.33;
@@ -68,6 +68,6 @@
   double uncontended_time_per_work_ = 0;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_LATENCY_STATS_H_
+#endif  // BADGERBRIDGE_BALANCER_LATENCY_STATS_H_
--- a/src/balancer/log_throttle.h
+++ b/src/balancer/log_throttle.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Keeps the balancer's log short.
-#ifndef FORDLB_SRC_BALANCER_LOG_THROTTLE_H_
-#define FORDLB_SRC_BALANCER_LOG_THROTTLE_H_
+#ifndef BADGERBRIDGE_BALANCER_LOG_THROTTLE_H_
+#define BADGERBRIDGE_BALANCER_LOG_THROTTLE_H_
 
 #include <array>
 #include <cstddef>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// What a log line is about; each topic is throttled by itself.
 enum class LogTopic {
@@ -37,6 +37,6 @@
   std::array<TimePoint, kTopics> next_permitted_{};
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_LOG_THROTTLE_H_
+#endif  // BADGERBRIDGE_BALANCER_LOG_THROTTLE_H_
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -5,7 +5,7 @@
 
 #include "balancer/backend.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 // In A50's terms.
@@ -67,8 +67,8 @@
   return true;
 }
 
-std::vector<ServerId> OutlierDetector::UnejectDue(TimePoint now, const std::vector<Backend*>& active) {
-  std::vector<ServerId> returned;
+std::vector<BackendId> OutlierDetector::UnejectDue(TimePoint now, const std::vector<Backend*>& active) {
+  std::vector<BackendId> returned;
   if (now < next_unejection_at_) return returned;
   next_unejection_at_ = kNever;
   for (Backend* backend : active) {
@@ -98,4 +98,4 @@
   }
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// gRFC A50 outlier detection by failure percentage, evaluated at each response.
-#ifndef FORDLB_SRC_BALANCER_OUTLIER_DETECTION_H_
-#define FORDLB_SRC_BALANCER_OUTLIER_DETECTION_H_
+#ifndef BADGERBRIDGE_BALANCER_OUTLIER_DETECTION_H_
+#define BADGERBRIDGE_BALANCER_OUTLIER_DETECTION_H_
 
 #include <cstddef>
 #include <vector>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/random.h"
 #include "balancer/time_limits.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 struct Backend;
 
@@ -47,7 +47,7 @@
                       std::size_t ready_backends, Random& random);
 
   /// Returns the backends whose ejection is over to service, and gives their ids.
-  std::vector<ServerId> UnejectDue(TimePoint now, const std::vector<Backend*>& active);
+  std::vector<BackendId> UnejectDue(TimePoint now, const std::vector<Backend*>& active);
 
   /// Starts a new interval if the current one is over. The next one is long enough for twice the request
   /// volume at each backend of the aperture: `requests_per_ms` over `aperture` backends.
@@ -62,6 +62,6 @@
   TimePoint interval_ends_at_{};
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_OUTLIER_DETECTION_H_
+#endif  // BADGERBRIDGE_BALANCER_OUTLIER_DETECTION_H_
--- a/src/balancer/random.h
+++ b/src/balancer/random.h
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Pseudo-random numbers that are the same on every platform for the same seed.
-#ifndef FORDLB_SRC_BALANCER_RANDOM_H_
-#define FORDLB_SRC_BALANCER_RANDOM_H_
+#ifndef BADGERBRIDGE_BALANCER_RANDOM_H_
+#define BADGERBRIDGE_BALANCER_RANDOM_H_
 
 #include <cstdint>
 #include <random>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// A generator that is determined by its seed alone. The standard distributions differ between libraries, so
 /// none of them is used.
@@ -34,6 +34,6 @@
   return value ^ (value >> 31);
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_RANDOM_H_
+#endif  // BADGERBRIDGE_BALANCER_RANDOM_H_
--- a/src/balancer/rate_estimator.h
+++ b/src/balancer/rate_estimator.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// The rate of an event that is counted one by one.
-#ifndef FORDLB_SRC_BALANCER_RATE_ESTIMATOR_H_
-#define FORDLB_SRC_BALANCER_RATE_ESTIMATOR_H_
+#ifndef BADGERBRIDGE_BALANCER_RATE_ESTIMATOR_H_
+#define BADGERBRIDGE_BALANCER_RATE_ESTIMATOR_H_
 
 #include <algorithm>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// Over how long rates of requests and of successful responses are averaged.
 constexpr Duration kRateAveragingTime{1500};
@@ -37,6 +37,6 @@
   int samples_ = 0;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_RATE_ESTIMATOR_H_
+#endif  // BADGERBRIDGE_BALANCER_RATE_ESTIMATOR_H_
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -1,20 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// The balancer's records of requests and of their attempts.
-#ifndef FORDLB_SRC_BALANCER_REQUEST_H_
-#define FORDLB_SRC_BALANCER_REQUEST_H_
+#ifndef BADGERBRIDGE_BALANCER_REQUEST_H_
+#define BADGERBRIDGE_BALANCER_REQUEST_H_
 
 #include <algorithm>
 #include <cstdint>
 #include <vector>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// One dispatch of a request to a backend.
 struct Attempt {
-  ServerId backend = 0;               ///< The backend that it was sent to.
+  BackendId backend = 0;              ///< The backend that it was sent to.
   TimePoint sent_at{};                ///< When it was dispatched.
   TimePoint previous_sent_at{};       ///< When the attempt before it was sent to the same backend.
   double slow_start_tokens_used = 0;  ///< What the backend's slow-start bucket held when it was sent.
@@ -46,12 +46,12 @@
   }
 
   /// Whether an attempt was sent to `backend`.
-  bool HasTried(ServerId backend) const {
+  bool HasTried(BackendId backend) const {
     return std::any_of(attempts.begin(), attempts.end(),
                        [backend](const Attempt& attempt) { return attempt.backend == backend; });
   }
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_REQUEST_H_
+#endif  // BADGERBRIDGE_BALANCER_REQUEST_H_
--- a/src/balancer/request_queue.h
+++ b/src/balancer/request_queue.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// The requests that wait for a backend.
-#ifndef FORDLB_SRC_BALANCER_REQUEST_QUEUE_H_
-#define FORDLB_SRC_BALANCER_REQUEST_QUEUE_H_
+#ifndef BADGERBRIDGE_BALANCER_REQUEST_QUEUE_H_
+#define BADGERBRIDGE_BALANCER_REQUEST_QUEUE_H_
 
 #include <cstddef>
 #include <set>
 #include <tuple>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/request.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// Queued requests, those of the highest priority first; of equal priority the newest first, since an
 /// overloaded proxy that took the oldest would send only what has hardly any of its time left.
@@ -63,6 +63,6 @@
   std::set<Position> queue_;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_REQUEST_QUEUE_H_
+#endif  // BADGERBRIDGE_BALANCER_REQUEST_QUEUE_H_
--- a/src/balancer/request_stats.cpp
+++ b/src/balancer/request_stats.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 constexpr double kMaxWorkMs = 1e6;    // a larger hint is taken as this
@@ -33,4 +33,4 @@
   return ratio > 1 ? ratio : 0.5 + 0.5 * ratio;
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/request_stats.h
+++ b/src/balancer/request_stats.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Statistics of the requests that were submitted, whatever became of them.
-#ifndef FORDLB_SRC_BALANCER_REQUEST_STATS_H_
-#define FORDLB_SRC_BALANCER_REQUEST_STATS_H_
+#ifndef BADGERBRIDGE_BALANCER_REQUEST_STATS_H_
+#define BADGERBRIDGE_BALANCER_REQUEST_STATS_H_
 
 #include <cstddef>
 #include <vector>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/ewma_stats.h"
 #include "balancer/rate_estimator.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// Work, latency objectives and arrival rate of submitted requests.
 class RequestStats {
@@ -50,6 +50,6 @@
   bool work_was_hinted_ = false;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_REQUEST_STATS_H_
+#endif  // BADGERBRIDGE_BALANCER_REQUEST_STATS_H_
--- a/src/balancer/responsiveness.h
+++ b/src/balancer/responsiveness.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Whether a backend still responds to this proxy at all.
-#ifndef FORDLB_SRC_BALANCER_RESPONSIVENESS_H_
-#define FORDLB_SRC_BALANCER_RESPONSIVENESS_H_
+#ifndef BADGERBRIDGE_BALANCER_RESPONSIVENESS_H_
+#define BADGERBRIDGE_BALANCER_RESPONSIVENESS_H_
 
 #include <algorithm>
 #include <array>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// When a backend was last sent an attempt and when it last responded. Per backend.
 struct Responsiveness {
@@ -22,7 +22,7 @@
 
   /// Takes in how an attempt that was sent at `sent_at` ended.
   void RecordOutcome(Outcome outcome, TimePoint sent_at) {
-    if (outcome == Outcome::kOk || outcome == Outcome::kError || outcome == Outcome::kFull) {
+    if (outcome == Outcome::kOk || outcome == Outcome::kError || outcome == Outcome::kRejected) {
       const auto oldest = std::min_element(newest_answered_.begin(), newest_answered_.end());
       *oldest = std::max(*oldest, sent_at);
       unresponsive = false;
@@ -46,6 +46,6 @@
   std::array<TimePoint, kAnsweredAttempts> newest_answered_{};
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_RESPONSIVENESS_H_
+#endif  // BADGERBRIDGE_BALANCER_RESPONSIVENESS_H_
--- a/src/balancer/retry_budget.h
+++ b/src/balancer/retry_budget.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Bounds the retries of a proxy to a share of its first attempts.
-#ifndef FORDLB_SRC_BALANCER_RETRY_BUDGET_H_
-#define FORDLB_SRC_BALANCER_RETRY_BUDGET_H_
+#ifndef BADGERBRIDGE_BALANCER_RETRY_BUDGET_H_
+#define BADGERBRIDGE_BALANCER_RETRY_BUDGET_H_
 
 #include <algorithm>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// A token bucket: each first attempt adds kTokensPerFirstAttempt, each retry takes one token.
 class RetryBudget {
@@ -27,6 +27,6 @@
   double tokens_ = kMaxTokens;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_RETRY_BUDGET_H_
+#endif  // BADGERBRIDGE_BALANCER_RETRY_BUDGET_H_
--- a/src/balancer/selection.cpp
+++ b/src/balancer/selection.cpp
@@ -3,7 +3,7 @@
 
 #include <cstddef>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 constexpr double kZoneCrossingWeight =
@@ -18,7 +18,7 @@
 Selection BackendSelector::Select(const Request& request, const AttemptPermission& permission,
                                   const std::vector<Backend*>& active, TimePoint now) {
   const ClassSettings& request_class = settings_.classes[static_cast<std::size_t>(request.request_class)];
-  const double reserved_share = zone_quotas_.ReservedShare(request_class.worth);
+  const double reserved_share = zone_quotas_.ReservedShare(request_class.priority_weight);
   const double aperture_size = aperture_.Size(requests_.arrivals_per_ms());
   const std::vector<Backend*>& ring = aperture_.ring();
   Selection selection;
@@ -56,7 +56,7 @@
 bool BackendSelector::AwaitsResponse(const Request& request, const Backend& backend, TimePoint now) const {
   if (!backend.responsiveness.unresponsive) return false;
   const ClassSettings& request_class = settings_.classes[static_cast<std::size_t>(request.request_class)];
-  return request_class.effect == Effect::kUnsafe || backend.in_flight.attempts > 0 ||
+  return request_class.effect == Idempotency::kNotIdempotent || backend.in_flight.attempts > 0 ||
          now - backend.responsiveness.last_sent_at < kMinProbeInterval;
 }
 
@@ -67,7 +67,7 @@
   const double key_saving = key_is_warm ? kWarmKeyWeight * request.work_ms : 0;
   const bool crosses_zones = backend.endpoint.zone != settings_.zone;
   const double crossing_cost =
-      crosses_zones ? kZoneCrossingWeight * settings_.price_cross_zone * requests_.mean_work_ms() : 0;
+      crosses_zones ? kZoneCrossingWeight * settings_.cross_zone_cost * requests_.mean_work_ms() : 0;
   return backend.in_flight.work_ms + slowness_cost - key_saving + crossing_cost;
 }
 
@@ -88,4 +88,4 @@
   best.score = score;
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/selection.h
+++ b/src/balancer/selection.h
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Selects the backend for an attempt.
-#ifndef FORDLB_SRC_BALANCER_SELECTION_H_
-#define FORDLB_SRC_BALANCER_SELECTION_H_
+#ifndef BADGERBRIDGE_BALANCER_SELECTION_H_
+#define BADGERBRIDGE_BALANCER_SELECTION_H_
 
 #include <vector>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/aperture.h"
 #include "balancer/attempt_permission.h"
 #include "balancer/backend.h"
@@ -14,9 +15,8 @@
 #include "balancer/request_stats.h"
 #include "balancer/slow_start.h"
 #include "balancer/zone_quota.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// What a selection has found.
 struct Selection {
@@ -72,6 +72,6 @@
   Random& random_;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_SELECTION_H_
+#endif  // BADGERBRIDGE_BALANCER_SELECTION_H_
--- a/src/balancer/slow_backends.cpp
+++ b/src/balancer/slow_backends.cpp
@@ -6,7 +6,7 @@
 
 #include "balancer/backend.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 constexpr double kMinGain = 0.08;      // of one response
@@ -47,4 +47,4 @@
   }
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/slow_backends.h
+++ b/src/balancer/slow_backends.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Finds backends that respond, but slower than most.
-#ifndef FORDLB_SRC_BALANCER_SLOW_BACKENDS_H_
-#define FORDLB_SRC_BALANCER_SLOW_BACKENDS_H_
+#ifndef BADGERBRIDGE_BALANCER_SLOW_BACKENDS_H_
+#define BADGERBRIDGE_BALANCER_SLOW_BACKENDS_H_
 
 #include <vector>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 struct Backend;
 
@@ -46,6 +46,6 @@
   std::vector<Backend*> slow_;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_SLOW_BACKENDS_H_
+#endif  // BADGERBRIDGE_BALANCER_SLOW_BACKENDS_H_
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -6,7 +6,7 @@
 #include "balancer/backend.h"
 #include "balancer/reserve.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 constexpr double kOverloadSafety =
@@ -69,12 +69,12 @@
 
 SlowStart::SlowStart(const Settings& settings, const RequestStats& requests, const LatencyStats& latencies,
                      Random& random)
-    : floor_(settings.cold_from),
-      warm_up_window_(settings.warm_up),
-      overload_factor_(settings.fall_multiple),
-      overload_window_(settings.overload_for),
-      rolling_window_(settings.overload_for * kWindowSlack),
-      balancer_count_(settings.balancers),
+    : floor_(settings.slow_start_floor),
+      warm_up_window_(settings.slow_start_window),
+      overload_factor_(settings.overload_factor),
+      overload_window_(settings.overload_duration),
+      rolling_window_(settings.overload_duration * kWindowSlack),
+      balancer_count_(settings.balancer_count),
       requests_(requests),
       latencies_(latencies),
       random_(random) {}
@@ -162,4 +162,4 @@
   return total > 0 ? total_rate / total : 0;
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Bounds the work that is sent to a backend while it warms up.
-#ifndef FORDLB_SRC_BALANCER_SLOW_START_H_
-#define FORDLB_SRC_BALANCER_SLOW_START_H_
+#ifndef BADGERBRIDGE_BALANCER_SLOW_START_H_
+#define BADGERBRIDGE_BALANCER_SLOW_START_H_
 
 #include <cstddef>
 #include <vector>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/latency_stats.h"
 #include "balancer/random.h"
 #include "balancer/request_stats.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 struct Backend;
 
@@ -90,7 +90,7 @@
             Random& random);
 
   /// The share of its capacity that a backend has at the least; 1: it is warm.
-  double CapacityShare(const ServerEntry& endpoint, TimePoint now) const {
+  double CapacityShare(const BackendEntry& endpoint, TimePoint now) const {
     if (endpoint.up_since.time_since_epoch().count() <= 0) return 1;
     return CapacityShareAtAge((now - endpoint.up_since).count());
   }
@@ -126,6 +126,6 @@
   Random& random_;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_SLOW_START_H_
+#endif  // BADGERBRIDGE_BALANCER_SLOW_START_H_
--- a/src/balancer/tenant_quota.cpp
+++ b/src/balancer/tenant_quota.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstddef>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 constexpr double kBurstMs = 2000;  // of a quota that may be used at once
@@ -14,7 +14,7 @@
 
 TenantQuotas::TenantQuotas(const Settings& settings) {
   for (const TenantSettings& tenant : settings.tenants) {
-    buckets_.push_back({.tokens_per_ms = tenant.quota_per_s / settings.balancers / 1000});
+    buckets_.push_back({.tokens_per_ms = tenant.quota_per_s / settings.balancer_count / 1000});
   }
 }
 
@@ -33,4 +33,4 @@
   }
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/tenant_quota.h
+++ b/src/balancer/tenant_quota.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Which requests are within the quota of their tenant.
-#ifndef FORDLB_SRC_BALANCER_TENANT_QUOTA_H_
-#define FORDLB_SRC_BALANCER_TENANT_QUOTA_H_
+#ifndef BADGERBRIDGE_BALANCER_TENANT_QUOTA_H_
+#define BADGERBRIDGE_BALANCER_TENANT_QUOTA_H_
 
 #include <vector>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// A token bucket for each tenant, with this proxy's part of the tenant's quota. A request beyond it is not
-/// rejected for that, but has less priority (Settings::over_share_worth).
+/// rejected for that, but has less priority (Settings::over_quota_weight).
 class TenantQuotas {
  public:
   /// Divides the quotas of the settings evenly among all proxies.
@@ -33,6 +33,6 @@
   std::vector<Bucket> buckets_;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_TENANT_QUOTA_H_
+#endif  // BADGERBRIDGE_BALANCER_TENANT_QUOTA_H_
--- a/src/balancer/wakeup_schedule.h
+++ b/src/balancer/wakeup_schedule.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// When which request is to be looked at again.
-#ifndef FORDLB_SRC_BALANCER_WAKEUP_SCHEDULE_H_
-#define FORDLB_SRC_BALANCER_WAKEUP_SCHEDULE_H_
+#ifndef BADGERBRIDGE_BALANCER_WAKEUP_SCHEDULE_H_
+#define BADGERBRIDGE_BALANCER_WAKEUP_SCHEDULE_H_
 
 #include <optional>
 #include <set>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/time_limits.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// Points in time with a request each, in order; a request may have several, and may be over by then.
 class WakeupSchedule {
@@ -40,6 +40,6 @@
   std::set<Wakeup> wakeups_;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_WAKEUP_SCHEDULE_H_
+#endif  // BADGERBRIDGE_BALANCER_WAKEUP_SCHEDULE_H_
--- a/src/balancer/warm_capacity.h
+++ b/src/balancer/warm_capacity.h
@@ -1,23 +1,23 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// How much of the backends' capacity is warmed up.
-#ifndef FORDLB_SRC_BALANCER_WARM_CAPACITY_H_
-#define FORDLB_SRC_BALANCER_WARM_CAPACITY_H_
+#ifndef BADGERBRIDGE_BALANCER_WARM_CAPACITY_H_
+#define BADGERBRIDGE_BALANCER_WARM_CAPACITY_H_
 
 #include <cstddef>
 #include <set>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/backend_list.h"
 #include "balancer/slow_start.h"
-#include "fordlb/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// The ready backends, weighed by the share of their capacity that slow start leaves them.
 class WarmCapacity {
  public:
   /// Follows a backend that warms up until it is warm.
-  void Track(ServerId id) { warming_up_.insert(id); }
+  void Track(BackendId id) { warming_up_.insert(id); }
 
   /// Whether any backend is followed.
   bool AnyWarmingUp() const { return !warming_up_.empty(); }
@@ -36,11 +36,11 @@
  private:
   static constexpr double kMinWarmShare = 0.95;  // of the ready backends
 
-  std::set<ServerId> warming_up_;
+  std::set<BackendId> warming_up_;
   std::size_t ready_backends_ = 0;
   double warm_backends_ = 0;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_WARM_CAPACITY_H_
+#endif  // BADGERBRIDGE_BALANCER_WARM_CAPACITY_H_
--- a/src/balancer/zone_quota.cpp
+++ b/src/balancer/zone_quota.cpp
@@ -4,15 +4,15 @@
 #include <algorithm>
 #include <cmath>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 ZoneQuotaBuckets::ZoneQuotaBuckets(const Settings& settings) {
   for (const ClassSettings& request_class : settings.classes) {
-    max_priority_weight_ = std::max(max_priority_weight_, request_class.worth);
+    max_priority_weight_ = std::max(max_priority_weight_, request_class.priority_weight);
   }
 }
 
-void ZoneQuotaBuckets::Update(const ZoneShares& quotas, TimePoint now) {
+void ZoneQuotaBuckets::Update(const ZoneQuotas& quotas, TimePoint now) {
   buckets_.resize(quotas.work_per_ms.size());
   for (std::size_t zone = 0; zone < buckets_.size(); ++zone) {
     Bucket& bucket = buckets_[zone];
@@ -41,4 +41,4 @@
   bucket.refilled_at = now;
 }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/balancer/zone_quota.h
+++ b/src/balancer/zone_quota.h
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
 /// How much work this proxy may send to each zone.
-#ifndef FORDLB_SRC_BALANCER_ZONE_QUOTA_H_
-#define FORDLB_SRC_BALANCER_ZONE_QUOTA_H_
+#ifndef BADGERBRIDGE_BALANCER_ZONE_QUOTA_H_
+#define BADGERBRIDGE_BALANCER_ZONE_QUOTA_H_
 
 #include <cstddef>
 #include <vector>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 /// A bucket of work for each zone.
 ///
-/// Exception, where something decides how much goes to each zone (ZoneShares): a zone whose quota is used up
+/// Exception, where something decides how much goes to each zone (ZoneQuotas): a zone whose quota is used up
 /// is passed over. Each bucket holds a second's worth; requests of low priority leave most of it to others.
 class ZoneQuotaBuckets {
  public:
@@ -21,7 +21,7 @@
   explicit ZoneQuotaBuckets(const Settings& settings);
 
   /// Sets the quotas from here on.
-  void Update(const ZoneShares& quotas, TimePoint now);
+  void Update(const ZoneQuotas& quotas, TimePoint now);
 
   /// The part of a zone's bucket that a request class with this priority leaves to others.
   double ReservedShare(double priority_weight) const {
@@ -62,6 +62,6 @@
   std::vector<Bucket> buckets_;        // by zone
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_SRC_BALANCER_ZONE_QUOTA_H_
+#endif  // BADGERBRIDGE_BALANCER_ZONE_QUOTA_H_
--- a/tests/balancer/aperture_test.cpp
+++ b/tests/balancer/aperture_test.cpp
@@ -7,11 +7,11 @@
 #include <map>
 #include <set>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/traffic.h"
-#include "fordlb/balancer.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::next_request_id;
@@ -21,15 +21,15 @@
 
 Settings OneProxyOf(int proxies, int index) {
   Settings settings = Usual();
-  settings.balancers = proxies;
-  settings.me = index;
+  settings.balancer_count = proxies;
+  settings.balancer_index = index;
   return settings;
 }
 
 TEST(Aperture, FewRequests_FewBackendsAreUsed) {
   Rig rig(OneProxyOf(400, 7));
   rig.ListBackends(100);
-  std::set<ServerId> used;
+  std::set<BackendId> used;
   for (int i = 0; i < 300; ++i) {
     rig.AdvanceTime(200);
     used.insert(*SubmitAndSucceed(rig));
@@ -41,7 +41,7 @@
 TEST(Aperture, ManyRequests_AllBackendsAreUsed) {
   Rig rig(OneProxyOf(2, 1));
   rig.ListBackends(20);
-  std::set<ServerId> used;
+  std::set<BackendId> used;
   for (int i = 0; i < 2000; ++i) {
     rig.AdvanceTime(5);
     used.insert(*SubmitAndSucceed(rig));
@@ -50,16 +50,16 @@
 }
 
 TEST(Aperture, AllProxies_BackendsAreInAboutAsManyAperturesEach) {
-  std::map<ServerId, int> users;
+  std::map<BackendId, int> users;
   for (int index = 0; index < 200; ++index) {
     Rig rig(OneProxyOf(200, index));
     rig.ListBackends(50);
-    std::set<ServerId> used;
+    std::set<BackendId> used;
     for (int i = 0; i < 60; ++i) {
       rig.AdvanceTime(200);
       used.insert(*SubmitAndSucceed(rig));
     }
-    for (ServerId backend : used) ++users[backend];
+    for (BackendId backend : used) ++users[backend];
   }
   ASSERT_EQ(users.size(), 50u) << "no backend is left out";
   // 24 in the mean; places drawn at random would differ by 4.6 (one deviation) and reach far lower and
@@ -75,14 +75,14 @@
   settings.max_attempts = 1;
   Rig rig(settings);
   rig.ListBackends(100);
-  std::set<ServerId> first;
+  std::set<BackendId> first;
   for (int i = 0; i < 60; ++i) {
     rig.AdvanceTime(200);
     first.insert(*SubmitAndSucceed(rig));
   }
   ASSERT_GE(first.size(), 4u);
-  const std::set<ServerId> failing = {*first.begin(), *std::next(first.begin())};
-  std::set<ServerId> fresh;
+  const std::set<BackendId> failing = {*first.begin(), *std::next(first.begin())};
+  std::set<BackendId> fresh;
   int at_failing = 0;
   for (int i = 0; i < 100; ++i) {
     const RequestId id = next_request_id++;
@@ -102,7 +102,7 @@
   Rig rig(OneProxyOf(400, 3));
   rig.ListBackends(100);
   // Two requests a second over six backends: three answers of one backend take nine seconds.
-  std::map<ServerId, int> failed;
+  std::map<BackendId, int> failed;
   for (int i = 0; i < 200; ++i) {
     const RequestId id = next_request_id++;
     rig.AdvanceTime(250);
@@ -116,4 +116,4 @@
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/attempt_permission_test.cpp
+++ b/tests/balancer/attempt_permission_test.cpp
@@ -3,11 +3,11 @@
 // Which requests are retried, rejected or failed.
 #include <gtest/gtest.h>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/traffic.h"
-#include "fordlb/balancer.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::Entry;
@@ -26,13 +26,13 @@
 TEST(AttemptPermission, AttemptEnded_RetriedOrRejectedOnlyWherePermitted) {
   const Verdict verdicts[] = {
       {0, Outcome::kError, true, true},         {0, Outcome::kTimeout, true, true},
-      {0, Outcome::kReset, true, true},         {0, Outcome::kFull, true, true},
+      {0, Outcome::kReset, true, true},         {0, Outcome::kRejected, true, true},
       {0, Outcome::kConnectFailed, true, true}, {1, Outcome::kError, true, false},
-      {1, Outcome::kTimeout, true, false},      {1, Outcome::kFull, true, true},
+      {1, Outcome::kTimeout, true, false},      {1, Outcome::kRejected, true, true},
       {1, Outcome::kConnectFailed, true, true}, {1, Outcome::kReset, true, false},
       {2, Outcome::kError, false, false},       {2, Outcome::kTimeout, false, false},
       {2, Outcome::kReset, false, false},       {2, Outcome::kUnknown, false, false},
-      {2, Outcome::kFull, true, true},          {2, Outcome::kConnectFailed, true, true},
+      {2, Outcome::kRejected, true, true},      {2, Outcome::kConnectFailed, true, true},
       {2, Outcome::kCancelled, false, false},
   };
   for (const Verdict& v : verdicts) {
@@ -46,7 +46,7 @@
     if (v.again) {
       EXPECT_NE(rig.SentTo(1), first) << "elsewhere";
     } else {
-      EXPECT_EQ(rig.CountActions<Fail>(), 1);
+      EXPECT_EQ(rig.CountActions<FailRequest>(), 1);
     }
     // And with no attempt left: rejected only where that is permitted.
     Settings settings = Usual();
@@ -55,8 +55,8 @@
     last.ListBackends(3);
     const auto only = last.SubmitRequest(1, v.cls);
     last.EndAttempt(1, 0, *only, v.outcome);
-    EXPECT_EQ(last.CountActions<Refuse>(), v.refusable ? 1 : 0);
-    EXPECT_EQ(last.CountActions<Fail>(), v.refusable ? 0 : 1);
+    EXPECT_EQ(last.CountActions<Reject>(), v.refusable ? 1 : 0);
+    EXPECT_EQ(last.CountActions<FailRequest>(), v.refusable ? 0 : 1);
   }
 }
 
@@ -64,19 +64,19 @@
   for (int gone : {0, 1}) {
     Rig rig;
     rig.UpdateEndpoints({Entry(1, 0, 1), Entry(2, 0, 1), Entry(3, 0, 2), Entry(4, 1, 1)});
-    ServerId first = *rig.SubmitRequest(next_request_id, 1);
+    BackendId first = *rig.SubmitRequest(next_request_id, 1);
     while (first > 2) {  // start in the cell of backends 1 and 2
       rig.EndAttempt(next_request_id, 0, first, Outcome::kOk);
       first = *rig.SubmitRequest(++next_request_id, 1);
     }
-    if (gone) rig.UpdateEndpoints({Entry(3 - first, 0, 1, ServerState::kGone)}, ListKind::kDelta);
+    if (gone) rig.UpdateEndpoints({Entry(3 - first, 0, 1, BackendState::kGone)}, EndpointListKind::kDelta);
     rig.now += 100;
     rig.EndAttempt(next_request_id, 0, first, Outcome::kError);
     EXPECT_EQ(rig.SentTo(next_request_id), gone ? first : 3 - first);
     rig.now += 401;  // past the 500 ms window
     rig.EndAttempt(next_request_id, 1, gone ? first : 3 - first, Outcome::kError);
     EXPECT_FALSE(rig.SentTo(next_request_id).has_value());
-    EXPECT_EQ(rig.CountActions<Fail>(), 1);
+    EXPECT_EQ(rig.CountActions<FailRequest>(), 1);
     ++next_request_id;
   }
 }
@@ -108,8 +108,8 @@
   ASSERT_TRUE(second.has_value());
   rig.EndAttempt(1, 1, *second, Outcome::kConnectFailed);
   EXPECT_FALSE(rig.SentTo(1).has_value());
-  EXPECT_EQ(rig.CountActions<Refuse>(), 1);
+  EXPECT_EQ(rig.CountActions<Reject>(), 1);
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/attempt_timeout_test.cpp
+++ b/tests/balancer/attempt_timeout_test.cpp
@@ -6,11 +6,11 @@
 #include <variant>
 #include <vector>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/traffic.h"
-#include "fordlb/balancer.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::next_request_id;
@@ -56,7 +56,7 @@
       rig.EndAttempt(id, 0, *rig.SubmitRequest(id, cls), Outcome::kOk);
     }
     const RequestId stuck = next_request_id++;
-    const ServerId server = *rig.SubmitRequest(stuck, cls, 10, 1000);
+    const BackendId server = *rig.SubmitRequest(stuck, cls, 10, 1000);
     std::vector<RequestId> later;  // sent there too: together they are more work than the stuck one
     while (later.size() < 3) {
       const RequestId id = next_request_id++;
@@ -67,7 +67,7 @@
     int abandoned = 0;
     const auto note = [&] {
       for (const Action& action : rig.actions) {
-        const auto* abandon = std::get_if<Abandon>(&action);
+        const auto* abandon = std::get_if<CancelAttempt>(&action);
         if (!abandon) continue;
         EXPECT_EQ(abandon->request, stuck);
         EXPECT_EQ(abandon->attempt, 0);
@@ -96,13 +96,13 @@
     rig.EndAttempt(id, 0, *rig.SubmitRequest(id, i % 3), Outcome::kOk);
   }
   const RequestId lost = next_request_id++;
-  const ServerId silent = *rig.SubmitRequest(lost, 2, 10, 900);
+  const BackendId silent = *rig.SubmitRequest(lost, 2, 10, 900);
   int to_silent = 0, repeatable = 0;
   const auto ask = [&](int cls) {
     const RequestId id = next_request_id++;
     const auto sent_to = rig.SubmitRequest(id, cls, 10, 900);
     ASSERT_TRUE(sent_to.has_value());
-    const ServerId at = *sent_to;
+    const BackendId at = *sent_to;
     if (at != silent) return rig.EndAttempt(id, 0, at, Outcome::kOk);
     ++to_silent;
     repeatable += cls != 2 && rig.sent.back().timeout.count() > 0;
@@ -125,4 +125,4 @@
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/backend_list_test.cpp
+++ b/tests/balancer/backend_list_test.cpp
@@ -8,11 +8,11 @@
 #include <random>
 #include <vector>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/traffic.h"
-#include "fordlb/balancer.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::Entry;
@@ -21,16 +21,16 @@
 using testing::Usual;
 
 TEST(BackendList, DrainingOrGoneBackend_GetsNothingNew) {
-  for (ServerState state : {ServerState::kDraining, ServerState::kGone}) {
+  for (BackendState state : {BackendState::kDraining, BackendState::kGone}) {
     Rig rig;
     rig.ListBackends(2);
-    rig.UpdateEndpoints({Entry(1, 0, 0, state)}, ListKind::kDelta);
-    for (int i = 0; i < 20; ++i) EXPECT_EQ(SubmitAndSucceed(rig), ServerId{2});
+    rig.UpdateEndpoints({Entry(1, 0, 0, state)}, EndpointListKind::kDelta);
+    for (int i = 0; i < 20; ++i) EXPECT_EQ(SubmitAndSucceed(rig), BackendId{2});
   }
   Rig rig;
   rig.ListBackends(2);
   rig.UpdateEndpoints({Entry(2)});  // absent from a full list: removed
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(SubmitAndSucceed(rig), ServerId{2});
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(SubmitAndSucceed(rig), BackendId{2});
 }
 
 // Two balancers with the same settings and events; one is told the endpoint list change by change, the other
@@ -40,7 +40,7 @@
   explicit TwoWaysOfListing(std::uint64_t seed)
       : seed_(seed), by_change_(SettingsFor(seed), seed), whole_(SettingsFor(seed), seed), random_(seed) {
     for (int i = 0; i < 80; ++i) ChangeOne();
-    for (ServerId id = 1; id <= 120; ++id) listed_.try_emplace(id, Entry(id, 0, 0, ServerState::kGone));
+    for (BackendId id = 1; id <= 120; ++id) listed_.try_emplace(id, Entry(id, 0, 0, BackendState::kGone));
     by_change_.UpdateEndpoints(All());
     whole_.UpdateEndpoints(All());
   }
@@ -70,32 +70,32 @@
  private:
   static Settings SettingsFor(std::uint64_t seed) {
     Settings settings = Usual();
-    settings.balancers = 5;
-    settings.me = static_cast<int>(seed % 5);
-    settings.price_cross_zone = 0.1;
+    settings.balancer_count = 5;
+    settings.balancer_index = static_cast<int>(seed % 5);
+    settings.cross_zone_cost = 0.1;
     return settings;
   }
 
-  ServerEntry ChangeOne() {
-    const auto id = static_cast<ServerId>(random_() % 120 + 1);
+  BackendEntry ChangeOne() {
+    const auto id = static_cast<BackendId>(random_() % 120 + 1);
     const auto since = random_() % 3 == 0 ? by_change_.now - static_cast<double>(random_() % 12000) : 0;
-    ServerEntry entry = Entry(id, static_cast<int>(random_() % 2), static_cast<int>(random_() % 2),
-                              ServerState::kReady, since);
-    if (random_() % 3 == 0) entry.state = random_() % 2 ? ServerState::kDraining : ServerState::kGone;
+    BackendEntry entry = Entry(id, static_cast<int>(random_() % 2), static_cast<int>(random_() % 2),
+                               BackendState::kReady, since);
+    if (random_() % 3 == 0) entry.state = random_() % 2 ? BackendState::kDraining : BackendState::kGone;
     listed_[id] = entry;
     return entry;
   }
 
-  std::vector<ServerEntry> All() const {
-    std::vector<ServerEntry> entries;
+  std::vector<BackendEntry> All() const {
+    std::vector<BackendEntry> entries;
     for (const auto& [id, entry] : listed_) entries.push_back(entry);
     return entries;
   }
 
   void ChangeList() {
-    std::vector<ServerEntry> changes;
+    std::vector<BackendEntry> changes;
     for (auto left = random_() % 3 + 1; left > 0; --left) changes.push_back(ChangeOne());
-    by_change_.UpdateEndpoints(changes, ListKind::kDelta);
+    by_change_.UpdateEndpoints(changes, EndpointListKind::kDelta);
     whole_.UpdateEndpoints(All());
   }
 
@@ -122,7 +122,7 @@
 
   struct OpenRequest {
     RequestId request = 0;
-    ServerId backend = 0;
+    BackendId backend = 0;
   };
 
   std::uint64_t seed_;
@@ -130,7 +130,7 @@
   Rig by_change_;
   Rig whole_;
   std::mt19937_64 random_;
-  std::map<ServerId, ServerEntry> listed_;
+  std::map<BackendId, BackendEntry> listed_;
   RequestId last_id_ = 0;
   std::deque<OpenRequest> open_;
 };
@@ -149,4 +149,4 @@
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The balancer as a whole.
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 #include "balancer/traffic.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::At;
@@ -24,18 +24,18 @@
   EXPECT_FALSE(rig.SubmitRequest(1, 0).has_value()) << "no list yet: queued";
   rig.UpdateEndpoints({});
   rig.EndAttempt(77, 0, 1, Outcome::kOk);
-  rig.Handle(ClientGone{77});
+  rig.Handle(ClientDisconnected{77});
   rig.Handle(StreamStarted{77, 0});
   rig.ListBackends(1);
-  EXPECT_EQ(rig.SentTo(1), ServerId{1}) << "queued ones go once a backend is listed";
+  EXPECT_EQ(rig.SentTo(1), BackendId{1}) << "queued ones go once a backend is listed";
   rig.EndAttempt(1, 9, 1, Outcome::kOk);
   rig.EndAttempt(1, -1, 1, Outcome::kOk);
   rig.SubmitRequest(1, 0);
   EXPECT_FALSE(rig.SentTo(1).has_value()) << "a duplicate id";
   rig.SubmitRequest(2, 99);
-  EXPECT_EQ(rig.CountActions<Refuse>(), 1) << "an unknown class";
+  EXPECT_EQ(rig.CountActions<Reject>(), 1) << "an unknown class";
   rig.SubmitRequest(3, 0, 10, -50);
-  EXPECT_EQ(rig.CountActions<Refuse>(), 1) << "due in the past";
+  EXPECT_EQ(rig.CountActions<Reject>(), 1) << "due in the past";
   for (double work : {0.0, -5.0, inf, nan, 1e300}) {
     const RequestId id = 100 + next_request_id++;
     Submit submit;
@@ -72,4 +72,4 @@
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/client_timeout_test.cpp
+++ b/tests/balancer/client_timeout_test.cpp
@@ -5,11 +5,11 @@
 
 #include <variant>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/traffic.h"
-#include "fordlb/balancer.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::At;
@@ -43,11 +43,11 @@
   EXPECT_TRUE(served(900)) << "100 of its 1000 are gone, of an objective of 200";
   EXPECT_FALSE(served(780)) << "220 are";
   EXPECT_FALSE(served(600, true)) << "200 or so: half of what may have passed before a marked retry";
-  const auto* refused = std::get_if<Refuse>(&rig.actions.front());
+  const auto* refused = std::get_if<Reject>(&rig.actions.front());
   ASSERT_NE(refused, nullptr);
   EXPECT_EQ(refused->retry_after.count(), 300) << "another attempt would be later still";
   EXPECT_TRUE(served(600));
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -8,11 +8,11 @@
 #include <tuple>
 #include <vector>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/traffic.h"
-#include "fordlb/balancer.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::Entry;
@@ -25,10 +25,10 @@
 // 65 backends that had just started tripled what was always in order, and the fleet was overdriven.
 TEST(ConcurrencyLimit, BackendsWarmingUp_RaiseTheLimitByTheirShareOnly) {
   Settings settings = Usual();
-  settings.balancers = 2;
+  settings.balancer_count = 2;
   Rig rig(settings);
-  std::vector<ServerEntry> list = {Entry(1), Entry(2)};
-  for (ServerId id = 3; id <= 10; ++id) list.push_back(Entry(id, 0, 0, ServerState::kReady, rig.now));
+  std::vector<BackendEntry> list = {Entry(1), Entry(2)};
+  for (BackendId id = 3; id <= 10; ++id) list.push_back(Entry(id, 0, 0, BackendState::kReady, rig.now));
   rig.UpdateEndpoints(list);
   for (int i = 0; i < 50; ++i) rig.SubmitRequest(next_request_id++, 0, 10, 900);
   EXPECT_NEAR(static_cast<double>(rig.sent.size()), 6.7, 0.9)
@@ -38,7 +38,7 @@
 // A new proxy that floods the fleet before it knows any rate leaves queues that last far longer.
 TEST(ConcurrencyLimit, NewProxy_StartsFromTheMinimum) {
   Settings settings = Usual();
-  settings.balancers = 2;
+  settings.balancer_count = 2;
   Rig rig(settings);
   rig.ListBackends(4);
   for (int i = 0; i < 50; ++i) rig.SubmitRequest(next_request_id++, 0, 10, 900);
@@ -60,7 +60,7 @@
 TEST(ConcurrencyLimit, AllBackendsSlow_NoMoreInFlightThanIsAnsweredInTime) {
   Rig rig;
   rig.ListBackends(3);
-  std::deque<std::tuple<double, RequestId, ServerId>> out;
+  std::deque<std::tuple<double, RequestId, BackendId>> out;
   std::size_t most = 0;
   for (int i = 0; i < 2000; ++i) {
     rig.AdvanceTime(5);
@@ -88,7 +88,7 @@
 // nothing.
 TEST(ConcurrencyLimit, BurstOfRequests_IsNotLimited) {
   Settings settings = Usual();
-  settings.classes[2].aim = Duration(1000);
+  settings.classes[2].latency_objective = Duration(1000);
   settings.classes[2].deadline = Duration(5000);
   Rig rig(settings);
   rig.ListBackends(3);
@@ -104,7 +104,7 @@
 // do.
 TEST(ConcurrencyLimit, SmallProxy_LimitIsAFraction) {
   Settings settings = Usual();
-  settings.balancers = 30;
+  settings.balancer_count = 30;
   int three = 0;
   for (std::uint64_t seed = 0; seed < 60; ++seed) {
     Rig rig(settings, seed);
@@ -137,7 +137,7 @@
 // work.
 TEST(ConcurrencyLimit, LongObjective_DoesNotOverloadBackends) {
   Settings settings = Usual();
-  settings.classes[2].aim = Duration(1000);
+  settings.classes[2].latency_objective = Duration(1000);
   settings.classes[2].deadline = Duration(5000);
   Rig rig(settings);
   rig.ListBackends(3);
@@ -152,4 +152,4 @@
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/endpoint_poller_test.cpp
+++ b/tests/balancer/endpoint_poller_test.cpp
@@ -3,11 +3,11 @@
 // When discovery is polled for the endpoint list.
 #include <gtest/gtest.h>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/traffic.h"
-#include "fordlb/balancer.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::Entry;
@@ -17,14 +17,14 @@
 
 TEST(EndpointPoller, StartOrFailedCall_Polls) {
   Settings settings = Usual();
-  settings.must_ask_for_list = true;
-  settings.must_ask_within = Duration(10000);
+  settings.polls_endpoint_list = true;
+  settings.max_poll_interval = Duration(10000);
   Rig rig(settings);
-  rig.UpdateEndpoints({Entry(1)}, ListKind::kCached);
+  rig.UpdateEndpoints({Entry(1)}, EndpointListKind::kCached);
   EXPECT_EQ(rig.CountActions<Subscribe>(), 1);
   rig.AdvanceTime(100);
   EXPECT_EQ(rig.CountActions<Subscribe>(), 0) << "one call at a time";
-  rig.UpdateEndpoints({}, ListKind::kFailed);
+  rig.UpdateEndpoints({}, EndpointListKind::kFailed);
   double waited = 0;
   while (rig.CountActions<Subscribe>() == 0 && waited < 20000) {
     rig.AdvanceTime(10);
@@ -32,7 +32,7 @@
   }
   EXPECT_GE(waited, 200);
   EXPECT_LE(waited, 2500);
-  EXPECT_EQ(rig.SubmitRequest(next_request_id++), ServerId{1}) << "the old list serves";
+  EXPECT_EQ(rig.SubmitRequest(next_request_id++), BackendId{1}) << "the old list serves";
   rig.UpdateEndpoints({Entry(1)});
   for (int i = 0; i < 1000; ++i) {
     rig.AdvanceTime(100);
@@ -42,7 +42,7 @@
 
 TEST(EndpointPoller, ListIsPushed_NeverPolls) {
   Rig rig;
-  rig.UpdateEndpoints({Entry(1)}, ListKind::kCached);
+  rig.UpdateEndpoints({Entry(1)}, EndpointListKind::kCached);
   for (int i = 0; i < 200; ++i) {
     rig.AdvanceTime(100);
     EXPECT_EQ(rig.CountActions<Subscribe>(), 0);
@@ -52,12 +52,12 @@
 // Whatever the rules allow after a failed call: a change is to be heard of within 6 s of discovery's return.
 TEST(EndpointPoller, CallsFailRepeatedly_PollsWithinTwoSeconds) {
   Settings settings = Usual();
-  settings.must_ask_for_list = true;
-  settings.must_ask_within = Duration(40000);
+  settings.polls_endpoint_list = true;
+  settings.max_poll_interval = Duration(40000);
   Rig rig(settings);
-  rig.UpdateEndpoints({Entry(1)}, ListKind::kCached);
+  rig.UpdateEndpoints({Entry(1)}, EndpointListKind::kCached);
   for (int i = 0; i < 8; ++i) {
-    rig.UpdateEndpoints({}, ListKind::kFailed);
+    rig.UpdateEndpoints({}, EndpointListKind::kFailed);
     double waited = 0;
     while (rig.CountActions<Subscribe>() == 0 && waited < 60000) {
       rig.AdvanceTime(50);
@@ -69,4 +69,4 @@
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/event_timer_test.cpp
+++ b/tests/balancer/event_timer_test.cpp
@@ -7,10 +7,10 @@
 #include <variant>
 #include <vector>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::Rig;
@@ -35,11 +35,11 @@
     }
     rig.now = std::max(rig.now + 0.001, at - 0.0004);
     rig.Handle(TimerFired{token});
-    finals = rig.CountActions<Refuse>() + rig.CountActions<Fail>();
+    finals = rig.CountActions<Reject>() + rig.CountActions<FailRequest>();
   }
   EXPECT_EQ(finals, 1);
   EXPECT_LE(rig.now, 100300);
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/log_throttle_test.cpp
+++ b/tests/balancer/log_throttle_test.cpp
@@ -7,11 +7,11 @@
 #include <variant>
 #include <vector>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/traffic.h"
-#include "fordlb/balancer.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::Entry;
@@ -32,7 +32,7 @@
   ASSERT_EQ(lines.size(), 1u) << "others within ten seconds are not told";
   EXPECT_NE(lines[0].find("rejecting: not in time"), std::string::npos) << lines[0];
   rig.now += 100;
-  rig.UpdateEndpoints({Entry(1, 0, 0, ServerState::kReady, rig.now)});
+  rig.UpdateEndpoints({Entry(1, 0, 0, BackendState::kReady, rig.now)});
   for (int i = 0; i < 10; ++i) {
     rig.SubmitRequest(next_request_id++);
     note();
@@ -42,4 +42,4 @@
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -5,11 +5,11 @@
 
 #include <set>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/traffic.h"
-#include "fordlb/balancer.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::AnswerRounds;
@@ -44,7 +44,7 @@
   settings.max_attempts = 1;
   Rig rig(settings);
   rig.ListBackends(6);
-  std::set<ServerId> late_on;
+  std::set<BackendId> late_on;
   for (int i = 0; i < 120; ++i) {
     const RequestId id = next_request_id++;
     const auto backend = rig.SubmitRequest(id, 2, 10, 5000);
@@ -75,7 +75,7 @@
 }
 
 TEST(OutlierDetection, CancelledUnsentOrUnknownAttempts_AreNotCounted) {
-  for (Outcome outcome : {Outcome::kCancelled, Outcome::kMoot, Outcome::kUnknown}) {
+  for (Outcome outcome : {Outcome::kCancelled, Outcome::kNotSent, Outcome::kUnknown}) {
     Settings settings = Usual();
     settings.max_attempts = 1;
     Rig rig(settings);
@@ -87,7 +87,7 @@
 
 TEST(OutlierDetection, EachKindOfFailure_Ejects) {
   for (Outcome outcome :
-       {Outcome::kError, Outcome::kFull, Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset}) {
+       {Outcome::kError, Outcome::kRejected, Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset}) {
     Settings settings = Usual();
     settings.max_attempts = 1;
     Rig rig(settings);
@@ -144,8 +144,8 @@
     ASSERT_TRUE(backend.has_value());
     rig.EndAttempt(id, 0, *backend, Outcome::kError);
   }
-  std::set<ServerId> in;
-  for (ServerId backend = 1; backend <= 4; ++backend) {
+  std::set<BackendId> in;
+  for (BackendId backend = 1; backend <= 4; ++backend) {
     if (InService(rig, backend)) in.insert(backend);
   }
   EXPECT_GE(in.size(), 2u) << "never more than half";
@@ -156,7 +156,7 @@
   rig.ListBackends(3);
   for (int i = 0; i < 40; ++i) SubmitAndEnd(rig, Outcome::kError, {1, 2, 3});
   int in = 0;
-  for (ServerId backend = 1; backend <= 3; ++backend) in += InService(rig, backend);
+  for (BackendId backend = 1; backend <= 3; ++backend) in += InService(rig, backend);
   EXPECT_EQ(in, 3);
 }
 
@@ -179,10 +179,10 @@
   Rig rig;
   rig.ListBackends(3);
   AnswerRounds(rig, 3, 3);
-  rig.UpdateEndpoints({Entry(1, 0, 0, ServerState::kGone)}, ListKind::kDelta);
-  rig.UpdateEndpoints({Entry(1)}, ListKind::kDelta);
+  rig.UpdateEndpoints({Entry(1, 0, 0, BackendState::kGone)}, EndpointListKind::kDelta);
+  rig.UpdateEndpoints({Entry(1)}, EndpointListKind::kDelta);
   EXPECT_FALSE(InService(rig, 1));
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/random_schedules_test.cpp
+++ b/tests/balancer/random_schedules_test.cpp
@@ -11,7 +11,7 @@
 
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::At;
@@ -19,7 +19,7 @@
 using testing::Usual;
 
 struct SentAttempt {
-  ServerId server;
+  BackendId server;
   double sent_at;
   double ends_at;
   Outcome outcome;
@@ -35,11 +35,11 @@
 class World {
  public:
   World(Settings settings, std::uint64_t seed) : settings_(settings), rng_(seed), balancer_(settings, seed) {
-    for (ServerId id = 1; id <= 8; ++id) servers_[id] = Entry(id, id % 2, id % 3);
+    for (BackendId id = 1; id <= 8; ++id) servers_[id] = Entry(id, id % 2, id % 3);
   }
 
   void Play() {
-    Push(ListKind::kCached, All());
+    Push(EndpointListKind::kCached, All());
     for (now_ = 1000; now_ < 9000; now_ += 1 + Roll(8)) {
       if (now_ > 7000) {
         Step(false);
@@ -56,13 +56,15 @@
  private:
   int Roll(int n) { return static_cast<int>(rng_() % static_cast<unsigned>(n)); }
 
-  std::vector<ServerEntry> All() const {
-    std::vector<ServerEntry> all;
+  std::vector<BackendEntry> All() const {
+    std::vector<BackendEntry> all;
     for (const auto& [id, endpoint] : servers_) all.push_back(endpoint);
     return all;
   }
 
-  void Push(ListKind kind, std::vector<ServerEntry> entries) { Do(ListUpdate{kind, std::move(entries)}); }
+  void Push(EndpointListKind kind, std::vector<BackendEntry> entries) {
+    Do(EndpointListUpdate{kind, std::move(entries)});
+  }
 
   void Step(bool load) {
     // Timers, attempts that end and arrivals of one batch, in a random order.
@@ -97,11 +99,12 @@
   }
 
   void ChangeList() {
-    const ServerId id = 1 + static_cast<ServerId>(Roll(8));
-    ServerEntry& endpoint = servers_[id];
-    endpoint.state = static_cast<ServerState>(Roll(3));
-    if (endpoint.state == ServerState::kReady && Roll(2)) endpoint.up_since = At(now_);
-    Push(Roll(5) ? ListKind::kDelta : ListKind::kFull, Roll(5) ? std::vector<ServerEntry>{endpoint} : All());
+    const BackendId id = 1 + static_cast<BackendId>(Roll(8));
+    BackendEntry& endpoint = servers_[id];
+    endpoint.state = static_cast<BackendState>(Roll(3));
+    if (endpoint.state == BackendState::kReady && Roll(2)) endpoint.up_since = At(now_);
+    Push(Roll(5) ? EndpointListKind::kDelta : EndpointListKind::kFull,
+         Roll(5) ? std::vector<BackendEntry>{endpoint} : All());
   }
 
   void EndAttempts() {
@@ -131,9 +134,9 @@
 
   void Do(const Event& event) {
     // The lists that the instance was told decide about drains.
-    if (const auto* list = std::get_if<ListUpdate>(&event)) {
-      if (list->kind != ListKind::kDelta) told_.clear();
-      for (const ServerEntry& endpoint : list->entries) told_[endpoint.server] = endpoint;
+    if (const auto* list = std::get_if<EndpointListUpdate>(&event)) {
+      if (list->kind != EndpointListKind::kDelta) told_.clear();
+      for (const BackendEntry& endpoint : list->entries) told_[endpoint.server] = endpoint;
     }
     std::vector<Action> actions;
     balancer_.Handle(At(now_), event, &actions);
@@ -141,8 +144,9 @@
   }
 
   static bool NeverRan(const SentAttempt& attempt) {
-    return !attempt.out && (attempt.outcome == Outcome::kFull || attempt.outcome == Outcome::kConnectFailed ||
-                            attempt.outcome == Outcome::kMoot);
+    return !attempt.out &&
+           (attempt.outcome == Outcome::kRejected || attempt.outcome == Outcome::kConnectFailed ||
+            attempt.outcome == Outcome::kNotSent);
   }
 
   ClassSettings ClassOf(const Open& request) const {
@@ -153,14 +157,14 @@
   void CheckDispatch(const Dispatch& dispatch, const Open& request) {
     EXPECT_EQ(request.finals, 0) << "sent after its final answer";
     EXPECT_LT(static_cast<int>(request.attempts.size()), settings_.max_attempts);
-    EXPECT_TRUE(told_.count(dispatch.server) && told_[dispatch.server].state == ServerState::kReady)
+    EXPECT_TRUE(told_.count(dispatch.server) && told_[dispatch.server].state == BackendState::kReady)
         << "drain";
-    const Effect effect = ClassOf(request).effect;
+    const Idempotency effect = ClassOf(request).effect;
     for (const SentAttempt& attempt : request.attempts) {
       EXPECT_TRUE(!attempt.out) << "two at once";
       if (NeverRan(attempt)) continue;
-      EXPECT_NE(effect, Effect::kUnsafe) << "an effect twice";
-      if (effect == Effect::kKeyed) {
+      EXPECT_NE(effect, Idempotency::kNotIdempotent) << "an effect twice";
+      if (effect == Idempotency::kIdempotencyKey) {
         EXPECT_EQ(servers_[attempt.server].cell, servers_[dispatch.server].cell);
         EXPECT_LE(now_ - attempt.sent_at, ClassOf(request).window.count());
       }
@@ -184,14 +188,14 @@
       Open& request = open_.at(dispatch->request);
       CheckDispatch(*dispatch, request);
       Send(*dispatch, request);
-    } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+    } else if (const auto* refuse = std::get_if<Reject>(&action)) {
       Open& request = open_.at(refuse->request);
       EXPECT_EQ(++request.finals, 1);
       for (const SentAttempt& attempt : request.attempts) {
-        EXPECT_TRUE(NeverRan(attempt) || ClassOf(request).effect == Effect::kSafe)
+        EXPECT_TRUE(NeverRan(attempt) || ClassOf(request).effect == Idempotency::kIdempotent)
             << "rejected though it may have run";
       }
-    } else if (const auto* fail = std::get_if<Fail>(&action)) {
+    } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
       EXPECT_EQ(++open_.at(fail->request).finals, 1);
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       timers_.insert(std::max(now_ + 1, timer->at.time_since_epoch().count()));
@@ -204,7 +208,7 @@
   double now_ = 500;
   std::multiset<double> timers_;
   RequestId last_id_ = 0;
-  std::map<ServerId, ServerEntry> servers_, told_;
+  std::map<BackendId, BackendEntry> servers_, told_;
   std::map<RequestId, Open> open_;
 };
 
@@ -215,7 +219,7 @@
     Settings settings = Usual();
     settings.max_attempts = 1 + static_cast<int>(seed % 5);
     settings.tenants = {{10}, {10}};
-    settings.over_share_worth = 0.2;
+    settings.over_quota_weight = 0.2;
     World world(settings, seed);
     world.Play();
     attempts += world.attempts;
@@ -224,4 +228,4 @@
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/request_queue_test.cpp
+++ b/tests/balancer/request_queue_test.cpp
@@ -6,11 +6,11 @@
 #include <algorithm>
 #include <vector>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/traffic.h"
-#include "fordlb/balancer.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::next_request_id;
@@ -20,8 +20,8 @@
 
 TEST(RequestQueue, HigherPriority_IsDispatchedFirst) {
   Settings settings = Usual();
-  settings.classes[2].worth = 1;
-  settings.classes[0].worth = 9;
+  settings.classes[2].priority_weight = 1;
+  settings.classes[0].priority_weight = 9;
   Rig rig(settings);
   rig.ListBackends(1);
   const RequestId first = next_request_id;
@@ -53,4 +53,4 @@
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/retry_budget_test.cpp
+++ b/tests/balancer/retry_budget_test.cpp
@@ -3,11 +3,11 @@
 // The bound on retries.
 #include <gtest/gtest.h>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/traffic.h"
-#include "fordlb/balancer.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::next_request_id;
@@ -29,4 +29,4 @@
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -8,11 +8,11 @@
 #include <utility>
 #include <vector>
 
+#include "badgerbridge/balancer.h"
 #include "balancer/traffic.h"
-#include "fordlb/balancer.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::Entry;
@@ -22,14 +22,14 @@
 
 TEST(SlowStart, BackendStartsAnew_StaysWithinBudgetInEveryWindow) {
   Rig rig;
-  std::vector<ServerEntry> list = {Entry(1), Entry(2), Entry(3)};
+  std::vector<BackendEntry> list = {Entry(1), Entry(2), Entry(3)};
   rig.UpdateEndpoints(list);
   // 30 ms of work every 10 ms, answered at once, for 20 s: each warm backend gets about 1 a ms.
   auto run = [&](double ms) {
     std::vector<std::pair<double, double>> sent;
     for (double t = 0; t < ms; t += 10) {
       rig.AdvanceTime(10);
-      std::vector<std::pair<RequestId, ServerId>> open;
+      std::vector<std::pair<RequestId, BackendId>> open;
       for (int k = 0; k < 3; ++k) {
         const RequestId id = next_request_id++;
         const auto backend = rig.SubmitRequest(id, 2, 10, 900);
@@ -42,8 +42,8 @@
     return sent;
   };
   run(20000);
-  rig.UpdateEndpoints({Entry(3, 0, 0, ServerState::kReady, rig.now)},
-                      ListKind::kDelta);  // the same id, started again
+  rig.UpdateEndpoints({Entry(3, 0, 0, BackendState::kReady, rig.now)},
+                      EndpointListKind::kDelta);  // the same id, started again
   const double start = rig.now;
   const auto sent = run(10000);
   double most = 0;
@@ -65,11 +65,11 @@
   double worst = 0;
   std::size_t first = 0;
   for (std::size_t i = 0; i < sent.size(); ++i) {
-    const double warmth = (sent[i] - start) / s.warm_up.count();
+    const double warmth = (sent[i] - start) / s.slow_start_window.count();
     if (warmth >= 1) break;
-    while (sent[i] - sent[first] > s.overload_for.count()) ++first;
-    const double capacity = cores * (s.cold_from + (1 - s.cold_from) * warmth);
-    const double allowed = s.fall_multiple * capacity * s.overload_for.count() / work;
+    while (sent[i] - sent[first] > s.overload_duration.count()) ++first;
+    const double capacity = cores * (s.slow_start_floor + (1 - s.slow_start_floor) * warmth);
+    const double allowed = s.overload_factor * capacity * s.overload_duration.count() / work;
     const double calls = static_cast<double>(i - first + 1);
     worst = std::max(worst, calls / (allowed + 2 * std::sqrt(allowed) + 2));
   }
@@ -82,14 +82,15 @@
 // allows the warming-up one.
 double WorstShareOfManyStartingTogether(int proxies, bool hinted) {
   Settings settings = Usual();
-  settings.balancers = proxies;
+  settings.balancer_count = proxies;
   const double work = std::min(100.0, 3000.0 / proxies), started = 99500;
   const int period = static_cast<int>(proxies * 4 * work / 3) / 10;  // steps
   std::vector<Rig> rigs;
   for (int i = 0; i < proxies; ++i) {
-    settings.me = i;
+    settings.balancer_index = i;
     rigs.emplace_back(settings, static_cast<std::uint64_t>(i) + 1);
-    rigs.back().UpdateEndpoints({Entry(1), Entry(2), Entry(3), Entry(4, 0, 0, ServerState::kReady, started)});
+    rigs.back().UpdateEndpoints(
+        {Entry(1), Entry(2), Entry(3), Entry(4, 0, 0, BackendState::kReady, started)});
   }
   std::vector<double> sent;
   for (int step = 0; step < 950; ++step) {
@@ -97,7 +98,7 @@
       Rig& rig = rigs[static_cast<std::size_t>(i)];
       rig.AdvanceTime(10);
       if (step % period != i % std::min(50, period)) continue;
-      std::vector<std::pair<RequestId, ServerId>> open;
+      std::vector<std::pair<RequestId, BackendId>> open;
       for (int k = 0; k < 4; ++k) {
         const RequestId id = next_request_id++;
         const auto server = rig.SubmitRequest(id, 2, hinted ? work : 0, 900);
@@ -128,7 +129,7 @@
   Settings settings = Usual();
   settings.max_attempts = 1;
   Rig rig(settings);
-  rig.UpdateEndpoints({Entry(1), Entry(2), Entry(3, 0, 0, ServerState::kReady, rig.now)});
+  rig.UpdateEndpoints({Entry(1), Entry(2), Entry(3, 0, 0, BackendState::kReady, rig.now)});
   int sent = 0;
   for (int i = 0; i < 800; ++i) {
     rig.AdvanceTime(5);
@@ -136,21 +137,21 @@
     const auto server = rig.SubmitRequest(id, 2, 10, 900);
     if (!server) continue;
     sent += *server == 3;
-    rig.EndAttempt(id, 0, *server, i % 20 ? Outcome::kFull : Outcome::kOk, 5);
+    rig.EndAttempt(id, 0, *server, i % 20 ? Outcome::kRejected : Outcome::kOk, 5);
   }
   EXPECT_LE(sent, 6) << "4 s, of a fleet that served 0.05 of 2 ms of work a ms";
 }
 
 TEST(SlowStart, BackendRejectsAttempts_TheyCountAgainstTheBudget) {
   Rig rig;
-  rig.UpdateEndpoints({Entry(1, 0, 0, ServerState::kReady, 99999)});
+  rig.UpdateEndpoints({Entry(1, 0, 0, BackendState::kReady, 99999)});
   int sent = 0;
   for (int i = 0; i < 50; ++i) {
     const RequestId id = next_request_id++;
     const auto backend = rig.SubmitRequest(id, 2, 10, 2000);
     if (!backend) continue;
     ++sent;
-    rig.EndAttempt(id, 0, *backend, Outcome::kFull);
+    rig.EndAttempt(id, 0, *backend, Outcome::kRejected);
   }
   EXPECT_LE(sent, 2) << "nothing is known of warm backends: one mean request a window";
 }
@@ -158,11 +159,11 @@
 // What was withdrawn before it was sent has used up nothing of the budget, however often that is told; what
 // the backend turned away has.
 TEST(SlowStart, AttemptNeverSent_BudgetIsRefundedOnce) {
-  for (const Outcome outcome : {Outcome::kMoot, Outcome::kFull}) {
+  for (const Outcome outcome : {Outcome::kNotSent, Outcome::kRejected}) {
     Settings settings = Usual();
     settings.max_attempts = 1;
     Rig rig(settings);
-    rig.UpdateEndpoints({Entry(1), Entry(2), Entry(3, 0, 0, ServerState::kReady, rig.now)});
+    rig.UpdateEndpoints({Entry(1), Entry(2), Entry(3, 0, 0, BackendState::kReady, rig.now)});
     const auto cold = [&] { return rig.View(3); };
     RequestId at_cold = 0;
     for (int i = 0; at_cold == 0; ++i) {
@@ -180,7 +181,7 @@
     EXPECT_EQ(cold().in_flight, 1);
     for (int twice = 0; twice < 2; ++twice) {
       rig.EndAttempt(at_cold, 0, 3, outcome);
-      EXPECT_EQ(cold().cold_sent, outcome == Outcome::kMoot ? 0 : 10);
+      EXPECT_EQ(cold().cold_sent, outcome == Outcome::kNotSent ? 0 : 10);
       EXPECT_EQ(cold().in_flight, 0);
     }
   }
@@ -192,22 +193,22 @@
     Settings settings = Usual();
     settings.max_attempts = 1;
     Rig rig(settings);
-    rig.UpdateEndpoints({Entry(1, 0, 0, ServerState::kReady, rig.now - 1)});
+    rig.UpdateEndpoints({Entry(1, 0, 0, BackendState::kReady, rig.now - 1)});
     const RequestId id = next_request_id++;
     const auto server = rig.SubmitRequest(id, 2, 10, 900);
     if (server) rig.EndAttempt(id, 0, *server, first);
     return server.has_value() + rig.SubmitRequest(next_request_id++, 2, 10, 900).has_value();
   };
-  EXPECT_EQ(sent_of_two(Outcome::kFull), 1);
-  EXPECT_EQ(sent_of_two(Outcome::kMoot), 2);
+  EXPECT_EQ(sent_of_two(Outcome::kRejected), 1);
+  EXPECT_EQ(sent_of_two(Outcome::kNotSent), 2);
 }
 
 TEST(SlowStart, AllBackendsWarmUp_FirstRequestIsServed) {
   Rig rig;
   rig.UpdateEndpoints(
-      {Entry(1, 0, 0, ServerState::kReady, 99999), Entry(2, 0, 0, ServerState::kReady, 99999)});
+      {Entry(1, 0, 0, BackendState::kReady, 99999), Entry(2, 0, 0, BackendState::kReady, 99999)});
   EXPECT_TRUE(rig.SubmitRequest(next_request_id++, 0).has_value());
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/tenant_quota_test.cpp
+++ b/tests/balancer/tenant_quota_test.cpp
@@ -3,10 +3,10 @@
 // Requests beyond the quota of their tenant.
 #include <gtest/gtest.h>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::At;
@@ -18,7 +18,7 @@
 TEST(TenantQuota, TenantOverItsQuota_ComesLast) {
   Settings settings = Usual();
   settings.tenants = {{1}, {1}};
-  settings.over_share_worth = 0.2;
+  settings.over_quota_weight = 0.2;
   Rig rig(settings);
   rig.ListBackends(1);
   auto ask = [&](RequestId id, int tenant) {
@@ -41,4 +41,4 @@
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/balancer/traffic.h
+++ b/tests/balancer/traffic.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Requests and responses as tests of the balancer need them again and again.
-#ifndef FORDLB_TESTS_BALANCER_TRAFFIC_H_
-#define FORDLB_TESTS_BALANCER_TRAFFIC_H_
+#ifndef BADGERBRIDGE_TESTS_BALANCER_TRAFFIC_H_
+#define BADGERBRIDGE_TESTS_BALANCER_TRAFFIC_H_
 
 #include <gtest/gtest.h>
 
@@ -12,17 +12,17 @@
 #include <utility>
 #include <vector>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 #include "harness.h"
 
-namespace fordlb::testing {
+namespace badgerbridge::balancer::testing {
 
 /// The id of the next request, for tests that do not care which.
 inline RequestId next_request_id = 1;
 
 /// Submits one request that is not idempotent and ends its attempt after `took` ms: with `outcome` if it was
 /// sent to one of `failing`, with success otherwise.
-inline void SubmitAndEnd(Rig& rig, Outcome outcome, std::set<ServerId> failing, double took = 10) {
+inline void SubmitAndEnd(Rig& rig, Outcome outcome, std::set<BackendId> failing, double took = 10) {
   const RequestId id = next_request_id++;
   const auto server = rig.SubmitRequest(id, 2, 10, 5000);  // unsafe: one attempt, so nothing is sent again
   ASSERT_TRUE(server.has_value());
@@ -31,7 +31,7 @@
 }
 
 /// Submits one request and answers it with success; where it was sent, if anywhere.
-inline std::optional<ServerId> SubmitAndSucceed(Rig& rig) {
+inline std::optional<BackendId> SubmitAndSucceed(Rig& rig) {
   const RequestId id = next_request_id++;
   const auto server = rig.SubmitRequest(id);
   if (server) rig.EndAttempt(id, 0, *server, Outcome::kOk);
@@ -39,8 +39,8 @@
 }
 
 /// Whether `server` is one of the three backends that three requests at once go to.
-inline bool InService(Rig& rig, ServerId server) {
-  std::vector<std::pair<RequestId, ServerId>> open;
+inline bool InService(Rig& rig, BackendId server) {
+  std::vector<std::pair<RequestId, BackendId>> open;
   bool seen = false;
   for (int i = 0; i < 3; ++i) {
     const RequestId id = next_request_id++;
@@ -56,7 +56,7 @@
 /// Gives each of three backends `per_server` responses; the first `failures` of backend 1 are `outcome`.
 inline void AnswerRounds(Rig& rig, int per_server, int failures, Outcome outcome = Outcome::kError) {
   for (int i = 0; i < per_server; ++i) {
-    std::map<ServerId, RequestId> open;
+    std::map<BackendId, RequestId> open;
     for (int k = 0; k < 3; ++k) {
       const RequestId id = next_request_id++;
       const auto backend = rig.SubmitRequest(id, 2, 10, 5000);
@@ -78,6 +78,6 @@
   return sent;
 }
 
-}  // namespace fordlb::testing
+}  // namespace badgerbridge::balancer::testing
 
-#endif  // FORDLB_TESTS_BALANCER_TRAFFIC_H_
+#endif  // BADGERBRIDGE_TESTS_BALANCER_TRAFFIC_H_
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,26 +1,26 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A Balancer under test, its clock, and short ways to say what happens.
-#ifndef FORDLB_TESTS_HARNESS_H_
-#define FORDLB_TESTS_HARNESS_H_
+#ifndef BADGERBRIDGE_TESTS_HARNESS_H_
+#define BADGERBRIDGE_TESTS_HARNESS_H_
 
 #include <optional>
 #include <utility>
 #include <variant>
 #include <vector>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace fordlb::testing {
+namespace badgerbridge::balancer::testing {
 
 /// The point in time `ms` after the origin of the clock.
 inline TimePoint At(double ms) { return TimePoint(Duration(ms)); }
 
 /// A request class with the latency objective and the deadline in ms; keyed ones are remembered for 500 ms.
-inline ClassSettings Class(Effect effect, double aim = 200, double deadline = 1000) {
+inline ClassSettings Class(Idempotency effect, double latency_objective = 200, double deadline = 1000) {
   ClassSettings c;
   c.effect = effect;
-  c.aim = Duration(aim);
+  c.latency_objective = Duration(latency_objective);
   c.deadline = Duration(deadline);
   c.window = Duration(500);
   return c;
@@ -30,22 +30,23 @@
 /// idempotent.
 inline Settings Usual() {
   Settings s;
-  s.classes = {Class(Effect::kSafe), Class(Effect::kKeyed), Class(Effect::kUnsafe)};
-  s.classes[1].group = Group::kCell;
+  s.classes = {Class(Idempotency::kIdempotent), Class(Idempotency::kIdempotencyKey),
+               Class(Idempotency::kNotIdempotent)};
+  s.classes[1].group = DeduplicationScope::kCell;
   s.max_attempts = 4;
-  s.balancers = 1;
-  s.cold_from = 0.25;
-  s.warm_up = Duration(10000);
-  s.fall_multiple = 3;
-  s.overload_for = Duration(1000);
+  s.balancer_count = 1;
+  s.slow_start_floor = 0.25;
+  s.slow_start_window = Duration(10000);
+  s.overload_factor = 3;
+  s.overload_duration = Duration(1000);
   s.tick = Duration(5);
   return s;
 }
 
 /// A backend of the endpoint list; `up_since` in ms, 0: long ago.
-inline ServerEntry Entry(ServerId id, int zone = 0, int cell = 0, ServerState state = ServerState::kReady,
-                         double up_since = 0) {
-  ServerEntry e;
+inline BackendEntry Entry(BackendId id, int zone = 0, int cell = 0, BackendState state = BackendState::kReady,
+                          double up_since = 0) {
+  BackendEntry e;
   e.server = id;
   e.zone = zone;
   e.cell = cell;
@@ -75,20 +76,20 @@
   }
 
   /// An endpoint list arrives, or a change of it.
-  void UpdateEndpoints(std::vector<ServerEntry> entries, ListKind kind = ListKind::kFull) {
-    Handle(ListUpdate{kind, std::move(entries)});
+  void UpdateEndpoints(std::vector<BackendEntry> entries, EndpointListKind kind = EndpointListKind::kFull) {
+    Handle(EndpointListUpdate{kind, std::move(entries)});
   }
 
   /// A list of ready, warm backends with the ids 1 to `count` arrives.
   void ListBackends(int count) {
-    std::vector<ServerEntry> entries;
-    for (int i = 1; i <= count; ++i) entries.push_back(Entry(static_cast<ServerId>(i)));
+    std::vector<BackendEntry> entries;
+    for (int i = 1; i <= count; ++i) entries.push_back(Entry(static_cast<BackendId>(i)));
     UpdateEndpoints(entries);
   }
 
   /// What the balancer holds of a backend.
-  ServerView View(ServerId id) const {
-    for (const ServerView& view : balancer_.Inspect()) {
+  BackendView View(BackendId id) const {
+    for (const BackendView& view : balancer_.Inspect()) {
       if (view.entry.server == id) return view;
     }
     return {};
@@ -96,8 +97,8 @@
 
   /// Submits a request and returns the backend that it was sent to at once, if any. `work` in ms, 0: no hint;
   /// the client gives up after `patience` ms.
-  std::optional<ServerId> SubmitRequest(RequestId id, int request_class = 0, double work = 10,
-                                        double patience = 1000, std::uint64_t key = 0) {
+  std::optional<BackendId> SubmitRequest(RequestId id, int request_class = 0, double work = 10,
+                                         double patience = 1000, std::uint64_t key = 0) {
     Submit s;
     s.request = id;
     s.request_class = request_class;
@@ -110,7 +111,7 @@
   }
 
   /// An attempt ends `took` ms after its dispatch; a success settles the request.
-  void EndAttempt(RequestId id, int attempt, ServerId server, Outcome outcome, double took = 10,
+  void EndAttempt(RequestId id, int attempt, BackendId server, Outcome outcome, double took = 10,
                   bool settled = false) {
     AttemptEnded e;
     e.request = id;
@@ -129,7 +130,7 @@
   }
 
   /// Where the last event had a request sent to, if anywhere.
-  std::optional<ServerId> SentTo(RequestId id) const {
+  std::optional<BackendId> SentTo(RequestId id) const {
     for (const Action& action : actions) {
       const auto* dispatch = std::get_if<Dispatch>(&action);
       if (dispatch && dispatch->request == id) return dispatch->server;
@@ -149,6 +150,6 @@
   Balancer balancer_;
 };
 
-}  // namespace fordlb::testing
+}  // namespace badgerbridge::balancer::testing
 
-#endif  // FORDLB_TESTS_HARNESS_H_
+#endif  // BADGERBRIDGE_TESTS_HARNESS_H_
--- a/tests/sample_settings.h
+++ b/tests/sample_settings.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Settings as the platform writes them.
-#ifndef FORDLB_TESTS_SAMPLE_SETTINGS_H_
-#define FORDLB_TESTS_SAMPLE_SETTINGS_H_
+#ifndef BADGERBRIDGE_TESTS_SAMPLE_SETTINGS_H_
+#define BADGERBRIDGE_TESTS_SAMPLE_SETTINGS_H_
 
-namespace fordlb::testing {
+namespace badgerbridge::balancer::testing {
 
 /// Two classes and a tenant, one `key=value` a line.
 inline constexpr char kSampleSettings[] = R"(
@@ -43,6 +43,6 @@
 zone=0
 )";
 
-}  // namespace fordlb::testing
+}  // namespace badgerbridge::balancer::testing
 
-#endif  // FORDLB_TESTS_SAMPLE_SETTINGS_H_
+#endif  // BADGERBRIDGE_TESTS_SAMPLE_SETTINGS_H_
