--- a/tests/simulator/scenarios_test.sh
+++ b/tests/simulator/scenarios_test.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
 # SPDX-License-Identifier: Apache-2.0
 #
-# scenarios_test.sh BADGERLAB: every shipped scenario, twice in different processes, its first 150,000 events: the rules
+# scenarios_test.sh SIMULATOR: every shipped scenario, twice in different processes, its first 150,000 events: the rules
 # hold, and both runs are the same to the byte. And what is no scenario gets a line and exit code 2.
 set -euo pipefail
 lab=$1
@@ -36,6 +36,7 @@
   code=0
   # shellcheck disable=SC2086
   "$lab" $command >"$work/out" 2>"$work/error" || code=$?
+  # shellcheck disable=SC2015 # the braces end the script
   [ "$code" = 2 ] && [ -s "$work/error" ] || { echo "FAILED: $command: exit code $code"; exit 1; }
   passed=$((passed + 1))
 done
