--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -77,7 +77,7 @@
 void MeasureFeed(Report& report);           // etcd's messages, membership::Feed
 void MeasureProxy(Report& report);          // all that a proxy holds of its backends
 void MeasureConfiguration(Report& report);  // node::ParseConfig
-void MeasureRegions(Report& report);        // regions::Member, regions::Decider
+void MeasureRegions(Report& report);        // regions::Member, regions::FailoverLeader
 void MeasureAgent(Report& report);          // badgeragent and badgerctl, as processes
 void MeasureTool(Report& report);           // badgerctl members
 void MeasureRelay(Report& report);          // relay::Relay
--- a/bench/slopes_regions.cpp
+++ b/bench/slopes_regions.cpp
@@ -19,8 +19,8 @@
 namespace pb = etcdserverpb;
 using fordlb::Duration;
 using fordlb::TimePoint;
+using regions::AttemptOutcome;
 using regions::Member;
-using regions::Meter;
 
 const std::string kPrefix = "/badgerbridge/regions/";
 constexpr int kZonesInRegion = 8;
@@ -30,18 +30,18 @@
 
 TimePoint At(double ms) { return TimePoint(Duration(1e6 + ms)); }
 
-regions::Rules RulesOf(int zones) {
-  regions::Rules rules;
-  rules.zones = static_cast<std::size_t>(zones);
-  rules.round_trip = regions::Matrix(rules.zones, 1);
-  rules.price = regions::Matrix(rules.zones, 0.1);
-  for (std::size_t a = 0; a < rules.zones; ++a) {
-    for (std::size_t b = 0; b < rules.zones; ++b) {
-      if (a / kZonesInRegion != b / kZonesInRegion) rules.round_trip.at(a, b) = 40;
-      if (a == b) rules.round_trip.at(a, b) = rules.price.at(a, b) = 0;
+regions::FailoverSettings FailoverSettingsOf(int zones) {
+  regions::FailoverSettings settings;
+  settings.zones = static_cast<std::size_t>(zones);
+  settings.round_trip_ms = regions::Matrix(settings.zones, 1);
+  settings.transfer_price = regions::Matrix(settings.zones, 0.1);
+  for (std::size_t a = 0; a < settings.zones; ++a) {
+    for (std::size_t b = 0; b < settings.zones; ++b) {
+      if (a / kZonesInRegion != b / kZonesInRegion) settings.round_trip_ms.at(a, b) = 40;
+      if (a == b) settings.round_trip_ms.at(a, b) = settings.transfer_price.at(a, b) = 0;
     }
   }
-  return rules;
+  return settings;
 }
 
 // etcd's answer to a transaction, with the fields that etcd sets.
@@ -51,19 +51,19 @@
   response.mutable_header()->set_member_id(0xcf1d15c5d194b5c9ULL);
   response.mutable_header()->set_revision(reply.revision);
   response.mutable_header()->set_raft_term(7);
-  response.set_succeeded(reply.held);
+  response.set_succeeded(reply.condition_held);
   if (!std::holds_alternative<Member::Heartbeat>(call)) return response;
   response.add_responses()->mutable_response_put()->mutable_header()->set_revision(reply.revision);
-  for (const regions::Kv& kv : reply.kvs) {
+  for (const regions::KeyValue& kv : reply.kvs) {
     auto* range = response.add_responses()->mutable_response_range();
     range->mutable_header()->set_revision(reply.revision);
     range->set_count(1);
     pb::KeyValue* one = range->add_kvs();
     one->set_key(kPrefix + kv.key);
     one->set_value(kv.value);
-    one->set_create_revision(kv.created);
-    one->set_mod_revision(kv.modified);
-    one->set_version(kv.modified - kv.created + 1);
+    one->set_create_revision(kv.create_revision);
+    one->set_mod_revision(kv.mod_revision);
+    one->set_version(kv.mod_revision - kv.create_revision + 1);
     one->set_lease(kv.lease == 0 ? 0 : 0x694d7c9a6b1f0a01LL);
   }
   return response;
@@ -77,10 +77,10 @@
   ++traffic->calls;
   std::size_t out = 0;
   std::size_t in = 0;
-  if (const auto* grant = std::get_if<Member::Grant>(&call)) {
+  if (const auto* grant = std::get_if<Member::GrantLease>(&call)) {
     out = app::ToEtcd(*grant).ByteSizeLong();
     in = 40;  // id, ttl and a header
-  } else if (const auto* keep = std::get_if<Member::KeepAlive>(&call)) {
+  } else if (const auto* keep = std::get_if<Member::KeepLeaseAlive>(&call)) {
     out = app::ToEtcd(*keep).ByteSizeLong();
     in = 40;
   } else {
@@ -105,12 +105,12 @@
       regions::MemberSettings settings;
       settings.name = "proxy-" + ZoneName(i % zones) + "-" + std::to_string(1000 + i);
       settings.zone = i % zones;
-      settings.rules = RulesOf(zones);
-      settings.classes = 3;
+      settings.failover = FailoverSettingsOf(zones);
+      settings.request_classes = 3;
       settings.heartbeat = Duration(kHeartbeatMs);
       names_.push_back(settings.name);
       members_.push_back(std::make_unique<Member>(std::move(settings), static_cast<std::uint64_t>(i + 1)));
-      members_.back()->Listed(
+      members_.back()->UpdateWarmBackends(
           std::vector<double>(static_cast<std::size_t>(zones), static_cast<double>(kBackends) / zones));
     }
   }
@@ -154,7 +154,7 @@
   std::size_t EvidenceBytes() const { return SizeOf("members/" + names_.front()); }
   int Deciders() const {
     return static_cast<int>(
-        std::count_if(members_.begin(), members_.end(), [](const auto& one) { return one->deciding(); }));
+        std::count_if(members_.begin(), members_.end(), [](const auto& one) { return one->is_leader(); }));
   }
 
  private:
@@ -165,14 +165,14 @@
   void Serve(std::size_t i) {
     Member& member = *members_[i];
     const auto home = i % static_cast<std::size_t>(zones_);
-    const std::vector<double> shares = member.Shares(At(now_));
-    member.Arrived(At(now_), 50);
+    const std::vector<double> shares = member.ZoneQuotas(At(now_));
+    member.RequestArrived(At(now_), 50);
     for (std::size_t zone = 0; zone < shares.size(); ++zone) {
-      const double work = shares[zone] == regions::kFree ? 50 : shares[zone] * 50;
+      const double work = shares[zone] == regions::kUnlimited ? 50 : shares[zone] * 50;
       if (work <= 0 || (zone != home && !failed_[home])) continue;
-      member.Sent(At(now_), ++attempts_, zone);
-      member.Ended(At(now_ + 20), attempts_, 0, failed_[zone] ? Meter::End::kFailed : Meter::End::kServed,
-                   Duration(20), work, 0.4);
+      member.AttemptStarted(At(now_), ++attempts_, zone);
+      const auto outcome = failed_[zone] ? AttemptOutcome::kFailed : AttemptOutcome::kServed;
+      member.AttemptEnded(At(now_ + 20), attempts_, {0, outcome, Duration(20), work, 0.4});
     }
   }
 
@@ -181,14 +181,14 @@
     if (static_cast<int>(now_) % 50 == 0) Serve(i);
     for (;;) {
       const double before = ThreadCpuMs();
-      const auto call = member.Next(At(now_));
+      const auto call = member.NextCall(At(now_));
       double took = ThreadCpuMs() - before;
       if (!call) return;
-      const bool decides = member.deciding();
+      const bool decides = member.is_leader();
       const Member::Reply reply = etcd_.Do(At(now_), names_[i], *call);
       Count(*call, names_[i], reply, decides ? &costs->decider : others);
       const double again = ThreadCpuMs();
-      member.Done(At(now_), reply);
+      member.CallEnded(At(now_), reply);
       took += ThreadCpuMs() - again;
       (decides ? costs->decide_ms : costs->member_ms) += took;
     }
--- a/src/app/regions_calls.cpp
+++ b/src/app/regions_calls.cpp
@@ -72,13 +72,13 @@
   return std::nullopt;
 }
 
-pb::LeaseGrantRequest ToEtcd(const Member::Grant& call) {
+pb::LeaseGrantRequest ToEtcd(const Member::GrantLease& call) {
   pb::LeaseGrantRequest request;
   request.set_ttl(call.ttl_s);
   return request;
 }
 
-pb::LeaseKeepAliveRequest ToEtcd(const Member::KeepAlive& call) {
+pb::LeaseKeepAliveRequest ToEtcd(const Member::KeepLeaseAlive& call) {
   pb::LeaseKeepAliveRequest request;
   request.set_id(call.lease);
   return request;
@@ -88,15 +88,16 @@
   // Both branches do the same, but for the decision's value: only a comparison for equality tells an older
   // one too, as an etcd that was restored from a backup has it.
   pb::TxnRequest txn;
-  Require(&txn, prefix + regions::kDecisionKey, pb::Compare::MOD, call.known);
+  Require(&txn, prefix + regions::kDecisionKey, pb::Compare::MOD, call.known_revision);
   pb::RequestOp decision = Get(prefix + regions::kDecisionKey);
   const auto branch = [&](auto* ops) {
-    *ops->Add() = Put(prefix + regions::MemberKey(name), call.value, call.lease);
+    *ops->Add() = Put(prefix + regions::MemberKey(name), call.load_report, call.lease);
     *ops->Add() = decision;
-    *ops->Add() = Get(prefix + regions::kDeciderKey);
+    *ops->Add() = Get(prefix + regions::kLeaderKey);
     *ops->Add() = GetBelow(prefix + regions::kOrdersKey);
-    *ops->Add() = call.all ? GetBelow(prefix + regions::kMembersKey) : Get(prefix + regions::MemberKey(name));
-    if (call.all) *ops->Add() = Get(prefix + regions::kRosterKey);
+    *ops->Add() =
+        call.read_all ? GetBelow(prefix + regions::kMembersKey) : Get(prefix + regions::MemberKey(name));
+    if (call.read_all) *ops->Add() = Get(prefix + regions::kRosterKey);
   };
   branch(txn.mutable_failure());
   decision.mutable_request_range()->set_keys_only(true);
@@ -106,16 +107,16 @@
 
 pb::TxnRequest ToEtcd(const Member::Campaign& call, const std::string& prefix, const std::string& name) {
   pb::TxnRequest txn;
-  Require(&txn, prefix + regions::kDeciderKey, pb::Compare::CREATE, 0);
-  *txn.add_success() = Put(prefix + regions::kDeciderKey, name, call.lease);
+  Require(&txn, prefix + regions::kLeaderKey, pb::Compare::CREATE, 0);
+  *txn.add_success() = Put(prefix + regions::kLeaderKey, name, call.lease);
   return txn;
 }
 
 pb::TxnRequest ToEtcd(const Member::Propose& call, const std::string& prefix) {
   pb::TxnRequest txn;
-  Require(&txn, prefix + regions::kDeciderKey, pb::Compare::CREATE, call.decider_created);
-  Require(&txn, prefix + regions::kDecisionKey, pb::Compare::MOD, call.decision_modified);
-  *txn.add_success() = Put(prefix + regions::kDecisionKey, call.value, 0);
+  Require(&txn, prefix + regions::kLeaderKey, pb::Compare::CREATE, call.leader_create_revision);
+  Require(&txn, prefix + regions::kDecisionKey, pb::Compare::MOD, call.decision_mod_revision);
+  *txn.add_success() = Put(prefix + regions::kDecisionKey, call.decision, 0);
   *txn.add_success() = Put(prefix + regions::kRosterKey, call.roster, 0);
   return txn;
 }
@@ -141,7 +142,7 @@
 Member::Reply FromEtcd(const etcd::Status& status, const pb::TxnResponse& response,
                        const std::string& prefix) {
   Member::Reply reply = Begin(status);
-  reply.held = response.succeeded();
+  reply.condition_held = response.succeeded();
   reply.revision = response.header().revision();
   for (const pb::ResponseOp& one : response.responses()) {
     for (const pb::KeyValue& kv : one.response_range().kvs()) {
--- a/src/app/regions_calls.h
+++ b/src/app/regions_calls.h
@@ -18,8 +18,8 @@
 using regions::Member;
 
 // Keys have `prefix` before them; `name` is the member's.
-etcdserverpb::LeaseGrantRequest ToEtcd(const Member::Grant& call);
-etcdserverpb::LeaseKeepAliveRequest ToEtcd(const Member::KeepAlive& call);
+etcdserverpb::LeaseGrantRequest ToEtcd(const Member::GrantLease& call);
+etcdserverpb::LeaseKeepAliveRequest ToEtcd(const Member::KeepLeaseAlive& call);
 etcdserverpb::TxnRequest ToEtcd(const Member::Heartbeat& call, const std::string& prefix,
                                 const std::string& name);
 etcdserverpb::TxnRequest ToEtcd(const Member::Campaign& call, const std::string& prefix,
--- a/src/app/regions_source.cpp
+++ b/src/app/regions_source.cpp
@@ -21,8 +21,8 @@
 using fordlb::Duration;
 using fordlb::Outcome;
 using fordlb::TimePoint;
+using regions::AttemptOutcome;
 using regions::Member;
-using regions::Meter;
 using std::chrono::milliseconds;
 
 constexpr double kMeanGain = 0.02;
@@ -37,32 +37,32 @@
   regions::MemberSettings settings;
   settings.name = config.name;
   settings.zone = config.settings.zone;
-  settings.classes = config.classes.size();
-  settings.together = table.together;
-  settings.ttl_s = static_cast<int>(table.lease.count() / 1000);
+  settings.request_classes = config.classes.size();
+  settings.coordinated = table.together;
+  settings.lease_ttl_s = static_cast<int>(table.lease.count() / 1000);
   settings.heartbeat = table.heartbeat;
-  settings.rules.zones = table.zones.size();
-  settings.rules.hold = table.hold;
-  settings.rules.step = table.step;
-  regions::Links links = regions::LinksOf(table);
-  settings.rules.round_trip = std::move(links.round_trip);
-  settings.rules.price = std::move(links.price);
+  settings.failover.zones = table.zones.size();
+  settings.failover.grant_hold = table.hold;
+  settings.failover.recovery_step = table.step;
+  regions::ZoneLinks links = regions::ZoneLinksFrom(table);
+  settings.failover.round_trip_ms = std::move(links.round_trip_ms);
+  settings.failover.transfer_price = std::move(links.transfer_price);
   for (const fordlb::ClassSettings& c : config.settings.classes)
-    settings.rules.aim = std::min(settings.rules.aim, c.aim.count());
+    settings.failover.latency_objective_ms = std::min(settings.failover.latency_objective_ms, c.aim.count());
   return settings;
 }
 
-Meter::End EndOf(Outcome outcome) {
+AttemptOutcome AttemptOutcomeOf(Outcome outcome) {
   switch (outcome) {
     case Outcome::kOk:
-      return Meter::End::kServed;
+      return AttemptOutcome::kServed;
     case Outcome::kFull:
-      return Meter::End::kFull;
+      return AttemptOutcome::kRejected;
     case Outcome::kCancelled:
     case Outcome::kMoot:
-      return Meter::End::kNothing;
+      return AttemptOutcome::kCancelled;
     default:
-      return Meter::End::kFailed;
+      return AttemptOutcome::kFailed;
   }
 }
 
@@ -122,7 +122,7 @@
 
 void RegionsSource::Taken(TimePoint now, const fordlb::Submit& submit) {
   if (submit.has_hint) mean_work_ += (mean_work_ > 0 ? kMeanGain : 1) * (submit.work_ms - mean_work_);
-  member_.Arrived(now, WorkOf(submit));
+  member_.RequestArrived(now, WorkOf(submit));
 }
 
 double RegionsSource::WorkOf(const fordlb::Submit& submit) const {
@@ -134,7 +134,7 @@
   if (server == servers_.end() || server->second.zone < 0) return;  // drains, and is used as a last resort
   const Out out{++attempts_, static_cast<std::size_t>(submit.request_class), WorkOf(submit)};
   out_[{send.request, send.attempt}] = out;
-  member_.Sent(now, out.number, static_cast<std::size_t>(server->second.zone));
+  member_.AttemptStarted(now, out.number, static_cast<std::size_t>(server->second.zone));
 }
 
 void RegionsSource::Ended(TimePoint now, const exchange::Send& send, Outcome outcome, std::string_view load) {
@@ -142,37 +142,42 @@
   if (found == out_.end()) return;
   const Out out = found->second;
   out_.erase(found);
-  member_.Ended(now, out.number, out.request_class, EndOf(outcome), now - send.at, out.work, UtilIn(load));
+  member_.AttemptEnded(now, out.number,
+                       {.request_class = out.request_class,
+                        .outcome = AttemptOutcomeOf(outcome),
+                        .latency = now - send.at,
+                        .work = out.work,
+                        .utilization = UtilIn(load)});
 }
 
 void RegionsSource::Step() {
   const TimePoint now = clock_.Now();
   if (!calling_) {
-    member_.Listed(Warm(now));
-    if (auto call = member_.Next(now)) {
+    member_.UpdateWarmBackends(Warm(now));
+    if (auto call = member_.NextCall(now)) {
       calling_ = true;
       asio::co_spawn(io_, Carry(std::move(*call)), asio::detached);
     }
   }
-  std::vector<double> shares = member_.Shares(now);
+  std::vector<double> shares = member_.ZoneQuotas(now);
   if (shares != told_) {
     told_ = shares;
     on_shares_(std::move(shares));
   }
   const auto rest = Duration(
-      calling_ ? kLongestRest : std::clamp<Duration>(member_.wake() - now, Duration(1), kLongestRest));
+      calling_ ? kLongestRest : std::clamp<Duration>(member_.wake_at() - now, Duration(1), kLongestRest));
   timer_.ArmAfter(std::chrono::ceil<milliseconds>(rest), [this] { Step(); });
 }
 
 asio::awaitable<void> RegionsSource::Carry(Member::Call call) {
   const auto alive = alive_;
   Member::Reply reply;
-  if (const auto* grant = std::get_if<Member::Grant>(&call)) {
+  if (const auto* grant = std::get_if<Member::GrantLease>(&call)) {
     pb::LeaseGrantResponse response;
     const auto status =
         co_await client_->Call("/etcdserverpb.Lease/LeaseGrant", ToEtcd(*grant), &response, call_timeout_);
     reply = FromEtcd(status, response);
-  } else if (const auto* keep = std::get_if<Member::KeepAlive>(&call)) {
+  } else if (const auto* keep = std::get_if<Member::KeepLeaseAlive>(&call)) {
     // A stream both ways in the API; one question and its end make it a single call.
     pb::LeaseKeepAliveResponse response;
     const auto status =
@@ -191,13 +196,13 @@
   }
   if (!*alive) co_return;
   calling_ = false;
-  member_.Done(clock_.Now(), reply);
+  member_.CallEnded(clock_.Now(), reply);
   Step();
 }
 
 json::value RegionsSource::Describe() {
   const TimePoint now = clock_.Now();
-  const std::vector<double> shares = member_.Shares(now);
+  const std::vector<double> shares = member_.ZoneQuotas(now);
   const auto number = [](double x) -> json::value {
     return x < 0 ? json::value(nullptr) : json::value(Rounded(x));
   };
@@ -207,24 +212,24 @@
     json::object one{{"name", zones_[z]}, {"share", number(shares[z])}};  // null: without limit
     if (decision) {
       const regions::Decision::Zone& d = decision->zones[z];
-      one["state"] = regions::Name(d.state);
-      one["why"] = d.why;
-      one["shown"] = Rounded(d.shown);
+      one["state"] = regions::WireName(d.state);
+      one["why"] = d.reason;
+      one["shown"] = Rounded(d.observed_capacity);
       one["limit"] = Rounded(d.limit);
-      one["carried"] = Rounded(d.carried);
+      one["carried"] = Rounded(d.served);
       one["demand"] = Rounded(d.demand);
       one["members"] = d.members;
-      one["lost"] = d.lost;
+      one["lost"] = d.lost_members;
       one["granted"] = number(decision->grants.at(static_cast<std::size_t>(zone_), z));
     }
     zones.push_back(std::move(one));
   }
   return json::object{{"decide", together_ ? "together" : "alone"},
                       {"zone", zones_[static_cast<std::size_t>(zone_)]},
-                      {"in_touch", member_.in_touch(now)},
-                      {"admitted", member_.admitted()},
-                      {"deciding", member_.deciding()},
-                      {"decider", member_.decider()},
+                      {"in_touch", member_.IsInContact(now)},
+                      {"admitted", member_.IsAdmitted()},
+                      {"deciding", member_.is_leader()},
+                      {"decider", member_.leader()},
                       {"epoch", decision ? decision->epoch : 0},
                       {"calls", member_.calls()},
                       {"last_trouble", member_.last_error()},
--- a/src/ctl/zones.cpp
+++ b/src/ctl/zones.cpp
@@ -73,12 +73,13 @@
   common->orders.resize(zones);
   for (const pb::KeyValue& kv : found.kvs()) {
     const std::string key = kv.key().substr(command.regions.prefix.size());
-    std::string why;
     if (key == regions::kDecisionKey) {
-      common->decision = regions::DecodeDecision(kv.value(), zones, &why);
+      auto decision = regions::DecodeDecision(kv.value(), zones);
+      if (!decision)
+        co_return Failure{kSomeDidNot, "the decision can't be read: " + regions::Message(decision.error())};
+      common->decision = std::move(*decision);
       common->decided_at = kv.mod_revision();
-      if (!common->decision) co_return Failure{kSomeDidNot, "the decision can't be read: " + why};
-    } else if (key == regions::kDeciderKey) {
+    } else if (key == regions::kLeaderKey) {
       common->decider = kv.value();
     } else if (key.rfind(regions::kMembersKey, 0) == 0) {
       ++common->members;
@@ -149,34 +150,35 @@
   json::array zones;
   for (std::size_t z = 0; z < d.zones.size(); ++z) {
     const Decision::Zone& one = d.zones[z];
-    const std::string why = common.orders[z].empty() ? one.why : "ordered by " + common.orders[z];
+    const std::string why = common.orders[z].empty() ? one.reason : "ordered by " + common.orders[z];
     const std::string members =
-        std::to_string(one.members) + (one.lost > 0 ? " and " + std::to_string(one.lost) + " lost" : "");
-    table.Add({command.regions.zones[z], std::string(regions::Name(one.state)), Number(one.carried),
+        std::to_string(one.members) +
+        (one.lost_members > 0 ? " and " + std::to_string(one.lost_members) + " lost" : "");
+    table.Add({command.regions.zones[z], std::string(regions::WireName(one.state)), Number(one.served),
                Number(one.limit), Number(one.demand), Number(Spill(d, z)), members, why});
     zones.push_back(json::object{{"zone", command.regions.zones[z]},
-                                 {"state", regions::Name(one.state)},
-                                 {"carried", one.carried},
+                                 {"state", regions::WireName(one.state)},
+                                 {"carried", one.served},
                                  {"limit", one.limit},
-                                 {"shown", one.shown},
+                                 {"shown", one.observed_capacity},
                                  {"demand", one.demand},
                                  {"from_others", Spill(d, z)},
                                  {"members", one.members},
-                                 {"lost", one.lost},
+                                 {"lost", one.lost_members},
                                  {"order", common.orders[z]},
-                                 {"why", one.why}});
+                                 {"why", one.reason}});
   }
   if (command.json) {
     out << json::serialize(json::object{{"epoch", d.epoch},
                                         {"revision", common.decided_at},
-                                        {"decided_by", d.decider},
+                                        {"decided_by", d.leader},
                                         {"decider", common.decider},
                                         {"members", common.members},
                                         {"zones", std::move(zones)}})
         << '\n';
     return kAllDid;
   }
-  out << table.Text() << "epoch " << d.epoch << ", decided by " << d.decider << "; "
+  out << table.Text() << "epoch " << d.epoch << ", decided by " << d.leader << "; "
       << (common.decider.empty() ? "nobody decides now" : common.decider + " decides now") << "; "
       << common.members << " proxies take part; work in standard cores\n";
   return kAllDid;
@@ -189,15 +191,15 @@
   Common common;
   std::int64_t written = 0;
   bool done = false, no_room = false;
-  regions::Evacuation plan;
+  regions::EvacuationPlan plan;
   const auto talk = [&](etcd::Client& client, milliseconds timeout) -> asio::awaitable<Failure> {
     Failure failure = co_await Read(client, command, timeout, &common);
     if (failure.code != kAllDid) co_return failure;
     if (!common.decision)
       co_return Failure{kSomeDidNot, "no proxy has decided anything yet, so nobody would follow the order"};
-    const regions::Links links = regions::LinksOf(command.regions);
-    plan = regions::PlanEvacuation(*common.decision, links.round_trip, links.price, kUsualAim, *zone);
-    no_room = plan.unplaced > 1e-9;
+    const regions::ZoneLinks links = regions::ZoneLinksFrom(command.regions);
+    plan = regions::PlanEvacuation(*common.decision, links, kUsualAim, *zone);
+    no_room = plan.unplaced_load > 1e-9;
     if (!common.orders[*zone].empty())
       co_return Failure{kConflict, "there is an order for " + name + " already, by " + common.orders[*zone] +
                                        "; badgerctl zones return " + name + " ends it"};
@@ -239,23 +241,23 @@
   json::array receivers;
   for (const auto& one : plan.receivers) {
     const std::string& receiver = command.regions.zones[one.zone];
-    table.Add({receiver, Number(one.carries), Number(one.would), Number(one.limit)});
+    table.Add({receiver, Number(one.load), Number(one.planned_load), Number(one.limit)});
     receivers.push_back(json::object{
-        {"zone", receiver}, {"carries", one.carries}, {"would", one.would}, {"limit", one.limit}});
+        {"zone", receiver}, {"carries", one.load}, {"would", one.planned_load}, {"limit", one.limit}});
   }
   const std::string result = done ? "ordered" : command.dry_run ? "dry run" : "refused";
   if (command.json) {
     out << json::serialize(json::object{{"zone", name},
                                         {"result", result},
-                                        {"moved", plan.moved},
-                                        {"unplaced", plan.unplaced},
+                                        {"moved", plan.moved_load},
+                                        {"unplaced", plan.unplaced_load},
                                         {"revision", written},
                                         {"receivers", std::move(receivers)}})
         << '\n';
   } else {
-    out << name << " carries " << Number(plan.moved) << '\n';
+    out << name << " carries " << Number(plan.moved_load) << '\n';
     if (!table.empty()) out << table.Text();
-    if (no_room) out << "no room for " << Number(plan.unplaced) << " of it\n";
+    if (no_room) out << "no room for " << Number(plan.unplaced_load) << " of it\n";
     if (done)
       out << "ordered at revision " << written << "; ends by itself after " << lasts.count() << " s\n";
   }
@@ -311,9 +313,9 @@
       }
       if (!status.ok()) co_return Of(status);
       if (found.kvs_size() == 0) co_return Failure{};
-      std::string why;
-      auto decision = regions::DecodeDecision(found.kvs(0).value(), command.regions.zones.size(), &why);
-      if (!decision) co_return Failure{kSomeDidNot, "a decision can't be read: " + why};
+      auto decision = regions::DecodeDecision(found.kvs(0).value(), command.regions.zones.size());
+      if (!decision)
+        co_return Failure{kSomeDidNot, "a decision can't be read: " + regions::Message(decision.error())};
       past.push_back({found.kvs(0).mod_revision(), std::move(*decision)});
       at = past.back().revision - 1;
       if (at < 1) co_return Failure{};
@@ -330,15 +332,15 @@
     for (std::size_t z = 0; z < d.zones.size(); ++z) {
       const bool known = i + 1 < past.size();
       if (known && past[i + 1].decision.zones[z].state == d.zones[z].state) continue;
-      if (!known && d.zones[z].state == regions::ZoneState::kSound) continue;
+      if (!known && d.zones[z].state == regions::ZoneState::kHealthy) continue;
       changed += (changed.empty() ? "" : "; ") + command.regions.zones[z] + " " +
-                 std::string(regions::Name(d.zones[z].state)) +
-                 (d.zones[z].why.empty() ? "" : ": " + d.zones[z].why);
+                 std::string(regions::WireName(d.zones[z].state)) +
+                 (d.zones[z].reason.empty() ? "" : ": " + d.zones[z].reason);
     }
-    table.Add({std::to_string(d.epoch), std::to_string(past[i].revision), d.decider,
+    table.Add({std::to_string(d.epoch), std::to_string(past[i].revision), d.leader,
                changed.empty() ? "how much" : changed});
     all.push_back(json::object{
-        {"epoch", d.epoch}, {"revision", past[i].revision}, {"decided_by", d.decider}, {"changed", changed}});
+        {"epoch", d.epoch}, {"revision", past[i].revision}, {"decided_by", d.leader}, {"changed", changed}});
   }
   if (command.json) {
     out << json::serialize(all) << '\n';
--- a/src/lab/etcd.cpp
+++ b/src/lab/etcd.cpp
@@ -9,15 +9,15 @@
 
 using fordlb::Duration;
 using fordlb::TimePoint;
-using regions::Kv;
+using regions::KeyValue;
 using regions::Member;
 
 void EtcdModel::Write(const std::string& key, std::string value, std::int64_t lease) {
   ++revision_;
-  Kv& kv = keys_[key];
+  KeyValue& kv = keys_[key];
   kv.key = key;
-  if (kv.created == 0) kv.created = revision_;
-  kv.modified = revision_;
+  if (kv.create_revision == 0) kv.create_revision = revision_;
+  kv.mod_revision = revision_;
   kv.lease = lease;
   bytes_ += key.size() + value.size();
   kv.value = std::move(value);
@@ -73,40 +73,41 @@
     reply.lease_gone = true;
     return false;
   };
-  if (const auto* grant = std::get_if<Member::Grant>(&call)) {
+  if (const auto* grant = std::get_if<Member::GrantLease>(&call)) {
     reply.lease = ++next_lease_;
     leases_[reply.lease] = {Duration(1000.0 * grant->ttl_s), now + Duration(1000.0 * grant->ttl_s)};
-  } else if (const auto* keep = std::get_if<Member::KeepAlive>(&call)) {
+  } else if (const auto* keep = std::get_if<Member::KeepLeaseAlive>(&call)) {
     if (!alive(keep->lease)) return reply;
     leases_[keep->lease].due = now + leases_[keep->lease].ttl;
   } else if (const auto* heartbeat = std::get_if<Member::Heartbeat>(&call)) {
     if (!alive(heartbeat->lease)) return reply;
-    Write(regions::MemberKey(member), heartbeat->value, heartbeat->lease);
-    if (!heartbeat->all) Read(regions::MemberKey(member), false, &reply);
+    Write(regions::MemberKey(member), heartbeat->load_report, heartbeat->lease);
+    if (!heartbeat->read_all) Read(regions::MemberKey(member), false, &reply);
     const auto decision = keys_.find(regions::kDecisionKey);
-    if (decision != keys_.end() && decision->second.modified == heartbeat->known) {
+    if (decision != keys_.end() && decision->second.mod_revision == heartbeat->known_revision) {
       reply.kvs.push_back(decision->second);
       reply.kvs.back().value.clear();
     } else {
       Read(regions::kDecisionKey, false, &reply);
     }
-    Read(regions::kDeciderKey, false, &reply);
+    Read(regions::kLeaderKey, false, &reply);
     Read(regions::kOrdersKey, true, &reply);
-    if (heartbeat->all) {
+    if (heartbeat->read_all) {
       Read(regions::kMembersKey, true, &reply);
       Read(regions::kRosterKey, false, &reply);
     }
   } else if (const auto* campaign = std::get_if<Member::Campaign>(&call)) {
     if (!alive(campaign->lease)) return reply;
-    reply.held = keys_.count(regions::kDeciderKey) == 0;
-    if (reply.held) Write(regions::kDeciderKey, member, campaign->lease);
+    reply.condition_held = keys_.count(regions::kLeaderKey) == 0;
+    if (reply.condition_held) Write(regions::kLeaderKey, member, campaign->lease);
   } else if (const auto* propose = std::get_if<Member::Propose>(&call)) {
-    const auto decider = keys_.find(regions::kDeciderKey);
+    const auto leader = keys_.find(regions::kLeaderKey);
     const auto decision = keys_.find(regions::kDecisionKey);
-    reply.held = decider != keys_.end() && decider->second.created == propose->decider_created &&
-                 (decision == keys_.end() ? 0 : decision->second.modified) == propose->decision_modified;
-    if (reply.held) {
-      Write(regions::kDecisionKey, propose->value, 0);
+    reply.condition_held =
+        leader != keys_.end() && leader->second.create_revision == propose->leader_create_revision &&
+        (decision == keys_.end() ? 0 : decision->second.mod_revision) == propose->decision_mod_revision;
+    if (reply.condition_held) {
+      Write(regions::kDecisionKey, propose->decision, 0);
       Write(regions::kRosterKey, propose->roster, 0);
     }
   }
--- a/src/lab/etcd.h
+++ b/src/lab/etcd.h
@@ -34,7 +34,7 @@
   }
 
   std::int64_t revision() const { return revision_; }
-  const std::map<std::string, regions::Kv>& keys() const { return keys_; }
+  const std::map<std::string, regions::KeyValue>& keys() const { return keys_; }
   std::uint64_t calls() const { return calls_; }
   std::uint64_t bytes() const { return bytes_; }  // of keys and values, both ways
 
@@ -47,7 +47,7 @@
   void Read(const std::string& from, bool prefix, regions::Member::Reply* reply);
 
   std::int64_t revision_ = 1, next_lease_ = 0;
-  std::map<std::string, regions::Kv> keys_;
+  std::map<std::string, regions::KeyValue> keys_;
   std::map<std::string, std::int64_t> bound_;  // keys with a lease
   std::map<std::int64_t, Lease> leases_;
   std::uint64_t calls_ = 0, bytes_ = 0;
--- a/src/lab/members.cpp
+++ b/src/lab/members.cpp
@@ -6,7 +6,8 @@
 namespace badgerbridge::lab {
 
 using namespace fordlb;
-using regions::Meter;
+using regions::AttemptOutcome;
+using regions::LoadReporter;
 
 namespace {
 
@@ -14,12 +15,19 @@
 constexpr double kCliffBad = 0.5, kCliffSlow = 3;  // of a zone that is left whole, by one proxy's word
 constexpr Duration kCliffFor{5000};
 
+AttemptOutcome AttemptOutcomeOf(Outcome outcome) {
+  if (outcome == Outcome::kOk) return AttemptOutcome::kServed;
+  if (outcome == Outcome::kFull) return AttemptOutcome::kRejected;
+  if (outcome == Outcome::kCancelled || outcome == Outcome::kMoot) return AttemptOutcome::kCancelled;
+  return AttemptOutcome::kFailed;
+}
+
 }  // namespace
 
 struct Members::One {
   std::uint64_t incarnation = 0;
   std::unique_ptr<regions::Member> member;  // none: its proxy is dead
-  std::unique_ptr<Meter> meter;             // of one that fails over by itself
+  std::unique_ptr<LoadReporter> reporter;   // of one that fails over by itself
   std::optional<regions::Member::Call> call;
   regions::Member::Reply reply;
   std::vector<double> last_shares, warm;
@@ -44,35 +52,36 @@
   regions::MemberSettings settings;
   settings.name = "n" + std::to_string(proxy);
   settings.zone = one.zone;
-  settings.classes = model_.classes.size();
-  settings.together = model_.decision.decide == RegionsModel::Decide::kTogether;
-  settings.rules.zones = zones;
-  settings.rules.round_trip = regions::Matrix(zones);
-  settings.rules.price = regions::Matrix(zones);
+  settings.request_classes = model_.classes.size();
+  settings.coordinated = model_.decision.decide == RegionsModel::Decide::kTogether;
+  settings.failover.zones = zones;
+  settings.failover.round_trip_ms = regions::Matrix(zones);
+  settings.failover.transfer_price = regions::Matrix(zones);
   for (const ClassModel& c : model_.classes)
-    settings.rules.aim = std::min(settings.rules.aim, c.rules.aim.count());
+    settings.failover.latency_objective_ms =
+        std::min(settings.failover.latency_objective_ms, c.rules.aim.count());
   for (std::size_t o = 0; o < zones; ++o) {
     for (std::size_t r = 0; r < zones; ++r) {
       const bool far = model_.RegionOf(static_cast<int>(o)) != model_.RegionOf(static_cast<int>(r));
-      settings.rules.round_trip.at(o, r) =
+      settings.failover.round_trip_ms.at(o, r) =
           2 * (model_.network.latency.Mean() + (far ? model_.far.count() : 0));
-      settings.rules.price.at(o, r) = o == r ? 0
-                                      : far  ? 2 * model_.price_cross_zone
-                                             : model_.price_cross_zone;
+      settings.failover.transfer_price.at(o, r) = o == r ? 0
+                                                  : far  ? 2 * model_.price_cross_zone
+                                                         : model_.price_cross_zone;
     }
   }
   if (model_.decision.decide == RegionsModel::Decide::kCliff) {
-    one.meter = std::make_unique<Meter>(one.zone, zones, model_.classes.size());
+    one.reporter = std::make_unique<LoadReporter>(one.zone, zones, model_.classes.size());
   }
   one.member = std::make_unique<regions::Member>(settings, seed_ * 7919 + proxy * 31 + one.incarnation);
-  if (!one.warm.empty()) one.member->Listed(one.warm);
+  if (!one.warm.empty()) one.member->UpdateWarmBackends(one.warm);
   queue_.At(now, this, kAsk, proxy, one.incarnation);
 }
 
 void Members::Stop(std::size_t proxy) {
   ++all_[proxy]->incarnation;
   all_[proxy]->member.reset();
-  all_[proxy]->meter.reset();
+  all_[proxy]->reporter.reset();
 }
 
 const regions::Member* Members::member(std::size_t proxy) const { return all_[proxy]->member.get(); }
@@ -89,7 +98,7 @@
   if (one.incarnation != incarnation || !one.member) return;
   if (what == kReply) {
     one.call.reset();
-    one.member->Done(now, one.reply);
+    one.member->CallEnded(now, one.reply);
   }
   Ask(now, proxy);
 }
@@ -101,11 +110,11 @@
     return queue_.At(now + Duration(250), this, kAsk, proxy, one.incarnation);
   }
   if (!one.call) {
-    one.call = one.member->Next(now);
+    one.call = one.member->NextCall(now);
     if (one.call) {
       queue_.At(now + Duration(model_.decision.etcd.Draw(random_)), this, kReach, proxy, one.incarnation);
     } else {
-      queue_.At(std::max(one.member->wake(), now + Duration(1)), this, kAsk, proxy, one.incarnation);
+      queue_.At(std::max(one.member->wake_at(), now + Duration(1)), this, kAsk, proxy, one.incarnation);
     }
   }
   Tell(now, proxy);
@@ -113,7 +122,7 @@
 
 void Members::Tell(TimePoint now, std::size_t proxy) {
   One& one = *all_[proxy];
-  auto shares = one.meter ? Cliff(now, one) : one.member->Shares(now);
+  auto shares = one.reporter ? Cliff(now, one) : one.member->ZoneQuotas(now);
   if (shares == one.last_shares) return;
   one.last_shares = shares;
   on_shares_(now, proxy, std::move(shares));
@@ -122,42 +131,41 @@
 // The usual way of a proxy by itself: all of its own zone, or none of it.
 std::vector<double> Members::Cliff(TimePoint now, One& one) {
   const auto home = static_cast<std::size_t>(one.zone);
-  const regions::ZoneReport report = one.meter->Take(now, 0).zones[home];
-  if (report.attempts >= 5 && (report.bad > kCliffBad * report.attempts || report.slow > kCliffSlow))
+  const regions::ZoneLoad load = one.reporter->BuildReport(now, 0).zones[home];
+  if (load.attempts >= 5 && (load.failures > kCliffBad * load.attempts || load.latency_ratio > kCliffSlow))
     one.left_until = now + kCliffFor;
   const bool left = now < one.left_until;
-  std::vector<double> shares(static_cast<std::size_t>(model_.zones), left ? regions::kFree : 0);
-  shares[home] = left ? 0 : regions::kFree;
+  std::vector<double> shares(static_cast<std::size_t>(model_.zones), left ? regions::kUnlimited : 0);
+  shares[home] = left ? 0 : regions::kUnlimited;
   return shares;
 }
 
 void Members::Arrived(TimePoint now, std::size_t proxy, double work) {
-  if (all_[proxy]->member) all_[proxy]->member->Arrived(now, work);
+  if (all_[proxy]->member) all_[proxy]->member->RequestArrived(now, work);
 }
 
 void Members::Sent(TimePoint now, std::size_t proxy, std::uint64_t attempt, int zone) {
   One& one = *all_[proxy];
-  if (one.meter) one.meter->Sent(now, attempt, static_cast<std::size_t>(zone));
-  if (one.member) one.member->Sent(now, attempt, static_cast<std::size_t>(zone));
+  if (one.reporter) one.reporter->AttemptStarted(now, attempt, static_cast<std::size_t>(zone));
+  if (one.member) one.member->AttemptStarted(now, attempt, static_cast<std::size_t>(zone));
 }
 
 void Members::Ended(TimePoint now, std::size_t proxy, std::uint64_t attempt, int request_class,
                     Outcome outcome, Duration took, double work, double used) {
   One& one = *all_[proxy];
-  const Meter::End end = outcome == Outcome::kOk                                       ? Meter::End::kServed
-                         : outcome == Outcome::kFull                                   ? Meter::End::kFull
-                         : outcome == Outcome::kCancelled || outcome == Outcome::kMoot ? Meter::End::kNothing
-                                                                                       : Meter::End::kFailed;
-  const std::optional<double> report =
-      model_.decision.reports && used >= 0 ? std::optional<double>(used) : std::nullopt;
-  const auto cls = static_cast<std::size_t>(request_class);
-  if (one.meter) one.meter->Ended(now, attempt, cls, end, took, work, report);
-  if (one.member) one.member->Ended(now, attempt, cls, end, took, work, report);
+  regions::AttemptResult result;
+  result.request_class = static_cast<std::size_t>(request_class);
+  result.outcome = AttemptOutcomeOf(outcome);
+  result.latency = took;
+  result.work = work;
+  if (model_.decision.reports && used >= 0) result.utilization = used;
+  if (one.reporter) one.reporter->AttemptEnded(now, attempt, result);
+  if (one.member) one.member->AttemptEnded(now, attempt, result);
 }
 
 void Members::Listed(std::size_t proxy, std::vector<double> warm) {
   all_[proxy]->warm = std::move(warm);
-  if (all_[proxy]->member) all_[proxy]->member->Listed(all_[proxy]->warm);
+  if (all_[proxy]->member) all_[proxy]->member->UpdateWarmBackends(all_[proxy]->warm);
 }
 
 }  // namespace badgerbridge::lab
--- a/src/regions/decision.h
+++ b/src/regions/decision.h
@@ -1,99 +1,105 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// The one decision of all members: how much each zone carries, and how much of that members of each other
-// zone may ask of it. A record with an epoch under one key of etcd, changed by compare-and-swap alone. Pure.
-//
-// Units as in evidence.h: work a ms. "Origin" is the zone of a member, "receiver" the zone that it sends to.
+/// @file
+/// The one decision of all members: how much each zone takes, and how much of that members of each other zone
+/// may send there. A record with an epoch under one key of etcd, changed by compare-and-swap alone. Pure.
+///
+/// Units as in load_report.h: work a ms. "Origin" is the zone of a member, "receiver" the zone it sends to.
 #ifndef BADGERBRIDGE_REGIONS_DECISION_H_
 #define BADGERBRIDGE_REGIONS_DECISION_H_
 
+#include <cstddef>
 #include <cstdint>
-#include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "regions/evidence.h"
+#include "regions/error.h"
+#include "regions/matrix.h"
 
 namespace badgerbridge::regions {
 
-constexpr double kFree = -1;  // a grant without limit: a sound zone to its own members
-constexpr std::size_t kMostDecisionBytes = 1 << 18;
+/// Upper bound of the text of a decision and of a roster.
+constexpr std::size_t kMaxDecisionBytes = 1 << 18;
 
+/// What the leader makes of a zone.
 enum class ZoneState {
-  kSound,
-  kLimping,    // it answers too late, or too seldom, for what it is sent: it carries what it has shown lately
-  kDark,       // it fails what it is sent: trials alone
-  kReturning,  // well again, and earning back what it carried by steps
-  kEvacuated,  // an operator's order
+  kHealthy,      ///< it serves what it is sent
+  kDegraded,     ///< too slow for what it is sent: it is given what it has served lately
+  kUnavailable,  ///< it fails what it is sent: trial requests alone
+  kRecovering,   ///< well again: its limit rises by steps to what it served before
+  kEvacuated,    ///< taken out by an operator's order
 };
-std::string_view Name(ZoneState state);
-
-// By origin and receiver.
-class Matrix {
- public:
-  Matrix() = default;
-  explicit Matrix(std::size_t zones, double value = 0) : zones_(zones), cells_(zones * zones, value) {}
-  std::size_t zones() const { return zones_; }
-  double& at(std::size_t origin, std::size_t receiver) { return cells_[origin * zones_ + receiver]; }
-  double at(std::size_t origin, std::size_t receiver) const { return cells_[origin * zones_ + receiver]; }
-  friend bool operator==(const Matrix&, const Matrix&) = default;
-
- private:
-  std::size_t zones_ = 0;
-  std::vector<double> cells_;
+/// The state's word in etcd, in the control API and in the tool's output.
+std::string_view WireName(ZoneState state);
+
+/// One life of a member: its name, and the revision at which its key was made.
+struct MemberIncarnation {
+  std::string member;                ///< the member's name
+  std::int64_t create_revision = 0;  ///< of its key in etcd
+
+  /// Compares both fields.
+  friend bool operator==(const MemberIncarnation&, const MemberIncarnation&) = default;
+  /// Orders by name, then revision.
+  friend auto operator<=>(const MemberIncarnation&, const MemberIncarnation&) = default;
+};
+
+/// A member that a decision counts.
+struct RosterEntry {
+  std::string member;  ///< its name; empty: only known to exist
+  int zone = 0;        ///< its zone
+
+  /// Compares both fields.
+  friend bool operator==(const RosterEntry&, const RosterEntry&) = default;
 };
 
+/// The decision in force from its epoch on.
 struct Decision {
+  /// One zone's line.
   struct Zone {
-    ZoneState state = ZoneState::kSound;
-    double shown = 0;    // what it has shown that it can do, lately
-    double limit = 0;    // what all members together may put on it
-    double carried = 0;  // when this was decided
-    double demand = 0;   // of its members' clients
-    int members = 0;     // that share what is granted to this origin, evenly
-    int lost = 0;        // that have lost touch, and may go by standby
-    std::string why;     // by whose word, for people
+    ZoneState state = ZoneState::kHealthy;  ///< as the leader judges it
+    double observed_capacity = 0;           ///< work a ms that it has lately shown it can serve
+    double limit = 0;                       ///< work a ms that all members in total may send there
+    double served = 0;                      ///< work a ms when this was decided
+    double demand = 0;                      ///< work a ms that clients ask of its members
+    int members = 0;                        ///< members that share evenly what this origin is granted
+    int lost_members = 0;                   ///< members out of contact that may act on `standby`
+    std::string reason;                     ///< why it is in this state, for people
+
+    /// Compares all fields.
     friend bool operator==(const Zone&, const Zone&) = default;
   };
 
-  std::uint64_t epoch = 0;
-  std::string decider;
-  // Members whose key was made at or before this revision are counted in Zone::members since an epoch that
-  // all have confirmed: only these use grants. Who came later does when a later decision says so.
-  std::int64_t admitted = 0;
-  std::int64_t counted = 0;  // and these are counted from this epoch on
-  // Members that came back under a name that was counted still: they take that one's part at once.
-  struct Returned {
-    std::string member;
-    std::int64_t created = 0;
-    friend bool operator==(const Returned&, const Returned&) = default;
-  };
-  std::vector<Returned> returned;
-  std::vector<Zone> zones;
-  Matrix grants;   // in force from this epoch on; kFree only on the diagonal
-  Matrix ceiling;  // the most that any one member may still go by, under this or an older epoch
-  Matrix standby;  // of a member that has lost touch, once its grants have run out: for its origin
-  // Whom Zone::members counts. Under a key of its own (EncodeRoster): only a decider reads it, a new one to
-  // know who has vanished.
-  struct Counted {
-    std::string member;
-    int zone = 0;
-    friend bool operator==(const Counted&, const Counted&) = default;
-  };
-  std::vector<Counted> roster;
+  std::uint64_t epoch = 0;  ///< rises with each decision
+  std::string leader;       ///< name of the member that made it
+  /// Members whose key was made at or before this revision are counted in Zone::members since an epoch that
+  /// all have confirmed: only these may use grants. Later ones wait for a later decision.
+  std::int64_t admitted_revision = 0;
+  std::int64_t counted_revision = 0;  ///< members made up to here are counted from this epoch on
+  /// Members that came back under a name that was still counted: they may use that one's share at once.
+  std::vector<MemberIncarnation> readmitted;
+  std::vector<Zone> zones;  ///< by zone
+  Matrix grants;            ///< work a ms of all members of an origin; kUnlimited only on the diagonal
+  Matrix grant_ceiling;     ///< the most that any one member may still act on, under this or an older epoch
+  Matrix standby;           ///< what an origin's members may send once their grants have run out
+  /// Members that Zone::members counts, under a key of its own (EncodeRoster): only a leader reads it, a new
+  /// one to know which members have vanished.
+  std::vector<RosterEntry> roster;
 
+  /// Compares all fields.
   friend bool operator==(const Decision&, const Decision&) = default;
 };
 
-// What one member of each origin may ask of each receiver, under this decision.
-Matrix SlicesOf(const Decision& decision);
+/// What one member of each origin may send to each receiver under this decision.
+Matrix GrantsPerMember(const Decision& decision);
 
+/// The decision's text in etcd, without its roster.
 std::string Encode(const Decision& decision);
+/// Reads a decision of an installation of `zones` zones; its roster is empty.
+Result<Decision> DecodeDecision(std::string_view text, std::size_t zones);
+/// The text of the decision's roster in etcd.
 std::string EncodeRoster(const Decision& decision);
-// False if it is none, or that of another epoch: then the decision's stays empty.
-bool DecodeRoster(std::string_view text, std::size_t zones, Decision* decision);
-std::optional<Decision> DecodeDecision(std::string_view text, std::size_t zones, std::string* why);
+/// Reads the roster of the decision of `epoch`; an error for one of another epoch.
+Result<std::vector<RosterEntry>> DecodeRoster(std::string_view text, std::size_t zones, std::uint64_t epoch);
 
 }  // namespace badgerbridge::regions
 
--- a/src/regions/evacuation.cpp
+++ b/src/regions/evacuation.cpp
@@ -6,25 +6,28 @@
 
 namespace badgerbridge::regions {
 
-Evacuation PlanEvacuation(const Decision& decision, const Matrix& round_trip, const Matrix& price, double aim,
-                          std::size_t zone) {
-  Evacuation plan;
-  const Decision::Zone& left = decision.zones[zone];
-  plan.moved = std::max(left.carried, std::min(left.demand, left.limit));
-  for (std::size_t r = 0; r < decision.zones.size(); ++r) {
-    const Decision::Zone& z = decision.zones[r];
-    if (r == zone || z.state != ZoneState::kSound || round_trip.at(zone, r) >= aim / 2) continue;
-    plan.receivers.push_back({r, z.carried, z.carried, z.limit});
+EvacuationPlan PlanEvacuation(const Decision& decision, const ZoneLinks& links, double latency_objective_ms,
+                              std::size_t zone) {
+  EvacuationPlan plan;
+  const Decision::Zone& evacuated = decision.zones[zone];
+  plan.moved_load = std::max(evacuated.served, std::min(evacuated.demand, evacuated.limit));
+  for (std::size_t receiver = 0; receiver < decision.zones.size(); ++receiver) {
+    const Decision::Zone& line = decision.zones[receiver];
+    if (receiver == zone || line.state != ZoneState::kHealthy) continue;
+    if (links.round_trip_ms.at(zone, receiver) >= latency_objective_ms / 2) continue;
+    plan.receivers.push_back({receiver, line.served, line.served, line.limit});
   }
-  std::stable_sort(plan.receivers.begin(), plan.receivers.end(), [&](const auto& a, const auto& b) {
-    return std::pair(price.at(zone, a.zone), round_trip.at(zone, a.zone)) <
-           std::pair(price.at(zone, b.zone), round_trip.at(zone, b.zone));
-  });
-  plan.unplaced = plan.moved;
-  for (Evacuation::Receiver& one : plan.receivers) {
-    const double part = std::clamp(one.limit - one.carries, 0.0, plan.unplaced);
-    one.would += part;
-    plan.unplaced -= part;
+  const auto cost = [&](const EvacuationPlan::Receiver& receiver) {
+    return std::pair(links.transfer_price.at(zone, receiver.zone),
+                     links.round_trip_ms.at(zone, receiver.zone));
+  };
+  std::stable_sort(plan.receivers.begin(), plan.receivers.end(),
+                   [&](const auto& left, const auto& right) { return cost(left) < cost(right); });
+  plan.unplaced_load = plan.moved_load;
+  for (EvacuationPlan::Receiver& receiver : plan.receivers) {
+    const double part = std::clamp(receiver.limit - receiver.load, 0.0, plan.unplaced_load);
+    receiver.planned_load += part;
+    plan.unplaced_load -= part;
   }
   return plan;
 }
--- a/src/regions/evacuation.h
+++ b/src/regions/evacuation.h
@@ -1,29 +1,36 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// What an operator's order to leave a zone would do, reckoned from the decision in force. Pure.
+/// @file
+/// What an operator's order to evacuate a zone would do, computed from the decision in force. Pure.
 #ifndef BADGERBRIDGE_REGIONS_EVACUATION_H_
 #define BADGERBRIDGE_REGIONS_EVACUATION_H_
 
+#include <cstddef>
 #include <vector>
 
 #include "regions/decision.h"
+#include "regions/links.h"
 
 namespace badgerbridge::regions {
 
-struct Evacuation {
+/// The result of planning an evacuation; loads in work a ms.
+struct EvacuationPlan {
+  /// A zone that takes over load.
   struct Receiver {
-    std::size_t zone = 0;
-    double carries = 0, would = 0, limit = 0;  // work a ms: now, then, and at most
+    std::size_t zone = 0;     ///< its index
+    double load = 0;          ///< what it serves now
+    double planned_load = 0;  ///< what it would serve
+    double limit = 0;         ///< what it may be sent at most
   };
-  double moved = 0;                 // what the zone carries now
-  std::vector<Receiver> receivers;  // every other zone that may help, the nearest first
-  double unplaced = 0;              // of `moved`: for which nobody has room
+  double moved_load = 0;            ///< what the zone serves now
+  std::vector<Receiver> receivers;  ///< every other zone that may help, in the order in which they are used
+  double unplaced_load = 0;         ///< the part of `moved_load` for which no zone has spare capacity
 };
 
-// Fills the sound zones with room, the nearest first (by price, then round trip), leaving out those whose
-// round trip is half of `aim` (ms) or more.
-Evacuation PlanEvacuation(const Decision& decision, const Matrix& round_trip, const Matrix& price, double aim,
-                          std::size_t zone);
+/// Fills the healthy zones that have spare capacity, the cheapest and then the nearest first, leaving out
+/// those whose round trip is half of `latency_objective_ms` or more. `zone` must be below the decision's
+/// zones.
+EvacuationPlan PlanEvacuation(const Decision& decision, const ZoneLinks& links, double latency_objective_ms,
+                              std::size_t zone);
 
 }  // namespace badgerbridge::regions
 
--- /dev/null
+++ b/src/regions/failover_leader.cpp
@@ -0,0 +1,136 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "regions/failover_leader.h"
+
+#include <algorithm>
+#include <numeric>
+#include <utility>
+
+#include "regions/decision_comparison.h"
+
+namespace badgerbridge::regions {
+namespace {
+
+// Beyond every epoch that any member has acted on: a record from a backup may be older.
+std::uint64_t NextEpoch(const Snapshot& snapshot, const Decision& previous) {
+  std::uint64_t newest = previous.epoch;
+  for (const MemberReport& report : snapshot.reports) newest = std::max(newest, report.load.epoch);
+  return newest + 1;
+}
+
+}  // namespace
+
+FailoverLeader::FailoverLeader(FailoverSettings settings)
+    : settings_(std::move(settings)),
+      members_(settings_),
+      history_(settings_.zones),
+      observer_(settings_.zones),
+      zones_(settings_),
+      demand_(settings_.zones),
+      allocator_(settings_) {}
+
+void FailoverLeader::BeginTerm() {
+  members_.Clear();
+  history_.Clear();
+  observer_.Reset();
+  zones_.Reset();
+  demand_.Reset();
+  admission_.Reset();
+  restored_ = false;
+  written_at_ = TimePoint{};
+  observed_at_ = TimePoint{};
+}
+
+void FailoverLeader::RestoreFrom(TimePoint now, const Snapshot& snapshot) {
+  restored_ = true;
+  if (!snapshot.decision) return;  // no member can act on a decision that was never made
+  const Decision& decision = *snapshot.decision;
+  history_.Restore(decision);
+  admission_.Restore(decision);
+  zones_.Restore(now, decision);
+  demand_.Restore(decision);
+  members_.RestoreLostMembers(now, snapshot, history_);
+}
+
+// Takes in the decision in force, and forgets epochs that no member may act on. Returns the oldest that one
+// may.
+std::uint64_t FailoverLeader::UpdateHistory(TimePoint now, const Snapshot& snapshot) {
+  if (!snapshot.decision) return 0;
+  history_.Add(*snapshot.decision);
+  std::uint64_t oldest = snapshot.decision->epoch;
+  for (const GrantHolders& holders : members_.HoldersUnder(now, snapshot, *snapshot.decision))
+    oldest = std::min(oldest, holders.oldest_epoch);
+  history_.DropBefore(oldest);
+  return oldest;
+}
+
+// The decision that the next one replaces; an empty one before the first.
+Decision FailoverLeader::PreviousDecision(const Snapshot& snapshot) const {
+  if (snapshot.decision) return *snapshot.decision;
+  Decision empty;
+  empty.zones.resize(settings_.zones);
+  empty.grants = Matrix(settings_.zones);
+  empty.grant_ceiling = Matrix(settings_.zones);
+  empty.standby = Matrix(settings_.zones);
+  return empty;
+}
+
+void FailoverLeader::FillZones(TimePoint now, const Snapshot& snapshot,
+                               const std::vector<ZoneObservation>& observations,
+                               const std::vector<double>& demand, Decision* next) const {
+  const std::vector<MemberCounts> counts = members_.CountByZone(now, snapshot);
+  for (std::size_t zone = 0; zone < settings_.zones; ++zone) {
+    Decision::Zone& line = next->zones[zone];
+    line.state = zones_[zone].state();
+    line.observed_capacity = zones_[zone].capacity().observed();
+    line.limit = zones_[zone].limit();
+    line.served = observations[zone].served;
+    line.demand = demand[zone];
+    line.members = counts[zone].members;
+    line.lost_members = counts[zone].lost_members;
+    line.reason = zones_[zone].reason();
+  }
+}
+
+// A member that is admitted to a share that others use meanwhile would make all of its zone fall back for a
+// moment: it waits until they have reduced what they send, which they do by a decision without it, but not
+// for long.
+void FailoverLeader::Allocate(TimePoint now, const Snapshot& snapshot, const Decision& previous,
+                              const AllocationInput& input, Decision* next) {
+  allocator_.Allocate(input, members_.HoldersUnder(now, snapshot, *next), next);
+  if (!Admission::AdmitsMore(previous, *next)) return;
+  Decision without = Admission::WithoutNewMembers(previous, *next);
+  allocator_.Allocate(input, members_.HoldersUnder(now, snapshot, without), &without);
+  if (admission_.ShouldDelay(now, ReducesGrants(without, *next))) *next = std::move(without);
+}
+
+std::optional<Decision> FailoverLeader::NextDecision(TimePoint now, const Snapshot& snapshot,
+                                                     const std::string& self) {
+  if (!restored_) RestoreFrom(now, snapshot);
+  members_.Update(now, snapshot, history_);
+  const std::uint64_t oldest_epoch = UpdateHistory(now, snapshot);
+  const double elapsed_ms = observed_at_ == TimePoint{} ? 0 : (now - observed_at_).count();
+  observed_at_ = now;
+  const std::vector<ZoneObservation> observations =
+      observer_.Observe(now, snapshot, zones_.MaxWarmBackends());
+  zones_.Update({now, elapsed_ms, !members_.lost_members().empty()}, observations, snapshot);
+
+  const Decision previous = PreviousDecision(snapshot);
+  Decision next = previous;
+  next.leader = self;
+  next.epoch = NextEpoch(snapshot, previous);
+  admission_.Update(now, snapshot, oldest_epoch, members_, previous, &next);
+  next.roster = members_.Roster(now, snapshot);
+  ZoneDemand demand;
+  demand.current = demand_.Update(elapsed_ms, snapshot, members_.lost_members());
+  demand.peak = demand_.peak();
+  demand.total = std::accumulate(demand.current.begin(), demand.current.end(), 0.0);
+  FillZones(now, snapshot, observations, demand.current, &next);
+  Allocate(now, snapshot, previous, {demand, zones_, observer_, members_.lost_members(), history_}, &next);
+  if (snapshot.decision && !IsWorthWriting(previous, next, now - written_at_)) return std::nullopt;
+  next.grant_ceiling = history_.CeilingWith(next);
+  admission_.DecisionMade(snapshot, previous, next);
+  written_at_ = now;
+  return next;
+}
+
+}  // namespace badgerbridge::regions
--- /dev/null
+++ b/src/regions/grant_allocator.cpp
@@ -0,0 +1,182 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "regions/grant_allocator.h"
+
+#include <algorithm>
+#include <numeric>
+#include <utility>
+
+#include "regions/grant_limiter.h"
+
+namespace badgerbridge::regions {
+namespace {
+
+constexpr double kOptionalShare = 0.9;      // of the spare capacity that is left: the rest stays for standby
+constexpr double kOpenCircuitShare = 0.01;  // of its limit, for a zone that fails its own members alone
+constexpr double kMinPeakShare = 0.9;       // of the peak: a demand below it is not believed at once
+constexpr int kDistributionRounds = 50;     // in which origins take spare capacity in turn
+
+// Receivers whose round trip leaves time for an answer, the cheapest and then the nearest first.
+std::vector<std::size_t> ReceiversOf(const FailoverSettings& settings, std::size_t origin) {
+  std::vector<std::size_t> receivers(settings.zones);
+  std::iota(receivers.begin(), receivers.end(), 0);
+  std::erase(receivers, origin);
+  std::erase_if(receivers, [&](std::size_t receiver) {
+    return settings.round_trip_ms.at(origin, receiver) >= settings.latency_objective_ms / 2;
+  });
+  const auto cost = [&](std::size_t receiver) {
+    return std::pair(settings.transfer_price.at(origin, receiver),
+                     settings.round_trip_ms.at(origin, receiver));
+  };
+  std::stable_sort(receivers.begin(), receivers.end(),
+                   [&](std::size_t left, std::size_t right) { return cost(left) < cost(right); });
+  return receivers;
+}
+
+// The part of the spare capacity left at `receiver` that members of `origin` may use if they like, by its
+// share of the demand of all zones but the receiver's.
+double OptionalGrant(const ZoneDemand& demand, const std::vector<double>& spare_capacity, std::size_t origin,
+                     std::size_t receiver) {
+  const double receivers_own = demand.current[receiver];
+  if (origin == receiver || demand.total <= receivers_own) return 0;
+  return kOptionalShare * spare_capacity[receiver] * demand.current[origin] / (demand.total - receivers_own);
+}
+
+}  // namespace
+
+GrantAllocator::GrantAllocator(const FailoverSettings& settings) : settings_(settings) {
+  for (std::size_t origin = 0; origin < settings.zones; ++origin)
+    receivers_.push_back(ReceiversOf(settings, origin));
+}
+
+// By receiver: what lost members may send there as standby. The most of one zone's members, since standby is
+// for the loss of one zone.
+std::vector<double> GrantAllocator::ReservedForLost(const AllocationInput& input,
+                                                    const Decision& next) const {
+  std::vector<double> reserved(settings_.zones);
+  Matrix by_origin(settings_.zones);
+  for (const LostMember& lost : input.lost_members) {
+    const Decision::Zone& line = next.zones[lost.zone];
+    const int sharing = std::max(1, line.members + line.lost_members);
+    for (std::size_t receiver = 0; receiver < settings_.zones; ++receiver) {
+      const double standby = lost.max_standby[receiver];
+      double& sum = by_origin.at(lost.zone, receiver);
+      sum = std::min(standby, sum + standby / sharing);
+      reserved[receiver] = std::max(reserved[receiver], sum);
+    }
+  }
+  return reserved;
+}
+
+GrantAllocator::ZoneNeeds GrantAllocator::NeedsOf(const AllocationInput& input, std::size_t zone,
+                                                  double reserved) const {
+  const ZoneStateMachine& state = input.zones[zone];
+  const bool is_healthy = state.state() == ZoneState::kHealthy;
+  const bool fails_own_members = input.observer.IsCircuitOpen(zone, zone);
+  const double able = state.EffectiveLimit();
+  const double demand = input.demand.current[zone];
+  const double peak = input.demand.peak[zone];
+  const double own = std::min(demand, fails_own_members ? kOpenCircuitShare * able : able);
+  ZoneNeeds needs;
+  needs.own = is_healthy && !fails_own_members ? kUnlimited : own;
+  // A member that was stopped for a moment reports little demand for a second.
+  needs.own_max = std::min(demand < kMinPeakShare * peak ? peak : demand, able);
+  needs.spare_capacity = is_healthy ? std::max(0.0, able - needs.own_max - reserved) : 0;
+  needs.overflow = std::max(0.0, demand - own);
+  return needs;
+}
+
+// Gives the overflow of each origin to its first receivers with spare capacity, and takes it off that.
+Matrix GrantAllocator::DistributeOverflow(const AllocationInput& input, const std::vector<double>& overflow,
+                                          std::vector<double>* spare_capacity) const {
+  Matrix grants(settings_.zones);
+  for (int round = 0; round < kDistributionRounds; ++round) {
+    for (std::size_t origin = 0; origin < settings_.zones; ++origin) {
+      double left = overflow[origin] / kDistributionRounds;
+      for (const std::size_t receiver : receivers_[origin]) {
+        if (left <= 0) break;
+        double& spare = (*spare_capacity)[receiver];
+        if (spare <= 0 || input.observer.IsCircuitOpen(origin, receiver)) continue;
+        const double part = std::min(left, spare);
+        grants.at(origin, receiver) += part;
+        spare -= part;
+        left -= part;
+      }
+    }
+  }
+  return grants;
+}
+
+// What each origin would be granted if nothing older were in force.
+Matrix GrantAllocator::WantedGrants(const AllocationInput& input, const std::vector<ZoneNeeds>& needs,
+                                    std::vector<double>* spare_capacity) const {
+  std::vector<double> overflow;
+  for (const ZoneNeeds& zone : needs) overflow.push_back(zone.overflow);
+  Matrix wanted = DistributeOverflow(input, overflow, spare_capacity);
+  for (std::size_t receiver = 0; receiver < settings_.zones; ++receiver) {
+    const bool is_healthy = input.zones[receiver].state() == ZoneState::kHealthy;
+    for (std::size_t origin = 0; origin < settings_.zones; ++origin) {
+      double& grant = wanted.at(origin, receiver);
+      if (origin == receiver) {
+        grant = needs[receiver].own;
+      } else if (!is_healthy || input.observer.IsCircuitOpen(origin, receiver)) {
+        grant = 0;
+      } else {
+        grant += OptionalGrant(input.demand, *spare_capacity, origin, receiver);
+      }
+    }
+  }
+  return wanted;
+}
+
+// For the loss of one zone while there is no leader: what is left beside what the others may go on to use.
+Matrix GrantAllocator::StandbyGrants(const AllocationInput& input,
+                                     const std::vector<double>& spare_capacity) const {
+  Matrix standby(settings_.zones);
+  for (std::size_t origin = 0; origin < settings_.zones; ++origin) {
+    std::vector<double> overflow(settings_.zones);
+    overflow[origin] = input.demand.current[origin];
+    std::vector<double> left = spare_capacity;
+    for (std::size_t receiver = 0; receiver < settings_.zones; ++receiver) {
+      for (std::size_t other = 0; other < settings_.zones; ++other) {
+        if (other != origin) left[receiver] -= OptionalGrant(input.demand, spare_capacity, other, receiver);
+      }
+    }
+    const Matrix grants = DistributeOverflow(input, overflow, &left);
+    for (std::size_t receiver = 0; receiver < settings_.zones; ++receiver)
+      standby.at(origin, receiver) = grants.at(origin, receiver);
+  }
+  return standby;
+}
+
+void GrantAllocator::Allocate(const AllocationInput& input, const std::vector<GrantHolders>& holders,
+                              Decision* next) const {
+  const std::vector<double> reserved = ReservedForLost(input, *next);
+  std::vector<ZoneNeeds> needs;
+  std::vector<double> spare_capacity;
+  std::vector<int> members;
+  for (std::size_t zone = 0; zone < settings_.zones; ++zone) {
+    needs.push_back(NeedsOf(input, zone, reserved[zone]));
+    spare_capacity.push_back(needs.back().spare_capacity);
+    members.push_back(std::max(1, next->zones[zone].members));
+  }
+  const Matrix wanted = WantedGrants(input, needs, &spare_capacity);
+  next->standby = StandbyGrants(input, spare_capacity);
+  next->grants = Matrix(settings_.zones);
+  const GrantBounds bounds(input.history);
+  for (std::size_t receiver = 0; receiver < settings_.zones; ++receiver) {
+    const ZoneStateMachine& state = input.zones[receiver];
+    // One that is not healthy would keep back, for lost members, all that it may be tried with.
+    const double kept_back = state.state() == ZoneState::kHealthy ? reserved[receiver] : 0;
+    ReceiverDemand demand;
+    demand.zone = receiver;
+    for (std::size_t origin = 0; origin < settings_.zones; ++origin)
+      demand.wanted.push_back(wanted.at(origin, receiver));
+    demand.own_demand = needs[receiver].own_max;
+    demand.limit = std::max(0.0, state.EffectiveLimit() - kept_back);
+    const std::vector<double> grants = LimitGrants(demand, members, holders, bounds);
+    for (std::size_t origin = 0; origin < settings_.zones; ++origin)
+      next->grants.at(origin, receiver) = grants[origin];
+  }
+}
+
+}  // namespace badgerbridge::regions
--- /dev/null
+++ b/src/regions/json_fields.h
@@ -0,0 +1,27 @@
+// SPDX-License-Identifier: Apache-2.0
+/// @file
+/// What the codecs of this package share: parsing a record and making errors of its fields.
+#ifndef BADGERBRIDGE_REGIONS_JSON_FIELDS_H_
+#define BADGERBRIDGE_REGIONS_JSON_FIELDS_H_
+
+#include <boost/json.hpp>
+#include <string>
+#include <string_view>
+
+#include "regions/error.h"
+
+namespace badgerbridge::regions {
+
+/// Largest epoch and revision that is accepted: below it a double holds each whole number.
+constexpr double kMaxRevision = 9e15;
+
+/// An error of one field; `value` may be null where the field is absent.
+ZoneFailoverError FieldError(ZoneFailoverError::Record record, ZoneFailoverError::Kind kind,
+                             std::string field, const boost::json::value* value);
+/// The record's JSON object; an error where `text` has more than `max_bytes` or is no object.
+Result<boost::json::object> ParseRecord(ZoneFailoverError::Record record, std::string_view text,
+                                        std::size_t max_bytes);
+
+}  // namespace badgerbridge::regions
+
+#endif  // BADGERBRIDGE_REGIONS_JSON_FIELDS_H_
--- a/src/regions/keys.h
+++ b/src/regions/keys.h
@@ -1,23 +1,26 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// The keys of the regions in etcd, below the prefix that the operator's file names. Members of different
-// releases share them, so the text stays what it is, also where the code has another name for the thing. The
-// same holds for the fields of the values: decision.cpp and evidence.cpp, which encode and decode them, have
-// those.
+/// @file
+/// The keys of zone failover in etcd, below the prefix that the operator's file names. Members of different
+/// releases share them, so their text stays as it is. The same holds for the fields of the values, which are
+/// in decision_codec.cpp and load_report.cpp.
 #ifndef BADGERBRIDGE_REGIONS_KEYS_H_
 #define BADGERBRIDGE_REGIONS_KEYS_H_
 
+#include <cstddef>
 #include <string>
 
 namespace badgerbridge::regions {
 
-constexpr char kMembersKey[] = "members/";   // and a member's name: its evidence, under its lease
-constexpr char kDeciderKey[] = "decider";    // the decider's name, under its lease
-constexpr char kDecisionKey[] = "decision";  // the Decision
-constexpr char kRosterKey[] = "roll";        // Decision::roster: whom the decision counts
-constexpr char kOrdersKey[] = "orders/";     // and a zone's number: who ordered that it be left
+constexpr char kMembersKey[] = "members/";   ///< and a member's name: its LoadReport, under its lease
+constexpr char kLeaderKey[] = "decider";     ///< the leader's name, under its lease
+constexpr char kDecisionKey[] = "decision";  ///< the Decision
+constexpr char kRosterKey[] = "roll";        ///< Decision::roster
+constexpr char kOrdersKey[] =
+    "orders/";  ///< and a zone's number: name of the person who ordered to evacuate it
 
+/// Key of a member's load report.
 inline std::string MemberKey(const std::string& member) { return kMembersKey + member; }
+/// Key of the order to evacuate a zone.
 inline std::string OrderKey(std::size_t zone) { return kOrdersKey + std::to_string(zone); }
 
 }  // namespace badgerbridge::regions
--- a/src/regions/links.h
+++ b/src/regions/links.h
@@ -1,37 +1,49 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// Round trips and prices between zones, from a table that lists what is out of the ordinary. Pure: the table
-// is whatever has these members (operator_file::Regions), so that this package needs no file.
+/// @file
+/// Round trips and transfer prices between zones, from a table that lists those that differ from the default.
+/// Pure: the table is any type that has these members (operator_file::Regions), so that this package needs no
+/// file.
 #ifndef BADGERBRIDGE_REGIONS_LINKS_H_
 #define BADGERBRIDGE_REGIONS_LINKS_H_
 
 #include <algorithm>
+#include <cstddef>
 
-#include "regions/decision.h"
+#include "regions/matrix.h"
 
 namespace badgerbridge::regions {
 
-struct Links {
-  Matrix round_trip;  // ms
-  Matrix price;       // share of the work that crosses
+/// What it takes to send from one zone to another, both ways alike.
+struct ZoneLinks {
+  Matrix round_trip_ms;   ///< 0 within a zone
+  Matrix transfer_price;  ///< share of the work that crosses; 0 within a zone
 };
 
-// `table.zones` in order; `table.links` go both ways, and a zone that `zones` does not name is left out.
+/// Reads `table.zones`, in order, and `table.links`, which go both ways; a link of a zone that `zones` does
+/// not name is left out.
 template <typename Table>
-Links LinksOf(const Table& table) {
-  const std::size_t n = table.zones.size();
-  Links links{Matrix(n, static_cast<double>(table.round_trip.count())),
-              Matrix(n, table.price_percent / 100.0)};
-  for (std::size_t z = 0; z < n; ++z) links.round_trip.at(z, z) = links.price.at(z, z) = 0;
-  const auto index = [&](const auto& name) {
+ZoneLinks ZoneLinksFrom(const Table& table) {
+  const std::size_t zones = table.zones.size();
+  ZoneLinks links{Matrix(zones, static_cast<double>(table.round_trip.count())),
+                  Matrix(zones, table.price_percent / 100.0)};
+  for (std::size_t zone = 0; zone < zones; ++zone) {
+    links.round_trip_ms.at(zone, zone) = 0;
+    links.transfer_price.at(zone, zone) = 0;
+  }
+  const auto index_of = [&](const auto& name) {
     return static_cast<std::size_t>(std::find(table.zones.begin(), table.zones.end(), name) -
                                     table.zones.begin());
   };
   for (const auto& link : table.links) {
-    const std::size_t a = index(link.from), b = index(link.to);
-    if (a >= n || b >= n) continue;
-    links.round_trip.at(a, b) = links.round_trip.at(b, a) = static_cast<double>(link.round_trip.count());
-    links.price.at(a, b) = links.price.at(b, a) = link.price_percent / 100.0;
+    const std::size_t from = index_of(link.from);
+    const std::size_t to = index_of(link.to);
+    if (from >= zones || to >= zones) continue;
+    const double round_trip_ms = static_cast<double>(link.round_trip.count());
+    const double price = link.price_percent / 100.0;
+    links.round_trip_ms.at(from, to) = round_trip_ms;
+    links.round_trip_ms.at(to, from) = round_trip_ms;
+    links.transfer_price.at(from, to) = price;
+    links.transfer_price.at(to, from) = price;
   }
   return links;
 }
--- /dev/null
+++ b/src/regions/matrix.h
@@ -0,0 +1,45 @@
+// SPDX-License-Identifier: Apache-2.0
+/// @file
+/// A square table of numbers by origin zone and receiver zone, and what a grant's number means.
+#ifndef BADGERBRIDGE_REGIONS_MATRIX_H_
+#define BADGERBRIDGE_REGIONS_MATRIX_H_
+
+#include <algorithm>
+#include <cstddef>
+#include <vector>
+
+namespace badgerbridge::regions {
+
+/// A grant without a limit: what a healthy zone gives its own members.
+constexpr double kUnlimited = -1;
+
+/// Numbers by origin (the zone of the member that sends) and receiver (the zone that it sends to).
+class Matrix {
+ public:
+  /// An empty table.
+  Matrix() = default;
+  /// A table of `zones` by `zones`, filled with `value`.
+  explicit Matrix(std::size_t zones, double value = 0) : zones_(zones), cells_(zones * zones, value) {}
+
+  /// Number of zones on each side.
+  std::size_t zones() const { return zones_; }
+  /// The cell of one pair of zones; both must be below `zones()`.
+  double& at(std::size_t origin, std::size_t receiver) { return cells_[origin * zones_ + receiver]; }
+  /// The cell of one pair of zones; both must be below `zones()`.
+  double at(std::size_t origin, std::size_t receiver) const { return cells_[origin * zones_ + receiver]; }
+  /// Compares all cells.
+  friend bool operator==(const Matrix&, const Matrix&) = default;
+
+ private:
+  std::size_t zones_ = 0;
+  std::vector<double> cells_;
+};
+
+/// The larger of two grants; `kUnlimited` is larger than any number.
+inline double LargerGrant(double left, double right) {
+  return left == kUnlimited || right == kUnlimited ? kUnlimited : std::max(left, right);
+}
+
+}  // namespace badgerbridge::regions
+
+#endif  // BADGERBRIDGE_REGIONS_MATRIX_H_
--- a/src/regions/member.cpp
+++ b/src/regions/member.cpp
@@ -3,111 +3,128 @@
 
 #include <algorithm>
 #include <iterator>
-#include <utility>
 
 #include "regions/keys.h"
 
 namespace badgerbridge::regions {
 namespace {
 
-constexpr double kRenewAt = 1.0 / 3;  // of the lease
-constexpr double kHomeFails = 0.5;    // share of attempts
-constexpr double kHomeSlow = 3;
-constexpr double kFewAttempts = 3;
-constexpr Duration kCampaignWithin{300};  // members stand at moments drawn from so much, not all at once
+constexpr double kRenewAfter = 1.0 / 3;     // of the lease
+constexpr Duration kMaxCampaignDelay{300};  // members campaign at random moments, not all at once
 constexpr TimePoint kNever{Duration(1e300)};
+constexpr double kMsPerSecond = 1000.0;
+
+bool HasPrefix(const std::string& text, const char* prefix) { return text.rfind(prefix, 0) == 0; }
 
 }  // namespace
 
 Member::Member(MemberSettings settings, std::uint64_t seed)
     : settings_(std::move(settings)),
-      meter_(settings_.zone, settings_.rules.zones, settings_.classes),
-      decides_(settings_.rules),
+      home_(static_cast<std::size_t>(settings_.zone)),
+      reporter_(settings_.zone, settings_.failover.zones, settings_.request_classes),
+      failover_leader_(settings_.failover),
       random_(seed),
       backoff_(settings_.backoff) {}
 
-bool Member::admitted() const {
-  if (created_ <= 0 || !decision_) return false;
-  if (created_ <= decision_->admitted) return true;
-  return std::any_of(decision_->returned.begin(), decision_->returned.end(), [&](const auto& one) {
-    return one.created == created_ && one.member == settings_.name;
-  });
+bool Member::IsAdmitted() const {
+  if (create_revision_ <= 0 || !decision_) return false;
+  if (create_revision_ <= decision_->admitted_revision) return true;
+  const MemberIncarnation self{settings_.name, create_revision_};
+  const auto& readmitted = decision_->readmitted;
+  return std::find(readmitted.begin(), readmitted.end(), self) != readmitted.end();
 }
 
-// Whatever is admitted from here on is another life of this member's key. What the last one was granted holds
-// for as long as the decider counts it.
+// What is admitted from here on is another incarnation of this member. What the last one was granted stays
+// valid for as long as the leader counts it.
 void Member::StartIncarnation() {
-  if (admitted()) {
-    held_until_ = valid_until_;
-    held_ = SlicesOf(*decision_);
+  if (IsAdmitted()) {
+    earlier_valid_until_ = grants_valid_until_;
+    earlier_grants_ = GrantsPerMember(*decision_);
   }
-  created_ = 0;
+  create_revision_ = 0;
 }
 
-double Member::Unit() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
+double Member::DrawUnit() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
 
-std::optional<Member::Call> Member::Next(TimePoint now) {
-  if (began_ == TimePoint{}) {
-    began_ = now;
-    // A fleet that starts at once must not beat in step.
-    next_heartbeat_ = now;
-    wake_ = now + settings_.heartbeat * Unit();
-  }
-  if (out_ && now - sent_at_ < settings_.call_timeout * 2) return std::nullopt;
-  if (out_) Failed(now, "a call was never answered");  // whoever carries it out has lost it
-  if (now < wake_) return std::nullopt;
-  if (!settings_.together) {
-    wake_ = now + settings_.heartbeat;
+// Members that start at once must not send their heartbeats in step.
+void Member::Begin(TimePoint now) {
+  began_ = now;
+  next_heartbeat_ = now;
+  wake_at_ = now + settings_.heartbeat * DrawUnit();
+}
+
+std::optional<Member::Call> Member::NextCall(TimePoint now) {
+  if (began_ == TimePoint{}) Begin(now);
+  const Duration call_lost_after = settings_.call_timeout * 2;
+  if (call_ && now - call_sent_at_ < call_lost_after) return std::nullopt;
+  if (call_) Failed(now, "a call was never answered");  // the caller has lost it
+  if (now < wake_at_) return std::nullopt;
+  if (!settings_.coordinated) {
+    wake_at_ = now + settings_.heartbeat;
     DecideAlone(now);
     return std::nullopt;
   }
-  // A lease ends here before it ends there.
-  if (lease_ != 0 && now >= lease_until_) LoseLease("the lease was not renewed in time");
-  std::optional<Call> call;
-  if (lease_ == 0) {
-    call = Grant{settings_.ttl_s};
-  } else if (now - renewed_ >= Duration(1000.0 * settings_.ttl_s * kRenewAt)) {
-    call = KeepAlive{lease_};
-  } else if (proposal_) {
-    call = *std::exchange(proposal_, std::nullopt);
-  } else if (decider_.empty() && campaign_at_ != TimePoint{} && now >= campaign_at_) {
-    call = Campaign{lease_};
-    campaign_at_ = TimePoint{};
-  } else if (now >= next_heartbeat_) {
-    last_ = meter_.Take(now, decision_ ? decision_->epoch : 0);
-    call = Heartbeat{lease_, Encode(last_), deciding(), decision_modified_};
-    next_heartbeat_ = std::max(now, next_heartbeat_ + settings_.heartbeat);
-  } else {
-    wake_ = std::min(next_heartbeat_, campaign_at_ == TimePoint{} ? kNever : campaign_at_);
+  std::optional<Call> call = DueCall(now);
+  if (!call) {
+    wake_at_ = std::min(next_heartbeat_, campaign_at_ == TimePoint{} ? kNever : campaign_at_);
     return std::nullopt;
   }
-  out_ = call;
-  sent_at_ = now;
+  call_ = call;
+  call_sent_at_ = now;
   ++calls_;
-  wake_ = now + settings_.call_timeout * 2;
+  wake_at_ = now + call_lost_after;
   return call;
 }
 
-void Member::Failed(TimePoint now, std::string why) {
-  last_error_ = std::move(why);
-  out_.reset();
+std::optional<Member::Call> Member::DueCall(TimePoint now) {
+  // A lease ends here before it ends in etcd.
+  if (lease_ != 0 && now >= lease_until_) LoseLease("the lease was not renewed in time");
+  if (lease_ == 0) return GrantLease{settings_.lease_ttl_s};
+  if (now - renewed_at_ >= Duration(kMsPerSecond * settings_.lease_ttl_s * kRenewAfter))
+    return KeepLeaseAlive{lease_};
+  if (proposal_) return *std::exchange(proposal_, std::nullopt);
+  if (leader_.empty() && campaign_at_ != TimePoint{} && now >= campaign_at_) {
+    campaign_at_ = TimePoint{};
+    return Campaign{lease_};
+  }
+  if (now >= next_heartbeat_) return MakeHeartbeat(now);
+  return std::nullopt;
+}
+
+Member::Call Member::MakeHeartbeat(TimePoint now) {
+  last_report_ = reporter_.BuildReport(now, decision_ ? decision_->epoch : 0);
+  next_heartbeat_ = std::max(now, next_heartbeat_ + settings_.heartbeat);
+  return Heartbeat{lease_, Encode(last_report_), is_leader(), decision_mod_revision_};
+}
+
+void Member::Failed(TimePoint now, std::string error) {
+  last_error_ = std::move(error);
+  call_.reset();
   proposal_.reset();
-  const double part = 0.5 + 0.5 * Unit();
-  wake_ = now + backoff_ * part;
-  backoff_ = std::min(settings_.most_backoff, backoff_ * 2);
+  const double jitter = 0.5 + 0.5 * DrawUnit();
+  wake_at_ = now + backoff_ * jitter;
+  backoff_ = std::min(settings_.max_backoff, backoff_ * 2);
 }
 
-// What it may do stands for as long as the decider waits for it (valid_until_), and no longer.
-void Member::LoseLease(const std::string& why) {
-  last_error_ = why;
+// Its grants stay valid for as long as the leader waits for that (grants_valid_until_), and no longer.
+void Member::LoseLease(const std::string& error) {
+  last_error_ = error;
   lease_ = 0;
-  decider_created_ = 0;
+  leader_create_revision_ = 0;
   proposal_.reset();
 }
 
-void Member::Done(TimePoint now, const Reply& reply) {
-  if (!out_) return;
-  const Call call = *std::exchange(out_, std::nullopt);
+void Member::LeaseRenewed(TimePoint at) {
+  const FailoverSettings& failover = settings_.failover;
+  const Duration ttl(kMsPerSecond * settings_.lease_ttl_s);
+  renewed_at_ = at;
+  lease_until_ = at + ttl * (1 - failover.max_clock_drift);
+  grants_valid_until_ = at + (ttl + failover.grant_hold) * (1 - failover.max_clock_drift);
+}
+
+void Member::CallEnded(TimePoint now, const Reply& reply) {
+  if (!call_) return;
+  const Call call = *std::exchange(call_, std::nullopt);
   if (!reply.ok) {
     Failed(now, "a call was not answered");
     if (reply.lease_gone) {
@@ -117,148 +134,128 @@
     return;
   }
   backoff_ = settings_.backoff;
-  wake_ = now;
-  const auto renewed = [&](TimePoint at) {
-    renewed_ = at;
-    const Duration ttl(1000.0 * settings_.ttl_s);
-    lease_until_ = at + ttl * (1 - settings_.rules.drift);
-    valid_until_ = at + (ttl + settings_.rules.hold) * (1 - settings_.rules.drift);
-  };
-  if (std::holds_alternative<Grant>(call)) {
-    lease_ = reply.lease;
-    StartIncarnation();
-    renewed(sent_at_);
-  } else if (std::holds_alternative<KeepAlive>(call)) {
-    renewed(sent_at_);
-  } else if (std::holds_alternative<Heartbeat>(call)) {
-    Read(now, reply);
-  } else if (std::holds_alternative<Campaign>(call)) {
-    if (reply.held) {
-      decider_created_ = reply.revision;
-      decider_ = settings_.name;
-      decides_.Reset();
-      next_heartbeat_ = now;
-    }
-  } else if (std::holds_alternative<Propose>(call)) {
-    if (!reply.held) {
-      last_error_ = "another has decided";
-      decider_created_ = 0;
-    }
-    next_heartbeat_ = now;  // go by it, and confirm it
+  wake_at_ = now;
+  std::visit([&](const auto& made) { Succeeded(now, made, reply); }, call);
+}
+
+void Member::Succeeded(TimePoint /*now*/, const GrantLease& /*call*/, const Reply& reply) {
+  lease_ = reply.lease;
+  StartIncarnation();
+  LeaseRenewed(call_sent_at_);
+}
+
+void Member::Succeeded(TimePoint /*now*/, const KeepLeaseAlive& /*call*/, const Reply& /*reply*/) {
+  LeaseRenewed(call_sent_at_);
+}
+
+void Member::Succeeded(TimePoint now, const Heartbeat& /*call*/, const Reply& reply) {
+  const HeartbeatKeys keys = FindKeys(reply);
+  UpdateLeader(now, keys.leader);
+  UpdateDecision(keys.decision);
+  if (is_leader()) DecideAsLeader(now, reply);
+}
+
+void Member::Succeeded(TimePoint now, const Campaign& /*call*/, const Reply& reply) {
+  if (!reply.condition_held) return;
+  leader_create_revision_ = reply.revision;
+  leader_ = settings_.name;
+  failover_leader_.BeginTerm();
+  next_heartbeat_ = now;
+}
+
+void Member::Succeeded(TimePoint now, const Propose& /*call*/, const Reply& reply) {
+  if (!reply.condition_held) {
+    last_error_ = "another has decided";
+    leader_create_revision_ = 0;
+  }
+  next_heartbeat_ = now;  // to read the decision and confirm it
+}
+
+Member::HeartbeatKeys Member::FindKeys(const Reply& reply) {
+  HeartbeatKeys keys;
+  for (const KeyValue& kv : reply.kvs) {
+    if (kv.key == kLeaderKey) keys.leader = &kv;
+    if (kv.key == kDecisionKey) keys.decision = &kv;
+    if (kv.key == MemberKey(settings_.name)) create_revision_ = kv.create_revision;
+  }
+  return keys;
+}
+
+void Member::UpdateLeader(TimePoint now, const KeyValue* leader) {
+  leader_ = leader ? leader->value : "";
+  // A term is known by the revision at which its key was made: a member that slept does not go on with
+  // another's.
+  if (is_leader() && (!leader || leader->create_revision != leader_create_revision_))
+    leader_create_revision_ = 0;
+  // Its own campaign, whose reply was lost: otherwise no member would ever decide.
+  if (leader && !is_leader() && leader->value == settings_.name && lease_ != 0 && leader->lease == lease_) {
+    leader_create_revision_ = leader->create_revision;
+    failover_leader_.BeginTerm();
   }
+  if (!leader && campaign_at_ == TimePoint{}) campaign_at_ = now + kMaxCampaignDelay * DrawUnit();
+  if (leader) campaign_at_ = TimePoint{};
 }
 
-void Member::Read(TimePoint now, const Reply& reply) {
-  const Kv* decider = nullptr;
-  const Kv* record = nullptr;
-  for (const Kv& kv : reply.kvs) {
-    if (kv.key == kDeciderKey) decider = &kv;
-    if (kv.key == kDecisionKey) record = &kv;
-    if (kv.key == MemberKey(settings_.name)) created_ = kv.created;
+// A decision that can't be read is ignored: the last one stays.
+void Member::UpdateDecision(const KeyValue* record) {
+  if (!record) {
+    decision_mod_revision_ = 0;
+    return;
   }
-  decider_ = decider ? decider->value : "";
-  // A term is known by the revision at which its key was made: one that slept does not take up another's.
-  if (decider_created_ != 0 && (!decider || decider->created != decider_created_)) decider_created_ = 0;
-  // Its own standing, whose answer was lost on the way: else nobody would ever decide.
-  if (decider && decider_created_ == 0 && decider->value == settings_.name && lease_ != 0 &&
-      decider->lease == lease_) {
-    decider_created_ = decider->created;
-    decides_.Reset();
+  if (record->mod_revision == decision_mod_revision_) return;
+  Result<Decision> decision = DecodeDecision(record->value, settings_.failover.zones);
+  if (!decision) {
+    last_error_ = "the decision can't be read: " + Message(decision.error());
+    return;
   }
-  if (!decider && campaign_at_ == TimePoint{}) campaign_at_ = now + kCampaignWithin * Unit();
-  if (decider) campaign_at_ = TimePoint{};
-  std::string why;
-  if (record && record->modified != decision_modified_) {
-    auto read = DecodeDecision(record->value, settings_.rules.zones, &why);
-    if (read) {
-      decision_ = std::move(read);
-      decision_modified_ = record->modified;
-    } else {
-      last_error_ = "the decision can't be read: " + why;  // the last one stays
+  decision_ = std::move(*decision);
+  decision_mod_revision_ = record->mod_revision;
+}
+
+void Member::AddToSnapshot(const KeyValue& kv, Snapshot* snapshot) const {
+  const std::size_t zones = settings_.failover.zones;
+  if (HasPrefix(kv.key, kMembersKey)) {
+    Result<LoadReport> report = DecodeLoadReport(kv.value, zones);
+    if (!report) return;
+    snapshot->reports.push_back(
+        {kv.key.substr(std::size(kMembersKey) - 1), kv.create_revision, std::move(*report)});
+  } else if (kv.key == kRosterKey && snapshot->decision) {
+    Result<std::vector<RosterEntry>> roster = DecodeRoster(kv.value, zones, snapshot->decision->epoch);
+    if (roster) snapshot->decision->roster = std::move(*roster);
+  } else if (HasPrefix(kv.key, kOrdersKey)) {
+    for (std::size_t zone = 0; zone < zones; ++zone) {
+      if (kv.key == OrderKey(zone)) snapshot->evacuated_by[zone] = kv.value.empty() ? "nobody" : kv.value;
     }
   }
-  if (!record) decision_modified_ = 0;
-  if (deciding()) Decide(now, reply);
 }
 
-void Member::Decide(TimePoint now, const Reply& reply) {
+Snapshot Member::SnapshotOf(const Reply& reply) const {
   Snapshot snapshot;
   snapshot.revision = reply.revision;
-  if (decision_modified_ != 0) snapshot.decision = decision_;
-  snapshot.evacuated.resize(settings_.rules.zones);
-  std::string why;
-  for (const Kv& kv : reply.kvs) {
-    if (kv.key.rfind(kMembersKey, 0) == 0) {
-      auto evidence = DecodeEvidence(kv.value, settings_.rules.zones, &why);
-      if (evidence)
-        snapshot.reports.push_back(
-            {kv.key.substr(std::size(kMembersKey) - 1), kv.created, std::move(*evidence)});
-    } else if (kv.key == kRosterKey && snapshot.decision) {
-      DecodeRoster(kv.value, settings_.rules.zones, &*snapshot.decision);
-    } else if (kv.key.rfind(kOrdersKey, 0) == 0) {
-      for (std::size_t z = 0; z < settings_.rules.zones; ++z) {
-        if (kv.key == OrderKey(z)) snapshot.evacuated[z] = kv.value.empty() ? "nobody" : kv.value;
-      }
-    }
-  }
-  const auto next = decides_.Decide(now, snapshot, settings_.name);
+  if (decision_mod_revision_ != 0) snapshot.decision = decision_;
+  snapshot.evacuated_by.resize(settings_.failover.zones);
+  for (const KeyValue& kv : reply.kvs) AddToSnapshot(kv, &snapshot);
+  return snapshot;
+}
+
+void Member::DecideAsLeader(TimePoint now, const Reply& reply) {
+  const auto next = failover_leader_.NextDecision(now, SnapshotOf(reply), settings_.name);
   if (!next) return;
-  proposal_ = Propose{Encode(*next), EncodeRoster(*next), decider_created_, decision_modified_};
+  proposal_ = Propose{Encode(*next), EncodeRoster(*next), leader_create_revision_, decision_mod_revision_};
 }
 
-// The same rules over its own word: what it sends to a zone that fails, or is slow, is cut; what it sends to
-// others grows by steps from what it has been able to send there.
+// By the same rules, over its own load report: what it sends to a zone that fails, or is slow, is cut; what
+// it sends to others grows by steps from what it has been able to send there.
 void Member::DecideAlone(TimePoint now) {
   Snapshot snapshot;
   snapshot.revision = 1;
   snapshot.decision = decision_;
-  last_ = meter_.Take(now, decision_ ? decision_->epoch : 0);
-  Evidence own = last_;
-  for (ZoneReport& z : own.zones) z.used = -1;  // of all, not of what this member sends
+  last_report_ = reporter_.BuildReport(now, decision_ ? decision_->epoch : 0);
+  LoadReport own = last_report_;
+  // Backends report the utilization by all members' requests, not by those of this one.
+  for (ZoneLoad& zone : own.zones) zone.utilization = kUnknownUtilization;
   snapshot.reports.push_back({settings_.name, 1, std::move(own)});
-  if (auto next = decides_.Decide(now, snapshot, settings_.name)) decision_ = std::move(next);
-}
-
-bool Member::HomeFails() const {
-  if (last_.zones.empty()) return false;
-  const ZoneReport& home = last_.zones[static_cast<std::size_t>(settings_.zone)];
-  return home.attempts >= kFewAttempts && !last_.doubt &&
-         (home.bad > kHomeFails * home.attempts || home.slow > kHomeSlow);
-}
-
-std::vector<double> Member::Shares(TimePoint now) {
-  const std::size_t n = settings_.rules.zones;
-  const auto home = static_cast<std::size_t>(settings_.zone);
-  std::vector<double> shares(n, 0);
-  shares[home] = kFree;
-  if (!decision_) {
-    // Nobody has ever decided: for a while its own zone alone, then as if this were switched off.
-    const bool off = settings_.together ? began_ != TimePoint{} && now - began_ > settings_.rules.hold : true;
-    if (off) shares.assign(n, kFree);
-    return shares;
-  }
-  const Decision& d = *decision_;
-  const double members = std::max(1, d.zones[home].members);
-  if (!settings_.together || in_touch(now)) {
-    const bool may = !settings_.together || admitted();
-    for (std::size_t r = 0; r < n; ++r) {
-      const double grant = d.grants.at(home, r);
-      shares[r] = grant == kFree ? kFree : grant / members;
-      if (may || grant == kFree) continue;
-      // Before it is admitted: no more than it had, and than it will have.
-      const double had = now < held_until_ ? held_.at(home, r) : 0;
-      if (had != kFree) shares[r] = std::min(shares[r], had);
-    }
-    return shares;
-  }
-  // Out of touch: its own zone as it finds it, and if that fails, its part of what was kept for that.
-  const bool counts = created_ > 0 && created_ <= d.admitted &&
-                      now - valid_until_ < settings_.rules.forget * (1 - settings_.rules.drift);
-  if (!counts || !HomeFails()) return shares;
-  for (std::size_t r = 0; r < n; ++r) {
-    if (r != home) shares[r] = d.standby.at(home, r) / (members + d.zones[home].lost);
-  }
-  return shares;
+  if (auto next = failover_leader_.NextDecision(now, snapshot, settings_.name)) decision_ = std::move(next);
 }
 
 }  // namespace badgerbridge::regions
--- /dev/null
+++ b/tests/regions/installation.h
@@ -0,0 +1,109 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Many members over one etcd in virtual time, with faults of every sort. At each step the total that all
+// members may send is checked against each zone's limit.
+#ifndef BADGERBRIDGE_TESTS_REGIONS_INSTALLATION_H_
+#define BADGERBRIDGE_TESTS_REGIONS_INSTALLATION_H_
+
+#include <deque>
+#include <memory>
+#include <optional>
+#include <random>
+#include <string>
+#include <vector>
+
+#include "lab/etcd.h"
+#include "regions/member.h"
+
+namespace badgerbridge::regions {
+
+// Zones of the installation.
+constexpr std::size_t kZones = 4;
+
+// A member, its clock, and the call that it has on its way.
+struct SimulatedMember {
+  std::string name;
+  std::size_t zone = 0;
+  std::unique_ptr<Member> member;
+  double clock_rate = 1;       // of its clock
+  double clock_offset_ms = 0;  // of its clock
+  bool stopped = false;        // its process is frozen
+  bool isolated = false;       // etcd is out of its reach
+  bool dead = false;           // its process has ended
+  double demand = 0;           // work a ms
+  std::uint64_t attempts = 0;
+
+  std::optional<Member::Call> call;
+  double call_arrives_at = 0;   // at etcd, ms
+  double reply_arrives_at = 0;  // at the member, ms
+  bool call_is_lost = false;
+  bool reply_is_lost = false;
+  std::optional<Member::Reply> reply;
+};
+
+// A zone's backends.
+struct SimulatedZone {
+  double capacity = 0;                      // work a ms; 0: it fails
+  std::optional<double> utilization = 0.4;  // as the backends report it
+  double load = 0;                          // work since the utilization was last computed
+};
+
+class Installation {
+ public:
+  Installation(std::uint64_t seed, int members);
+
+  // 10 ms of real time, and then the check.
+  void Step();
+  // What a step may bring: each of these faults seldom.
+  void MaybeFault();
+  // Ends all faults: zones work, members run and reach etcd, there are no orders.
+  void EndFaults();
+
+  TimePoint ClockOf(const SimulatedMember& one) const {
+    return TimePoint(Duration(one.clock_offset_ms + now_ * one.clock_rate));
+  }
+  const std::vector<SimulatedMember>& members() const { return members_; }
+  // The decision in force.
+  const Decision& newest_decision() const { return decisions_.back().decision; }
+  // The largest part of a zone's limit that all members in total might use.
+  double max_limit_use() const { return max_limit_use_; }
+
+ private:
+  struct DecisionAt {
+    double ms = 0;
+    Decision decision;
+  };
+  // What all members may send to a receiver.
+  struct Total {
+    double granted = 0;     // by those with a limit
+    double own_demand = 0;  // of those without
+  };
+
+  double DrawUnit() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }  // from [0, 1)
+  void Start(SimulatedMember* one);
+  void UpdateUtilization();
+  void Deliver(SimulatedMember* one);
+  void StepMember(SimulatedMember* one);
+  void Serve(SimulatedMember* one, TimePoint at);
+  void RestoreOrBackUpEtcd();
+  void ReadDecision();
+  Total TotalOf(std::size_t receiver, bool healthy) const;
+  void CheckReceiver(std::size_t receiver);
+  std::string Describe(std::size_t receiver) const;
+
+  std::mt19937_64 random_;
+  FailoverSettings settings_;
+  std::vector<SimulatedMember> members_;
+  std::vector<SimulatedZone> zones_;
+  lab::EtcdModel etcd_;
+  std::optional<lab::EtcdModel> backup_;
+  bool etcd_is_down_ = false;
+  double now_ = 0;  // ms
+  std::int64_t decision_revision_ = 0;
+  std::deque<DecisionAt> decisions_;  // of the last 12 s
+  double max_limit_use_ = 0;
+};
+
+}  // namespace badgerbridge::regions
+
+#endif  // BADGERBRIDGE_TESTS_REGIONS_INSTALLATION_H_
--- a/tests/regions/proxy_test.cpp
+++ b/tests/regions/proxy_test.cpp
@@ -82,7 +82,7 @@
   std::unique_ptr<Etcd> etcd;
 };
 
-TEST_F(ZonesTest, ProxiesDecideInCommonAndLeaveAZoneWhenOrderedTo) {
+TEST_F(ZonesTest, ProxiesShareADecisionAndEvacuateAZoneOnOrder) {
   site->StartAgent();
   ASSERT_TRUE(site->Until([&] { return site->All("ready"); }));
   ASSERT_TRUE(site->Until([&] { return Admitted(); }));
@@ -128,7 +128,7 @@
   EXPECT_EQ(etcd->protocol_errors(), 0u);
 }
 
-TEST_F(ZonesTest, WithEtcdGoneItGoesOnAsItDidAndSaysSo) {
+TEST_F(ZonesTest, EtcdUnavailableKeepsServingAndIsReported) {
   site->StartAgent();
   ASSERT_TRUE(site->Until([&] { return site->All("ready"); }));
   ASSERT_TRUE(site->Until([&] { return Admitted(); }));
@@ -146,7 +146,7 @@
   EXPECT_EQ(clients.account().lost, 0u);
 }
 
-TEST_F(ZonesTest, AProxyWhoseZonesAreOthersThanItsConfigurationsDoesNotStart) {
+TEST_F(ZonesTest, ProxyWhoseZonesDifferFromItsConfigurationDoesNotStart) {
   site->Write("n1.toml", "[regions]\ndecide = \"alone\"\nzones = [\"b\", \"a\"]\n");
   site->Write("n1.json", site->ConfigText("n1"));
   const std::string command = "ROUTER_CONFIG=" + site->folder() +
@@ -164,14 +164,14 @@
 // The tool alone, over records written by hand.
 class ZonesToolTest : public ZonesTest {
  protected:
-  void Decide(std::uint64_t epoch, double limit_of_b, regions::ZoneState a = regions::ZoneState::kSound) {
+  void Decide(std::uint64_t epoch, double limit_of_b, regions::ZoneState a = regions::ZoneState::kHealthy) {
     regions::Decision d;
     d.epoch = epoch;
-    d.decider = "n7";
+    d.leader = "n7";
     d.zones.resize(2);
-    d.zones[0] = {a, 20, 20, 10, 10, 3, 1, a == regions::ZoneState::kSound ? "" : "it fails"};
-    d.zones[1] = {regions::ZoneState::kSound, limit_of_b, limit_of_b, 5, 5, 2, 0, ""};
-    d.grants = d.ceiling = d.standby = regions::Matrix(2);
+    d.zones[0] = {a, 20, 20, 10, 10, 3, 1, a == regions::ZoneState::kHealthy ? "" : "it fails"};
+    d.zones[1] = {regions::ZoneState::kHealthy, limit_of_b, limit_of_b, 5, 5, 2, 0, ""};
+    d.grants = d.grant_ceiling = d.standby = regions::Matrix(2);
     d.grants.at(0, 1) = 3;
     etcd->Put(kPrefix + "decision", regions::Encode(d));
   }
@@ -189,7 +189,7 @@
   }
 };
 
-TEST_F(ZonesToolTest, WithoutADecisionThereIsNothingToShowOrToOrder) {
+TEST_F(ZonesToolTest, WithoutADecisionCommandsFail) {
   CommandResult result = Ctl({});
   EXPECT_EQ(result.code, 1);
   EXPECT_NE(result.err.find("no proxy has decided anything yet; 0 take part"), std::string::npos)
@@ -215,7 +215,7 @@
     EXPECT_EQ(Ctl({"evacuate", "a", "--for", lasts}).code, 2);
 }
 
-TEST_F(ZonesToolTest, AnOrderThatTheOthersHaveNoRoomForIsRefusedUnlessForced) {
+TEST_F(ZonesToolTest, EvacuationBeyondSpareCapacityIsRejectedUnlessForced) {
   Decide(3, 8);
   for (const char* how : {"--dry-run", "--as=x"}) {
     const CommandResult refused = Ctl({"evacuate", "a", "--for", "1m", how});
@@ -239,7 +239,7 @@
   EXPECT_EQ(Order(1).kvs_size(), 0);
 }
 
-TEST_F(ZonesToolTest, OfTwoOrdersAtOnceOneIsGivenAndNoLeaseIsLeftOver) {
+TEST_F(ZonesToolTest, OfTwoOrdersAtOnceOneIsMadeAndNoLeaseIsLeftOver) {
   Decide(3, 80);
   etcd->BeforeTxn([this] {
     if (Order(0).kvs_size() == 0) etcd->Put(kPrefix + "orders/0", "somebody");
@@ -252,9 +252,9 @@
   EXPECT_NE(Ctl({"evacuate", "a", "--for", "1m"}).err.find("already, by somebody"), std::string::npos);
 }
 
-TEST_F(ZonesToolTest, HistoryGoesBackAsFarAsEtcdHasIt) {
+TEST_F(ZonesToolTest, HistoryEndsWhereEtcdIsCompacted) {
   Decide(1, 8);
-  Decide(2, 8, regions::ZoneState::kDark);
+  Decide(2, 8, regions::ZoneState::kUnavailable);
   const std::int64_t second = etcd->store().revision();
   Decide(3, 8);
   CommandResult result = Ctl({"history"});
@@ -270,12 +270,12 @@
   EXPECT_NE(result.out.find("a dark: it fails"), std::string::npos) << result.out;
 }
 
-TEST(RegionsCalls, DoWithEtcdWhatTheMemberMeans) {
+TEST(EtcdCalls, MembersCallsAreDoneByEtcdAndRepliesAreRead) {
   EtcdStore store;
   using regions::Member;
   const auto now = milliseconds(0);
   pb::LeaseGrantResponse granted;
-  auto status = store.Grant(now, ToEtcd(Member::Grant{3}), &granted);
+  auto status = store.Grant(now, ToEtcd(Member::GrantLease{3}), &granted);
   const Member::Reply lease = FromEtcd(status, granted);
   ASSERT_TRUE(lease.ok);
   const auto txn = [&](const pb::TxnRequest& request) {
@@ -295,20 +295,20 @@
   ASSERT_EQ(reply.kvs.size(), 1u);
   EXPECT_EQ(reply.kvs[0].key, "members/n1");
   EXPECT_EQ(reply.kvs[0].lease, lease.lease);
-  EXPECT_EQ(reply.kvs[0].created, reply.revision);
+  EXPECT_EQ(reply.kvs[0].create_revision, reply.revision);
   reply = txn(ToEtcd(Member::Heartbeat{lease.lease + 1, "word", false}, kPrefix, "n1"));
   EXPECT_FALSE(reply.ok);
   EXPECT_TRUE(reply.lease_gone);
 
   const Member::Reply stood = txn(ToEtcd(Member::Campaign{lease.lease}, kPrefix, "n1"));
-  EXPECT_TRUE(stood.ok && stood.held);
-  EXPECT_FALSE(txn(ToEtcd(Member::Campaign{lease.lease}, kPrefix, "n2")).held);
+  EXPECT_TRUE(stood.ok && stood.condition_held);
+  EXPECT_FALSE(txn(ToEtcd(Member::Campaign{lease.lease}, kPrefix, "n2")).condition_held);
   // Written by the decider of that term alone, and over no other decision than the one it read.
-  EXPECT_FALSE(txn(ToEtcd(Member::Propose{"d", "r", stood.revision + 7, 0}, kPrefix)).held);
-  EXPECT_FALSE(txn(ToEtcd(Member::Propose{"d", "r", stood.revision, 5}, kPrefix)).held);
+  EXPECT_FALSE(txn(ToEtcd(Member::Propose{"d", "r", stood.revision + 7, 0}, kPrefix)).condition_held);
+  EXPECT_FALSE(txn(ToEtcd(Member::Propose{"d", "r", stood.revision, 5}, kPrefix)).condition_held);
   const Member::Reply written = txn(ToEtcd(Member::Propose{"d", "r", stood.revision, 0}, kPrefix));
-  EXPECT_TRUE(written.held);
-  EXPECT_FALSE(txn(ToEtcd(Member::Propose{"e", "r", stood.revision, 0}, kPrefix)).held);
+  EXPECT_TRUE(written.condition_held);
+  EXPECT_FALSE(txn(ToEtcd(Member::Propose{"e", "r", stood.revision, 0}, kPrefix)).condition_held);
   reply = txn(ToEtcd(Member::Heartbeat{lease.lease, "word", false}, kPrefix, "n1"));
   EXPECT_EQ(reply.kvs.size(), 3u);  // its own, the decision, the decider; no roll
   EXPECT_EQ(txn(ToEtcd(Member::Heartbeat{lease.lease, "word", true}, kPrefix, "n1")).kvs.size(), 4u);
@@ -316,7 +316,7 @@
   const auto value_with = [&](std::int64_t known) {
     const auto read = txn(ToEtcd(Member::Heartbeat{lease.lease, "word", false, known}, kPrefix, "n1"));
     for (const auto& kv : read.kvs) {
-      if (kv.key == "decision") return std::to_string(kv.modified == written.revision) + kv.value;
+      if (kv.key == "decision") return std::to_string(kv.mod_revision == written.revision) + kv.value;
     }
     return std::string("none");
   };
@@ -333,7 +333,7 @@
   EXPECT_TRUE(FromEtcd(etcd::Status{}, kept).lease_gone);
 }
 
-TEST(RegionsCalls, AReportsUtilIsANumberOrNothing) {
+TEST(EtcdCalls, UtilizationIsReadOnlyIfItIsANumberFromZeroToOne) {
   EXPECT_EQ(UtilIn("inflight=7,queue=2,util=0.61"), 0.61);
   EXPECT_EQ(UtilIn("util=1"), 1.0);
   for (const char* text : {"", "util", "util=", "util=-0.1", "util=1.01", "util=nan", "util=0.5x",
@@ -341,26 +341,26 @@
     EXPECT_FALSE(UtilIn(text)) << text;
 }
 
-TEST(RegionsEvacuation, TheNearestTakeItFirstAndWhatNobodyHasRoomForIsSaid) {
+TEST(EvacuationPlan, CheapestReceiversAreFilledFirstAndTheRestIsUnplaced) {
   regions::Decision d;
   d.zones.resize(4);
   const auto set = [&](std::size_t z, double carried, double limit) {
-    d.zones[z].carried = carried;
+    d.zones[z].served = carried;
     d.zones[z].limit = limit;
     d.zones[z].demand = carried;
   };
   set(0, 10, 20), set(1, 5, 8), set(2, 5, 20), set(3, 1, 50);
-  d.zones[3].state = regions::ZoneState::kLimping;  // is no help
-  regions::Matrix round_trip(4, 2), price(4, 1);
-  price.at(0, 2) = 2;
-  const auto plan = regions::PlanEvacuation(d, round_trip, price, 500, 0);
+  d.zones[3].state = regions::ZoneState::kDegraded;  // is no help
+  regions::ZoneLinks links{regions::Matrix(4, 2), regions::Matrix(4, 1)};
+  links.transfer_price.at(0, 2) = 2;
+  const auto plan = regions::PlanEvacuation(d, links, 500, 0);
   ASSERT_EQ(plan.receivers.size(), 2u);
   EXPECT_EQ(plan.receivers[0].zone, 1u);
-  EXPECT_EQ(plan.receivers[0].would, 8);
-  EXPECT_EQ(plan.receivers[1].would, 12);
-  EXPECT_EQ(plan.unplaced, 0);
-  round_trip.at(0, 2) = 300;  // too far to be of help in time
-  EXPECT_EQ(regions::PlanEvacuation(d, round_trip, price, 500, 0).unplaced, 7);
+  EXPECT_EQ(plan.receivers[0].planned_load, 8);
+  EXPECT_EQ(plan.receivers[1].planned_load, 12);
+  EXPECT_EQ(plan.unplaced_load, 0);
+  links.round_trip_ms.at(0, 2) = 300;  // too far to be of help in time
+  EXPECT_EQ(regions::PlanEvacuation(d, links, 500, 0).unplaced_load, 7);
 }
 
 }  // namespace
