--- a/src/ctl/zones.cpp
+++ b/src/cli/zones.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "ctl/zones.h"
+#include "cli/zones.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -10,25 +10,25 @@
 #include <ostream>
 #include <random>
 
-#include "ctl/commands.h"
-#include "ctl/etcd_commands.h"
-#include "ctl/render.h"
+#include "cli/commands.h"
+#include "cli/etcd_commands.h"
+#include "cli/render.h"
 #include "etcd.pb.h"
 #include "etcd/client.h"
 #include "etcd/key_range.h"
 #include "membership/etcd_settings.h"
-#include "regions/evacuation.h"
-#include "regions/keys.h"
-#include "regions/links.h"
+#include "zone_failover/evacuation.h"
+#include "zone_failover/keys.h"
+#include "zone_failover/links.h"
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 namespace {
 
 namespace asio = boost::asio;
 namespace json = boost::json;
 namespace pb = etcdserverpb;
-using regions::Decision;
 using std::chrono::milliseconds;
+using zone_failover::Decision;
 
 constexpr milliseconds kUsual{5000};
 constexpr double kUsualAim = 500;  // ms; the tool does not know the classes
@@ -73,19 +73,20 @@
   common->orders.resize(zones);
   for (const pb::KeyValue& kv : found.kvs()) {
     const std::string key = kv.key().substr(command.regions.prefix.size());
-    if (key == regions::kDecisionKey) {
-      auto decision = regions::DecodeDecision(kv.value(), zones);
+    if (key == zone_failover::kDecisionKey) {
+      auto decision = zone_failover::DecodeDecision(kv.value(), zones);
       if (!decision)
-        co_return Failure{kSomeDidNot, "the decision can't be read: " + regions::Message(decision.error())};
+        co_return Failure{kSomeDidNot,
+                          "the decision can't be read: " + zone_failover::Message(decision.error())};
       common->decision = std::move(*decision);
       common->decided_at = kv.mod_revision();
-    } else if (key == regions::kLeaderKey) {
+    } else if (key == zone_failover::kLeaderKey) {
       common->decider = kv.value();
-    } else if (key.rfind(regions::kMembersKey, 0) == 0) {
+    } else if (key.rfind(zone_failover::kMembersKey, 0) == 0) {
       ++common->members;
     }
     for (std::size_t z = 0; z < zones; ++z) {
-      if (key == regions::OrderKey(z)) common->orders[z] = kv.value().empty() ? "nobody" : kv.value();
+      if (key == zone_failover::OrderKey(z)) common->orders[z] = kv.value().empty() ? "nobody" : kv.value();
     }
   }
   co_return Failure{};
@@ -108,7 +109,7 @@
   } catch (const std::exception& bad) {
     failure = {kUsage, bad.what()};
   }
-  if (!failure.text.empty()) err << "badgerctl: " << failure.text << '\n';
+  if (!failure.text.empty()) err << "badgerbridge-ctl: " << failure.text << '\n';
   return failure.code;
 }
 
@@ -116,7 +117,7 @@
   const auto& zones = command.regions.zones;
   const auto found = std::find(zones.begin(), zones.end(), name);
   if (found != zones.end()) return static_cast<std::size_t>(found - zones.begin());
-  err << "badgerctl: there is no zone " << name << "; [regions] names";
+  err << "badgerbridge-ctl: there is no zone " << name << "; [regions] names";
   for (const std::string& zone : zones) err << ' ' << zone;
   err << '\n';
   return std::nullopt;
@@ -140,7 +141,7 @@
   });
   if (code != kAllDid) return code;
   if (!common.decision) {
-    err << "badgerctl: no proxy has decided anything yet; " << common.members
+    err << "badgerbridge-ctl: no proxy has decided anything yet; " << common.members
         << " take part. Does their operator's file have a [regions] table?\n";
     return kSomeDidNot;
   }
@@ -154,10 +155,10 @@
     const std::string members =
         std::to_string(one.members) +
         (one.lost_members > 0 ? " and " + std::to_string(one.lost_members) + " lost" : "");
-    table.Add({command.regions.zones[z], std::string(regions::WireName(one.state)), Number(one.served),
+    table.Add({command.regions.zones[z], std::string(zone_failover::WireName(one.state)), Number(one.served),
                Number(one.limit), Number(one.demand), Number(Spill(d, z)), members, why});
     zones.push_back(json::object{{"zone", command.regions.zones[z]},
-                                 {"state", regions::WireName(one.state)},
+                                 {"state", zone_failover::WireName(one.state)},
                                  {"carried", one.served},
                                  {"limit", one.limit},
                                  {"shown", one.observed_capacity},
@@ -191,18 +192,18 @@
   Common common;
   std::int64_t written = 0;
   bool done = false, no_room = false;
-  regions::EvacuationPlan plan;
+  zone_failover::EvacuationPlan plan;
   const auto talk = [&](etcd::Client& client, milliseconds timeout) -> asio::awaitable<Failure> {
     Failure failure = co_await Read(client, command, timeout, &common);
     if (failure.code != kAllDid) co_return failure;
     if (!common.decision)
       co_return Failure{kSomeDidNot, "no proxy has decided anything yet, so nobody would follow the order"};
-    const regions::ZoneLinks links = regions::ZoneLinksFrom(command.regions);
-    plan = regions::PlanEvacuation(*common.decision, links, kUsualAim, *zone);
+    const zone_failover::ZoneLinks links = zone_failover::ZoneLinksFrom(command.regions);
+    plan = zone_failover::PlanEvacuation(*common.decision, links, kUsualAim, *zone);
     no_room = plan.unplaced_load > 1e-9;
     if (!common.orders[*zone].empty())
       co_return Failure{kConflict, "there is an order for " + name + " already, by " + common.orders[*zone] +
-                                       "; badgerctl zones return " + name + " ends it"};
+                                       "; badgerbridge-ctl zones return " + name + " ends it"};
     if (command.dry_run || (no_room && !command.force)) co_return Failure{};
     pb::LeaseGrantRequest grant;
     grant.set_ttl(lasts.count());
@@ -211,7 +212,7 @@
     if (!status.ok()) co_return Of(status);
     pb::TxnRequest txn;
     pb::Compare* compare = txn.add_compare();
-    compare->set_key(KeyOf(command, regions::OrderKey(*zone)));
+    compare->set_key(KeyOf(command, zone_failover::OrderKey(*zone)));
     compare->set_result(pb::Compare::EQUAL);
     compare->set_target(pb::Compare::CREATE);
     compare->set_create_revision(0);
@@ -263,7 +264,7 @@
   }
   if (done || (command.dry_run && !no_room)) return kAllDid;
   if (!command.dry_run)
-    err << "badgerctl: the others have no room for all of it; --force orders it all the same\n";
+    err << "badgerbridge-ctl: the others have no room for all of it; --force orders it all the same\n";
   return kSomeDidNot;
 }
 
@@ -274,7 +275,7 @@
   const int code =
       Converse(command, err, [&](etcd::Client& client, milliseconds timeout) -> asio::awaitable<Failure> {
         pb::DeleteRangeRequest request;
-        request.set_key(KeyOf(command, regions::OrderKey(*zone)));
+        request.set_key(KeyOf(command, zone_failover::OrderKey(*zone)));
         pb::DeleteRangeResponse response;
         const etcd::Status status =
             co_await client.Call("/etcdserverpb.KV/DeleteRange", request, &response, timeout);
@@ -303,7 +304,7 @@
     std::int64_t at = 0;  // the newest
     while (static_cast<int>(past.size()) < most) {
       pb::RangeRequest range;
-      range.set_key(KeyOf(command, regions::kDecisionKey));
+      range.set_key(KeyOf(command, zone_failover::kDecisionKey));
       range.set_revision(at);
       pb::RangeResponse found;
       const etcd::Status status = co_await client.Call("/etcdserverpb.KV/Range", range, &found, timeout);
@@ -313,9 +314,10 @@
       }
       if (!status.ok()) co_return Of(status);
       if (found.kvs_size() == 0) co_return Failure{};
-      auto decision = regions::DecodeDecision(found.kvs(0).value(), command.regions.zones.size());
+      auto decision = zone_failover::DecodeDecision(found.kvs(0).value(), command.regions.zones.size());
       if (!decision)
-        co_return Failure{kSomeDidNot, "a decision can't be read: " + regions::Message(decision.error())};
+        co_return Failure{kSomeDidNot,
+                          "a decision can't be read: " + zone_failover::Message(decision.error())};
       past.push_back({found.kvs(0).mod_revision(), std::move(*decision)});
       at = past.back().revision - 1;
       if (at < 1) co_return Failure{};
@@ -332,9 +334,9 @@
     for (std::size_t z = 0; z < d.zones.size(); ++z) {
       const bool known = i + 1 < past.size();
       if (known && past[i + 1].decision.zones[z].state == d.zones[z].state) continue;
-      if (!known && d.zones[z].state == regions::ZoneState::kHealthy) continue;
+      if (!known && d.zones[z].state == zone_failover::ZoneState::kHealthy) continue;
       changed += (changed.empty() ? "" : "; ") + command.regions.zones[z] + " " +
-                 std::string(regions::WireName(d.zones[z].state)) +
+                 std::string(zone_failover::WireName(d.zones[z].state)) +
                  (d.zones[z].reason.empty() ? "" : ": " + d.zones[z].reason);
     }
     table.Add({std::to_string(d.epoch), std::to_string(past[i].revision), d.leader,
@@ -351,4 +353,4 @@
   return kAllDid;
 }
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
--- a/src/lab/members.cpp
+++ b/src/simulator/members.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/members.h"
+#include "simulator/members.h"
 
 #include <utility>
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
-using namespace fordlb;
-using regions::AttemptOutcome;
-using regions::LoadReporter;
+using namespace balancer;
+using zone_failover::AttemptOutcome;
+using zone_failover::LoadReporter;
 
 namespace {
 
@@ -17,8 +17,8 @@
 
 AttemptOutcome AttemptOutcomeOf(Outcome outcome) {
   if (outcome == Outcome::kOk) return AttemptOutcome::kServed;
-  if (outcome == Outcome::kFull) return AttemptOutcome::kRejected;
-  if (outcome == Outcome::kCancelled || outcome == Outcome::kMoot) return AttemptOutcome::kCancelled;
+  if (outcome == Outcome::kRejected) return AttemptOutcome::kRejected;
+  if (outcome == Outcome::kCancelled || outcome == Outcome::kNotSent) return AttemptOutcome::kCancelled;
   return AttemptOutcome::kFailed;
 }
 
@@ -26,10 +26,10 @@
 
 struct Members::One {
   std::uint64_t incarnation = 0;
-  std::unique_ptr<regions::Member> member;  // none: its proxy is dead
-  std::unique_ptr<LoadReporter> reporter;   // of one that fails over by itself
-  std::optional<regions::Member::Call> call;
-  regions::Member::Reply reply;
+  std::unique_ptr<zone_failover::Member> member;  // none: its proxy is dead
+  std::unique_ptr<LoadReporter> reporter;         // of one that fails over by itself
+  std::optional<zone_failover::Member::Call> call;
+  zone_failover::Member::Reply reply;
   std::vector<double> last_shares, warm;
   TimePoint left_until{};
   int zone = 0;
@@ -49,31 +49,31 @@
   one.call.reset();
   one.last_shares.clear();
   const auto zones = static_cast<std::size_t>(model_.zones);
-  regions::MemberSettings settings;
+  zone_failover::MemberSettings settings;
   settings.name = "n" + std::to_string(proxy);
   settings.zone = one.zone;
   settings.request_classes = model_.classes.size();
   settings.coordinated = model_.decision.decide == RegionsModel::Decide::kTogether;
   settings.failover.zones = zones;
-  settings.failover.round_trip_ms = regions::Matrix(zones);
-  settings.failover.transfer_price = regions::Matrix(zones);
+  settings.failover.round_trip_ms = zone_failover::Matrix(zones);
+  settings.failover.transfer_price = zone_failover::Matrix(zones);
   for (const ClassModel& c : model_.classes)
     settings.failover.latency_objective_ms =
-        std::min(settings.failover.latency_objective_ms, c.rules.aim.count());
+        std::min(settings.failover.latency_objective_ms, c.rules.latency_objective.count());
   for (std::size_t o = 0; o < zones; ++o) {
     for (std::size_t r = 0; r < zones; ++r) {
       const bool far = model_.RegionOf(static_cast<int>(o)) != model_.RegionOf(static_cast<int>(r));
       settings.failover.round_trip_ms.at(o, r) =
           2 * (model_.network.latency.Mean() + (far ? model_.far.count() : 0));
       settings.failover.transfer_price.at(o, r) = o == r ? 0
-                                                  : far  ? 2 * model_.price_cross_zone
-                                                         : model_.price_cross_zone;
+                                                  : far  ? 2 * model_.cross_zone_cost
+                                                         : model_.cross_zone_cost;
     }
   }
   if (model_.decision.decide == RegionsModel::Decide::kCliff) {
     one.reporter = std::make_unique<LoadReporter>(one.zone, zones, model_.classes.size());
   }
-  one.member = std::make_unique<regions::Member>(settings, seed_ * 7919 + proxy * 31 + one.incarnation);
+  one.member = std::make_unique<zone_failover::Member>(settings, seed_ * 7919 + proxy * 31 + one.incarnation);
   if (!one.warm.empty()) one.member->UpdateWarmBackends(one.warm);
   queue_.At(now, this, kAsk, proxy, one.incarnation);
 }
@@ -84,14 +84,15 @@
   all_[proxy]->reporter.reset();
 }
 
-const regions::Member* Members::member(std::size_t proxy) const { return all_[proxy]->member.get(); }
+const zone_failover::Member* Members::member(std::size_t proxy) const { return all_[proxy]->member.get(); }
 
 void Members::On(TimePoint now, std::uint32_t what, std::uint64_t proxy, std::uint64_t incarnation) {
   One& one = *all_[proxy];
   // What a dead one has sent still arrives.
   if (what == kReach) {
     if (!one.call || one.incarnation != incarnation) return;
-    one.reply = down_ ? regions::Member::Reply{} : etcd_.Do(now, "n" + std::to_string(proxy), *one.call);
+    one.reply =
+        down_ ? zone_failover::Member::Reply{} : etcd_.Do(now, "n" + std::to_string(proxy), *one.call);
     const Duration back = down_ ? Duration(500) : Duration(model_.decision.etcd.Draw(random_));
     return queue_.At(now + back, this, kReply, proxy, incarnation);
   }
@@ -131,12 +132,12 @@
 // The usual way of a proxy by itself: all of its own zone, or none of it.
 std::vector<double> Members::Cliff(TimePoint now, One& one) {
   const auto home = static_cast<std::size_t>(one.zone);
-  const regions::ZoneLoad load = one.reporter->BuildReport(now, 0).zones[home];
+  const zone_failover::ZoneLoad load = one.reporter->BuildReport(now, 0).zones[home];
   if (load.attempts >= 5 && (load.failures > kCliffBad * load.attempts || load.latency_ratio > kCliffSlow))
     one.left_until = now + kCliffFor;
   const bool left = now < one.left_until;
-  std::vector<double> shares(static_cast<std::size_t>(model_.zones), left ? regions::kUnlimited : 0);
-  shares[home] = left ? 0 : regions::kUnlimited;
+  std::vector<double> shares(static_cast<std::size_t>(model_.zones), left ? zone_failover::kUnlimited : 0);
+  shares[home] = left ? 0 : zone_failover::kUnlimited;
   return shares;
 }
 
@@ -153,7 +154,7 @@
 void Members::Ended(TimePoint now, std::size_t proxy, std::uint64_t attempt, int request_class,
                     Outcome outcome, Duration took, double work, double used) {
   One& one = *all_[proxy];
-  regions::AttemptResult result;
+  zone_failover::AttemptResult result;
   result.request_class = static_cast<std::size_t>(request_class);
   result.outcome = AttemptOutcomeOf(outcome);
   result.latency = took;
@@ -168,4 +169,4 @@
   if (all_[proxy]->member) all_[proxy]->member->UpdateWarmBackends(all_[proxy]->warm);
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/regions/admission.cpp
+++ b/src/zone_failover/admission.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/admission.h"
+#include "zone_failover/admission.h"
 
 #include <algorithm>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 constexpr Duration kStartUp{1500};   // of a whole installation
@@ -63,4 +63,4 @@
   if (HasUncountedMembers(snapshot, previous)) counted_epoch_ = next.epoch;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/admission.h
+++ b/src/zone_failover/admission.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
 /// Which members a decision counts, and from when on they may use grants. Pure.
-#ifndef BADGERBRIDGE_REGIONS_ADMISSION_H_
-#define BADGERBRIDGE_REGIONS_ADMISSION_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_ADMISSION_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_ADMISSION_H_
 
 #include <cstdint>
 
-#include "regions/member_tracker.h"
+#include "zone_failover/member_tracker.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// Admits members in two steps: a decision counts them first, and a later one lets them use grants, once all
 /// members have confirmed an epoch that counts them. Names that were counted before are readmitted at once.
@@ -40,6 +40,6 @@
   std::uint64_t counted_epoch_ = 0;  // the first with the record's counted_revision
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_ADMISSION_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_ADMISSION_H_
--- a/src/regions/capacity_estimator.cpp
+++ b/src/zone_failover/capacity_estimator.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/capacity_estimator.h"
+#include "zone_failover/capacity_estimator.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 constexpr double kMinWarmBackends = 0.5;  // below, the capacity of one backend is not learnt
@@ -61,4 +61,4 @@
   return capacity_per_backend_ > 0 && warm_backends_ < kMaxLeftShare * max_warm_backends_;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/capacity_estimator.h
+++ b/src/zone_failover/capacity_estimator.h
@@ -2,12 +2,12 @@
 /// @file
 /// Estimates how much work a zone can serve, from what it has served and how busy its backends report to be.
 /// Pure.
-#ifndef BADGERBRIDGE_REGIONS_CAPACITY_ESTIMATOR_H_
-#define BADGERBRIDGE_REGIONS_CAPACITY_ESTIMATOR_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_CAPACITY_ESTIMATOR_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_CAPACITY_ESTIMATOR_H_
 
-#include "regions/zone_observer.h"
+#include "zone_failover/zone_observer.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// How far beyond its observed capacity a zone may be sent where its backends report no utilization.
 constexpr double kGrowthHeadroom = 1.25;
@@ -49,6 +49,6 @@
   double max_warm_backends_ = 0;
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_CAPACITY_ESTIMATOR_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_CAPACITY_ESTIMATOR_H_
--- a/src/regions/decision.cpp
+++ b/src/zone_failover/decision.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/decision.h"
+#include "zone_failover/decision.h"
 
 #include <algorithm>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 Matrix GrantsPerMember(const Decision& decision) {
   Matrix grants = decision.grants;
@@ -16,4 +16,4 @@
   return grants;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/decision.h
+++ b/src/zone_failover/decision.h
@@ -4,8 +4,8 @@
 /// may send there. A record with an epoch under one key of etcd, changed by compare-and-swap alone. Pure.
 ///
 /// Units as in load_report.h: work a ms. "Origin" is the zone of a member, "receiver" the zone it sends to.
-#ifndef BADGERBRIDGE_REGIONS_DECISION_H_
-#define BADGERBRIDGE_REGIONS_DECISION_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_DECISION_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_DECISION_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -13,10 +13,10 @@
 #include <string_view>
 #include <vector>
 
-#include "regions/error.h"
-#include "regions/matrix.h"
+#include "zone_failover/error.h"
+#include "zone_failover/matrix.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// Upper bound of the text of a decision and of a roster.
 constexpr std::size_t kMaxDecisionBytes = 1 << 18;
@@ -101,6 +101,6 @@
 /// Reads the roster of the decision of `epoch`; an error for one of another epoch.
 Result<std::vector<RosterEntry>> DecodeRoster(std::string_view text, std::size_t zones, std::uint64_t epoch);
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_DECISION_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_DECISION_H_
--- a/src/regions/decision_codec.cpp
+++ b/src/zone_failover/decision_codec.cpp
@@ -13,10 +13,10 @@
 #include <cmath>
 #include <optional>
 
-#include "regions/decision.h"
-#include "regions/json_fields.h"
+#include "zone_failover/decision.h"
+#include "zone_failover/json_fields.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 namespace json = boost::json;
@@ -258,4 +258,4 @@
   return roster;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/decision_comparison.cpp
+++ b/src/zone_failover/decision_comparison.cpp
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/decision_comparison.h"
+#include "zone_failover/decision_comparison.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "regions/zone_state_machine.h"
+#include "zone_failover/zone_state_machine.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
-using fordlb::Duration;
+using balancer::Duration;
 
 constexpr Duration kMinInterval{150};
 constexpr Duration kMaxSmallChangeDelay{2000};
@@ -90,4 +90,4 @@
   return false;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/demand_tracker.cpp
+++ b/src/zone_failover/demand_tracker.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/demand_tracker.h"
+#include "zone_failover/demand_tracker.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 constexpr double kPeakHalfLifeMs = 5000;
@@ -40,4 +40,4 @@
   return demand;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/demand_tracker.h
+++ b/src/zone_failover/demand_tracker.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
 /// How much work clients ask of each zone's members, also while members are lost. Pure.
-#ifndef BADGERBRIDGE_REGIONS_DEMAND_TRACKER_H_
-#define BADGERBRIDGE_REGIONS_DEMAND_TRACKER_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_DEMAND_TRACKER_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_DEMAND_TRACKER_H_
 
 #include <vector>
 
-#include "regions/member_tracker.h"
+#include "zone_failover/member_tracker.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// Demand by zone, in work a ms.
 class DemandTracker {
@@ -31,6 +31,6 @@
   std::vector<double> peak_;
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_DEMAND_TRACKER_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_DEMAND_TRACKER_H_
--- a/src/regions/epoch_history.cpp
+++ b/src/zone_failover/epoch_history.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/epoch_history.h"
+#include "zone_failover/epoch_history.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 constexpr std::size_t kMaxEpochs = 64;  // kept apart: a member that never confirms must not make it grow
@@ -108,4 +108,4 @@
   return least;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/epoch_history.h
+++ b/src/zone_failover/epoch_history.h
@@ -2,17 +2,17 @@
 /// @file
 /// The epochs that may still be in force: what each grants one member, kept apart as long as any member may
 /// act on it. Pure.
-#ifndef BADGERBRIDGE_REGIONS_EPOCH_HISTORY_H_
-#define BADGERBRIDGE_REGIONS_EPOCH_HISTORY_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_EPOCH_HISTORY_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_EPOCH_HISTORY_H_
 
 #include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <vector>
 
-#include "regions/decision.h"
+#include "zone_failover/decision.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// Stands for the epoch of a member that may act on no grant yet.
 constexpr std::uint64_t kNoEpoch = UINT64_MAX;
@@ -81,6 +81,6 @@
   std::vector<Matrix> max_since_;  // by epoch: the most that any epoch from this one on grants one member
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_EPOCH_HISTORY_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_EPOCH_HISTORY_H_
--- a/src/regions/error.cpp
+++ b/src/zone_failover/error.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/error.h"
+#include "zone_failover/error.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 using Kind = ZoneFailoverError::Kind;
@@ -62,4 +62,4 @@
   return "not known";
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/error.h
+++ b/src/zone_failover/error.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
 /// Errors of the decoders of records that members read from etcd.
-#ifndef BADGERBRIDGE_REGIONS_ERROR_H_
-#define BADGERBRIDGE_REGIONS_ERROR_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_ERROR_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_ERROR_H_
 
 #include <boost/system/result.hpp>
 #include <stdexcept>
 #include <string>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// Why a record from etcd was not accepted.
 struct ZoneFailoverError {
@@ -53,6 +53,6 @@
   throw std::runtime_error(Message(error));
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_ERROR_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_ERROR_H_
--- a/src/regions/evacuation.cpp
+++ b/src/zone_failover/evacuation.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/evacuation.h"
+#include "zone_failover/evacuation.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 EvacuationPlan PlanEvacuation(const Decision& decision, const ZoneLinks& links, double latency_objective_ms,
                               std::size_t zone) {
@@ -32,4 +32,4 @@
   return plan;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/evacuation.h
+++ b/src/zone_failover/evacuation.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
 /// What an operator's order to evacuate a zone would do, computed from the decision in force. Pure.
-#ifndef BADGERBRIDGE_REGIONS_EVACUATION_H_
-#define BADGERBRIDGE_REGIONS_EVACUATION_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_EVACUATION_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_EVACUATION_H_
 
 #include <cstddef>
 #include <vector>
 
-#include "regions/decision.h"
-#include "regions/links.h"
+#include "zone_failover/decision.h"
+#include "zone_failover/links.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// The result of planning an evacuation; loads in work a ms.
 struct EvacuationPlan {
@@ -32,6 +32,6 @@
 EvacuationPlan PlanEvacuation(const Decision& decision, const ZoneLinks& links, double latency_objective_ms,
                               std::size_t zone);
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_EVACUATION_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_EVACUATION_H_
--- a/src/regions/failover_leader.cpp
+++ b/src/zone_failover/failover_leader.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/failover_leader.h"
+#include "zone_failover/failover_leader.h"
 
 #include <algorithm>
 #include <numeric>
 #include <utility>
 
-#include "regions/decision_comparison.h"
+#include "zone_failover/decision_comparison.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 // Beyond every epoch that any member has acted on: a record from a backup may be older.
@@ -133,4 +133,4 @@
   return next;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/failover_leader.h
+++ b/src/zone_failover/failover_leader.h
@@ -1,30 +1,30 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
 /// What the member that holds the leader's lease makes of all members' load reports: the next decision, or
-/// none. Pure; docs/regions.md has the reasons.
+/// none. Pure; docs/zone_failover.md has the reasons.
 ///
 /// The invariant, whichever epoch each member acts on, whether it is out of contact, stopped or dead: what
 /// all members in total may send to a zone, beside what the clients of a healthy zone ask of its own members,
 /// stays within that zone's limit. So a grant grows only into capacity that no member may still use: each
 /// counts with the most that any epoch gives it from the one that it has confirmed on, and one that vanished
 /// until its time has run out.
-#ifndef BADGERBRIDGE_REGIONS_FAILOVER_LEADER_H_
-#define BADGERBRIDGE_REGIONS_FAILOVER_LEADER_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_FAILOVER_LEADER_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_FAILOVER_LEADER_H_
 
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "regions/admission.h"
-#include "regions/demand_tracker.h"
-#include "regions/epoch_history.h"
-#include "regions/grant_allocator.h"
-#include "regions/member_tracker.h"
-#include "regions/snapshot.h"
-#include "regions/zone_observer.h"
-#include "regions/zone_state_machine.h"
+#include "zone_failover/admission.h"
+#include "zone_failover/demand_tracker.h"
+#include "zone_failover/epoch_history.h"
+#include "zone_failover/grant_allocator.h"
+#include "zone_failover/member_tracker.h"
+#include "zone_failover/snapshot.h"
+#include "zone_failover/zone_observer.h"
+#include "zone_failover/zone_state_machine.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// Makes decisions, one term after the other. Its parts own their state; here is the order in which they
 /// work.
@@ -68,6 +68,6 @@
   TimePoint observed_at_{};  // TimePoint{}: not in this term
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_FAILOVER_LEADER_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_FAILOVER_LEADER_H_
--- a/src/regions/grant_allocator.cpp
+++ b/src/zone_failover/grant_allocator.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/grant_allocator.h"
+#include "zone_failover/grant_allocator.h"
 
 #include <algorithm>
 #include <numeric>
 #include <utility>
 
-#include "regions/grant_limiter.h"
+#include "zone_failover/grant_limiter.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 constexpr double kOptionalShare = 0.9;      // of the spare capacity that is left: the rest stays for standby
@@ -179,4 +179,4 @@
   }
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/grant_allocator.h
+++ b/src/zone_failover/grant_allocator.h
@@ -2,18 +2,18 @@
 /// @file
 /// What members of each origin may send to each receiver: grants and standby that follow from demand, the
 /// zones' states and limits, and what members may still act on. Pure.
-#ifndef BADGERBRIDGE_REGIONS_GRANT_ALLOCATOR_H_
-#define BADGERBRIDGE_REGIONS_GRANT_ALLOCATOR_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_GRANT_ALLOCATOR_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_GRANT_ALLOCATOR_H_
 
 #include <cstddef>
 #include <vector>
 
-#include "regions/epoch_history.h"
-#include "regions/member_tracker.h"
-#include "regions/zone_observer.h"
-#include "regions/zone_state_machine.h"
+#include "zone_failover/epoch_history.h"
+#include "zone_failover/member_tracker.h"
+#include "zone_failover/zone_observer.h"
+#include "zone_failover/zone_state_machine.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// Demand by zone, in work a ms.
 struct ZoneDemand {
@@ -62,6 +62,6 @@
   std::vector<std::vector<std::size_t>> receivers_;  // by origin, the cheapest and then the nearest first
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_GRANT_ALLOCATOR_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_GRANT_ALLOCATOR_H_
--- a/src/regions/grant_limiter.cpp
+++ b/src/zone_failover/grant_limiter.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/grant_limiter.h"
+#include "zone_failover/grant_limiter.h"
 
 #include <algorithm>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 constexpr int kBisections = 30;
@@ -133,4 +133,4 @@
   return ReceiverGrants(demand, members, holders, bounds).Limited();
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/grant_limiter.h
+++ b/src/zone_failover/grant_limiter.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
 /// Limits wanted grants so that no mix of old and new epochs overloads a receiver. Pure.
-#ifndef BADGERBRIDGE_REGIONS_GRANT_LIMITER_H_
-#define BADGERBRIDGE_REGIONS_GRANT_LIMITER_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_GRANT_LIMITER_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_GRANT_LIMITER_H_
 
 #include <cstddef>
 #include <vector>
 
-#include "regions/epoch_history.h"
+#include "zone_failover/epoch_history.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// What is wanted of one receiver, and what bounds it; work a ms.
 struct ReceiverDemand {
@@ -25,6 +25,6 @@
 std::vector<double> LimitGrants(const ReceiverDemand& demand, const std::vector<int>& members,
                                 const std::vector<GrantHolders>& holders, const GrantBounds& bounds);
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_GRANT_LIMITER_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_GRANT_LIMITER_H_
--- a/src/regions/json_fields.cpp
+++ b/src/zone_failover/json_fields.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/json_fields.h"
+#include "zone_failover/json_fields.h"
 
 #include <utility>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 namespace json = boost::json;
@@ -31,4 +31,4 @@
   return std::move(root.get_object());
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/json_fields.h
+++ b/src/zone_failover/json_fields.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
 /// What the codecs of this package share: parsing a record and making errors of its fields.
-#ifndef BADGERBRIDGE_REGIONS_JSON_FIELDS_H_
-#define BADGERBRIDGE_REGIONS_JSON_FIELDS_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_JSON_FIELDS_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_JSON_FIELDS_H_
 
 #include <boost/json.hpp>
 #include <string>
 #include <string_view>
 
-#include "regions/error.h"
+#include "zone_failover/error.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// Largest epoch and revision that is accepted: below it a double holds each whole number.
 constexpr double kMaxRevision = 9e15;
@@ -22,6 +22,6 @@
 Result<boost::json::object> ParseRecord(ZoneFailoverError::Record record, std::string_view text,
                                         std::size_t max_bytes);
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_JSON_FIELDS_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_JSON_FIELDS_H_
--- a/src/regions/keys.h
+++ b/src/zone_failover/keys.h
@@ -3,13 +3,13 @@
 /// The keys of zone failover in etcd, below the prefix that the operator's file names. Members of different
 /// releases share them, so their text stays as it is. The same holds for the fields of the values, which are
 /// in decision_codec.cpp and load_report.cpp.
-#ifndef BADGERBRIDGE_REGIONS_KEYS_H_
-#define BADGERBRIDGE_REGIONS_KEYS_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_KEYS_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_KEYS_H_
 
 #include <cstddef>
 #include <string>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 constexpr char kMembersKey[] = "members/";   ///< and a member's name: its LoadReport, under its lease
 constexpr char kLeaderKey[] = "decider";     ///< the leader's name, under its lease
@@ -23,6 +23,6 @@
 /// Key of the order to evacuate a zone.
 inline std::string OrderKey(std::size_t zone) { return kOrdersKey + std::to_string(zone); }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_KEYS_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_KEYS_H_
--- a/src/regions/links.h
+++ b/src/zone_failover/links.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
 /// Round trips and transfer prices between zones, from a table that lists those that differ from the default.
-/// Pure: the table is any type that has these members (operator_file::Regions), so that this package needs no
-/// file.
-#ifndef BADGERBRIDGE_REGIONS_LINKS_H_
-#define BADGERBRIDGE_REGIONS_LINKS_H_
+/// Pure: the table is any type that has these members (operator_config::Regions), so that this package needs
+/// no file.
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_LINKS_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_LINKS_H_
 
 #include <algorithm>
 #include <cstddef>
 
-#include "regions/matrix.h"
+#include "zone_failover/matrix.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// What it takes to send from one zone to another, both ways alike.
 struct ZoneLinks {
@@ -48,6 +48,6 @@
   return links;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_LINKS_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_LINKS_H_
--- a/src/regions/load_report.cpp
+++ b/src/zone_failover/load_report.cpp
@@ -2,16 +2,16 @@
 /// @file
 /// Codec of load reports: the JSON fields here are stored in etcd and shared with other releases, so their
 /// names stay (`doubt` is LoadReport::suspects_itself).
-#include "regions/load_report.h"
+#include "zone_failover/load_report.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
 #include <cmath>
 #include <optional>
 
-#include "regions/json_fields.h"
+#include "zone_failover/json_fields.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 namespace json = boost::json;
@@ -124,4 +124,4 @@
   return report;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/load_report.h
+++ b/src/zone_failover/load_report.h
@@ -4,8 +4,8 @@
 /// reports of other members come in as text that may be anything.
 ///
 /// Units: work is in ms on a standard core, as clients hint it; rates are work a ms, so standard cores.
-#ifndef BADGERBRIDGE_REGIONS_LOAD_REPORT_H_
-#define BADGERBRIDGE_REGIONS_LOAD_REPORT_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_LOAD_REPORT_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_LOAD_REPORT_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -13,13 +13,13 @@
 #include <string_view>
 #include <vector>
 
-#include "fordlb/balancer.h"
-#include "regions/error.h"
+#include "badgerbridge/balancer.h"
+#include "zone_failover/error.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
-using fordlb::Duration;
-using fordlb::TimePoint;
+using balancer::Duration;
+using balancer::TimePoint;
 
 /// Upper bound of a load report's text, which has 64 zones at most.
 constexpr std::size_t kMaxLoadReportBytes = 8192;
@@ -60,6 +60,6 @@
 /// of the result are finite and bounded.
 Result<LoadReport> DecodeLoadReport(std::string_view text, std::size_t zones);
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_LOAD_REPORT_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_LOAD_REPORT_H_
--- a/src/regions/load_reporter.cpp
+++ b/src/zone_failover/load_reporter.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/load_reporter.h"
+#include "zone_failover/load_reporter.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 constexpr double kMaxLatencyRatio = 1000;  // of one answer
@@ -204,4 +204,4 @@
   return report;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/load_reporter.h
+++ b/src/zone_failover/load_reporter.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
 /// Measures what one proxy sends to each zone and how that ends, and makes its load reports of it. Pure.
-#ifndef BADGERBRIDGE_REGIONS_LOAD_REPORTER_H_
-#define BADGERBRIDGE_REGIONS_LOAD_REPORTER_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_LOAD_REPORTER_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_LOAD_REPORTER_H_
 
 #include <array>
 #include <cstddef>
@@ -12,9 +12,9 @@
 #include <utility>
 #include <vector>
 
-#include "regions/load_report.h"
+#include "zone_failover/load_report.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// How an attempt ended, as far as it tells of its zone.
 enum class AttemptOutcome {
@@ -105,6 +105,6 @@
   std::vector<double> warm_backends_;                    // by zone
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_LOAD_REPORTER_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_LOAD_REPORTER_H_
--- a/src/regions/matrix.h
+++ b/src/zone_failover/matrix.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
 /// A square table of numbers by origin zone and receiver zone, and what a grant's number means.
-#ifndef BADGERBRIDGE_REGIONS_MATRIX_H_
-#define BADGERBRIDGE_REGIONS_MATRIX_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_MATRIX_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_MATRIX_H_
 
 #include <algorithm>
 #include <cstddef>
 #include <vector>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// A grant without a limit: what a healthy zone gives its own members.
 constexpr double kUnlimited = -1;
@@ -40,6 +40,6 @@
   return left == kUnlimited || right == kUnlimited ? kUnlimited : std::max(left, right);
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_MATRIX_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_MATRIX_H_
--- a/src/regions/member.cpp
+++ b/src/zone_failover/member.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/member.h"
+#include "zone_failover/member.h"
 
 #include <algorithm>
 #include <iterator>
 
-#include "regions/keys.h"
+#include "zone_failover/keys.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 constexpr double kRenewAfter = 1.0 / 3;     // of the lease
@@ -258,4 +258,4 @@
   if (auto next = failover_leader_.NextDecision(now, snapshot, settings_.name)) decision_ = std::move(next);
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/member.h
+++ b/src/zone_failover/member.h
@@ -11,8 +11,8 @@
 ///
 /// One call does most of it: a transaction puts the report and reads the decision, the leader and the orders,
 /// and for the leader all reports, as of one revision. The read is linearizable, so it can't be stale.
-#ifndef BADGERBRIDGE_REGIONS_MEMBER_H_
-#define BADGERBRIDGE_REGIONS_MEMBER_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_MEMBER_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_MEMBER_H_
 
 #include <cstdint>
 #include <optional>
@@ -22,10 +22,10 @@
 #include <variant>
 #include <vector>
 
-#include "regions/failover_leader.h"
-#include "regions/load_reporter.h"
+#include "zone_failover/failover_leader.h"
+#include "zone_failover/load_reporter.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// Settings of one member.
 struct MemberSettings {
@@ -207,6 +207,6 @@
   LoadReport last_report_;
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_MEMBER_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_MEMBER_H_
--- a/src/regions/member_quotas.cpp
+++ b/src/zone_failover/member_quotas.cpp
@@ -3,9 +3,9 @@
 /// How much a member may send to each zone: by its grants while it is in contact, and by standby after that.
 #include <algorithm>
 
-#include "regions/member.h"
+#include "zone_failover/member.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 constexpr double kMinAttemptsToJudge = 3;  // in a second
@@ -69,4 +69,4 @@
   return quotas;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/member_tracker.cpp
+++ b/src/zone_failover/member_tracker.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/member_tracker.h"
+#include "zone_failover/member_tracker.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 void AddHolder(const GrantHolders& holder, std::vector<GrantHolders>* groups) {
@@ -179,4 +179,4 @@
   return roster;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/member_tracker.h
+++ b/src/zone_failover/member_tracker.h
@@ -2,18 +2,18 @@
 /// @file
 /// The leader's account of members: which are present, which have vanished, and which epochs each may act on.
 /// Pure.
-#ifndef BADGERBRIDGE_REGIONS_MEMBER_TRACKER_H_
-#define BADGERBRIDGE_REGIONS_MEMBER_TRACKER_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_MEMBER_TRACKER_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_MEMBER_TRACKER_H_
 
 #include <cstdint>
 #include <map>
 #include <string>
 #include <vector>
 
-#include "regions/epoch_history.h"
-#include "regions/snapshot.h"
+#include "zone_failover/epoch_history.h"
+#include "zone_failover/snapshot.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// A member that has vanished and may still act on what it was granted.
 struct LostMember {
@@ -81,6 +81,6 @@
   std::vector<LostMember> lost_members_;
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_MEMBER_TRACKER_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_MEMBER_TRACKER_H_
--- a/src/regions/snapshot.h
+++ b/src/zone_failover/snapshot.h
@@ -2,8 +2,8 @@
 /// @file
 /// What the leader of zone failover decides from: its settings, and all keys of zone failover at one
 /// revision.
-#ifndef BADGERBRIDGE_REGIONS_SNAPSHOT_H_
-#define BADGERBRIDGE_REGIONS_SNAPSHOT_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_SNAPSHOT_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_SNAPSHOT_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "regions/decision.h"
-#include "regions/load_report.h"
+#include "zone_failover/decision.h"
+#include "zone_failover/load_report.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// Settings of zone failover; alike for all members of an installation.
 struct FailoverSettings {
@@ -56,6 +56,6 @@
   std::vector<std::string> evacuated_by;
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_SNAPSHOT_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_SNAPSHOT_H_
--- a/src/regions/zone_observer.cpp
+++ b/src/zone_failover/zone_observer.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/zone_observer.h"
+#include "zone_failover/zone_observer.h"
 
 #include <algorithm>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 constexpr double kMinFailingShare = 0.5;         // of attempts: above, a zone fails
@@ -115,4 +115,4 @@
   return observations;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/zone_observer.h
+++ b/src/zone_failover/zone_observer.h
@@ -2,16 +2,16 @@
 /// @file
 /// What all members' load reports together say of each zone, and a circuit breaker for each pair of zones.
 /// Pure.
-#ifndef BADGERBRIDGE_REGIONS_ZONE_OBSERVER_H_
-#define BADGERBRIDGE_REGIONS_ZONE_OBSERVER_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_ZONE_OBSERVER_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_ZONE_OBSERVER_H_
 
 #include <cstddef>
 #include <string>
 #include <vector>
 
-#include "regions/snapshot.h"
+#include "zone_failover/snapshot.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// Attempts in a second that an origin needs for its members' reports of a zone to count.
 constexpr double kMinAttempts = 5;
@@ -89,6 +89,6 @@
   std::vector<std::vector<Circuit>> circuits_;  // by origin and receiver
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_ZONE_OBSERVER_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_ZONE_OBSERVER_H_
--- a/src/regions/zone_state_machine.cpp
+++ b/src/zone_failover/zone_state_machine.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/zone_state_machine.h"
+#include "zone_failover/zone_state_machine.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 constexpr double kMaxQuickRatio = 1.7;   // of members' baselines: below, a zone is quick
@@ -234,4 +234,4 @@
   return warm_backends > 0 ? kInitialDemandShare * demand / warm_backends : 0;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/zone_state_machine.h
+++ b/src/zone_failover/zone_state_machine.h
@@ -7,17 +7,17 @@
 ///   kRecovering ──fails──► kUnavailable      kRecovering ──slow──► kDegraded      kDegraded ──fails──►
 ///   kUnavailable any ──ordered──► kEvacuated ──order ended──► kRecovering any but kEvacuated ──its backends
 ///   have left──► kHealthy
-#ifndef BADGERBRIDGE_REGIONS_ZONE_STATE_MACHINE_H_
-#define BADGERBRIDGE_REGIONS_ZONE_STATE_MACHINE_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_ZONE_STATE_MACHINE_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_ZONE_STATE_MACHINE_H_
 
 #include <string>
 #include <vector>
 
-#include "regions/capacity_estimator.h"
-#include "regions/decision.h"
-#include "regions/zone_observer.h"
+#include "zone_failover/capacity_estimator.h"
+#include "zone_failover/decision.h"
+#include "zone_failover/zone_observer.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 /// Share of its observed capacity that a failing zone is given as trial requests.
 constexpr double kTrialShare = 0.02;
@@ -114,6 +114,6 @@
   std::vector<ZoneStateMachine> zones_;
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_ZONE_STATE_MACHINE_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_ZONE_STATE_MACHINE_H_
--- a/tests/regions/decision_test.cpp
+++ b/tests/zone_failover/decision_test.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The codecs of decisions and rosters.
-#include "regions/decision.h"
+#include "zone_failover/decision.h"
 
 #include <gtest/gtest.h>
 
 #include <string>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 TEST(Decision, EncodedDecisionIsDecodedUnchangedAndMalformedTextIsAnError) {
@@ -56,4 +56,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/tests/regions/epoch_history_test.cpp
+++ b/tests/zone_failover/epoch_history_test.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What members may still act on, over several epochs; and how far grants may grow beside it.
-#include "regions/epoch_history.h"
+#include "zone_failover/epoch_history.h"
 
 #include <gtest/gtest.h>
 
-#include "regions/grant_limiter.h"
+#include "zone_failover/grant_limiter.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 // Two zones; two members of zone 0 share what it may send to zone 1.
@@ -72,4 +72,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/tests/regions/error_test.cpp
+++ b/tests/zone_failover/error_test.cpp
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Errors of the decoders: what was wrong, where, and the value that was wrong.
-#include "regions/error.h"
+#include "zone_failover/error.h"
 
 #include <gtest/gtest.h>
 
 #include <stdexcept>
 #include <string>
 
-#include "regions/decision.h"
-#include "regions/load_report.h"
+#include "zone_failover/decision.h"
+#include "zone_failover/load_report.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 using Kind = ZoneFailoverError::Kind;
@@ -93,4 +93,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/tests/regions/failover_leader_test.cpp
+++ b/tests/zone_failover/failover_leader_test.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The leader by itself, over snapshots made by hand: what many members seldom bring about.
-#include "regions/failover_leader.h"
+#include "zone_failover/failover_leader.h"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <memory>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 TimePoint At(double ms) { return TimePoint(Duration(1e6 + ms)); }
@@ -131,4 +131,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/tests/regions/installation.cpp
+++ b/tests/zone_failover/installation.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/installation.h"
+#include "zone_failover/installation.h"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 constexpr double kStepMs = 10;
@@ -186,7 +186,7 @@
   Total total;
   for (const SimulatedMember& one : members_) {
     // One that is stopped sends nothing, and may go on at any moment by the quotas of that moment. One that
-    // knows of no decision yet is left out (docs/regions.md).
+    // knows of no decision yet is left out (docs/zone_failover.md).
     if (one.dead || !one.member->decision()) continue;
     const double quota = one.member->ZoneQuotas(ClockOf(one))[receiver];
     if (quota == kUnlimited) {
@@ -242,4 +242,4 @@
   return text;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/tests/regions/installation.h
+++ b/tests/zone_failover/installation.h
@@ -2,8 +2,8 @@
 //
 // Many members over one etcd in virtual time, with faults of every sort. At each step the total that all
 // members may send is checked against each zone's limit.
-#ifndef BADGERBRIDGE_TESTS_REGIONS_INSTALLATION_H_
-#define BADGERBRIDGE_TESTS_REGIONS_INSTALLATION_H_
+#ifndef BADGERBRIDGE_TESTS_ZONE_FAILOVER_INSTALLATION_H_
+#define BADGERBRIDGE_TESTS_ZONE_FAILOVER_INSTALLATION_H_
 
 #include <deque>
 #include <memory>
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/etcd.h"
-#include "regions/member.h"
+#include "simulator/etcd.h"
+#include "zone_failover/member.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 // Zones of the installation.
 constexpr std::size_t kZones = 4;
@@ -95,8 +95,8 @@
   FailoverSettings settings_;
   std::vector<SimulatedMember> members_;
   std::vector<SimulatedZone> zones_;
-  lab::EtcdModel etcd_;
-  std::optional<lab::EtcdModel> backup_;
+  simulator::EtcdModel etcd_;
+  std::optional<simulator::EtcdModel> backup_;
   bool etcd_is_down_ = false;
   double now_ = 0;  // ms
   std::int64_t decision_revision_ = 0;
@@ -104,6 +104,6 @@
   double max_limit_use_ = 0;
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_TESTS_REGIONS_INSTALLATION_H_
+#endif  // BADGERBRIDGE_TESTS_ZONE_FAILOVER_INSTALLATION_H_
--- a/tests/regions/load_report_test.cpp
+++ b/tests/zone_failover/load_report_test.cpp
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Load reports: their codec, and what is measured for them.
-#include "regions/load_report.h"
+#include "zone_failover/load_report.h"
 
 #include <gtest/gtest.h>
 
 #include <limits>
 #include <string>
 
-#include "regions/load_reporter.h"
+#include "zone_failover/load_reporter.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 TimePoint At(double ms) { return TimePoint(Duration(1e6 + ms)); }
@@ -80,4 +80,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/tests/regions/member_test.cpp
+++ b/tests/zone_failover/member_test.cpp
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A few members over an etcd, step by step: who leads, who is admitted, and what holds out of contact.
-#include "regions/member.h"
+#include "zone_failover/member.h"
 
 #include <gtest/gtest.h>
 
 #include <memory>
 
-#include "lab/etcd.h"
+#include "simulator/etcd.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 TimePoint At(double ms) { return TimePoint(Duration(1e6 + ms)); }
@@ -68,7 +68,7 @@
   }
   std::vector<std::string> names;
   std::vector<std::unique_ptr<Member>> all;
-  lab::EtcdModel etcd;
+  simulator::EtcdModel etcd;
   std::uint64_t attempt = 0;
   double now = 0;
   bool down = false;
@@ -185,4 +185,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/tests/regions/random_test.cpp
+++ b/tests/zone_failover/random_test.cpp
@@ -8,9 +8,9 @@
 
 #include <set>
 
-#include "regions/installation.h"
+#include "zone_failover/installation.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 constexpr int kMembers = 16;
@@ -59,4 +59,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
