--- a/src/zone_failover/zone_state_machine.h
+++ b/src/zone_failover/zone_state_machine.h
@@ -2,11 +2,19 @@
 /// @file
 /// The state of each zone and its limit, as the leader judges them from what all members see. Pure.
 ///
-///   kHealthy ──fails──► kUnavailable ──answers again──► kRecovering ──back at its capacity──► kHealthy
-///   kHealthy ──slow───► kDegraded ──quick, or hardly used──► kRecovering
-///   kRecovering ──fails──► kUnavailable      kRecovering ──slow──► kDegraded      kDegraded ──fails──►
-///   kUnavailable any ──ordered──► kEvacuated ──order ended──► kRecovering any but kEvacuated ──its backends
-///   have left──► kHealthy
+/// @verbatim
+///   kHealthy     ── fails ──────────────────────► kUnavailable
+///   kHealthy     ── slow ───────────────────────► kDegraded
+///   kDegraded    ── fails ──────────────────────► kUnavailable
+///   kDegraded    ── quick, or hardly used ──────► kRecovering
+///   kUnavailable ── answers again ──────────────► kRecovering
+///   kRecovering  ── fails ──────────────────────► kUnavailable
+///   kRecovering  ── slow ───────────────────────► kDegraded
+///   kRecovering  ── back at its capacity ───────► kHealthy
+///   any          ── ordered ────────────────────► kEvacuated
+///   kEvacuated   ── order ended ────────────────► kRecovering
+///   any other    ── its backends have left ─────► kHealthy
+/// @endverbatim
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_ZONE_STATE_MACHINE_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_ZONE_STATE_MACHINE_H_
 
