--- /dev/null
+++ b/tests/compatibility/admin_api_compatibility_test.cpp
@@ -0,0 +1,61 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+/// A proxy's control API: paths, status codes, and the form of each answer.
+#include <gtest/gtest.h>
+
+#include <chrono>
+
+#include "compatibility/golden_file.h"
+#include "compatibility/installation.h"
+#include "standins/clients.h"
+
+namespace badgerbridge::compatibility {
+namespace {
+
+double UnixMs() {
+  const auto now = std::chrono::system_clock::now().time_since_epoch();
+  return static_cast<double>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
+}
+
+TEST(AdminApiCompatibility, EachCallHasTheStatusAndFormOfBefore) {
+  Installation installation;
+  installation.Start();
+  std::string text;
+  text += installation.ProxyAnswer("n1", "GET", "/v1/status");
+  text += installation.ProxyAnswer("n1", "GET", "/v1/converters");
+  text += installation.ProxyAnswer("n1", "GET", "/v1/members");
+  text += installation.ProxyAnswer("n1", "GET", "/v1/zones", "", "zones[].share: null");
+  text += installation.ProxyAnswer("n1", "POST", "/v1/members/release", "{}");
+  text += installation.ProxyAnswer("n1", "POST", "/v1/drain", R"({"deadline_ms":60000})");
+  text += installation.ProxyAnswer("n1", "GET", "/v1/status", "", "state = \"drained\"");
+  text += installation.ProxyAnswer("n1", "POST", "/v1/undrain", "{}");
+  text += installation.ProxyAnswer("n1", "POST", "/v1/drain");
+  text += installation.ProxyAnswer("n1", "POST", "/v1/undrain", "{}");
+  text += installation.ProxyAnswer("n1", "POST", "/v1/drain", R"({"deadline":60000})");
+  text += installation.ProxyAnswer("n1", "POST", "/v1/status");
+  text += installation.ProxyAnswer("n1", "GET", "/v1/nothing");
+  text += installation.ProxyAnswer("n1", "POST", "/v1/stop", "{}");
+  EXPECT_TRUE(MatchesGoldenFile("admin_api/calls.txt", text));
+}
+
+TEST(AdminApiCompatibility, ConverterThatWarmsUpAndOneThatIsEjectedHaveTheFieldsOfBefore) {
+  Installation installation;
+  installation.Start();
+  standins::Clients clients(installation.io(), installation.site().addresses(), {});
+  ASSERT_TRUE(installation.site().Until([&] { return clients.ready() == 2; }));
+  installation.site().converters()[0]->Inject(standins::Fault::kError, -1);
+  clients.Start();
+  std::string text =
+      installation.ProxyAnswer("n1", "GET", "/v1/converters", "", "converters[].ejected_for_ms:");
+  clients.Stop();
+  ASSERT_TRUE(installation.site().Until([&] { return clients.Done(); }));
+  installation.RegisterConverter(1, UnixMs());
+  text += installation.ProxyAnswer("n2", "GET", "/v1/converters", "", "converters[].cold_budget:");
+  EXPECT_NE(text.find("converters[].ejected_for_ms: number"), std::string::npos) << text;
+  EXPECT_NE(text.find("converters[].health = \"ejected\""), std::string::npos) << text;
+  EXPECT_NE(text.find("converters[].cold_budget.work_ms: number"), std::string::npos) << text;
+  EXPECT_NE(text.find("converters[].cold_budget.sent_ms: number"), std::string::npos) << text;
+}
+
+}  // namespace
+}  // namespace badgerbridge::compatibility
--- a/tests/compatibility/membership_compatibility_test.cpp
+++ b/tests/compatibility/membership_compatibility_test.cpp
@@ -75,6 +75,15 @@
   EXPECT_TRUE(MatchesGoldenFile("membership/change_of_state.txt", text));
 }
 
+TEST(MembershipWordsCompatibility, EachStateAndFreshnessHasItsWord) {
+  std::vector<std::string> words;
+  for (const int state : {0, 1, 2})
+    words.emplace_back(membership::Name(static_cast<membership::State>(state)));
+  for (const int freshness : {0, 1, 2, 3})
+    words.emplace_back(membership::Name(static_cast<membership::Freshness>(freshness)));
+  EXPECT_TRUE(MatchesGoldenFile("membership/words.txt", JoinLines(words)));
+}
+
 TEST(MembershipRegistrationCompatibility, RegistrationWritesTheGoldenKeyAndValue) {
   using membership::Registration;
   membership::RegistrationSettings settings;
