--- a/tests/fingerprint/request_table_fingerprint_test.cpp
+++ b/tests/fingerprint/request_table_fingerprint_test.cpp
@@ -20,9 +20,9 @@
 namespace badgerbridge::fingerprint {
 namespace {
 
-using exchange::Answer;
 using exchange::Cancel;
-using exchange::Exchange;
+using exchange::RequestTable;
+using exchange::Respond;
 using exchange::Send;
 using exchange::Withdraw;
 using fordlb::Duration;
@@ -54,11 +54,11 @@
         clients_(settings_, fleet_, &random_),
         surroundings_(&fleet_, &timeline_, &random_,
                       {[this](fordlb::ListUpdate update) {
-                         table_.List(timeline_.now(), std::move(update), &actions_);
+                         table_.UpdateEndpoints(timeline_.now(), std::move(update), &actions_);
                          EndCall();
                        },
                        [this](fordlb::ZoneShares shares) {
-                         table_.Shares(timeline_.now(), std::move(shares), &actions_);
+                         table_.UpdateZoneQuotas(timeline_.now(), std::move(shares), &actions_);
                          EndCall();
                        }}),
         table_(settings_, random_.Next()),
@@ -90,7 +90,7 @@
     if (random_.Chance(0.01))
       submit.due = timeline_.now() + Duration(random_.Between(-2, 12));  // too late, or nearly
     pending_work_ms_ = submit.work_ms < 1e6 ? submit.work_ms : 10;
-    const RequestId id = table_.Take(timeline_.now(), submit, &actions_);
+    const RequestId id = table_.Accept(timeline_.now(), submit, &actions_);
     newest_request_ = id;
     work_ms_[id] = pending_work_ms_;
     Duration after{0};
@@ -102,7 +102,7 @@
   }
 
   void LeaveClient(RequestId id) {
-    table_.Gone(timeline_.now(), id, &actions_);
+    table_.ClientDisconnected(timeline_.now(), id, &actions_);
     EndCall();
   }
 
@@ -111,7 +111,7 @@
     if (attempt.ended) return;
     attempt.ended = true;
     fleet_.FinishAttempt(attempt.send.server);
-    table_.Ended(timeline_.now(), attempt.send, outcome, &actions_);
+    table_.AttemptEnded(timeline_.now(), attempt.send, outcome, &actions_);
     EndCall();
   }
 
@@ -128,7 +128,7 @@
   // ---- what the table answers ----
 
   void EndCall() {
-    const Exchange::Actions actions = std::exchange(actions_, {});
+    const RequestTable::Actions actions = std::exchange(actions_, {});
     fingerprint_.digest().Add(actions.size());
     for (const exchange::Action& action : actions)
       std::visit([this](const auto& act) { Perform(act); }, action);
@@ -151,7 +151,7 @@
   // The first number that each adds stands for the kind of action.
   void Perform(const Send& send) {
     fingerprint_.digest().Add(1, send.request, send.attempt, send.server);
-    fingerprint_.digest().Add(send.timeout, send.at, send.begin_before);
+    fingerprint_.digest().Add(send.timeout, send.sent_at, send.begin_before);
     ++coverage_->sends;
     coverage_->retries += send.attempt > 0;
     coverage_->limited_begins += send.begin_before != TimePoint::max();
@@ -177,15 +177,15 @@
     ScheduleEnd(attempts_.at({action.request, action.attempt}).send, Duration(random_.Integer(0, 1)),
                 Outcome::kMoot);
   }
-  void Perform(const Answer& action) {
-    fingerprint_.digest().Add(4, action.request, action.ending, action.retry_after);
-    ++coverage_->answers[static_cast<std::size_t>(action.ending)];
+  void Perform(const Respond& action) {
+    fingerprint_.digest().Add(4, action.request, action.outcome, action.retry_after);
+    ++coverage_->answers[static_cast<std::size_t>(action.outcome)];
   }
   void Perform(const fordlb::Subscribe&) {
     fingerprint_.digest().Add(5);
     ++coverage_->subscriptions;
     timeline_.After(Duration(random_.Between(1, 300)), [this] {
-      table_.List(timeline_.now(), fleet_.AnswerCall(), &actions_);
+      table_.UpdateEndpoints(timeline_.now(), fleet_.AnswerCall(), &actions_);
       EndCall();
     });
   }
@@ -202,10 +202,11 @@
 
   void AddState() {
     AddViews(table_.Inspect(), &fingerprint_.digest());
-    for (const exchange::Tally& tally : table_.tallies()) {
-      fingerprint_.digest().Add(tally.taken, tally.served, tally.refused, tally.failed, tally.open);
-      fingerprint_.digest().Add(tally.client_left, tally.last_resort);
-      coverage_->client_left += tally.client_left;
+    for (const exchange::RequestCounters& counters : table_.counters()) {
+      fingerprint_.digest().Add(counters.accepted, counters.served, counters.rejected, counters.failed,
+                                counters.open);
+      fingerprint_.digest().Add(counters.client_disconnected, counters.deadline_fallback);
+      coverage_->client_left += counters.client_disconnected;
     }
   }
 
@@ -215,10 +216,10 @@
   Clients clients_;
   Timeline timeline_;
   Surroundings surroundings_;
-  Exchange table_;
+  RequestTable table_;
   Fingerprint fingerprint_;
   Coverage* coverage_;
-  Exchange::Actions actions_;  // of the call that is under way
+  RequestTable::Actions actions_;  // of the call that is under way
   std::map<std::pair<RequestId, int>, Attempt> attempts_;
   RequestId newest_request_ = 0;
   std::map<RequestId, double> work_ms_;
