--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -80,7 +80,7 @@
 void MeasureRegions(Report& report);        // regions::Member, regions::Decider
 void MeasureAgent(Report& report);          // badgeragent and badgerctl, as processes
 void MeasureTool(Report& report);           // badgerctl members
-void MeasureRelay(Report& report);          // relay::Relay
+void MeasureRelay(Report& report);          // relay::WatchCache
 void MeasureWire(Report& report);           // etcd::Http2Client, etcd::Http2Server
 
 }  // namespace badgerbridge::bench
--- a/bench/slopes_relay.cpp
+++ b/bench/slopes_relay.cpp
@@ -9,7 +9,7 @@
 #include "allocations.h"
 #include "etcd/key_range.h"
 #include "membership/value.h"
-#include "relay/relay.h"
+#include "relay/watch_cache.h"
 #include "slopes.h"
 #include "slopes_names.h"
 
@@ -17,8 +17,8 @@
 namespace {
 
 namespace pb = etcdserverpb;
-using relay::Relay;
 using relay::Time;
+using relay::WatchCache;
 
 constexpr int kKeySizes[] = {1000, 3000, 10000, 30000, kBackends};
 constexpr int kSubscriberSizes[] = {100, 300, 1000, kProxies, 10000};
@@ -102,10 +102,10 @@
     const double before = ThreadCpuMs();
     for (relay::SubscriberId subscriber = 1; subscriber <= subscribers_; ++subscriber) {
       for (;;) {
-        pb::WatchResponse response;
-        if (!relay_.Take(Time(4), subscriber, kMostMessageBytes, &response)) break;
-        delivered.bytes += static_cast<double>(response.SerializeAsString().size());
-        delivered.events += response.events_size();
+        const auto response = relay_.NextMessage(Time(4), subscriber, kMostMessageBytes);
+        if (!response) break;
+        delivered.bytes += static_cast<double>(response->SerializeAsString().size());
+        delivered.events += response->events_size();
       }
     }
     delivered.cpu_ms = ThreadCpuMs() - before;
@@ -126,8 +126,8 @@
       actions_.clear();
       relay_.Read(Time(5), ++reads_, request, &actions_);
       more = false;
-      for (const Relay::Action& action : actions_) {
-        const auto* answer = std::get_if<Relay::AnswerRead>(&action);
+      for (const WatchCache::Action& action : actions_) {
+        const auto* answer = std::get_if<WatchCache::AnswerRead>(&action);
         if (!answer || !answer->status.ok() || answer->response.kvs_size() == 0) continue;
         listed.bytes += static_cast<double>(answer->response.SerializeAsString().size());
         listed.events += answer->response.kvs_size();
@@ -140,12 +140,12 @@
     return listed;
   }
 
-  Relay::Status status() const { return relay_.status(); }
+  WatchCache::Status status() const { return relay_.status(); }
   double load_ms = 0, moved_bytes = 0;
 
  private:
-  Relay relay_;
-  Relay::Actions actions_;
+  WatchCache relay_;
+  WatchCache::Actions actions_;
   std::int64_t revision_ = kFirstRevision;
   relay::SubscriberId subscribers_ = 0;
   relay::ReadId reads_ = 0;
--- a/src/relay/actions.h
+++ b/src/relay/actions.h
@@ -1,20 +1,23 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Appends to a relay's actions.
+/// \file
+/// Appends actions to those of the watch cache.
 #ifndef BADGERBRIDGE_RELAY_ACTIONS_H_
 #define BADGERBRIDGE_RELAY_ACTIONS_H_
 
 #include <utility>
 #include <variant>
 
-#include "relay/relay.h"
+#include "relay/watch_cache.h"
 
 namespace badgerbridge::relay {
 
-// Sets the action in its place: GCC 12 at -O3 takes a temporary variant that is moved from for a use of what
-// was never set (-Wmaybe-uninitialized), and clang 14 can't construct an aggregate in place from its members.
+/// Appends `Action{arguments...}`.
+///
+/// The action is assigned after a default one was emplaced, because GCC 12 at -O3 reports a moved-from
+/// temporary variant as -Wmaybe-uninitialized, and clang 14 cannot emplace an aggregate from its members.
 template <typename Action, typename... Arguments>
-void Append(Relay::Actions* actions, Arguments&&... arguments) {
+void Append(WatchCache::Actions* actions, Arguments&&... arguments) {
   actions->emplace_back(std::in_place_type<Action>);
   std::get<Action>(actions->back()) = Action{std::forward<Arguments>(arguments)...};
 }
--- /dev/null
+++ b/src/relay/command_line.cpp
@@ -0,0 +1,43 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "relay/command_line.h"
+
+#include <stdexcept>
+#include <utility>
+
+#include "api/address.h"
+#include "relay/relay_file.h"
+
+namespace badgerbridge::relay {
+
+std::string Message(const ArgumentError& error) {
+  switch (error.code) {
+    case ArgumentErrorCode::kInvalidAddress:
+      return error.option + ": \"" + error.value + "\" is no address and port, as in 127.0.0.1:2379";
+    case ArgumentErrorCode::kEmptyPrefix:
+      return error.option + ": is empty; /badgerbridge/ would be right";
+  }
+  return "";
+}
+
+void throw_exception_from_error(const ArgumentError& error, const boost::source_location&) {
+  throw std::runtime_error(Message(error));
+}
+
+boost::system::result<ServiceSettings, ArgumentError> ApplyArguments(const Arguments& arguments,
+                                                                     ServiceSettings settings) {
+  const auto listen = api::ParseAddress(arguments.listen);
+  if (!listen) return ArgumentError{ArgumentErrorCode::kInvalidAddress, "--listen", arguments.listen};
+  settings.listen = *listen;
+  for (const std::string& text : arguments.upstream) {
+    const auto endpoint = api::ParseAddress(text);
+    const bool has_port = endpoint && endpoint->port() != 0;
+    if (!has_port) return ArgumentError{ArgumentErrorCode::kInvalidAddress, "--upstream", text};
+    settings.upstream.endpoints.push_back(*endpoint);
+  }
+  if (arguments.prefix.empty()) return ArgumentError{ArgumentErrorCode::kEmptyPrefix, "--prefix", ""};
+  settings.cache.prefix = arguments.prefix;
+  settings.cache.must_deliver = IsDrainEvent;
+  return settings;
+}
+
+}  // namespace badgerbridge::relay
--- a/src/relay/event.h
+++ b/src/relay/event.h
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the state, the window and the subscribers' backlogs share without copies: key values, events, batches.
+/// \file
+/// Key values, events and batches. The state, the window and the subscribers' backlogs share them without
+/// copies.
 #ifndef BADGERBRIDGE_RELAY_EVENT_H_
 #define BADGERBRIDGE_RELAY_EVENT_H_
 
@@ -12,26 +14,34 @@
 
 namespace badgerbridge::relay {
 
+/// A shared, immutable key value.
 using KeyValuePtr = std::shared_ptr<const etcdserverpb::KeyValue>;
 
+/// An event as the cache holds it.
 struct StoredEvent {
-  bool deletion = false;
-  bool must_deliver = false;  // not to be merged away by a newer event that need not be delivered
-  KeyValuePtr kv;             // of a deletion: key and mod_revision alone
-  KeyValuePtr previous;       // what this cache held before; null: nothing
-  std::size_t bytes = 0;      // as an event on the wire, without `previous`
+  bool deletion = false;      ///< Otherwise it is a put.
+  bool must_deliver = false;  ///< It must not be merged away by a newer event that need not be delivered.
+  KeyValuePtr kv;             ///< The new key value; of a deletion, key and mod_revision only.
+  KeyValuePtr previous;       ///< What this cache held before. Null: nothing.
+  std::size_t bytes = 0;      ///< Approximate size as encoded, without `previous`.
 
+  /// The revision of the event.
   std::int64_t revision() const { return kv->mod_revision(); }
 };
+
+/// A shared, immutable event.
 using StoredEventPtr = std::shared_ptr<const StoredEvent>;
 
-// What brings the source's state at `from` to that at `to`. In between nothing is claimed: an upstream relay
-// may have merged the events of several revisions.
+/// The events that change the source's state at revision `from` to that at `to`. They may be merged: states
+/// at revisions in between are unknown.
 struct Batch {
-  std::int64_t from = 0, to = 0;
-  std::vector<StoredEventPtr> events;  // their mod_revision in (from, to], ascending
-  std::size_t bytes = 0;
+  std::int64_t from = 0;               ///< The revision before.
+  std::int64_t to = 0;                 ///< The revision after.
+  std::vector<StoredEventPtr> events;  ///< With mod_revision in (from, to], ascending.
+  std::size_t bytes = 0;               ///< Of the events, with overhead.
 };
+
+/// A shared, immutable batch.
 using BatchPtr = std::shared_ptr<const Batch>;
 
 }  // namespace badgerbridge::relay
--- a/src/relay/key_range.cpp
+++ b/src/relay/key_range.cpp
@@ -4,6 +4,7 @@
 #include "etcd/key_range.h"
 
 namespace badgerbridge::relay {
+
 KeyRange KeyRange::Prefix(std::string_view prefix) {
   return {std::string(prefix), etcd::PrefixRangeEnd(std::string(prefix))};
 }
--- a/src/relay/key_range.h
+++ b/src/relay/key_range.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Ranges of keys as etcd's API has them: a key alone, [key, range_end), or all from a key on (range_end
-// "\0"). Pure.
+/// \file
+/// Ranges of keys as in etcd's API: a single key, [key, range_end), or all keys from one on (range_end "\0").
 #ifndef BADGERBRIDGE_RELAY_KEY_RANGE_H_
 #define BADGERBRIDGE_RELAY_KEY_RANGE_H_
 
@@ -10,17 +10,23 @@
 
 namespace badgerbridge::relay {
 
+/// A range of keys.
 struct KeyRange {
-  std::string begin, end;
+  std::string begin;  ///< The first key.
+  std::string end;    ///< After the last key. Empty: `begin` only; "\0": no end.
 
-  static KeyRange Prefix(std::string_view prefix);  // an empty prefix: all keys
+  /// All keys that begin with `prefix`; with an empty one, all keys.
+  static KeyRange Prefix(std::string_view prefix);
 
+  /// Whether the key is in this range.
   bool Contains(std::string_view key) const;
+  /// Whether all keys of the other range are in this one.
   bool Contains(const KeyRange& other) const;
-  bool single_key() const { return end.empty(); }
-  bool unbounded() const { return end == std::string_view("\0", 1); }
-  bool operator==(const KeyRange&) const = default;
-  auto operator<=>(const KeyRange&) const = default;
+
+  bool single_key() const { return end.empty(); }                      ///< Whether it is one key.
+  bool unbounded() const { return end == std::string_view("\0", 1); }  ///< Whether it has no end.
+  bool operator==(const KeyRange&) const = default;                    ///< By both ends.
+  auto operator<=>(const KeyRange&) const = default;                   ///< By begin, then end.
 };
 
 }  // namespace badgerbridge::relay
--- a/src/relay/main.cpp
+++ b/src/relay/main.cpp
@@ -1,16 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgerrelay: a watch cache between etcd, or another relay, and its readers.
+/// \file
+/// badgerrelay: a watch cache between etcd, or another watch cache, and its readers.
 #include <CLI/CLI.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
 #include <iostream>
 #include <optional>
 #include <random>
+#include <utility>
 
 #include "api/address.h"
 #include "api/server.h"
 #include "api/version.h"
+#include "relay/command_line.h"
 #include "relay/relay_file.h"
 #include "relay/service.h"
 
@@ -18,59 +21,51 @@
 
 using namespace badgerbridge;
 
-struct Arguments {
-  std::string listen, prefix, config, status_socket;
-  std::vector<std::string> upstream;
-};
-
-// One line that says what is wrong; empty: nothing.
-std::string Apply(const Arguments& arguments, relay::ServiceSettings* settings) {
-  const auto listen = api::ParseAddress(arguments.listen);
-  if (!listen) return "--listen: \"" + arguments.listen + "\" is no address and port, as in 127.0.0.1:2379";
-  settings->listen = *listen;
-  for (const std::string& text : arguments.upstream) {
-    const auto endpoint = api::ParseAddress(text);
-    if (!endpoint || endpoint->port() == 0)
-      return "--upstream: \"" + text + "\" is no address and port, as in 127.0.0.1:2379";
-    settings->upstream.endpoints.push_back(*endpoint);
-  }
-  if (arguments.prefix.empty()) return "--prefix: is empty; /badgerbridge/ would be right";
-  settings->relay.prefix = arguments.prefix;
-  settings->relay.must_deliver = relay::SaysDrain;
-  return "";
+void AddOptions(CLI::App& app, relay::Arguments* arguments) {
+  app.add_option("--listen", arguments->listen, "address:port for readers")->required();
+  app.add_option("--upstream", arguments->upstream, "addresses of etcd's members or of relays, by commas")
+      ->required()
+      ->delimiter(',');
+  app.add_option("--prefix", arguments->prefix, "keys that are served, as in /badgerbridge/")->required();
+  app.add_option("--config", arguments->config,
+                 "TOML: TLS, user, bounds (deploy/relay.toml lists every key)");
+  app.add_option("--status-socket", arguments->status_socket,
+                 "path of a Unix socket that answers /v1/status");
+  app.add_flag("--check", arguments->check, "check the arguments and the file, and start nothing");
+  app.set_version_flag("--version", api::VersionText("badgerrelay", {"etcd", "TLS"}));
 }
 
-api::Response Answer(const relay::Service& service, const api::Request& request) {
+api::Response AnswerStatusRequest(const relay::Service& service, const api::Request& request) {
   if (request.path != "/v1/status") return api::Error(404, "there is /v1/status alone");
   if (request.method != "GET") return api::Error(405, "GET would be right");
   return {200, service.Describe()};
 }
 
-// Until the first signal; then the drain; a second signal ends it at once.
-void WaitForSignals(boost::asio::io_context& io, boost::asio::signal_set& signals, relay::Service& service) {
+// The first signal begins a drain; a second one ends the program at once.
+void DrainOnSignal(boost::asio::io_context& io, boost::asio::signal_set& signals, relay::Service& service) {
   signals.async_wait([&](const boost::system::error_code& error, int) {
     if (error) return;
     std::cerr << "badgerrelay: shuts down\n";
     service.Drain([&io] { io.stop(); });
-    signals.async_wait([&io](const boost::system::error_code& again, int) {
-      if (!again) io.stop();
+    signals.async_wait([&io](const boost::system::error_code& second_error, int) {
+      if (!second_error) io.stop();
     });
   });
 }
 
-int Serve(const Arguments& arguments, const relay::ServiceSettings& settings, std::uint64_t seed) {
+void Serve(const relay::Arguments& arguments, const relay::ServiceSettings& settings, std::uint64_t seed) {
   boost::asio::io_context io(1);
   relay::Service service(io, settings, seed);
-  std::optional<api::UnixServer> status;
+  std::optional<api::UnixServer> status_server;
   if (!arguments.status_socket.empty()) {
-    status.emplace(io, arguments.status_socket, std::vector<uid_t>{}, api::ServerLimits{},
-                   [&](api::Request request, api::Peer) -> boost::asio::awaitable<api::Response> {
-                     co_return Answer(service, request);
-                   });
+    status_server.emplace(io, arguments.status_socket, std::vector<uid_t>{}, api::ServerLimits{},
+                          [&](api::Request request, api::Peer) -> boost::asio::awaitable<api::Response> {
+                            co_return AnswerStatusRequest(service, request);
+                          });
   }
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
-  WaitForSignals(io, signals, service);
-  std::cerr << "badgerrelay: serves " << settings.relay.prefix << " on " << api::ToText(service.address())
+  DrainOnSignal(io, signals, service);
+  std::cerr << "badgerrelay: serves " << settings.cache.prefix << " on " << api::ToText(service.address())
             << std::endl;
   while (!io.stopped()) {
     try {
@@ -79,46 +74,44 @@
       std::cerr << "badgerrelay: " << error.what() << '\n';
     }
   }
-  return 0;
 }
 
-}  // namespace
-
-int main(int count, char** values) {
-  CLI::App app("badgerrelay: serves reads and watches of one prefix of etcd's keys from memory");
-  Arguments arguments;
-  app.add_option("--listen", arguments.listen, "address:port for readers")->required();
-  app.add_option("--upstream", arguments.upstream, "addresses of etcd's members or of relays, by commas")
-      ->required()
-      ->delimiter(',');
-  app.add_option("--prefix", arguments.prefix, "keys that are served, as in /badgerbridge/")->required();
-  app.add_option("--config", arguments.config, "TOML: TLS, user, bounds (deploy/relay.toml lists every key)");
-  app.add_option("--status-socket", arguments.status_socket, "path of a Unix socket that answers /v1/status");
-  bool check = false;
-  app.add_flag("--check", check, "check the arguments and the file, and start nothing");
-  app.set_version_flag("--version", api::VersionText("badgerrelay", {"etcd", "TLS"}));
-  CLI11_PARSE(app, count, values);
-
-  std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGHUP, SIG_IGN);
+std::uint64_t DrawSeed() {
   std::random_device random;
-  const std::uint64_t seed = (static_cast<std::uint64_t>(random()) << 32) | random();
-  relay::ServiceSettings settings;
-  operator_file::Problems problems;
-  if (!arguments.config.empty()) relay::LoadFile(arguments.config, &settings, problems);
-  std::cerr << operator_file::Lines(problems);
-  if (!problems.empty()) return 1;
-  const std::string wrong = Apply(arguments, &settings);
-  if (!wrong.empty()) {
-    std::cerr << "badgerrelay: " << wrong << '\n';
+  return (static_cast<std::uint64_t>(random()) << 32) | random();
+}
+
+// Returns the exit code.
+int Run(const relay::Arguments& arguments) {
+  relay::RelayFile file;
+  if (!arguments.config.empty()) file = relay::LoadRelayFile(arguments.config);
+  std::cerr << operator_file::Lines(file.problems);
+  if (!file.ok()) return 1;
+  auto settings = relay::ApplyArguments(arguments, std::move(file.settings));
+  if (!settings) {
+    std::cerr << "badgerrelay: " << Message(settings.error()) << '\n';
     return 1;
   }
-  if (check) return 0;
-  settings.relay.member_id = seed | 1;  // not 0
+  if (arguments.check) return 0;
+  const std::uint64_t seed = DrawSeed();
+  settings->cache.member_id = seed | 1;  // 0 is no valid member id
   try {
-    return Serve(arguments, settings, seed);
+    Serve(arguments, *settings, seed);
   } catch (const std::exception& error) {
     std::cerr << "badgerrelay: " << error.what() << '\n';
     return 1;
   }
+  return 0;
+}
+
+}  // namespace
+
+int main(int count, char** values) {
+  CLI::App app("badgerrelay: serves reads and watches of one prefix of etcd's keys from memory");
+  relay::Arguments arguments;
+  AddOptions(app, &arguments);
+  CLI11_PARSE(app, count, values);
+  std::signal(SIGPIPE, SIG_IGN);
+  std::signal(SIGHUP, SIG_IGN);
+  return Run(arguments);
 }
--- a/src/relay/merged_backlog.h
+++ b/src/relay/merged_backlog.h
@@ -1,14 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a slow subscriber has yet to be sent, merged by key. Pure.
-//
-// The backlog is a list of segments. A segment takes one who holds the source's state at its beginning to the
-// state at its end, by the newest event of each key; so a subscriber that has applied a whole segment holds
-// the source's state at exactly the revision that the segment names. An event that must be delivered (a
-// deletion, a drain) is the newest of its key in its segment until a newer one of the same key that must be
-// delivered, too, is there: a later event of another kind begins a new segment, sent in a message of its own.
-// Two segments that no such event keeps apart any longer are joined, so there are never more of them than
-// keys, plus one.
+/// \file
+/// The events that a slow subscriber has yet to be sent, merged by key.
+///
+/// The backlog is a list of segments. A segment changes the source's state at its beginning into that at its
+/// end, by the newest event of each key. So a subscriber that has applied a complete segment holds the
+/// source's state at exactly the revision that the segment names.
+///
+/// An event that must be delivered (a deletion, a drain) may be replaced only by a newer event of the same
+/// key that must be delivered, too: any other later event of the key begins a new segment, which is sent in a
+/// message of its own. Two adjacent segments are joined once no such event blocks it, so there are at most as
+/// many segments as keys, plus one.
 #ifndef BADGERBRIDGE_RELAY_MERGED_BACKLOG_H_
 #define BADGERBRIDGE_RELAY_MERGED_BACKLOG_H_
 
@@ -23,47 +25,53 @@
 
 namespace badgerbridge::relay {
 
+/// The merged backlog of one subscriber.
 class MergedBacklog {
  public:
+  /// The newest event of a key within a segment.
   struct Entry {
-    StoredEventPtr event;
-    KeyValuePtr previous;  // before the first of the events that were merged into this one
+    StoredEventPtr event;  ///< The newest event.
+    KeyValuePtr previous;  ///< The key value before the first of the events that were merged into this one.
   };
+
+  /// What TakeOldest returns.
   struct Segment {
-    std::int64_t revision = 0;  // the state's once it is applied
-    std::vector<Entry> entries;
+    std::int64_t revision = 0;   ///< The revision of the state once the segment is applied.
+    std::vector<Entry> entries;  ///< In the order of revisions.
   };
 
-  // The events of one batch which concern the subscriber; the batch's end is `revision`.
+  /// Adds the events of one batch that concern the subscriber. `revision` is the batch's end.
   void Add(std::int64_t revision, const std::vector<StoredEventPtr>& events);
-  bool empty() const { return segments_.empty(); }
-  std::size_t size() const { return size_; }  // events held
-  std::size_t segments() const { return segments_.size(); }
-  // Removes the oldest segment; its events are in the order of their revisions.
-  Segment Take();
+
+  bool empty() const { return segments_.empty(); }           ///< Whether it holds no event.
+  std::size_t size() const { return size_; }                 ///< Number of events held.
+  std::size_t segments() const { return segments_.size(); }  ///< Number of segments.
+
+  /// Removes and returns the oldest segment. There must be one.
+  Segment TakeOldest();
 
  private:
   using SegmentId = std::uint64_t;
-  struct Merged {
+
+  struct MergedSegment {
     std::int64_t revision = 0;
-    std::unordered_map<std::string_view, Entry> by_key;  // the view is into the event
-    std::size_t kept_apart = 0;  // events that must be delivered which the next segment would replace
+    std::unordered_map<std::string_view, Entry> by_key;  // the keys are views into the events
+    std::size_t blocking_events = 0;  // those for which BlocksJoin holds and the next segment has the key
   };
-  using Segments = std::map<SegmentId, Merged>;
+  using Segments = std::map<SegmentId, MergedSegment>;
 
-  bool WouldHide(const std::vector<StoredEventPtr>& events) const;
-  void AddOne(Segments::iterator last, const StoredEventPtr& event);
-  void NoteNewestToDeliver(Segments::iterator last, const std::string& key);
-  // The event that must be delivered of this key in `segment` and that no newer one stands in for.
-  bool KeepsApart(Segments::const_iterator segment, std::string_view key) const;
-  void CountKeptApart(Segments::iterator segment);
-  // Joins a segment with the next if nothing keeps them apart.
-  void JoinIfFree(Segments::iterator segment);
+  bool WouldHideMustDeliver(const std::vector<StoredEventPtr>& events) const;
+  void AddEvent(Segments::iterator last, const StoredEventPtr& event);
+  void RecordNewestMustDeliver(Segments::iterator last, const std::string& key);
+  // Whether the segment holds the newest event of this key that must be delivered.
+  bool BlocksJoin(Segments::const_iterator segment, std::string_view key) const;
+  void RecountBlockingEvents(Segments::iterator segment);
+  void JoinWithNextIfUnblocked(Segments::iterator segment);
 
   Segments segments_;
   SegmentId next_id_ = 0;
-  // The segment with the newest event of a key that must be delivered.
-  std::unordered_map<std::string, SegmentId> newest_to_deliver_;
+  // By key, the segment with the newest event that must be delivered.
+  std::unordered_map<std::string, SegmentId> newest_must_deliver_;
   std::size_t size_ = 0;
 };
 
--- /dev/null
+++ b/src/relay/read_queue.h
@@ -0,0 +1,150 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+/// \file
+/// The reads that wait: for the upstream to confirm a committed revision (the read-index technique), for the
+/// cache to reach that revision and, if they read a range, for tokens of a rate limit.
+///
+/// A confirmation serves only the reads that had arrived before it was issued. One is in flight at a time;
+/// reads that arrive meanwhile share the next. Every wait ends: at the read's deadline, or as soon as its
+/// confirmation fails.
+#ifndef BADGERBRIDGE_RELAY_READ_QUEUE_H_
+#define BADGERBRIDGE_RELAY_READ_QUEUE_H_
+
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <optional>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "etcd.pb.h"
+#include "etcd/grpc.h"
+#include "relay/watch_cache.h"
+
+namespace badgerbridge::relay {
+
+/// What the cache holds.
+struct CachePosition {
+  bool known = false;            ///< There was a snapshot.
+  std::uint64_t cluster_id = 0;  ///< Of the source.
+  std::int64_t revision = 0;     ///< The cache holds the state at this revision.
+  std::uint64_t history = 0;     ///< How often history was replaced.
+};
+
+/// The waiting reads.
+class ReadQueue {
+ public:
+  /// As of the watch cache.
+  using Actions = WatchCache::Actions;
+
+  /// Takes the time-out and the rate limit from the settings.
+  explicit ReadQueue(const Settings& settings);
+
+  std::size_t waiting() const { return reads_.size(); }                ///< Reads not answered yet.
+  std::uint64_t confirmations() const { return confirmation_count_; }  ///< Issued since the start.
+
+  /// Adds a read, which must be valid.
+  void Add(Time now, ReadId read, const etcdserverpb::RangeRequest& request, const CachePosition& position,
+           Actions* actions);
+
+  /// Removes a read. Unknown reads are ignored.
+  void Cancel(ReadId read);
+
+  /// The result of a confirmation.
+  void RevisionConfirmed(Time now, std::uint64_t confirmation, const etcd::Status& status,
+                         const etcdserverpb::ResponseHeader& header, const CachePosition& position,
+                         Actions* actions);
+
+  /// The cache reached a higher revision or, if `history_replaced`, holds another history, which voids what
+  /// was confirmed of the old one.
+  void CacheChanged(Time now, const CachePosition& position, bool history_replaced, Actions* actions);
+
+  /// Handles deadlines, a confirmation without result, and repeated requests for progress. `upstream_error`
+  /// is added to the error text of reads that time out.
+  void Tick(Time now, const CachePosition& position, const std::string& upstream_error, Actions* actions);
+
+  /// When the earliest timer is due.
+  std::optional<Time> NextWake() const;
+
+  /// A read that can be answered from the cache now.
+  struct ReadyRead {
+    ReadId read;                         ///< As given to Add.
+    etcdserverpb::RangeRequest request;  ///< As given to Add.
+    bool is_list;                        ///< SpendListTokens must be called with the size of its answer.
+  };
+
+  /// Removes and returns the next read that can be answered. Empty: none can.
+  std::optional<ReadyRead> NextReady(Time now);
+
+  /// Accounts for the answer of a list.
+  void SpendListTokens(std::size_t bytes) { list_tokens_ -= static_cast<double>(bytes); }
+
+ private:
+  // Reads are numbered in the order of arrival, which is that of their deadlines.
+  using ArrivalNumber = std::uint64_t;
+
+  // What the cache must have reached to answer a read.
+  struct Target {
+    std::uint64_t cluster_id = 0;
+    std::int64_t revision = 0;
+    std::uint64_t min_history = 0;
+  };
+
+  struct WaitingRead {
+    ReadId read;
+    etcdserverpb::RangeRequest request;
+    Time deadline;
+    Target target;  // set once confirmed
+  };
+
+  struct Confirmation {
+    std::uint64_t id;
+    Time issued_at;
+    CachePosition position;  // when it was issued
+    std::vector<ArrivalNumber> reads;
+  };
+
+  static bool HasReached(const Target& target, const CachePosition& position);
+  static bool IsList(const etcdserverpb::RangeRequest& request);
+  static Target TargetOf(const etcdserverpb::ResponseHeader& header, const CachePosition& position_at_issue);
+  void ConfirmRead(ArrivalNumber arrival, const Target& target, const CachePosition& position_at_issue,
+                   const CachePosition& position);
+  void AwaitTarget(ArrivalNumber arrival, const CachePosition& position);
+  void MakeReady(ArrivalNumber arrival);
+  void UnconfirmReadyLists();
+  void RecheckReadsBehind(const CachePosition& position, bool history_replaced);
+  void IssueConfirmation(Time now, const CachePosition& position, Actions* actions);
+  void GiveUpConfirmation(Time now);
+  void FailExpiredReads(Time now, const std::string& upstream_error, Actions* actions);
+  void ForgetAnsweredReads();
+  void RequestProgress(Time now, Actions* actions);
+  void Fail(ArrivalNumber arrival, etcd::Code code, std::string reason, Actions* actions);
+  void RefillListTokens(Time now);
+  std::optional<ReadyRead> PopReady(std::deque<ArrivalNumber>* queue, bool is_list);
+
+  Time timeout_;
+  double tokens_per_second_;  // a token is a byte of a list's answer
+  double max_list_tokens_;
+  double list_tokens_;
+  Time refilled_at_{0};
+
+  std::map<ArrivalNumber, WaitingRead> reads_;
+  std::unordered_map<ReadId, ArrivalNumber> arrivals_;
+  ArrivalNumber next_arrival_ = 0;
+  // Each read of reads_ is in exactly one of the following. They may also hold numbers of reads that are not
+  // in reads_ any more, which are skipped.
+  std::vector<ArrivalNumber> without_state_;  // serializable, before the first snapshot
+  std::vector<ArrivalNumber> unconfirmed_;    // wait for the next confirmation
+  std::optional<Confirmation> confirmation_;  // in flight
+  std::vector<ArrivalNumber> behind_;         // wait for the cache to reach their target
+  std::deque<ArrivalNumber> ready_;
+  std::deque<ArrivalNumber> ready_lists_;  // wait for tokens
+  std::uint64_t next_confirmation_ = 1;
+  std::uint64_t confirmation_count_ = 0;
+  Time progress_requested_at_{0};
+};
+
+}  // namespace badgerbridge::relay
+
+#endif  // BADGERBRIDGE_RELAY_READ_QUEUE_H_
--- a/src/relay/relay_file.cpp
+++ b/src/relay/relay_file.cpp
@@ -2,6 +2,7 @@
 #include "relay/relay_file.h"
 
 #include <stdexcept>
+#include <utility>
 
 #include "membership/etcd_settings.h"
 #include "membership/value.h"
@@ -13,104 +14,125 @@
 
 using operator_file::Problems;
 using operator_file::TableReader;
+using std::chrono::hours;
 using std::chrono::milliseconds;
+using std::chrono::minutes;
+using std::chrono::seconds;
 
-constexpr std::int64_t kMebibyte = 1 << 20;
+constexpr std::int64_t kKibibyte = 1 << 10;
+constexpr std::int64_t kGibibyte = 1 << 30;
 
-void ReadUpstream(TableReader& table, ServiceSettings* settings, Problems& problems,
-                  const std::string& file) {
+// Bounds of what the file may set.
+constexpr std::int64_t kMaxConnections = 100000;
+constexpr std::int64_t kMaxWatchesPerConnection = 100000;
+constexpr std::int64_t kMaxCount = 10000000;
+constexpr std::int64_t kMinBytes = kKibibyte;
+constexpr std::int64_t kMaxBytes = 16 * kGibibyte;
+constexpr milliseconds kMaxGracePeriod = minutes(10);
+constexpr milliseconds kMinPing = milliseconds(100);
+constexpr milliseconds kMaxPing = hours(1);
+constexpr milliseconds kMinTimeout = seconds(1);
+constexpr milliseconds kMaxTimeout = hours(24);
+constexpr milliseconds kMinReadTimeout = milliseconds(50);
+constexpr milliseconds kMaxReadTimeout = minutes(1);
+constexpr milliseconds kMinProgressInterval = milliseconds(50);
+constexpr milliseconds kMaxProgressInterval = minutes(10);
+
+std::size_t ReadCount(TableReader& table, std::string_view key, std::size_t otherwise, std::int64_t max) {
+  return static_cast<std::size_t>(table.Whole(key, static_cast<std::int64_t>(otherwise), 1, max));
+}
+
+std::size_t ReadBytes(TableReader& table, std::string_view key, std::size_t otherwise) {
+  return static_cast<std::size_t>(
+      table.Whole(key, static_cast<std::int64_t>(otherwise), kMinBytes, kMaxBytes));
+}
+
+void ReadUpstream(TableReader& table, const std::string& file, RelayFile* parsed) {
   operator_file::EtcdLink link;
   if (table.Has("endpoints")) table.Report("endpoints", "are --upstream's");
   operator_file::ReadEtcdLink(table, link);
   table.Finish();
-  if (!problems.empty()) return;
+  if (!parsed->ok()) return;
   try {
     const etcd::ClientSettings client = membership::ClientSettingsOf(link);
-    settings->upstream.channel = client.channel;
-    settings->upstream.user = client.user;
-    settings->upstream.password = client.password;
+    parsed->settings.upstream.channel = client.channel;
+    parsed->settings.upstream.user = client.user;
+    parsed->settings.upstream.password = client.password;
   } catch (const std::runtime_error& error) {
-    problems.push_back({file, 0, 0, error.what()});
+    parsed->problems.push_back({file, 0, 0, error.what()});
   }
 }
 
-void ReadReaders(TableReader& table, ServiceSettings* settings) {
-  etcd::ServerOptions& server = settings->server;
+void ReadReaderTls(TableReader& table, etcd::ServerOptions* server) {
   api::TlsFiles files{table.Text("certificate"), table.Text("key"), table.Text("client_authority")};
-  const bool some = !files.certificate.empty() || !files.key.empty() || !files.authority.empty();
-  const bool all = !files.certificate.empty() && !files.key.empty() && !files.authority.empty();
-  if (some && !all)
+  const bool has_any = !files.certificate.empty() || !files.key.empty() || !files.authority.empty();
+  const bool has_all = !files.certificate.empty() && !files.key.empty() && !files.authority.empty();
+  if (has_any && !has_all) {
     table.Report("certificate", "key and client_authority belong together: all three for TLS, or none");
-  if (all) server.tls = std::move(files);
-  const auto count = [&table](std::string_view key, std::size_t* value, std::int64_t most) {
-    *value = static_cast<std::size_t>(table.Whole(key, static_cast<std::int64_t>(*value), 1, most));
-  };
-  count("connections", &server.connections, 100000);
-  count("watches_per_connection", &settings->watches_per_connection, 100000);
-  server.ping_every =
-      table.Duration("ping_every", server.ping_every, milliseconds(100), milliseconds(3600000));
-  server.ping_timeout =
-      table.Duration("ping_timeout", server.ping_timeout, milliseconds(100), milliseconds(3600000));
-  server.idle_timeout =
-      table.Duration("idle_timeout", server.idle_timeout, milliseconds(1000), milliseconds(86400000));
-  server.stall_timeout =
-      table.Duration("stall_timeout", server.stall_timeout, milliseconds(1000), milliseconds(86400000));
+  }
+  if (has_all) server->tls = std::move(files);
+}
+
+void ReadReaders(TableReader& table, ServiceSettings* settings) {
+  etcd::ServerOptions& server = settings->server;
+  ReadReaderTls(table, &server);
+  server.connections = ReadCount(table, "connections", server.connections, kMaxConnections);
+  settings->max_watches_per_connection = ReadCount(
+      table, "watches_per_connection", settings->max_watches_per_connection, kMaxWatchesPerConnection);
+  server.ping_every = table.Duration("ping_every", server.ping_every, kMinPing, kMaxPing);
+  server.ping_timeout = table.Duration("ping_timeout", server.ping_timeout, kMinPing, kMaxPing);
+  server.idle_timeout = table.Duration("idle_timeout", server.idle_timeout, kMinTimeout, kMaxTimeout);
+  server.stall_timeout = table.Duration("stall_timeout", server.stall_timeout, kMinTimeout, kMaxTimeout);
   table.Finish();
 }
 
-void ReadBounds(TableReader& table, Settings* settings) {
-  const auto bytes = [&table](std::string_view key, std::size_t* value) {
-    *value = static_cast<std::size_t>(
-        table.Whole(key, static_cast<std::int64_t>(*value), 1024, 16384 * kMebibyte));
-  };
-  const auto count = [&table](std::string_view key, std::size_t* value) {
-    *value = static_cast<std::size_t>(table.Whole(key, static_cast<std::int64_t>(*value), 1, 10000000));
-  };
-  bytes("window_bytes", &settings->window_bytes);
-  count("window_events", &settings->window_events);
-  bytes("backlog_bytes", &settings->backlog_bytes);
-  count("merged_events", &settings->merged_events);
-  count("watches", &settings->max_subscribers);
-  count("waiting_reads", &settings->max_waiting_reads);
-  settings->list_bytes_per_second = static_cast<double>(
-      table.Whole("list_bytes_per_second", static_cast<std::int64_t>(settings->list_bytes_per_second), 1024,
-                  16384 * kMebibyte));
-  bytes("list_burst_bytes", &settings->list_burst_bytes);
-  settings->read_timeout =
-      table.Duration("read_timeout", settings->read_timeout, milliseconds(50), milliseconds(60000));
-  settings->progress_interval = table.Duration("progress_interval", settings->progress_interval,
-                                               milliseconds(50), milliseconds(600000));
+void ReadBounds(TableReader& table, Settings* cache) {
+  cache->max_window_bytes = ReadBytes(table, "window_bytes", cache->max_window_bytes);
+  cache->max_window_events = ReadCount(table, "window_events", cache->max_window_events, kMaxCount);
+  cache->max_backlog_bytes = ReadBytes(table, "backlog_bytes", cache->max_backlog_bytes);
+  cache->max_merged_events = ReadCount(table, "merged_events", cache->max_merged_events, kMaxCount);
+  cache->max_subscribers = ReadCount(table, "watches", cache->max_subscribers, kMaxCount);
+  cache->max_waiting_reads = ReadCount(table, "waiting_reads", cache->max_waiting_reads, kMaxCount);
+  const auto default_rate = static_cast<std::size_t>(cache->list_bytes_per_second);
+  cache->list_bytes_per_second = static_cast<double>(ReadBytes(table, "list_bytes_per_second", default_rate));
+  cache->list_burst_bytes = ReadBytes(table, "list_burst_bytes", cache->list_burst_bytes);
+  cache->read_timeout = table.Duration("read_timeout", cache->read_timeout, kMinReadTimeout, kMaxReadTimeout);
+  cache->progress_interval = table.Duration("progress_interval", cache->progress_interval,
+                                            kMinProgressInterval, kMaxProgressInterval);
   table.Finish();
 }
 
 }  // namespace
 
-void ApplyFile(std::string_view text, const std::string& file, ServiceSettings* settings,
-               Problems& problems) {
-  const auto root = operator_file::ParseToml(text, file, problems);
-  if (!root) return;
-  TableReader reader(*root, "", file, problems);
-  settings->relay.drain_period =
-      reader.Duration("drain_period", settings->relay.drain_period, milliseconds(0), milliseconds(600000));
-  settings->relay.upstream_grace = reader.Duration("upstream_grace", settings->relay.upstream_grace,
-                                                   milliseconds(0), milliseconds(600000));
-  if (const auto upstream = reader.Table("upstream")) ReadUpstream(*upstream, settings, problems, file);
-  if (const auto readers = reader.Table("readers")) ReadReaders(*readers, settings);
-  if (const auto bounds = reader.Table("bounds")) ReadBounds(*bounds, &settings->relay);
+RelayFile ParseRelayFile(std::string_view text, const std::string& file) {
+  RelayFile parsed;
+  const auto root = operator_file::ParseToml(text, file, parsed.problems);
+  if (!root) return parsed;
+  TableReader reader(*root, "", file, parsed.problems);
+  Settings& cache = parsed.settings.cache;
+  cache.drain_period = reader.Duration("drain_period", cache.drain_period, milliseconds(0), kMaxGracePeriod);
+  cache.upstream_grace =
+      reader.Duration("upstream_grace", cache.upstream_grace, milliseconds(0), kMaxGracePeriod);
+  if (const auto upstream = reader.Table("upstream")) ReadUpstream(*upstream, file, &parsed);
+  if (const auto readers = reader.Table("readers")) ReadReaders(*readers, &parsed.settings);
+  if (const auto bounds = reader.Table("bounds")) ReadBounds(*bounds, &cache);
   reader.Finish();
+  return parsed;
 }
 
-void LoadFile(const std::string& path, ServiceSettings* settings, Problems& problems) {
-  const auto text = operator_file::ReadFile(path, operator_file::kMostBytes, problems);
-  if (text) ApplyFile(*text, path, settings, problems);
+RelayFile LoadRelayFile(const std::string& path) {
+  RelayFile unreadable;
+  const auto text = operator_file::ReadFile(path, operator_file::kMostBytes, unreadable.problems);
+  if (!text) return unreadable;
+  return ParseRelayFile(*text, path);
 }
 
-bool SaysDrain(const etcdserverpb::KeyValue& kv) {
+bool IsDrainEvent(const etcdserverpb::KeyValue& kv) {
   const std::string& key = kv.key();
   const std::size_t slash = key.rfind('/');
+  const std::string name = slash == std::string::npos ? key : key.substr(slash + 1);
   membership::Member member;
-  const auto problem =
-      membership::ReadMember(slash == std::string::npos ? key : key.substr(slash + 1), kv.value(), &member);
+  const auto problem = membership::ReadMember(name, kv.value(), &member);
   return !problem && member.state == membership::State::kDraining;
 }
 
--- a/src/relay/relay_file.h
+++ b/src/relay/relay_file.h
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The relay's own file (TOML): TLS on both sides, a user at etcd, bounds. deploy/relay.toml lists every key.
+/// \file
+/// The watch cache's configuration file (TOML): TLS on both sides, a user at etcd, bounds. deploy/relay.toml
+/// lists every key. This is the only place where the file's keys meet the names of the settings.
 #ifndef BADGERBRIDGE_RELAY_RELAY_FILE_H_
 #define BADGERBRIDGE_RELAY_RELAY_FILE_H_
 
@@ -12,13 +14,23 @@
 
 namespace badgerbridge::relay {
 
-// Sets in `settings` what the file names; the rest stays. What it gives counts only if no problem was added.
-void ApplyFile(std::string_view text, const std::string& file, ServiceSettings* settings,
-               operator_file::Problems& problems);
-void LoadFile(const std::string& path, ServiceSettings* settings, operator_file::Problems& problems);
+/// A parsed file.
+struct RelayFile {
+  ServiceSettings settings;          ///< Defaults for what the file does not set. Valid if ok().
+  operator_file::Problems problems;  ///< All errors in the file.
 
-// Whether a member's value under its key says that it drains: a put that no merge may hide.
-bool SaysDrain(const etcdserverpb::KeyValue& kv);
+  /// Whether the file has no error.
+  bool ok() const { return problems.empty(); }
+};
+
+/// Parses a file's text. `file` is its name for messages.
+RelayFile ParseRelayFile(std::string_view text, const std::string& file);
+
+/// Reads and parses a file. A file that cannot be read is a problem, too.
+RelayFile LoadRelayFile(const std::string& path);
+
+/// Whether this is the registration of a backend that is draining: a put that no merge may hide.
+bool IsDrainEvent(const etcdserverpb::KeyValue& kv);
 
 }  // namespace badgerbridge::relay
 
--- a/src/relay/service.h
+++ b/src/relay/service.h
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The relay's shell: gRPC connections of readers below, a follower of the source (etcd, or another relay)
-// above, the timer. What is decided, Relay decides.
-//
-// A watch is asked for its next message only while its connection's unsent bytes are under a bound, so that a
-// slow reader's backlog stays in the relay's core, where it is merged and bounded.
+/// \file
+/// The watch cache's I/O: gRPC connections of readers below, a follower of the source (etcd or another cache)
+/// above, and the timer. All decisions are made by WatchCache.
+///
+/// A watch is asked for its next message only while its connection has few unsent bytes, so that a slow
+/// reader's backlog stays in the core, where it is merged and bounded.
 #ifndef BADGERBRIDGE_RELAY_SERVICE_H_
 #define BADGERBRIDGE_RELAY_SERVICE_H_
 
@@ -13,114 +14,131 @@
 #include <boost/json.hpp>
 #include <deque>
 #include <functional>
-#include <map>
 #include <memory>
 #include <optional>
 #include <set>
 #include <string>
+#include <string_view>
 #include <unordered_map>
 
 #include "etcd/follower_link.h"
 #include "etcd/server.h"
 #include "net/one_shot_timer.h"
-#include "relay/relay.h"
+#include "relay/watch_cache.h"
 
 namespace badgerbridge::relay {
 
+/// Configuration of the service.
 struct ServiceSettings {
-  boost::asio::ip::tcp::endpoint listen;
-  etcd::ServerOptions server = DefaultServerOptions();
-  etcd::FollowerLinkSettings upstream;  // its prefix is set from `relay`
-  Settings relay;
-  std::size_t connection_unsent = 256 << 10;  // bytes; at the bound, watches get no further messages
-  std::size_t message_bytes = 1 << 20;        // of one message to a watch that takes fragments
-  std::size_t watches_per_connection = 1000;
-
-  // Requests are small; answers to reads wait as whole messages.
+  boost::asio::ip::tcp::endpoint listen;                ///< Where readers connect.
+  etcd::ServerOptions server = DefaultServerOptions();  ///< Of the readers' connections.
+  etcd::FollowerLinkSettings upstream;                  ///< Its prefix is set from `cache`.
+  Settings cache;                                       ///< Of the core.
+  std::size_t max_unsent_bytes = 256 << 10;  ///< Of a connection; at it, watches get no further messages.
+  std::size_t max_message_bytes = 1 << 20;   ///< Of a message to a watch that accepts fragments.
+  std::size_t max_watches_per_connection = 1000;  ///< Further watches are rejected.
+
+  /// Small requests, and room for answers to reads, which wait to be sent as complete messages.
   static etcd::ServerOptions DefaultServerOptions();
 };
 
+/// A running watch cache. To be used on the io_context's thread only.
 class Service {
  public:
-  // Starts at once. Throws std::runtime_error, one line, if it can't listen.
+  /// Listens and connects upstream at once. Throws std::runtime_error, one line, if it cannot listen. `io`
+  /// must outlive this. `seed` seeds the backoff and the choice of upstream endpoints.
   Service(boost::asio::io_context& io, ServiceSettings settings, std::uint64_t seed);
-  ~Service();  // ends all connections
+  /// Closes all connections.
+  ~Service();
   Service(const Service&) = delete;
   Service& operator=(const Service&) = delete;
 
+  /// Where it listens.
   boost::asio::ip::tcp::endpoint address() const { return server_->address(); }
 
-  // Takes no further connections and calls, and sends the watches elsewhere over the drain period. `done` is
-  // called once, when all are gone or the period and a little more is over.
+  /// Accepts no further connections and calls, and ends the watches over the drain period. `done` is called
+  /// once, when all are gone or shortly after the period.
   void Drain(std::function<void()> done);
 
-  Relay::Status status() const { return relay_.status(); }
-  std::size_t connections() const { return connections_.size(); }
-  // For operators: what it holds and how old that is, the way up, the readers.
+  WatchCache::Status status() const { return cache_.status(); }    ///< Of the core.
+  std::size_t connections() const { return connections_.size(); }  ///< Of readers.
+
+  /// The body of the status endpoint, for operators.
   boost::json::object Describe() const;
 
  private:
   struct Call;
   struct Connection;
   using ConnectionPtr = std::shared_ptr<Connection>;
+
+  // Where the messages of a watch go.
   struct Subscriber {
     std::weak_ptr<Connection> connection;
     etcd::StreamId stream;
     std::int64_t watch_id;
   };
+
+  // Where the answer to a read goes.
   struct PendingRead {
     std::weak_ptr<Connection> connection;
     etcd::StreamId stream;
   };
 
-  etcd::Http2ServerHandler Connected(const std::shared_ptr<etcd::ServerConnection>& link);
+  etcd::Http2ServerHandler AcceptConnection(const std::shared_ptr<etcd::ServerConnection>& link);
   etcd::FollowerLinkCallbacks UpstreamCallbacks();
 
-  // ---- a reader's calls
-  void CallBegan(Connection& connection, etcd::StreamId stream, const etcd::CallHead& head);
-  void MessageReceived(const ConnectionPtr& connection, etcd::StreamId stream, std::string_view message);
-  void HalfClosed(const ConnectionPtr& connection, etcd::StreamId stream);
-  void CallClosed(Connection& connection, etcd::StreamId stream);
-  void RangeRequested(const ConnectionPtr& connection, etcd::StreamId stream, const std::string& message);
-  void StatusRequested(Connection& connection, etcd::StreamId stream);
-  void WatchRequested(const ConnectionPtr& connection, etcd::StreamId stream, std::string_view message);
+  // ---- a reader's calls (service_calls.cpp)
+  void OnCall(Connection& connection, etcd::StreamId stream, const etcd::CallHead& head);
+  void RejectCall(Connection& connection, etcd::StreamId stream, const std::string& path);
+  void OnMessage(const ConnectionPtr& connection, etcd::StreamId stream, std::string_view message);
+  void OnHalfClosed(const ConnectionPtr& connection, etcd::StreamId stream);
+  void OnCallClosed(Connection& connection, etcd::StreamId stream);
+  void StartRead(const ConnectionPtr& connection, etcd::StreamId stream, const std::string& message);
+  void AnswerStatus(Connection& connection, etcd::StreamId stream);
+  void HandleWatchRequest(const ConnectionPtr& connection, etcd::StreamId stream, std::string_view message);
   void CreateWatch(const ConnectionPtr& connection, etcd::StreamId stream,
                    const etcdserverpb::WatchCreateRequest& request);
+  void RejectDuplicateWatchId(Connection& connection, etcd::StreamId stream);
   void CancelWatch(Connection& connection, etcd::StreamId stream, std::int64_t watch_id);
+  void RequestProgressOfWatches(Connection& connection, etcd::StreamId stream);
   void ForgetWatch(Connection& connection, SubscriberId subscriber);
   etcdserverpb::ResponseHeader Header() const;
 
   // ---- the core
-  // Runs one of its inputs, carries out its actions, sends what became ready.
+  // Calls `input` with a list for actions, carries them out, and sends what became ready.
   template <typename Input>
-  void Run(Input input);
-  void Do(Relay::AnswerRead& action);
-  void Do(Relay::ConfirmRevision& action);
-  void Do(Relay::WakeSubscriber& action);
-  void Do(Relay::EndSubscriber& action);
-  void Do(Relay::RequestUpstreamProgress& action);
-  void Do(Relay::RejectUpstream& action);
-  void Send(Connection& connection);
-  bool SendNext(Connection& connection, SubscriberId subscriber);
+  void RunCore(Input input);
+  void CarryOutActions();
+  void Perform(WatchCache::AnswerRead& action);
+  void Perform(WatchCache::ConfirmRevision& action);
+  void Perform(WatchCache::WakeSubscriber& action);
+  void Perform(WatchCache::EndSubscriber& action);
+  void Perform(WatchCache::RequestUpstreamProgress& action);
+  void Perform(WatchCache::RejectUpstream& action);
+  void SendPending(Connection& connection);
+  bool SendNextMessage(Connection& connection, SubscriberId subscriber);
   void ArmTimer();
   void CheckDrained();
+  boost::json::object DescribeUpstream(const WatchCache::Status& status) const;
+  boost::json::object DescribeReaders(const WatchCache::Status& status) const;
 
   boost::asio::io_context& io_;
   ServiceSettings settings_;
-  Relay relay_;
+  WatchCache cache_;
   net::OneShotTimer timer_;
   Time armed_for_ = Time::max();
   std::set<ConnectionPtr> connections_;
-  std::set<ConnectionPtr> to_send_;  // have something for their watches or an answer
+  std::set<ConnectionPtr> connections_to_send_;  // have a message or an answer to be sent
   std::unordered_map<SubscriberId, Subscriber> subscribers_;
   std::unordered_map<ReadId, PendingRead> reads_;
   std::uint64_t next_id_ = 1;  // of reads and subscribers
-  std::uint64_t writes_refused_ = 0, violations_ = 0;
-  bool running_ = false;
-  std::deque<Relay::Action> actions_;
-  std::function<void()> drained_;
+  std::uint64_t rejected_writes_ = 0;
+  std::uint64_t protocol_violations_ = 0;
+  bool is_performing_ = false;
+  std::deque<WatchCache::Action> actions_;  // not carried out yet
+  std::function<void()> on_drained_;
   std::optional<Time> drain_deadline_;
-  // The last two end before what their handlers use.
+  // Declared last, because they must be destroyed before what their handlers use.
   std::unique_ptr<etcd::Server> server_;
   std::unique_ptr<etcd::FollowerLink> upstream_;
 };
--- /dev/null
+++ b/src/relay/service_internal.h
@@ -0,0 +1,66 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+/// \file
+/// What the source files of Service share.
+#ifndef BADGERBRIDGE_RELAY_SERVICE_INTERNAL_H_
+#define BADGERBRIDGE_RELAY_SERVICE_INTERNAL_H_
+
+#include <algorithm>
+#include <deque>
+#include <iterator>
+#include <map>
+#include <memory>
+#include <string>
+#include <utility>
+
+#include "relay/service.h"
+
+namespace badgerbridge::relay {
+
+/// A call of a reader.
+struct Service::Call {
+  /// The methods that are served.
+  enum class Kind { kRange, kWatch, kStatus };
+
+  Kind kind;                                     ///< The method.
+  std::string request;                           ///< The first message; not of a watch.
+  std::size_t message_count = 0;                 ///< Messages received; not of a watch.
+  ReadId read = 0;                               ///< The read in flight; 0: none.
+  std::map<std::int64_t, SubscriberId> watches;  ///< By watch id.
+  std::int64_t next_watch_id = 0;                ///< The next id to try, where the reader chooses none.
+  bool finished = false;                         ///< Its status was sent.
+};
+
+/// A connection of a reader.
+struct Service::Connection {
+  /// Shares ownership with etcd::Server.
+  explicit Connection(std::shared_ptr<etcd::ServerConnection> connection) : link(std::move(connection)) {}
+
+  /// The HTTP/2 session.
+  etcd::Http2Server& http2() { return link->http2(); }
+
+  std::shared_ptr<etcd::ServerConnection> link;  ///< The socket.
+  std::map<etcd::StreamId, Call> calls;          ///< By stream.
+  std::deque<SubscriberId> awake;                ///< Have a message to be sent, in turn.
+  std::size_t watch_count = 0;                   ///< Of all calls.
+};
+
+/// The time that the core is told.
+inline Time Now() { return etcd::FollowerLink::Now(); }
+
+/// A status of gRPC with a message.
+inline etcd::Status Error(etcd::Code code, std::string message) {
+  return {code, etcd::Ending::kStatus, std::move(message)};
+}
+
+template <typename Input>
+void Service::RunCore(Input input) {
+  WatchCache::Actions actions;
+  input(&actions);
+  std::move(actions.begin(), actions.end(), std::back_inserter(actions_));
+  CarryOutActions();
+}
+
+}  // namespace badgerbridge::relay
+
+#endif  // BADGERBRIDGE_RELAY_SERVICE_INTERNAL_H_
--- a/src/relay/state.cpp
+++ b/src/relay/state.cpp
@@ -19,13 +19,13 @@
 
 Status Error(Code code, const char* text) { return {code, Ending::kStatus, text}; }
 
-// What a range's keys held at an older revision, where that differs from now; null: nothing.
+// Key values of a range at an older revision, for the keys that have changed since. Null: the key was absent.
 using Overlay = std::map<std::string_view, KeyValuePtr>;
 
 Overlay RollBack(const Window& window, std::int64_t revision, const KeyRange& range) {
   Overlay overlay;
-  for (std::uint64_t at = window.FirstAfter(revision); at < window.end(); ++at) {
-    for (const StoredEventPtr& event : window.At(at).events) {
+  for (std::uint64_t sequence = window.FirstAfter(revision); sequence < window.end(); ++sequence) {
+    for (const StoredEventPtr& event : window.At(sequence).events) {
       if (range.Contains(event->kv->key())) overlay.try_emplace(event->kv->key(), event->previous);
     }
   }
@@ -33,50 +33,56 @@
 }
 
 struct Bounds {
-  State::Keys::const_iterator begin, end;
+  State::Keys::const_iterator begin;
+  State::Keys::const_iterator end;
 };
 
-Bounds Find(const State::Keys& keys, const KeyRange& range) {
+Bounds BoundsOf(const State::Keys& keys, const KeyRange& range) {
   const auto begin = keys.lower_bound(range.begin);
   if (range.single_key()) return {begin, keys.upper_bound(range.begin)};
   if (range.unbounded()) return {begin, keys.end()};
   return {begin, range.end <= range.begin ? begin : keys.lower_bound(range.end)};
 }
 
-// Calls `each` for the keys of the range in their order, until it returns false.
-template <typename Each>
-void ForEach(Bounds bounds, const Overlay& overlay, Each each) {
-  auto key = bounds.begin;
-  for (const auto& [name, old] : overlay) {
-    for (; key != bounds.end && (*key)->key().compare(name) < 0; ++key) {
-      if (!each(**key)) return;
+// Calls `visit` for the key values of the range in the order of keys, until it returns false.
+template <typename Visitor>
+void VisitInOrder(Bounds bounds, const Overlay& overlay, Visitor visit) {
+  auto current = bounds.begin;
+  for (const auto& [key, old] : overlay) {
+    for (; current != bounds.end && (*current)->key().compare(key) < 0; ++current) {
+      if (!visit(**current)) return;
     }
-    if (key != bounds.end && (*key)->key() == name) ++key;
-    if (old && !each(*old)) return;
+    if (current != bounds.end && (*current)->key() == key) ++current;
+    if (old && !visit(*old)) return;
   }
-  for (; key != bounds.end; ++key) {
-    if (!each(**key)) return;
+  for (; current != bounds.end; ++current) {
+    if (!visit(**current)) return;
   }
 }
 
-// How many keys the range holds, without a look at each.
-std::int64_t Count(const State& state, Bounds bounds, const Overlay& overlay) {
+// Counts the keys of the range by their ranks, without visiting each.
+std::int64_t CountKeys(const State& state, Bounds bounds, const Overlay& overlay) {
   auto count = static_cast<std::int64_t>(state.keys().rank(bounds.end)) -
                static_cast<std::int64_t>(state.keys().rank(bounds.begin));
-  for (const auto& [name, old] : overlay) count += (old != nullptr) - (state.Find(name) != nullptr);
+  for (const auto& [key, old] : overlay) {
+    const int held_then = old != nullptr ? 1 : 0;
+    const int held_now = state.Find(key) != nullptr ? 1 : 0;
+    count += held_then - held_now;
+  }
   return count;
 }
 
-bool Within(std::int64_t value, std::int64_t min, std::int64_t max) {
+// A bound of 0 does not apply.
+bool IsWithin(std::int64_t value, std::int64_t min, std::int64_t max) {
   return (min == 0 || value >= min) && (max == 0 || value <= max);
 }
 
-bool Selected(const pb::RangeRequest& request, const pb::KeyValue& kv) {
-  return Within(kv.mod_revision(), request.min_mod_revision(), request.max_mod_revision()) &&
-         Within(kv.create_revision(), request.min_create_revision(), request.max_create_revision());
+bool IsSelected(const pb::RangeRequest& request, const pb::KeyValue& kv) {
+  return IsWithin(kv.mod_revision(), request.min_mod_revision(), request.max_mod_revision()) &&
+         IsWithin(kv.create_revision(), request.min_create_revision(), request.max_create_revision());
 }
 
-bool Less(pb::RangeRequest::SortTarget target, const pb::KeyValue& a, const pb::KeyValue& b) {
+bool IsBefore(pb::RangeRequest::SortTarget target, const pb::KeyValue& a, const pb::KeyValue& b) {
   switch (target) {
     case pb::RangeRequest::VERSION:
       return a.version() < b.version();
@@ -91,17 +97,18 @@
   }
 }
 
-// As the keys are kept. A target without an order is ascending, as in etcd.
-bool InKeyOrder(const pb::RangeRequest& request) {
+// Whether the result is in the order in which the keys are stored. Without a sort order, etcd sorts
+// ascending.
+bool IsInKeyOrder(const pb::RangeRequest& request) {
   return request.sort_target() == pb::RangeRequest::KEY && request.sort_order() != pb::RangeRequest::DESCEND;
 }
 
-void Sort(const pb::RangeRequest& request, std::vector<const pb::KeyValue*>* found) {
-  if (InKeyOrder(request)) return;
+void SortKeyValues(const pb::RangeRequest& request, std::vector<const pb::KeyValue*>* found) {
+  if (IsInKeyOrder(request)) return;
   const auto target = request.sort_target();
   const bool descending = request.sort_order() == pb::RangeRequest::DESCEND;
   std::stable_sort(found->begin(), found->end(), [&](const auto* a, const auto* b) {
-    return descending ? Less(target, *b, *a) : Less(target, *a, *b);
+    return descending ? IsBefore(target, *b, *a) : IsBefore(target, *a, *b);
   });
 }
 
@@ -136,44 +143,62 @@
 Status CheckRange(const pb::RangeRequest& request) {
   if (request.key().empty()) return Error(Code::kInvalidArgument, "etcdserver: key is not provided");
   if (!pb::RangeRequest::SortOrder_IsValid(request.sort_order()) ||
-      !pb::RangeRequest::SortTarget_IsValid(request.sort_target()))
+      !pb::RangeRequest::SortTarget_IsValid(request.sort_target())) {
     return Error(Code::kInvalidArgument, "etcdserver: invalid sort option");
+  }
   return {};
 }
 
-Status ReadRange(const State& state, const Window& window, std::int64_t revision,
-                 const pb::RangeRequest& request, pb::RangeResponse* response, std::size_t* visited) {
+namespace {
+
+// The key values that the request selects, in its order. With a limit, possibly one more than the limit,
+// which tells that there are more.
+std::vector<const pb::KeyValue*> SelectKeyValues(const pb::RangeRequest& request, Bounds bounds,
+                                                 const Overlay& overlay, std::size_t* visited_keys) {
+  const bool may_stop_early = request.limit() > 0 && IsInKeyOrder(request);
+  const auto max_needed = static_cast<std::size_t>(request.limit()) + 1;
+  std::vector<const pb::KeyValue*> selected;
+  VisitInOrder(bounds, overlay, [&](const pb::KeyValue& kv) {
+    ++*visited_keys;
+    if (IsSelected(request, kv)) selected.push_back(&kv);
+    return !may_stop_early || selected.size() < max_needed;
+  });
+  SortKeyValues(request, &selected);
+  return selected;
+}
+
+}  // namespace
+
+RangeResult ReadRange(const State& state, const Window& window, std::int64_t revision,
+                      const pb::RangeRequest& request) {
+  RangeResult result;
   const KeyRange range{request.key(), request.range_end()};
   Overlay overlay;
   if (request.revision() > 0 && request.revision() != revision) {
-    if (request.revision() > revision) return Error(Code::kOutOfRange, kFutureText);
-    if (!window.Holds(request.revision())) return Error(Code::kOutOfRange, kCompactedText);
+    if (request.revision() > revision) {
+      result.status = Error(Code::kOutOfRange, kFutureText);
+      return result;
+    }
+    if (!window.Holds(request.revision())) {
+      result.status = Error(Code::kOutOfRange, kCompactedText);
+      return result;
+    }
     overlay = RollBack(window, request.revision(), range);
   }
-  // As etcd applies a range: the count is of all in it, before bounds on revisions and the limit.
-  const Bounds bounds = Find(state.keys(), range);
-  response->set_count(Count(state, bounds, overlay));
-  if (visited) *visited = 0;
-  if (request.count_only()) return {};
-  const bool limited = request.limit() > 0 && InKeyOrder(request);
-  const auto enough = static_cast<std::size_t>(request.limit()) + 1;  // one more tells that there is more
-  std::vector<const pb::KeyValue*> found;
-  ForEach(bounds, overlay, [&](const pb::KeyValue& kv) {
-    if (visited) ++*visited;
-    if (Selected(request, kv)) found.push_back(&kv);
-    return !limited || found.size() < enough;
-  });
-  Sort(request, &found);
-  for (const pb::KeyValue* kv : found) {
-    if (request.limit() > 0 && response->kvs_size() >= request.limit()) {
-      response->set_more(true);
+  // As in etcd, the count includes all keys of the range, whatever the revision filters and the limit select.
+  const Bounds bounds = BoundsOf(state.keys(), range);
+  result.response.set_count(CountKeys(state, bounds, overlay));
+  if (request.count_only()) return result;
+  for (const pb::KeyValue* kv : SelectKeyValues(request, bounds, overlay, &result.visited_keys)) {
+    if (request.limit() > 0 && result.response.kvs_size() >= request.limit()) {
+      result.response.set_more(true);
       break;
     }
-    pb::KeyValue* out = response->add_kvs();
-    *out = *kv;
-    if (request.keys_only()) out->clear_value();
+    pb::KeyValue* added = result.response.add_kvs();
+    *added = *kv;
+    if (request.keys_only()) added->clear_value();
   }
-  return {};
+  return result;
 }
 
 }  // namespace badgerbridge::relay
--- a/src/relay/state.h
+++ b/src/relay/state.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The keys of the prefix at the cache's revision, and reads of them as etcd answers a RangeRequest. Pure.
+/// \file
+/// The keys of the prefix at the cache's revision, and range reads of them as etcd answers a RangeRequest.
 #ifndef BADGERBRIDGE_RELAY_STATE_H_
 #define BADGERBRIDGE_RELAY_STATE_H_
 
@@ -19,26 +20,35 @@
 
 class Window;
 
-// etcd's own words (rpctypes), which clients compare.
+/// etcd's error text (rpctypes.ErrCompacted), which clients compare.
 inline constexpr char kCompactedText[] = "etcdserver: mvcc: required revision has been compacted";
+/// etcd's error text (rpctypes.ErrFutureRev), which clients compare.
 inline constexpr char kFutureText[] = "etcdserver: mvcc: required revision is a future revision";
 
+/// Key extractor of State::Keys.
 struct KeyOf {
-  using result_type = std::string;
+  using result_type = std::string;  ///< Required by Boost.MultiIndex.
+  /// The key.
   const std::string& operator()(const KeyValuePtr& kv) const { return kv->key(); }
 };
 
+/// All keys at one revision.
 class State {
  public:
-  // By key; the ranks count a range in logarithmic time.
+  /// Ordered by key; the ranks count a range in logarithmic time.
   using Keys = boost::multi_index_container<
       KeyValuePtr, boost::multi_index::indexed_by<boost::multi_index::ranked_unique<KeyOf, std::less<>>>>;
 
-  const Keys& keys() const { return keys_; }
+  const Keys& keys() const { return keys_; }    ///< All of them.
+  std::size_t bytes() const { return bytes_; }  ///< Of all key values, as encoded.
+
+  /// The key value, or null.
   KeyValuePtr Find(std::string_view key) const;
-  std::size_t bytes() const { return bytes_; }  // of the key values on the wire
 
+  /// Applies a put or a deletion.
   void Apply(const StoredEvent& event);
+
+  /// Replaces all keys.
   void Replace(Keys keys);
 
  private:
@@ -46,15 +56,20 @@
   std::size_t bytes_ = 0;
 };
 
-// Refuses what no state could answer: no key, an unknown sort.
+/// The result of a range read.
+struct RangeResult {
+  etcd::Status status;                   ///< Not ok: the revision is compacted or in the future.
+  etcdserverpb::RangeResponse response;  ///< Valid if status.ok(); its header is not set.
+  std::size_t visited_keys = 0;          ///< The cost: keys that were looked at.
+};
+
+/// Checks what no state could answer: a missing key or an unknown sort order.
 etcd::Status CheckRange(const etcdserverpb::RangeRequest& request);
 
-// Answers a read at `revision`, the state's own, or at the request's, which the window must reach back to.
-// The header is left to the caller. Cost: the keys in the range, and for an older revision the window's
-// events since.
-etcd::Status ReadRange(const State& state, const Window& window, std::int64_t revision,
-                       const etcdserverpb::RangeRequest& request, etcdserverpb::RangeResponse* response,
-                       std::size_t* visited = nullptr);
+/// Reads a range at `revision`, the state's own, or at the request's, which the window must hold. Cost: the
+/// keys in the range and, for an older revision, the window's events since.
+RangeResult ReadRange(const State& state, const Window& window, std::int64_t revision,
+                      const etcdserverpb::RangeRequest& request);
 
 }  // namespace badgerbridge::relay
 
--- a/src/relay/subscribers.h
+++ b/src/relay/subscribers.h
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The watches on the cache. One that keeps up has a sequence number in the shared window and nothing else of
-// its own; one that is too far behind has a backlog merged by key (merged_backlog.h) until it has caught up.
-// Pure.
-//
-// Invariant, for a subscriber that has applied its messages in order: after each whole response (the last of
-// its fragments) it holds the source's state, of its range and filters, at the header's revision.
+/// \file
+/// The watches on the cache. A subscriber that keeps up has only a position in the shared window. One that is
+/// too far behind has a backlog merged by key (merged_backlog.h) until it has caught up.
+///
+/// Invariant, for a subscriber that has applied its messages in order: after each complete response (the last
+/// of its fragments) it holds the source's state, of its range and filters, at the header's revision.
 #ifndef BADGERBRIDGE_RELAY_SUBSCRIBERS_H_
 #define BADGERBRIDGE_RELAY_SUBSCRIBERS_H_
 
+#include <compare>
 #include <cstdint>
 #include <map>
 #include <memory>
@@ -22,94 +23,136 @@
 #include "etcd.pb.h"
 #include "relay/key_range.h"
 #include "relay/merged_backlog.h"
-#include "relay/reads.h"
-#include "relay/relay.h"
+#include "relay/read_queue.h"
+#include "relay/watch_cache.h"
 #include "relay/window.h"
 
 namespace badgerbridge::relay {
 
+/// All subscribers of a watch cache.
 class Subscribers {
  public:
-  using Actions = Relay::Actions;
+  /// As of the watch cache.
+  using Actions = WatchCache::Actions;
 
+  /// Both must outlive this.
   Subscribers(const Settings& settings, const Window& window) : settings_(settings), window_(window) {}
 
-  std::size_t size() const { return subscribers_.size(); }
-  std::size_t slow() const { return slow_.size(); }
-  std::size_t merged_events() const { return merged_events_; }
-  std::uint64_t resumed() const { return resumed_; }
-  std::uint64_t told_to_reread() const { return told_to_reread_; }
+  std::size_t size() const { return subscribers_.size(); }           ///< Current watches.
+  std::size_t slow() const { return slow_.size(); }                  ///< Those with a merged backlog.
+  std::size_t merged_events() const { return merged_event_count_; }  ///< In all backlogs.
+  std::uint64_t resumed() const { return resumed_count_; }           ///< Started at a past revision, ever.
+  std::uint64_t compacted() const { return compacted_count_; }       ///< Canceled as compacted, ever.
 
-  // There must be room and a snapshot. `refusal`, if not empty, is why its range can't be watched.
-  void Add(Time now, SubscriberId id, const etcdserverpb::WatchCreateRequest& request, std::string refusal,
+  /// Adds a watch. `rejection`, if not empty, is why its range cannot be watched.
+  void Add(Time now, SubscriberId id, const etcdserverpb::WatchCreateRequest& request, std::string rejection,
            const CachePosition& position, Actions* actions);
+
+  /// Removes a watch. Unknown ones are ignored.
   void Remove(SubscriberId id);
+
+  /// The subscriber is to get a progress notification.
   void RequestProgress(SubscriberId id, Actions* actions);
-  // The window's newest batch was appended, and nothing trimmed for it yet.
+
+  /// The newest batch was appended to the window, and nothing has been trimmed for it yet.
   void BatchAppended(const CachePosition& position, Actions* actions);
-  // The window was reset: what lies before `revision` can't be given any more.
-  void TellAllToReread(std::int64_t revision, Actions* actions);
-  // `may_report_progress`: the upstream is followed, so that the cache's revision says something of now.
-  bool Take(Time now, SubscriberId id, std::size_t max_bytes, const CachePosition& position,
-            bool may_report_progress, etcdserverpb::WatchResponse* response);
-  // Wakes those whose progress notification is due.
+
+  /// The window was reset: cancels all watches that have not reached `revision`.
+  void CancelAllAsCompacted(std::int64_t revision, Actions* actions);
+
+  /// See WatchCache::NextMessage. `may_report_progress`: the upstream is followed, so that the cache's
+  /// revision is current.
+  std::optional<etcdserverpb::WatchResponse> NextMessage(Time now, SubscriberId id, std::size_t max_bytes,
+                                                         const CachePosition& position,
+                                                         bool may_report_progress);
+
+  /// Wakes those whose progress notification is due.
   void Tick(Time now, Actions* actions);
+
+  /// When the next progress notification is due.
   std::optional<Time> NextWake() const;
-  // The upstream is followed again: those who asked for progress meanwhile can have it.
+
+  /// The upstream is followed again: wakes those that requested progress meanwhile.
   void WakeForProgress(Actions* actions);
-  // Ends the `count` longest here.
+
+  /// Ends the `count` oldest.
   void End(std::size_t count, const etcd::Status& status, Actions* actions);
 
  private:
   struct Subscriber {
     KeyRange range;
-    bool puts = true, deletions = true, prev_kv = false, fragment = false, progress_notify = false;
+    bool wants_puts = true;
+    bool wants_deletions = true;
+    bool wants_previous = false;
+    bool accepts_fragments = false;
+    bool progress_notify = false;
     std::int64_t next_revision = 0;  // events before it are not wanted
     bool created = false;            // the first message was given
-    std::string refusal;             // why it is canceled once created
-    std::int64_t compacted = 0;      // not 0: canceled, this revision and all before are compacted
-    bool awake = false;              // has something to send; if not, it has been given all there was
+    std::string rejection;           // why it is canceled once created; empty: it is not
+    std::int64_t compacted = 0;      // not 0: it is canceled, with this compact_revision
+    bool awake = false;              // has something to send; if not, it has been given everything
     bool progress_due = false;
     Time last_message{0};
     std::uint64_t cursor = 0;                // while awake and not slow: the next batch in the window
     std::unique_ptr<MergedBacklog> backlog;  // while slow
-    // The response that is being given, in fragments or at once: a batch of the window, or merged events.
+    // The response that is being sent, as a whole or in fragments: a batch of the window, or merged events.
     BatchPtr batch;
     std::vector<MergedBacklog::Entry> merged;
-    std::size_t sent = 0;  // of either's events
+    std::size_t sent_events = 0;  // of either
     std::int64_t sending_revision = 0;
-    std::size_t counted = 0;  // its share of merged_events_
-    Time notify_at{0};        // its place in notify_
+    std::size_t counted_events = 0;  // its share of merged_event_count_
+    Time notification_due{0};        // its place in notifications_
+  };
+
+  // When a progress notification is due.
+  struct Notification {
+    Time due;
+    SubscriberId subscriber;
+    auto operator<=>(const Notification&) const = default;
+  };
+
+  // An event that is to be sent.
+  struct PendingEvent {
+    const StoredEvent* event = nullptr;  // null: there is none
+    KeyValuePtr previous;
   };
-  using ByRange = std::map<KeyRange, std::unordered_set<SubscriberId>>;
 
-  static bool Wants(const Subscriber& subscriber, const StoredEvent& event);
-  static std::vector<StoredEventPtr> Wanted(const Subscriber& subscriber, const Batch& batch);
+  static bool IsWanted(const Subscriber& subscriber, const StoredEvent& event);
+  static std::vector<StoredEventPtr> WantedEvents(const Subscriber& subscriber, const Batch& batch);
+  static Subscriber FromRequest(const etcdserverpb::WatchCreateRequest& request);
   void Wake(SubscriberId id, Subscriber* subscriber, Actions* actions);
-  void Merge(SubscriberId id, Subscriber* subscriber, const CachePosition& position);
+  void NotifyAll(std::uint64_t sequence, const CachePosition& position, Actions* actions);
+  void SwitchToBacklog(SubscriberId id, Subscriber* subscriber, const CachePosition& position);
+  static void DetachFromBatch(Subscriber* subscriber);
   void AddToBacklog(SubscriberId id, Subscriber* subscriber, const Batch& batch,
                     const CachePosition& position);
-  void TellToReread(SubscriberId id, Subscriber* subscriber, std::int64_t compacted);
+  void CancelAsCompacted(SubscriberId id, Subscriber* subscriber, std::int64_t compact_revision);
   void DropBacklog(SubscriberId id, Subscriber* subscriber);
-  static void FinishSending(Subscriber* subscriber);
-  void CountMerged(Subscriber* subscriber);
-  void Notify(SubscriberId id, Subscriber* subscriber, Time at);
-  bool Lags(const Subscriber& subscriber) const;
-  bool Load(SubscriberId id, Subscriber* subscriber);
-  // The event at `sent` or the next one that is wanted; null at the end.
-  static const StoredEvent* NextToSend(Subscriber* subscriber, KeyValuePtr* previous);
-  static void GiveEvents(Subscriber* subscriber, std::size_t max_bytes,
-                         etcdserverpb::WatchResponse* response);
+  static void FinishResponse(Subscriber* subscriber);
+  void RecountMergedEvents(Subscriber* subscriber);
+  void ScheduleNotification(SubscriberId id, Subscriber* subscriber, Time due);
+  bool IsLagging(const Subscriber& subscriber) const;
+  bool LoadNextResponse(SubscriberId id, Subscriber* subscriber);
+  static PendingEvent NextEvent(Subscriber* subscriber);
+  static void AppendEvents(Subscriber* subscriber, std::size_t max_bytes,
+                           etcdserverpb::WatchResponse* response);
+  etcdserverpb::WatchResponse EmptyMessage(const CachePosition& position) const;
+  etcdserverpb::WatchResponse CreatedMessage(SubscriberId id, Subscriber* subscriber,
+                                             const CachePosition& position);
+  etcdserverpb::WatchResponse CompactedMessage(SubscriberId id, const Subscriber& subscriber,
+                                               const CachePosition& position);
 
   const Settings& settings_;
   const Window& window_;
   std::map<SubscriberId, Subscriber> subscribers_;
-  ByRange by_range_;                              // many watch the same
+  // Many watch the same range.
+  std::map<KeyRange, std::unordered_set<SubscriberId>> by_range_;
   std::unordered_set<SubscriberId> catching_up_;  // awake and not slow: they need the window
   std::unordered_set<SubscriberId> slow_;
-  std::set<std::pair<Time, SubscriberId>> notify_;  // by when they are due
-  std::size_t merged_events_ = 0;
-  std::uint64_t resumed_ = 0, told_to_reread_ = 0;
+  std::set<Notification> notifications_;  // the earliest first
+  std::size_t merged_event_count_ = 0;
+  std::uint64_t resumed_count_ = 0;
+  std::uint64_t compacted_count_ = 0;
 };
 
 }  // namespace badgerbridge::relay
--- /dev/null
+++ b/src/relay/upstream_validation.h
@@ -0,0 +1,36 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+/// \file
+/// Checks of what comes from upstream, before anything of it is applied.
+#ifndef BADGERBRIDGE_RELAY_UPSTREAM_VALIDATION_H_
+#define BADGERBRIDGE_RELAY_UPSTREAM_VALIDATION_H_
+
+#include <cstdint>
+#include <vector>
+
+#include "etcd.pb.h"
+#include "relay/error.h"
+#include "relay/key_range.h"
+#include "relay/read_queue.h"
+#include "relay/state.h"
+
+namespace badgerbridge::relay {
+
+/// The keys of a snapshot at `revision`. Errors: kKeyOutsidePrefix, kKeyWithoutRevision,
+/// kRevisionAfterHeader, kDuplicateKey. `prefix` is the prefix's range.
+Result<State::Keys> CollectKeys(const KeyRange& prefix, std::int64_t revision,
+                                std::vector<etcdserverpb::KeyValue> kvs);
+
+/// Checks the events that follow `current_revision`, in a response at `revision`. Errors: as CollectKeys, and
+/// kUnknownEventType, kRevisionOutOfOrder.
+Result<void> CheckEvents(const KeyRange& prefix, std::int64_t current_revision, std::int64_t revision,
+                         const std::vector<etcdserverpb::Event>& events);
+
+/// Whether a snapshot can be a continuation of the history that the cache holds: key values that are not
+/// newer than the cache's revision must be those in the cache.
+bool ContinuesHistory(const CachePosition& position, const State& state, std::uint64_t cluster_id,
+                      std::int64_t revision, const State::Keys& keys);
+
+}  // namespace badgerbridge::relay
+
+#endif  // BADGERBRIDGE_RELAY_UPSTREAM_VALIDATION_H_
--- a/src/relay/window.cpp
+++ b/src/relay/window.cpp
@@ -10,7 +10,8 @@
   first_ = end();
   entries_.clear();
   floor_ = floor;
-  bytes_ = events_ = 0;
+  bytes_ = 0;
+  events_ = 0;
 }
 
 void Window::Append(BatchPtr batch) {
@@ -22,7 +23,8 @@
 }
 
 std::uint64_t Window::FirstToKeep() const {
-  std::size_t bytes = bytes_, events = events_;
+  std::size_t bytes = bytes_;
+  std::size_t events = events_;
   std::uint64_t first = first_;
   while (first < end() && (bytes > max_bytes_ || events > max_events_)) {
     bytes -= At(first).bytes;
@@ -33,7 +35,8 @@
 }
 
 void Window::Trim() {
-  for (const std::uint64_t keep = FirstToKeep(); first_ < keep; ++first_) {
+  const std::uint64_t first_to_keep = FirstToKeep();
+  for (; first_ < first_to_keep; ++first_) {
     const Batch& batch = *entries_.front().batch;
     bytes_ -= batch.bytes;
     events_ -= batch.events.size();
--- a/src/relay/window.h
+++ b/src/relay/window.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The past batches of events that the cache still holds, oldest first, bounded by bytes and events; shared by
-// all subscribers, each of which has a sequence number in it. Pure.
+/// \file
+/// The past batches of events that the cache still holds, oldest first, bounded by bytes and events. It is
+/// shared by all subscribers, each of which has a position (a sequence number) in it.
 #ifndef BADGERBRIDGE_RELAY_WINDOW_H_
 #define BADGERBRIDGE_RELAY_WINDOW_H_
 
@@ -12,45 +13,65 @@
 
 namespace badgerbridge::relay {
 
+/// A bounded queue of batches.
 class Window {
  public:
+  /// Trim enforces both bounds.
   Window(std::size_t max_bytes, std::size_t max_events) : max_bytes_(max_bytes), max_events_(max_events) {}
 
-  // Forgets all; history begins at `floor`.
+  /// Drops all batches; history begins at revision `floor`.
   void Reset(std::int64_t floor);
+
+  /// Adds the newest batch, without enforcing the bounds.
   void Append(BatchPtr batch);
-  // The sequence number that end() would have after Trim dropped what is over the bounds: batches before it
-  // are about to go.
+
+  /// The value that first() would have after Trim: batches before it are about to be dropped.
   std::uint64_t FirstToKeep() const;
+
+  /// Drops the oldest batches until both bounds hold.
   void Trim();
 
-  // Sequence numbers of batches: [first(), end()). They never go back, Reset included.
+  /// Sequence number of the oldest batch. Sequence numbers never decrease, not even by Reset.
   std::uint64_t first() const { return first_; }
+
+  /// Sequence number after the newest batch.
   std::uint64_t end() const { return first_ + entries_.size(); }
+
+  /// The batch with this sequence number, which must be in [first(), end()).
   const BatchPtr& Share(std::uint64_t sequence) const { return entries_[sequence - first_].batch; }
+
+  /// Likewise, without ownership.
   const Batch& At(std::uint64_t sequence) const { return *Share(sequence); }
-  // The first batch that ends after `revision`, or end().
+
+  /// The first batch that ends after `revision`, or end().
   std::uint64_t FirstAfter(std::int64_t revision) const;
+
+  /// Bytes of the batches from this sequence number on.
   std::size_t BytesFrom(std::uint64_t sequence) const;
 
-  // The state at `floor` is the oldest that can be rolled back to; a watch must start after it.
+  /// The oldest revision to which the state can be rolled back. A watch must start after it.
   std::int64_t floor() const { return floor_; }
-  // Whether the state at `revision` is known: not before the floor and not in the midst of a batch.
+
+  /// Whether the state at `revision` is known: neither before the floor nor within a batch.
   bool Holds(std::int64_t revision) const;
 
-  std::size_t bytes() const { return bytes_; }
-  std::size_t events() const { return events_; }
+  std::size_t bytes() const { return bytes_; }    ///< Of all batches.
+  std::size_t events() const { return events_; }  ///< Of all batches.
 
  private:
   struct Entry {
     BatchPtr batch;
-    std::uint64_t offset;  // bytes appended before it, ever
+    std::uint64_t offset;  // all bytes that were ever appended before it
   };
-  std::size_t max_bytes_, max_events_;
+
+  std::size_t max_bytes_;
+  std::size_t max_events_;
   std::deque<Entry> entries_;
-  std::uint64_t first_ = 0, appended_bytes_ = 0;
+  std::uint64_t first_ = 0;
+  std::uint64_t appended_bytes_ = 0;
   std::int64_t floor_ = 0;
-  std::size_t bytes_ = 0, events_ = 0;
+  std::size_t bytes_ = 0;
+  std::size_t events_ = 0;
 };
 
 }  // namespace badgerbridge::relay
--- a/tests/compatibility/watch_cache_compatibility_test.cpp
+++ b/tests/compatibility/watch_cache_compatibility_test.cpp
@@ -30,7 +30,7 @@
   dump->BeginTable("readers");
   AddTls(settings.server.tls, "client_authority", dump);
   dump->Add("connections", settings.server.connections);
-  dump->Add("watches_per_connection", settings.watches_per_connection);
+  dump->Add("watches_per_connection", settings.max_watches_per_connection);
   dump->Add("ping_every", settings.server.ping_every);
   dump->Add("ping_timeout", settings.server.ping_timeout);
   dump->Add("idle_timeout", settings.server.idle_timeout);
@@ -39,10 +39,10 @@
 
 void AddBounds(const relay::Settings& bounds, KeyValueDump* dump) {
   dump->BeginTable("bounds");
-  dump->Add("window_bytes", bounds.window_bytes);
-  dump->Add("window_events", bounds.window_events);
-  dump->Add("backlog_bytes", bounds.backlog_bytes);
-  dump->Add("merged_events", bounds.merged_events);
+  dump->Add("window_bytes", bounds.max_window_bytes);
+  dump->Add("window_events", bounds.max_window_events);
+  dump->Add("backlog_bytes", bounds.max_backlog_bytes);
+  dump->Add("merged_events", bounds.max_merged_events);
   dump->Add("watches", bounds.max_subscribers);
   dump->Add("waiting_reads", bounds.max_waiting_reads);
   dump->Add("read_timeout", bounds.read_timeout);
@@ -53,11 +53,11 @@
 
 std::string DumpOf(const relay::ServiceSettings& settings) {
   KeyValueDump dump;
-  dump.Add("drain_period", settings.relay.drain_period);
-  dump.Add("upstream_grace", settings.relay.upstream_grace);
+  dump.Add("drain_period", settings.cache.drain_period);
+  dump.Add("upstream_grace", settings.cache.upstream_grace);
   AddUpstream(settings.upstream, &dump);
   AddReaders(settings, &dump);
-  AddBounds(settings.relay, &dump);
+  AddBounds(settings.cache, &dump);
   return dump.text();
 }
 
@@ -68,10 +68,8 @@
   const std::size_t placeholder = text.find(kPlaceholder);
   if (placeholder != std::string::npos)
     text.replace(placeholder, kPlaceholder.size(), GoldenPath("watch_cache/password"));
-  operator_file::Problems problems;
-  relay::ServiceSettings settings;
-  relay::ApplyFile(text, "relay.toml", &settings, problems);
-  return DumpOf(settings) + operator_file::Lines(problems);
+  const relay::RelayFile file = relay::ParseRelayFile(text, "relay.toml");
+  return DumpOf(file.settings) + operator_file::Lines(file.problems);
 }
 
 TEST(WatchCacheFileCompatibility, FileWithEveryKeyIsReadAsBefore) {
--- a/tests/relay/harness.h
+++ b/tests/relay/harness.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A relay's core under test: gives it events, sorts its actions, and applies watch messages as a reader does.
+/// \file
+/// The watch cache's core under test: the harness gives it events and sorts its actions.
 #ifndef BADGERBRIDGE_TESTS_RELAY_HARNESS_H_
 #define BADGERBRIDGE_TESTS_RELAY_HARNESS_H_
 
@@ -12,7 +13,7 @@
 #include <variant>
 #include <vector>
 
-#include "relay/relay.h"
+#include "relay/watch_cache.h"
 
 namespace badgerbridge::relay {
 
@@ -23,8 +24,8 @@
 inline const std::string kPrefixEnd = "/p0";
 inline constexpr std::uint64_t kCluster = 77;
 
-inline pb::KeyValue Kv(const std::string& key, const std::string& value, std::int64_t mod,
-                       std::int64_t create = 0, std::int64_t version = 1) {
+inline pb::KeyValue MakeKeyValue(const std::string& key, const std::string& value, std::int64_t mod,
+                                 std::int64_t create = 0, std::int64_t version = 1) {
   pb::KeyValue kv;
   kv.set_key(key);
   kv.set_value(value);
@@ -35,10 +36,10 @@
 }
 inline pb::Event Put(const std::string& key, const std::string& value, std::int64_t mod) {
   pb::Event event;
-  *event.mutable_kv() = Kv(key, value, mod);
+  *event.mutable_kv() = MakeKeyValue(key, value, mod);
   return event;
 }
-inline pb::Event Deleted(const std::string& key, std::int64_t mod) {
+inline pb::Event Deletion(const std::string& key, std::int64_t mod) {
   pb::Event event;
   event.set_type(pb::Event::DELETE);
   event.mutable_kv()->set_key(key);
@@ -83,7 +84,7 @@
   return settings;
 }
 
-// "PUT a=1@5" or "DELETE a@6", keys without the prefix.
+/// "PUT a=1@5" or "DELETE a@6", keys without the prefix.
 inline std::string Text(const pb::Event& event) {
   const std::string key = event.kv().key().substr(kPrefix.size());
   const std::string at = "@" + std::to_string(event.kv().mod_revision());
@@ -95,7 +96,7 @@
   for (const pb::Event& event : response.events()) texts.push_back(Text(event));
   return texts;
 }
-// "a=1 b=2", keys without the prefix.
+/// "a=1 b=2", keys without the prefix.
 inline std::string Text(const pb::RangeResponse& response) {
   std::string text;
   for (const pb::KeyValue& kv : response.kvs())
@@ -103,13 +104,14 @@
   return text;
 }
 
+/// Gives events to a watch cache in virtual time and keeps its actions.
 class Harness {
  public:
-  explicit Harness(Settings settings = TestSettings()) : relay_(std::move(settings)) {}
+  explicit Harness(Settings settings = TestSettings()) : cache_(std::move(settings)) {}
 
-  Relay& relay() { return relay_; }
+  WatchCache& cache() { return cache_; }
   Time now() const { return now_; }
-  std::map<ReadId, Relay::AnswerRead> answers;
+  std::map<ReadId, WatchCache::AnswerRead> answers;
   std::vector<std::uint64_t> confirmations;
   std::vector<SubscriberId> woken;
   std::map<SubscriberId, etcd::Status> ended;
@@ -117,27 +119,27 @@
   int progress_requests = 0;
 
   void Snapshot(std::int64_t revision, std::vector<pb::KeyValue> kvs, std::uint64_t cluster = kCluster) {
-    Act([&](auto* actions) { relay_.UpstreamSnapshot(now_, cluster, revision, std::move(kvs), actions); });
+    Act([&](auto* actions) { cache_.UpstreamSnapshot(now_, cluster, revision, std::move(kvs), actions); });
   }
   void Events(std::int64_t revision, std::vector<pb::Event> events) {
-    Act([&](auto* actions) { relay_.UpstreamEvents(now_, revision, std::move(events), actions); });
+    Act([&](auto* actions) { cache_.UpstreamEvents(now_, revision, std::move(events), actions); });
   }
-  // One event as the source sends it.
+  /// One event, as the source sends it.
   void Event(const pb::Event& event) { Events(event.kv().mod_revision(), {event}); }
   void Progress(std::int64_t revision) {
-    Act([&](auto* actions) { relay_.UpstreamProgress(now_, revision, actions); });
+    Act([&](auto* actions) { cache_.UpstreamProgress(now_, revision, actions); });
   }
   void Lost() {
-    Act([&](auto* actions) { relay_.UpstreamLost(now_, "connection refused", actions); });
+    Act([&](auto* actions) { cache_.UpstreamLost(now_, "connection refused", actions); });
   }
   void Confirm(std::uint64_t confirmation, const pb::ResponseHeader& header, etcd::Status status = {}) {
-    Act([&](auto* actions) { relay_.RevisionConfirmed(now_, confirmation, status, header, actions); });
+    Act([&](auto* actions) { cache_.RevisionConfirmed(now_, confirmation, status, header, actions); });
   }
   void Read(ReadId read, const pb::RangeRequest& request) {
-    Act([&](auto* actions) { relay_.Read(now_, read, request, actions); });
+    Act([&](auto* actions) { cache_.Read(now_, read, request, actions); });
   }
-  // A serializable read, answered at once.
-  Relay::AnswerRead ReadNow(const pb::RangeRequest& request) {
+  /// A serializable read, which is answered at once.
+  WatchCache::AnswerRead ReadNow(const pb::RangeRequest& request) {
     const ReadId read = 1'000'000 + next_read_++;
     Read(read, Serializable(request));
     const auto found = answers.find(read);
@@ -146,37 +148,35 @@
   }
   std::string StateNow() { return Text(ReadNow(ListAll()).response); }
   void Subscribe(SubscriberId subscriber, const pb::WatchCreateRequest& request) {
-    Act([&](auto* actions) { relay_.Subscribe(now_, subscriber, request, actions); });
+    Act([&](auto* actions) { cache_.Subscribe(now_, subscriber, request, actions); });
   }
   void RequestProgress(SubscriberId subscriber) {
-    Act([&](auto* actions) { relay_.RequestProgress(now_, subscriber, actions); });
+    Act([&](auto* actions) { cache_.RequestProgress(now_, subscriber, actions); });
   }
-  std::optional<pb::WatchResponse> Take(SubscriberId subscriber, std::size_t max_bytes = 1 << 20) {
-    pb::WatchResponse response;
-    if (!relay_.Take(now_, subscriber, max_bytes, &response)) return std::nullopt;
-    return response;
+  std::optional<pb::WatchResponse> NextMessage(SubscriberId subscriber, std::size_t max_bytes = 1 << 20) {
+    return cache_.NextMessage(now_, subscriber, max_bytes);
   }
-  std::vector<pb::WatchResponse> TakeAll(SubscriberId subscriber, std::size_t max_bytes = 1 << 20) {
+  std::vector<pb::WatchResponse> AllMessages(SubscriberId subscriber, std::size_t max_bytes = 1 << 20) {
     std::vector<pb::WatchResponse> all;
-    while (auto response = Take(subscriber, max_bytes)) all.push_back(std::move(*response));
+    while (auto response = NextMessage(subscriber, max_bytes)) all.push_back(std::move(*response));
     return all;
   }
-  // Subscribes, and takes the message that says so.
-  void Established(SubscriberId subscriber, const pb::WatchCreateRequest& request) {
+  /// Subscribes, and takes the message that confirms it.
+  void Watch(SubscriberId subscriber, const pb::WatchCreateRequest& request) {
     Subscribe(subscriber, request);
-    const auto created = Take(subscriber);
+    const auto created = NextMessage(subscriber);
     ASSERT_TRUE(created && created->created() && !created->canceled());
   }
-  // All events, a message each in braces.
-  std::vector<std::vector<std::string>> Messages(SubscriberId subscriber) {
+  /// The texts of all events, by message.
+  std::vector<std::vector<std::string>> EventTexts(SubscriberId subscriber) {
     std::vector<std::vector<std::string>> all;
-    for (const pb::WatchResponse& response : TakeAll(subscriber)) all.push_back(Text(response));
+    for (const pb::WatchResponse& response : AllMessages(subscriber)) all.push_back(Text(response));
     return all;
   }
   void Advance(Time by) {
     const Time until = now_ + by;
-    for (auto wake = relay_.NextWake(); wake && *wake <= until; wake = relay_.NextWake()) {
-      ASSERT_LT(++ticks_, 1'000'000) << "the relay asks to be woken without an end";
+    for (auto wake = cache_.NextWake(); wake && *wake <= until; wake = cache_.NextWake()) {
+      ASSERT_LT(++ticks_, 1'000'000) << "the cache wakes without end";
       now_ = std::max(now_, *wake);
       Tick();
     }
@@ -184,31 +184,31 @@
     Tick();
   }
   void Tick() {
-    Act([&](auto* actions) { relay_.Tick(now_, actions); });
+    Act([&](auto* actions) { cache_.Tick(now_, actions); });
   }
   void Drain() {
-    Act([&](auto* actions) { relay_.Drain(now_, actions); });
+    Act([&](auto* actions) { cache_.Drain(now_, actions); });
   }
 
  private:
   template <typename Step>
   void Act(Step step) {
-    Relay::Actions actions;
+    WatchCache::Actions actions;
     step(&actions);
-    for (Relay::Action& action : actions) std::visit([this](auto& one) { Do(one); }, action);
+    for (WatchCache::Action& action : actions) std::visit([this](auto& one) { Perform(one); }, action);
   }
-  void Do(Relay::AnswerRead& action) {
+  void Perform(WatchCache::AnswerRead& action) {
     EXPECT_TRUE(answers.emplace(action.read, action).second) << "answered twice: " << action.read;
   }
-  void Do(const Relay::ConfirmRevision& action) { confirmations.push_back(action.confirmation); }
-  void Do(const Relay::WakeSubscriber& action) { woken.push_back(action.subscriber); }
-  void Do(const Relay::EndSubscriber& action) {
+  void Perform(const WatchCache::ConfirmRevision& action) { confirmations.push_back(action.confirmation); }
+  void Perform(const WatchCache::WakeSubscriber& action) { woken.push_back(action.subscriber); }
+  void Perform(const WatchCache::EndSubscriber& action) {
     EXPECT_TRUE(ended.emplace(action.subscriber, action.status).second);
   }
-  void Do(const Relay::RequestUpstreamProgress&) { ++progress_requests; }
-  void Do(const Relay::RejectUpstream& action) { rejected.push_back(action.why); }
+  void Perform(const WatchCache::RequestUpstreamProgress&) { ++progress_requests; }
+  void Perform(const WatchCache::RejectUpstream& action) { rejected.push_back(action.reason); }
 
-  Relay relay_;
+  WatchCache cache_;
   Time now_{1000};
   ReadId next_read_ = 0;
   int ticks_ = 0;
--- a/tests/relay/program_test.cpp
+++ b/tests/relay/program_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgerrelay as a program: arguments, its file, signals, its status socket.
+/// \file
+/// The program: arguments, its file, signals and its status socket.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -19,7 +20,7 @@
 namespace badgerbridge::relay {
 namespace {
 
-// A child with its standard error in a file.
+/// A child process with its standard error in a file.
 class Program {
  public:
   Program(std::vector<std::string> arguments, std::string log) : log_(std::move(log)) {
@@ -34,7 +35,9 @@
     _exit(127);
   }
   ~Program() {
-    if (!ended()) kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
+    if (ended()) return;
+    kill(pid_, SIGKILL);
+    waitpid(pid_, nullptr, 0);
   }
   Program(const Program&) = delete;
   Program& operator=(const Program&) = delete;
@@ -52,7 +55,7 @@
     std::ifstream file(log_);
     return {std::istreambuf_iterator<char>(file), {}};
   }
-  // From the line that it writes once it serves.
+  /// From the line that it writes once it serves.
   std::optional<tcp::endpoint> Address() const {
     const std::string log = Log();
     const std::size_t at = log.find(" on ");
@@ -86,12 +89,38 @@
     arguments.insert(arguments.end(), more.begin(), more.end());
     return std::make_unique<Program>(arguments, directory + "/log");
   }
+  /// What a command wrote, and its exit code; -1: ended by a signal.
+  struct CommandResult {
+    std::string output;
+    int exit_code = -1;
+  };
+
+  /// Runs the command line tool's `relays`, while the event loop runs.
+  CommandResult RunRelaysCommand(const std::string& arguments) {
+    const std::string result_file = directory + "/log2";
+    const pid_t pid = fork();
+    if (pid == 0) {
+      const std::string command =
+          std::string(CTL_PATH) + " relays " + arguments + " >" + result_file + " 2>&1";
+      execl("/bin/sh", "sh", "-c", command.c_str(), nullptr);
+      _exit(127);
+    }
+    int status = 0;
+    EXPECT_TRUE(Until([&] { return waitpid(pid, &status, WNOHANG) == pid; }));
+    CommandResult result;
+    if (WIFEXITED(status)) result.exit_code = WEXITSTATUS(status);
+    std::ifstream file(result_file);
+    result.output = {std::istreambuf_iterator<char>(file), {}};
+    unlink(result_file.c_str());
+    return result;
+  }
+
   void WriteFile(const std::string& text) { std::ofstream(directory + "/relay.toml") << text; }
 
   std::string directory;
 };
 
-TEST_F(ProgramTest, ServesUntilSigtermAndExitsWithZero) {
+TEST_F(ProgramTest, SigtermDrainsAndExitsWithZero) {
   StartEtcd();
   WriteFile("drain_period = \"200ms\"\n");
   const auto program = Run({"--config", directory + "/relay.toml"});
@@ -104,10 +133,10 @@
   ASSERT_TRUE(Until([&] { return program->ended(); }));
   EXPECT_EQ(program->exit_code(), 0) << program->Log();
   EXPECT_GT(reader->disconnects, 0);
-  EXPECT_EQ(reader->keys, Truth());  // what it had, it has
+  EXPECT_EQ(reader->keys, SourceState());  // what it had, it has
 }
 
-TEST_F(ProgramTest, ASecondSignalEndsItAtOnce) {
+TEST_F(ProgramTest, SecondSignalExitsAtOnce) {
   StartEtcd();
   WriteFile("drain_period = \"10m\"\n");
   const auto program = Run({"--config", directory + "/relay.toml"});
@@ -122,7 +151,7 @@
   EXPECT_EQ(program->exit_code(), 0);
 }
 
-TEST_F(ProgramTest, KilledAndStartedAgainItsReadersEndWithTheSourcesState) {
+TEST_F(ProgramTest, ReadersReachSourceStateAfterKillAndRestart) {
   StartEtcd();
   auto program = Run();
   ASSERT_TRUE(Until([&] { return program->Address().has_value(); })) << program->Log();
@@ -144,38 +173,38 @@
   EXPECT_EQ(reader->went_back, 0);
 }
 
-TEST_F(ProgramTest, TheExampleOfItsFileIsWhole) {
+TEST_F(ProgramTest, ExampleFileHasEveryKeyWithItsDefault) {
   StartEtcd();
   const auto program = Run({"--check", "--config", SOURCE_DIR "/deploy/relay.toml"});
   ASSERT_TRUE(Until([&] { return program->ended(); }));
   EXPECT_EQ(program->exit_code(), 0) << program->Log();
   // Each key of it stands there with its default.
-  ServiceSettings defaults, from_file;
-  operator_file::Problems problems;
-  LoadFile(SOURCE_DIR "/deploy/relay.toml", &from_file, problems);
-  EXPECT_TRUE(problems.empty()) << operator_file::Lines(problems);
-  EXPECT_EQ(from_file.relay.drain_period, defaults.relay.drain_period);
-  EXPECT_EQ(from_file.relay.window_bytes, defaults.relay.window_bytes);
-  EXPECT_EQ(from_file.relay.window_events, defaults.relay.window_events);
-  EXPECT_EQ(from_file.relay.backlog_bytes, defaults.relay.backlog_bytes);
-  EXPECT_EQ(from_file.relay.merged_events, defaults.relay.merged_events);
-  EXPECT_EQ(from_file.relay.max_subscribers, defaults.relay.max_subscribers);
-  EXPECT_EQ(from_file.relay.max_waiting_reads, defaults.relay.max_waiting_reads);
-  EXPECT_EQ(from_file.relay.read_timeout, defaults.relay.read_timeout);
-  EXPECT_EQ(from_file.relay.progress_interval, defaults.relay.progress_interval);
-  EXPECT_EQ(from_file.relay.list_bytes_per_second, defaults.relay.list_bytes_per_second);
-  EXPECT_EQ(from_file.relay.list_burst_bytes, defaults.relay.list_burst_bytes);
+  const ServiceSettings defaults;
+  const RelayFile file = LoadRelayFile(SOURCE_DIR "/deploy/relay.toml");
+  EXPECT_TRUE(file.ok()) << operator_file::Lines(file.problems);
+  const ServiceSettings& from_file = file.settings;
+  EXPECT_EQ(from_file.cache.drain_period, defaults.cache.drain_period);
+  EXPECT_EQ(from_file.cache.max_window_bytes, defaults.cache.max_window_bytes);
+  EXPECT_EQ(from_file.cache.max_window_events, defaults.cache.max_window_events);
+  EXPECT_EQ(from_file.cache.max_backlog_bytes, defaults.cache.max_backlog_bytes);
+  EXPECT_EQ(from_file.cache.max_merged_events, defaults.cache.max_merged_events);
+  EXPECT_EQ(from_file.cache.max_subscribers, defaults.cache.max_subscribers);
+  EXPECT_EQ(from_file.cache.max_waiting_reads, defaults.cache.max_waiting_reads);
+  EXPECT_EQ(from_file.cache.read_timeout, defaults.cache.read_timeout);
+  EXPECT_EQ(from_file.cache.progress_interval, defaults.cache.progress_interval);
+  EXPECT_EQ(from_file.cache.list_bytes_per_second, defaults.cache.list_bytes_per_second);
+  EXPECT_EQ(from_file.cache.list_burst_bytes, defaults.cache.list_burst_bytes);
   EXPECT_EQ(from_file.server.connections, defaults.server.connections);
   EXPECT_EQ(from_file.server.ping_every, defaults.server.ping_every);
   EXPECT_EQ(from_file.server.ping_timeout, defaults.server.ping_timeout);
   EXPECT_EQ(from_file.server.idle_timeout, defaults.server.idle_timeout);
   EXPECT_EQ(from_file.server.stall_timeout, defaults.server.stall_timeout);
-  EXPECT_EQ(from_file.watches_per_connection, defaults.watches_per_connection);
+  EXPECT_EQ(from_file.max_watches_per_connection, defaults.max_watches_per_connection);
   EXPECT_EQ(from_file.upstream.channel.ping_every, defaults.upstream.channel.ping_every);
   EXPECT_EQ(from_file.upstream.channel.ping_timeout, defaults.upstream.channel.ping_timeout);
 }
 
-TEST_F(ProgramTest, WhatIsWrongIsSaidInALine) {
+TEST_F(ProgramTest, InvalidArgumentsAndFilesExitWithMessage) {
   StartEtcd();
   const auto expect = [&](std::vector<std::string> arguments, const std::string& text) {
     Program program(std::move(arguments), directory + "/log");
@@ -203,7 +232,7 @@
          "/nowhere");
 }
 
-TEST_F(ProgramTest, TheStatusSocketTellsRevisionUpstreamAndAge) {
+TEST_F(ProgramTest, StatusSocketReportsRevisionUpstreamAndAge) {
   StartEtcd();
   const auto program = Run({"--status-socket", directory + "/status"});
   ASSERT_TRUE(Until([&] { return program->Address().has_value(); })) << program->Log();
@@ -226,14 +255,14 @@
   EXPECT_EQ(about.at("readers").at("watches").as_int64(), 1);
 }
 
-TEST_F(ProgramTest, TheToolShowsHowFarBehindEachRelayIs) {
+TEST_F(ProgramTest, RelaysCommandShowsHowFarBehindEachCacheIs) {
   standins::EtcdSettings two;
   two.members = 2;
   StartEtcd(two);
   const auto program = Run({"--status-socket", directory + "/status"});
   ASSERT_TRUE(Until([&] { return program->Address().has_value(); })) << program->Log();
   const auto reader = MakeReader({*program->Address()});
-  const auto behind = MakeRelay({etcd->address(1)});
+  const auto behind = MakeCache({etcd->address(1)});
   api::UnixServer other(io, directory + "/other", {}, {},
                         [&](api::Request, api::Peer) -> boost::asio::awaitable<api::Response> {
                           co_return api::Response{200, behind->Describe()};
@@ -243,40 +272,23 @@
   Put("m1");
   Put("m2");
   ASSERT_TRUE(Until([&] { return Holds(*reader); }));
-  const auto tool = [&](const std::string& arguments, int* code) {
-    const std::string result = directory + "/log2";
-    const pid_t pid = fork();
-    if (pid == 0) {
-      const std::string command = std::string(CTL_PATH) + " relays " + arguments + " >" + result + " 2>&1";
-      execl("/bin/sh", "sh", "-c", command.c_str(), nullptr);
-      _exit(127);
-    }
-    int status = 0;
-    EXPECT_TRUE(Until([&] { return waitpid(pid, &status, WNOHANG) == pid; }));
-    *code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-    std::ifstream file(result);
-    const std::string text{std::istreambuf_iterator<char>(file), {}};
-    unlink(result.c_str());
-    return text;
-  };
-  int code = -1;
   const std::string sockets = directory + "/status " + directory + "/other";
-  const boost::json::value all = boost::json::parse(tool(sockets + " -o json", &code));
-  EXPECT_EQ(code, 0);
+  const CommandResult as_json = RunRelaysCommand(sockets + " -o json");
+  EXPECT_EQ(as_json.exit_code, 0);
+  const boost::json::value all = boost::json::parse(as_json.output);
   ASSERT_EQ(all.as_array().size(), 2u);
   EXPECT_EQ(all.at(0).at("behind").as_int64(), 0);
   EXPECT_EQ(all.at(1).at("behind").as_int64(), 2);
-  const std::string table = tool(sockets + " " + directory + "/nothing", &code);
-  EXPECT_EQ(code, 5) << table;  // one is out of reach
-  EXPECT_NE(table.find("BEHIND"), std::string::npos) << table;
-  EXPECT_NE(table.find("connected"), std::string::npos) << table;
+  const CommandResult table = RunRelaysCommand(sockets + " " + directory + "/nothing");
+  EXPECT_EQ(table.exit_code, 5) << table.output;  // one is out of reach
+  EXPECT_NE(table.output.find("BEHIND"), std::string::npos) << table.output;
+  EXPECT_NE(table.output.find("connected"), std::string::npos) << table.output;
   etcd->Down(1);
   ASSERT_TRUE(Until([&] { return !behind->status().connected; }));
-  tool(sockets, &code);
-  EXPECT_EQ(code, 1);
+  EXPECT_EQ(RunRelaysCommand(sockets).exit_code, 1);
 }
 
-TEST_F(ProgramTest, TlsForReadersNeedsTheirCertificate) {
+TEST_F(ProgramTest, TlsRequiresCertificateOfReaders) {
   StartEtcd();
   const standins::Authority authority("authority");
   authority.Write(directory + "/authority.pem");
--- a/tests/relay/service_harness.h
+++ b/tests/relay/service_harness.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A stand-in etcd, relays below it and readers below them, all on one loop and real sockets.
+/// \file
+/// A stand-in etcd, watch caches below it and readers below them, all on one event loop and real sockets.
 #ifndef BADGERBRIDGE_TESTS_RELAY_SERVICE_HARNESS_H_
 #define BADGERBRIDGE_TESTS_RELAY_SERVICE_HARNESS_H_
 
@@ -14,6 +15,7 @@
 #include <vector>
 
 #include "etcd/follower_link.h"
+#include "etcd/key_range.h"
 #include "relay/relay_file.h"
 #include "relay/service.h"
 #include "standins/etcd.h"
@@ -31,7 +33,14 @@
          status + R"(","weight":1.0,"since_ms":0})";
 }
 
-// What a reader holds, and what no reader may ever see.
+/// A key's value and revision.
+struct HeldValue {
+  std::string value;
+  std::int64_t mod_revision = 0;
+  bool operator==(const HeldValue&) const = default;
+};
+
+/// A reader: the state that it holds, and counts of what it has seen.
 class Reader {
  public:
   Reader(boost::asio::io_context& io, std::vector<tcp::endpoint> endpoints, std::uint64_t seed,
@@ -61,16 +70,16 @@
       Reached(cluster, at);
     };
     callbacks.on_progress = [this](std::int64_t) { ++progress; };
-    callbacks.on_disconnected = [this](const std::string& why) {
+    callbacks.on_disconnected = [this](const std::string& reason) {
       ++disconnects;
-      last_error = why;
+      last_error = reason;
     };
     link = std::make_unique<etcd::FollowerLink>(io, settings, seed, std::move(callbacks));
   }
 
   void Take(const pb::KeyValue& kv) {
     keys[kv.key()] = {kv.value(), kv.mod_revision()};
-    drains[kv.key()] += SaysDrain(kv);
+    drains[kv.key()] += IsDrainEvent(kv);
   }
   void Reached(std::uint64_t cluster, std::int64_t at) {
     went_back += cluster == cluster_id && at < revision;
@@ -79,38 +88,42 @@
   }
   bool watching() const { return link->follower().watching(); }
 
-  std::map<std::string, std::pair<std::string, std::int64_t>> keys;
-  std::map<std::string, int> drains, deletions;  // seen, by key
+  std::map<std::string, HeldValue> keys;
+  std::map<std::string, int> drains;     // seen, by key
+  std::map<std::string, int> deletions;  // seen, by key
   std::uint64_t cluster_id = 0;
   std::int64_t revision = 0;
-  int went_back = 0, disconnects = 0, progress = 0;
+  int went_back = 0;  // times that its revision decreased
+  int disconnects = 0;
+  int progress = 0;
   std::string last_error;
   std::unique_ptr<etcd::FollowerLink> link;
 };
 
+/// Fixture with etcd and an event loop; the caches and readers belong to the tests.
 class ServiceTest : public ::testing::Test {
  protected:
   void StartEtcd(standins::EtcdSettings settings = {}, int members = 4) {
     etcd = std::make_unique<standins::Etcd>(io, settings);
     for (int i = 0; i < members; ++i) Put("m" + std::to_string(i));
   }
-  ServiceSettings RelaySettings(std::vector<tcp::endpoint> upstream) {
+  ServiceSettings CacheSettings(std::vector<tcp::endpoint> upstream) {
     ServiceSettings settings;
     settings.listen = tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0);
     settings.upstream.endpoints = std::move(upstream);
     settings.upstream.channel.ping_every = settings.upstream.channel.ping_timeout = milliseconds(1000);
     settings.upstream.follower.min_step_timeout = milliseconds(500);
-    settings.relay.prefix = kPrefix;
-    settings.relay.member_id = 77;
-    settings.relay.must_deliver = SaysDrain;
-    settings.relay.progress_interval = Time(100);
+    settings.cache.prefix = kPrefix;
+    settings.cache.member_id = 77;
+    settings.cache.must_deliver = IsDrainEvent;
+    settings.cache.progress_interval = Time(100);
     return settings;
   }
-  std::unique_ptr<Service> MakeRelayWith(ServiceSettings settings) {
+  std::unique_ptr<Service> MakeCacheWith(ServiceSettings settings) {
     return std::make_unique<Service>(io, std::move(settings), ++seed);
   }
-  std::unique_ptr<Service> MakeRelay(std::vector<tcp::endpoint> upstream) {
-    return MakeRelayWith(RelaySettings(std::move(upstream)));
+  std::unique_ptr<Service> MakeCache(std::vector<tcp::endpoint> upstream) {
+    return MakeCacheWith(CacheSettings(std::move(upstream)));
   }
   std::unique_ptr<Reader> MakeReader(std::vector<tcp::endpoint> endpoints, std::int64_t page_size = 1000) {
     return std::make_unique<Reader>(io, std::move(endpoints), ++seed, page_size);
@@ -135,23 +148,23 @@
     Until([&] { return std::chrono::steady_clock::now() >= due; });
   }
 
-  // The source's state, as a reader of all of it would hold it.
-  std::map<std::string, std::pair<std::string, std::int64_t>> Truth() const {
+  /// The source's state, as a reader of all keys would hold it.
+  std::map<std::string, HeldValue> SourceState() const {
     pb::RangeRequest request;
     request.set_key(kPrefix);
     request.set_range_end(etcd::PrefixRangeEnd(kPrefix));
     pb::RangeResponse response;
     EXPECT_TRUE(etcd->store().Range(request, &response).ok());
-    std::map<std::string, std::pair<std::string, std::int64_t>> truth;
-    for (const pb::KeyValue& kv : response.kvs()) truth[kv.key()] = {kv.value(), kv.mod_revision()};
-    return truth;
+    std::map<std::string, HeldValue> state;
+    for (const pb::KeyValue& kv : response.kvs()) state[kv.key()] = {kv.value(), kv.mod_revision()};
+    return state;
   }
-  bool Holds(const Reader& reader) const { return reader.watching() && reader.keys == Truth(); }
-  bool Follows(const Service& relay) const {
-    return relay.status().connected && relay.status().revision == etcd->store().revision();
+  bool Holds(const Reader& reader) const { return reader.watching() && reader.keys == SourceState(); }
+  bool Follows(const Service& cache) const {
+    return cache.status().connected && cache.status().revision == etcd->store().revision();
   }
 
-  // One call on a connection of its own.
+  /// One call on its own connection.
   etcd::Status Call(const tcp::endpoint& address, const std::string& path, const std::string& message,
                     std::string* answer = nullptr) {
     std::optional<etcd::Status> ended;
