--- a/src/exchange/exchange.cpp
+++ b/src/request_table/request_table.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "exchange/exchange.h"
+#include "request_table/request_table.h"
 
 #include <algorithm>
 #include <exception>
@@ -8,16 +8,16 @@
 #include <string>
 #include <utility>
 
-namespace badgerbridge::exchange {
+namespace badgerbridge::request_table {
 
-using fordlb::Duration;
-using fordlb::Outcome;
-using fordlb::RequestId;
-using fordlb::TimePoint;
+using balancer::Duration;
+using balancer::Outcome;
+using balancer::RequestId;
+using balancer::TimePoint;
 
 namespace {
 
-fordlb::Settings WithBoundedAttempts(fordlb::Settings settings) {
+balancer::Settings WithBoundedAttempts(balancer::Settings settings) {
   settings.max_attempts = std::min(settings.max_attempts, kMaxAttempts);
   return settings;
 }
@@ -53,14 +53,14 @@
   return *this;
 }
 
-RequestTable::RequestTable(const fordlb::Settings& settings, std::uint64_t seed)
+RequestTable::RequestTable(const balancer::Settings& settings, std::uint64_t seed)
     : max_attempts_(std::min(settings.max_attempts, kMaxAttempts)),
       balancer_(WithBoundedAttempts(settings), seed),
       counters_(settings.classes.size()) {}
 
 // ---- events ---------------------------------------------------------------------------------------------
 
-RequestId RequestTable::Accept(TimePoint now, fordlb::Submit submit, Actions* actions) {
+RequestId RequestTable::Accept(TimePoint now, balancer::Submit submit, Actions* actions) {
   submit.request = ++last_request_;
   Entry entry;
   entry.request_class = submit.request_class;
@@ -88,7 +88,7 @@
   const auto found = table_.find(request);
   if (found == table_.end()) return;
   ReserveForCompletion(actions);
-  queue_.push_back(fordlb::ClientGone{request});
+  queue_.push_back(balancer::ClientDisconnected{request});
   RequestCounters& counters = Remove(found, actions);
   ++counters.failed;
   ++counters.client_disconnected;
@@ -98,7 +98,7 @@
 void RequestTable::AttemptEnded(TimePoint now, const Send& attempt, Outcome outcome, Actions* actions) {
   const auto found = table_.find(attempt.request);
   const bool is_open = found != table_.end();
-  fordlb::AttemptEnded end;
+  balancer::AttemptEnded end;
   end.request = attempt.request;
   end.attempt = attempt.attempt;
   end.server = attempt.server;
@@ -116,11 +116,11 @@
   ProcessEvents(now, actions);
 }
 
-void RequestTable::UpdateEndpoints(TimePoint now, fordlb::ListUpdate update, Actions* actions) {
+void RequestTable::UpdateEndpoints(TimePoint now, balancer::EndpointListUpdate update, Actions* actions) {
   EnqueueAndProcess(now, std::move(update), actions);
 }
 
-void RequestTable::UpdateZoneQuotas(TimePoint now, fordlb::ZoneShares quotas, Actions* actions) {
+void RequestTable::UpdateZoneQuotas(TimePoint now, balancer::ZoneQuotas quotas, Actions* actions) {
   EnqueueAndProcess(now, std::move(quotas), actions);
 }
 
@@ -136,7 +136,7 @@
 // ---- the event queue ------------------------------------------------------------------------------------
 
 // Adds a request to the table, or changes nothing if memory runs out.
-void RequestTable::Insert(const fordlb::Submit& submit, const Entry& entry, bool notify_module) {
+void RequestTable::Insert(const balancer::Submit& submit, const Entry& entry, bool notify_module) {
   const auto inserted = table_.emplace(submit.request, entry).first;
   const DeadlineFallback fallback{entry.deadline_fallback_at, submit.request};
   try {
@@ -149,7 +149,7 @@
   }
 }
 
-void RequestTable::EnqueueAndProcess(TimePoint now, fordlb::Event event, Actions* actions) {
+void RequestTable::EnqueueAndProcess(TimePoint now, balancer::Event event, Actions* actions) {
   queue_.push_back(std::move(event));
   ProcessEvents(now, actions);
 }
@@ -175,7 +175,7 @@
   for (;;) {
     FireDueTimers(now, actions);  // before the next event, because they were due earlier
     if (queue_.empty()) return;
-    const fordlb::Event next = std::move(queue_.front());
+    const balancer::Event next = std::move(queue_.front());
     queue_.pop_front();
     HandleInModule(now, next, actions);
   }
@@ -184,7 +184,7 @@
 // Gives up silently if there is no memory for the message.
 void RequestTable::LogFailure(const char* what, Actions* actions) noexcept {
   try {
-    actions->push_back(fordlb::Log{std::string("an event could not be handled: ") + what});
+    actions->push_back(balancer::Log{std::string("an event could not be handled: ") + what});
   } catch (const std::exception&) {
   }
 }
@@ -204,7 +204,7 @@
   for (; due_count > 0; --due_count) {
     const std::uint64_t token = module_timers_.begin()->token;
     module_timers_.erase(module_timers_.begin());
-    HandleInModule(now, fordlb::TimerFired{token}, actions);
+    HandleInModule(now, balancer::TimerFired{token}, actions);
   }
 }
 
@@ -212,7 +212,7 @@
   while (!fallbacks_.empty() && fallbacks_.begin()->due <= now) {
     const RequestId request = fallbacks_.begin()->request;
     ReserveForCompletion(actions);
-    queue_.push_back(fordlb::ClientGone{request});
+    queue_.push_back(balancer::ClientDisconnected{request});
     // Not a rejection: the table cannot know that no attempt had an effect.
     Complete(request, RequestOutcome::kDeadlineFallback, Duration(0), actions);
   }
@@ -220,7 +220,7 @@
 
 // ---- the decision module --------------------------------------------------------------------------------
 
-void RequestTable::HandleInModule(TimePoint now, const fordlb::Event& event, Actions* actions) {
+void RequestTable::HandleInModule(TimePoint now, const balancer::Event& event, Actions* actions) {
   balancer_.Handle(now, event, &decisions_);
   PerformDecisions(now, actions);
 }
@@ -235,11 +235,11 @@
   decisions_performed_ = 0;
 }
 
-bool RequestTable::MaySendAttempt(TimePoint now, const Entry& entry, const fordlb::Dispatch& action) const {
+bool RequestTable::MaySendAttempt(TimePoint now, const Entry& entry, const balancer::Dispatch& action) const {
   return entry.attempts < max_attempts_ && now < entry.attempts_due && now < action.begin_before;
 }
 
-void RequestTable::Perform(TimePoint now, const fordlb::Dispatch& action, Actions* actions) {
+void RequestTable::Perform(TimePoint now, const balancer::Dispatch& action, Actions* actions) {
   ReserveForCompletion(actions);
   const auto found = table_.find(action.request);
   if (found == table_.end() || !MaySendAttempt(now, found->second, action)) {
@@ -262,41 +262,41 @@
 
 // Reports to the decision module that an attempt was not sent. `entry` is table_.end() if the request is
 // complete; otherwise the attempt counts against its limit.
-void RequestTable::DeclineDispatch(const fordlb::Dispatch& action, Table::iterator entry) {
+void RequestTable::DeclineDispatch(const balancer::Dispatch& action, Table::iterator entry) {
   const bool is_open = entry != table_.end();
-  fordlb::AttemptEnded end;
+  balancer::AttemptEnded end;
   end.request = action.request;
   end.attempt = is_open ? entry->second.attempts : 0;
   end.server = action.server;
-  end.outcome = Outcome::kMoot;
+  end.outcome = Outcome::kNotSent;
   end.settled = !is_open;
   queue_.push_back(end);
   if (is_open) ++entry->second.attempts;
 }
 
-void RequestTable::Perform(TimePoint, const fordlb::Abandon& action, Actions* actions) {
+void RequestTable::Perform(TimePoint, const balancer::CancelAttempt& action, Actions* actions) {
   const auto found = table_.find(action.request);
   const bool is_newest = found != table_.end() && found->second.attempts == action.attempt + 1;
   if (is_newest) actions->push_back(Cancel{action.request, action.attempt});
 }
 
-void RequestTable::Perform(TimePoint, const fordlb::Refuse& action, Actions* actions) {
+void RequestTable::Perform(TimePoint, const balancer::Reject& action, Actions* actions) {
   Complete(action.request, RequestOutcome::kRejected, action.retry_after, actions);
 }
 
-void RequestTable::Perform(TimePoint, const fordlb::Fail& action, Actions* actions) {
+void RequestTable::Perform(TimePoint, const balancer::FailRequest& action, Actions* actions) {
   Complete(action.request, RequestOutcome::kFailed, Duration(0), actions);
 }
 
-void RequestTable::Perform(TimePoint, const fordlb::SetTimer& action, Actions*) {
+void RequestTable::Perform(TimePoint, const balancer::SetTimer& action, Actions*) {
   module_timers_.insert(ModuleTimer{action.at, action.token});
 }
 
-void RequestTable::Perform(TimePoint, const fordlb::Subscribe& action, Actions* actions) {
+void RequestTable::Perform(TimePoint, const balancer::Subscribe& action, Actions* actions) {
   actions->push_back(action);
 }
 
-void RequestTable::Perform(TimePoint, const fordlb::Log& action, Actions* actions) {
+void RequestTable::Perform(TimePoint, const balancer::Log& action, Actions* actions) {
   actions->push_back(action);
 }
 
@@ -337,4 +337,4 @@
   return counters_[static_cast<std::size_t>(request_class)];
 }
 
-}  // namespace badgerbridge::exchange
+}  // namespace badgerbridge::request_table
--- a/src/exchange/exchange.h
+++ b/src/request_table/request_table.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The table of requests in flight: a sans-I/O state machine around the decision module (fordlb::Balancer).
+/// The table of requests in flight: a sans-I/O state machine around the decision module (balancer::Balancer).
 /// It uses no socket, clock, thread or global state. The caller reports events together with their time and
 /// carries out the actions that are returned. The proxy and the simulator share this code, so that attempt
 /// limits, safety margins and the deadline fallback are the same in both.
@@ -14,8 +14,8 @@
 ///    none within kAnswerMargin of the client's deadline.
 ///  - No attempt is sent for a completed request. An attempt that is in flight when its request completes is
 ///    withdrawn.
-#ifndef BADGERBRIDGE_EXCHANGE_EXCHANGE_H_
-#define BADGERBRIDGE_EXCHANGE_EXCHANGE_H_
+#ifndef BADGERBRIDGE_REQUEST_TABLE_REQUEST_TABLE_H_
+#define BADGERBRIDGE_REQUEST_TABLE_REQUEST_TABLE_H_
 
 #include <compare>
 #include <cstdint>
@@ -26,45 +26,45 @@
 #include <variant>
 #include <vector>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace badgerbridge::exchange {
+namespace badgerbridge::request_table {
 
 /// Attempts must end this long (in ms) before the client's deadline, because the answer takes time to reach
 /// the client.
-constexpr fordlb::Duration kAnswerMargin{5};
+constexpr balancer::Duration kAnswerMargin{5};
 
 /// Upper bound of attempts for one request, whatever Settings::max_attempts allows.
 constexpr int kMaxAttempts = 4;
 
 /// The table answers a request by itself this long (in ms) before the client's deadline if the decision
 /// module has not completed it by then. Less than kAnswerMargin, so that the module has had time to act.
-constexpr fordlb::Duration kDeadlineFallbackMargin{2};
+constexpr balancer::Duration kDeadlineFallbackMargin{2};
 
 // ---- actions: the caller carries them out in the order in which they are appended -----------------------
 
 /// Send an attempt of a request. The caller reports its end exactly once, by RequestTable::AttemptEnded.
 struct Send {
-  fordlb::RequestId request = 0;  ///< The request that is attempted.
-  int attempt = 0;                ///< Number of the attempt within its request, from 0.
-  fordlb::ServerId server = 0;    ///< The server that it goes to.
-  fordlb::Duration timeout{0};    ///< Above 0; the attempt ends as Outcome::kTimeout after it.
-  fordlb::TimePoint sent_at{};    ///< When this action was decided; the attempt's duration counts from here.
+  balancer::RequestId request = 0;  ///< The request that is attempted.
+  int attempt = 0;                  ///< Number of the attempt within its request, from 0.
+  balancer::BackendId server = 0;   ///< The server that it goes to.
+  balancer::Duration timeout{0};    ///< Above 0; the attempt ends as Outcome::kTimeout after it.
+  balancer::TimePoint sent_at{};  ///< When this action was decided; the attempt's duration counts from here.
   /// The first byte may be written only before this; otherwise the attempt ends as Outcome::kConnectFailed.
-  fordlb::TimePoint begin_before = fordlb::TimePoint::max();
+  balancer::TimePoint begin_before = balancer::TimePoint::max();
 };
 
 /// Stop waiting for the newest attempt of a request. It ends as Outcome::kCancelled, or as it already has.
 struct Cancel {
-  fordlb::RequestId request = 0;  ///< The request of the attempt.
-  int attempt = 0;                ///< Number of the attempt within its request.
+  balancer::RequestId request = 0;  ///< The request of the attempt.
+  int attempt = 0;                  ///< Number of the attempt within its request.
 };
 
 /// The request of this attempt is complete. Unless the attempt has been written completely, it ends as
-/// Outcome::kMoot: it never runs.
+/// Outcome::kNotSent: it never runs.
 struct Withdraw {
-  fordlb::RequestId request = 0;  ///< The completed request.
-  int attempt = 0;                ///< Number of the attempt within its request.
+  balancer::RequestId request = 0;  ///< The completed request.
+  int attempt = 0;                  ///< Number of the attempt within its request.
 };
 
 /// How a request was completed, as far as its client is told.
@@ -77,13 +77,13 @@
 
 /// Send the final response of a request to its client.
 struct Respond {
-  fordlb::RequestId request = 0;                     ///< The request to answer.
+  balancer::RequestId request = 0;                   ///< The request to answer.
   RequestOutcome outcome = RequestOutcome::kFailed;  ///< Determines the status of the response.
-  fordlb::Duration retry_after{0};                   ///< For kRejected: advised wait. 0: no advice.
+  balancer::Duration retry_after{0};                 ///< For kRejected: advised wait. 0: no advice.
 };
 
 /// What the caller has to do.
-using Action = std::variant<Send, Cancel, Withdraw, Respond, fordlb::Subscribe, fordlb::Log>;
+using Action = std::variant<Send, Cancel, Withdraw, Respond, balancer::Subscribe, balancer::Log>;
 
 /// Counts of requests of one class since the table was made.
 struct RequestCounters {
@@ -110,35 +110,36 @@
   using Actions = std::vector<Action>;
 
   /// `seed` seeds the random choices of the decision module.
-  RequestTable(const fordlb::Settings& settings, std::uint64_t seed);
+  RequestTable(const balancer::Settings& settings, std::uint64_t seed);
 
   /// Accepts a request and returns its new id. `submit.request` is ignored, and `submit.due` is the client's
   /// deadline. A request without time left for an attempt is rejected at once, without asking the decision
   /// module.
-  fordlb::RequestId Accept(fordlb::TimePoint now, fordlb::Submit submit, Actions* actions);
+  balancer::RequestId Accept(balancer::TimePoint now, balancer::Submit submit, Actions* actions);
 
   /// The client of a request disconnected, so it gets no response. Unknown and completed requests are
   /// ignored.
-  void ClientDisconnected(fordlb::TimePoint now, fordlb::RequestId request, Actions* actions);
+  void ClientDisconnected(balancer::TimePoint now, balancer::RequestId request, Actions* actions);
 
   /// An attempt ended. If the outcome is kOk and the request is open, the first action appended is the
   /// Respond action that serves it.
-  void AttemptEnded(fordlb::TimePoint now, const Send& attempt, fordlb::Outcome outcome, Actions* actions);
+  void AttemptEnded(balancer::TimePoint now, const Send& attempt, balancer::Outcome outcome,
+                    Actions* actions);
 
   /// The endpoint list changed, or could not be read.
-  void UpdateEndpoints(fordlb::TimePoint now, fordlb::ListUpdate update, Actions* actions);
+  void UpdateEndpoints(balancer::TimePoint now, balancer::EndpointListUpdate update, Actions* actions);
 
   /// Sets how much work this proxy may send to each zone from now on.
-  void UpdateZoneQuotas(fordlb::TimePoint now, fordlb::ZoneShares quotas, Actions* actions);
+  void UpdateZoneQuotas(balancer::TimePoint now, balancer::ZoneQuotas quotas, Actions* actions);
 
   /// Handles all timers that are due. To be called at NextWake() or later.
-  void Wake(fordlb::TimePoint now, Actions* actions);
+  void Wake(balancer::TimePoint now, Actions* actions);
 
   /// When the earliest timer is due. Empty if there is none until another event comes.
-  std::optional<fordlb::TimePoint> NextWake() const;
+  std::optional<balancer::TimePoint> NextWake() const;
 
   /// Whether the request was accepted and is not complete.
-  bool IsOpen(fordlb::RequestId request) const { return table_.count(request) > 0; }
+  bool IsOpen(balancer::RequestId request) const { return table_.count(request) > 0; }
 
   /// Number of requests that are not complete.
   std::size_t open() const { return table_.size(); }
@@ -147,54 +148,54 @@
   const std::vector<RequestCounters>& counters() const { return counters_; }
 
   /// The decision module's view of each server.
-  std::vector<fordlb::ServerView> Inspect() const { return balancer_.Inspect(); }
+  std::vector<balancer::BackendView> Inspect() const { return balancer_.Inspect(); }
 
  private:
   struct Entry {
     int request_class = 0;
-    int attempts = 0;                          // attempts sent so far
-    bool attempt_in_flight = false;            // the newest attempt has not ended
-    fordlb::TimePoint attempts_due{};          // no attempt is sent at or after this
-    fordlb::TimePoint deadline_fallback_at{};  // the table answers by itself then
+    int attempts = 0;                            // attempts sent so far
+    bool attempt_in_flight = false;              // the newest attempt has not ended
+    balancer::TimePoint attempts_due{};          // no attempt is sent at or after this
+    balancer::TimePoint deadline_fallback_at{};  // the table answers by itself then
   };
-  using Table = std::unordered_map<fordlb::RequestId, Entry>;
+  using Table = std::unordered_map<balancer::RequestId, Entry>;
 
   // A timer of the decision module.
   struct ModuleTimer {
-    fordlb::TimePoint due{};
+    balancer::TimePoint due{};
     std::uint64_t token = 0;
     auto operator<=>(const ModuleTimer&) const = default;
   };
 
   // When the table answers a request by itself.
   struct DeadlineFallback {
-    fordlb::TimePoint due{};
-    fordlb::RequestId request = 0;
+    balancer::TimePoint due{};
+    balancer::RequestId request = 0;
     auto operator<=>(const DeadlineFallback&) const = default;
   };
 
-  void Insert(const fordlb::Submit& submit, const Entry& entry, bool notify_module);
-  void EnqueueAndProcess(fordlb::TimePoint now, fordlb::Event event, Actions* actions);
-  void ProcessEvents(fordlb::TimePoint now, Actions* actions);
-  void ProcessUntilIdle(fordlb::TimePoint now, Actions* actions);
-  void FireDueTimers(fordlb::TimePoint now, Actions* actions);
-  void FireModuleTimers(fordlb::TimePoint now, Actions* actions);
-  void ApplyDeadlineFallbacks(fordlb::TimePoint now, Actions* actions);
-  void HandleInModule(fordlb::TimePoint now, const fordlb::Event& event, Actions* actions);
-  void PerformDecisions(fordlb::TimePoint now, Actions* actions);
+  void Insert(const balancer::Submit& submit, const Entry& entry, bool notify_module);
+  void EnqueueAndProcess(balancer::TimePoint now, balancer::Event event, Actions* actions);
+  void ProcessEvents(balancer::TimePoint now, Actions* actions);
+  void ProcessUntilIdle(balancer::TimePoint now, Actions* actions);
+  void FireDueTimers(balancer::TimePoint now, Actions* actions);
+  void FireModuleTimers(balancer::TimePoint now, Actions* actions);
+  void ApplyDeadlineFallbacks(balancer::TimePoint now, Actions* actions);
+  void HandleInModule(balancer::TimePoint now, const balancer::Event& event, Actions* actions);
+  void PerformDecisions(balancer::TimePoint now, Actions* actions);
 
   // One for each kind of action that the decision module gives.
-  void Perform(fordlb::TimePoint now, const fordlb::Dispatch& action, Actions* actions);
-  void Perform(fordlb::TimePoint now, const fordlb::Abandon& action, Actions* actions);
-  void Perform(fordlb::TimePoint now, const fordlb::Refuse& action, Actions* actions);
-  void Perform(fordlb::TimePoint now, const fordlb::Fail& action, Actions* actions);
-  void Perform(fordlb::TimePoint now, const fordlb::SetTimer& action, Actions* actions);
-  void Perform(fordlb::TimePoint now, const fordlb::Subscribe& action, Actions* actions);
-  void Perform(fordlb::TimePoint now, const fordlb::Log& action, Actions* actions);
-
-  bool MaySendAttempt(fordlb::TimePoint now, const Entry& entry, const fordlb::Dispatch& action) const;
-  void DeclineDispatch(const fordlb::Dispatch& action, Table::iterator entry);
-  void Complete(fordlb::RequestId request, RequestOutcome outcome, fordlb::Duration retry_after,
+  void Perform(balancer::TimePoint now, const balancer::Dispatch& action, Actions* actions);
+  void Perform(balancer::TimePoint now, const balancer::CancelAttempt& action, Actions* actions);
+  void Perform(balancer::TimePoint now, const balancer::Reject& action, Actions* actions);
+  void Perform(balancer::TimePoint now, const balancer::FailRequest& action, Actions* actions);
+  void Perform(balancer::TimePoint now, const balancer::SetTimer& action, Actions* actions);
+  void Perform(balancer::TimePoint now, const balancer::Subscribe& action, Actions* actions);
+  void Perform(balancer::TimePoint now, const balancer::Log& action, Actions* actions);
+
+  bool MaySendAttempt(balancer::TimePoint now, const Entry& entry, const balancer::Dispatch& action) const;
+  void DeclineDispatch(const balancer::Dispatch& action, Table::iterator entry);
+  void Complete(balancer::RequestId request, RequestOutcome outcome, balancer::Duration retry_after,
                 Actions* actions);
   RequestCounters& Remove(Table::iterator entry, Actions* actions);
   RequestCounters& CountersOf(int request_class);
@@ -202,17 +203,17 @@
   static void LogFailure(const char* what, Actions* actions) noexcept;
 
   int max_attempts_;
-  fordlb::Balancer balancer_;
+  balancer::Balancer balancer_;
   Table table_;
   std::vector<RequestCounters> counters_;  // by request class
-  fordlb::RequestId last_request_ = 0;
-  std::deque<fordlb::Event> queue_;        // events that the decision module has not handled yet
-  std::vector<fordlb::Action> decisions_;  // what it decided in the last call
-  std::size_t decisions_performed_ = 0;    // how many of them have been carried out
-  std::set<ModuleTimer> module_timers_;    // the earliest first
-  std::set<DeadlineFallback> fallbacks_;   // one for each open request, the earliest first
+  balancer::RequestId last_request_ = 0;
+  std::deque<balancer::Event> queue_;        // events that the decision module has not handled yet
+  std::vector<balancer::Action> decisions_;  // what it decided in the last call
+  std::size_t decisions_performed_ = 0;      // how many of them have been carried out
+  std::set<ModuleTimer> module_timers_;      // the earliest first
+  std::set<DeadlineFallback> fallbacks_;     // one for each open request, the earliest first
 };
 
-}  // namespace badgerbridge::exchange
+}  // namespace badgerbridge::request_table
 
-#endif  // BADGERBRIDGE_EXCHANGE_EXCHANGE_H_
+#endif  // BADGERBRIDGE_REQUEST_TABLE_REQUEST_TABLE_H_
--- a/src/lab/core.cpp
+++ b/src/simulator/core.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/core.h"
+#include "simulator/core.h"
 
 #include <utility>
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 namespace {
 
-using namespace fordlb;
+using namespace balancer;
 
 class Badgerbridge : public Core {
  public:
@@ -17,23 +17,24 @@
   void ClientDisconnected(TimePoint now, RequestId request, Actions* out) override {
     request_table_.ClientDisconnected(now, request, out);
   }
-  void AttemptEnded(TimePoint now, const exchange::Send& attempt, Outcome outcome, Actions* out) override {
+  void AttemptEnded(TimePoint now, const request_table::Send& attempt, Outcome outcome,
+                    Actions* out) override {
     request_table_.AttemptEnded(now, attempt, outcome, out);
   }
-  void UpdateEndpoints(TimePoint now, ListUpdate update, Actions* out) override {
+  void UpdateEndpoints(TimePoint now, EndpointListUpdate update, Actions* out) override {
     request_table_.UpdateEndpoints(now, std::move(update), out);
   }
-  void UpdateZoneQuotas(TimePoint now, ZoneShares quotas, Actions* out) override {
+  void UpdateZoneQuotas(TimePoint now, ZoneQuotas quotas, Actions* out) override {
     request_table_.UpdateZoneQuotas(now, std::move(quotas), out);
   }
   void Wake(TimePoint now, Actions* out) override { request_table_.Wake(now, out); }
   std::optional<TimePoint> NextWake() const override { return request_table_.NextWake(); }
-  const std::vector<exchange::RequestCounters>& counters() const override {
+  const std::vector<request_table::RequestCounters>& counters() const override {
     return request_table_.counters();
   }
 
  private:
-  exchange::RequestTable request_table_;
+  request_table::RequestTable request_table_;
 };
 
 }  // namespace
@@ -42,4 +43,4 @@
   return std::make_unique<Badgerbridge>(settings, seed);
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/relay/actions.h
+++ b/src/watch_cache/actions.h
@@ -2,15 +2,15 @@
 //
 /// \file
 /// Appends actions to those of the watch cache.
-#ifndef BADGERBRIDGE_RELAY_ACTIONS_H_
-#define BADGERBRIDGE_RELAY_ACTIONS_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_ACTIONS_H_
+#define BADGERBRIDGE_WATCH_CACHE_ACTIONS_H_
 
 #include <utility>
 #include <variant>
 
-#include "relay/watch_cache.h"
+#include "watch_cache/watch_cache.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 /// Appends `Action{arguments...}`.
 ///
@@ -22,6 +22,6 @@
   std::get<Action>(actions->back()) = Action{std::forward<Arguments>(arguments)...};
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_ACTIONS_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_ACTIONS_H_
--- a/src/relay/command_line.cpp
+++ b/src/watch_cache/command_line.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/command_line.h"
+#include "watch_cache/command_line.h"
 
 #include <stdexcept>
 #include <utility>
 
-#include "api/address.h"
-#include "relay/relay_file.h"
+#include "http_api/address.h"
+#include "watch_cache/relay_file.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 std::string Message(const ArgumentError& error) {
   switch (error.code) {
@@ -25,11 +25,11 @@
 
 boost::system::result<ServiceSettings, ArgumentError> ApplyArguments(const Arguments& arguments,
                                                                      ServiceSettings settings) {
-  const auto listen = api::ParseAddress(arguments.listen);
+  const auto listen = http_api::ParseAddress(arguments.listen);
   if (!listen) return ArgumentError{ArgumentErrorCode::kInvalidAddress, "--listen", arguments.listen};
   settings.listen = *listen;
   for (const std::string& text : arguments.upstream) {
-    const auto endpoint = api::ParseAddress(text);
+    const auto endpoint = http_api::ParseAddress(text);
     const bool has_port = endpoint && endpoint->port() != 0;
     if (!has_port) return ArgumentError{ArgumentErrorCode::kInvalidAddress, "--upstream", text};
     settings.upstream.endpoints.push_back(*endpoint);
@@ -40,4 +40,4 @@
   return settings;
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/command_line.h
+++ b/src/watch_cache/command_line.h
@@ -2,17 +2,17 @@
 //
 /// \file
 /// The program's arguments as settings.
-#ifndef BADGERBRIDGE_RELAY_COMMAND_LINE_H_
-#define BADGERBRIDGE_RELAY_COMMAND_LINE_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_COMMAND_LINE_H_
+#define BADGERBRIDGE_WATCH_CACHE_COMMAND_LINE_H_
 
 #include <boost/assert/source_location.hpp>
 #include <boost/system/result.hpp>
 #include <string>
 #include <vector>
 
-#include "relay/service.h"
+#include "watch_cache/service.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 /// The arguments, as given.
 struct Arguments {
@@ -48,6 +48,6 @@
 boost::system::result<ServiceSettings, ArgumentError> ApplyArguments(const Arguments& arguments,
                                                                      ServiceSettings settings);
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_COMMAND_LINE_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_COMMAND_LINE_H_
--- a/src/relay/error.cpp
+++ b/src/watch_cache/error.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/error.h"
+#include "watch_cache/error.h"
 
 #include <stdexcept>
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 // Begins messages about a key value.
@@ -52,4 +52,4 @@
   throw std::runtime_error(Message(error));
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/error.h
+++ b/src/watch_cache/error.h
@@ -2,15 +2,15 @@
 //
 /// \file
 /// The errors of the watch cache's core, and the result type that carries them.
-#ifndef BADGERBRIDGE_RELAY_ERROR_H_
-#define BADGERBRIDGE_RELAY_ERROR_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_ERROR_H_
+#define BADGERBRIDGE_WATCH_CACHE_ERROR_H_
 
 #include <boost/assert/source_location.hpp>
 #include <boost/system/result.hpp>
 #include <cstdint>
 #include <string>
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 /// What is wrong with data from upstream.
 enum class UpstreamErrorCode {
@@ -53,6 +53,6 @@
 [[noreturn]] void throw_exception_from_error(const UpstreamError& error,
                                              const boost::source_location& location);
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_ERROR_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_ERROR_H_
--- a/src/relay/event.h
+++ b/src/watch_cache/event.h
@@ -3,8 +3,8 @@
 /// \file
 /// Key values, events and batches. The state, the window and the subscribers' backlogs share them without
 /// copies.
-#ifndef BADGERBRIDGE_RELAY_EVENT_H_
-#define BADGERBRIDGE_RELAY_EVENT_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_EVENT_H_
+#define BADGERBRIDGE_WATCH_CACHE_EVENT_H_
 
 #include <cstdint>
 #include <memory>
@@ -12,7 +12,7 @@
 
 #include "etcd.pb.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 /// A shared, immutable key value.
 using KeyValuePtr = std::shared_ptr<const etcdserverpb::KeyValue>;
@@ -44,6 +44,6 @@
 /// A shared, immutable batch.
 using BatchPtr = std::shared_ptr<const Batch>;
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_EVENT_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_EVENT_H_
--- a/src/relay/key_range.h
+++ b/src/watch_cache/key_range.h
@@ -2,13 +2,13 @@
 //
 /// \file
 /// Ranges of keys as in etcd's API: a single key, [key, range_end), or all keys from one on (range_end "\0").
-#ifndef BADGERBRIDGE_RELAY_KEY_RANGE_H_
-#define BADGERBRIDGE_RELAY_KEY_RANGE_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_KEY_RANGE_H_
+#define BADGERBRIDGE_WATCH_CACHE_KEY_RANGE_H_
 
 #include <string>
 #include <string_view>
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 /// A range of keys.
 struct KeyRange {
@@ -29,6 +29,6 @@
   auto operator<=>(const KeyRange&) const = default;                   ///< By begin, then end.
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_KEY_RANGE_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_KEY_RANGE_H_
--- a/src/relay/main.cpp
+++ b/src/watch_cache/main.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// badgerrelay: a watch cache between etcd, or another watch cache, and its readers.
+/// badgerbridge-relay: a watch cache between etcd, or another watch cache, and its readers.
 #include <CLI/CLI.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -10,18 +10,18 @@
 #include <random>
 #include <utility>
 
-#include "api/address.h"
-#include "api/server.h"
-#include "api/version.h"
-#include "relay/command_line.h"
-#include "relay/relay_file.h"
-#include "relay/service.h"
+#include "http_api/address.h"
+#include "http_api/server.h"
+#include "http_api/version.h"
+#include "watch_cache/command_line.h"
+#include "watch_cache/relay_file.h"
+#include "watch_cache/service.h"
 
 namespace {
 
 using namespace badgerbridge;
 
-void AddOptions(CLI::App& app, relay::Arguments* arguments) {
+void AddOptions(CLI::App& app, watch_cache::Arguments* arguments) {
   app.add_option("--listen", arguments->listen, "address:port for readers")->required();
   app.add_option("--upstream", arguments->upstream, "addresses of etcd's members or of relays, by commas")
       ->required()
@@ -32,20 +32,22 @@
   app.add_option("--status-socket", arguments->status_socket,
                  "path of a Unix socket that answers /v1/status");
   app.add_flag("--check", arguments->check, "check the arguments and the file, and start nothing");
-  app.set_version_flag("--version", api::VersionText("badgerrelay", {"etcd", "TLS"}));
+  app.set_version_flag("--version", http_api::VersionText("badgerbridge-relay", {"etcd", "TLS"}));
 }
 
-api::Response AnswerStatusRequest(const relay::Service& service, const api::Request& request) {
-  if (request.path != "/v1/status") return api::Error(404, "there is /v1/status alone");
-  if (request.method != "GET") return api::Error(405, "GET would be right");
+http_api::Response AnswerStatusRequest(const watch_cache::Service& service,
+                                       const http_api::Request& request) {
+  if (request.path != "/v1/status") return http_api::Error(404, "there is /v1/status alone");
+  if (request.method != "GET") return http_api::Error(405, "GET would be right");
   return {200, service.Describe()};
 }
 
 // The first signal begins a drain; a second one ends the program at once.
-void DrainOnSignal(boost::asio::io_context& io, boost::asio::signal_set& signals, relay::Service& service) {
+void DrainOnSignal(boost::asio::io_context& io, boost::asio::signal_set& signals,
+                   watch_cache::Service& service) {
   signals.async_wait([&](const boost::system::error_code& error, int) {
     if (error) return;
-    std::cerr << "badgerrelay: shuts down\n";
+    std::cerr << "badgerbridge-relay: shuts down\n";
     service.Drain([&io] { io.stop(); });
     signals.async_wait([&io](const boost::system::error_code& second_error, int) {
       if (!second_error) io.stop();
@@ -53,25 +55,27 @@
   });
 }
 
-void Serve(const relay::Arguments& arguments, const relay::ServiceSettings& settings, std::uint64_t seed) {
+void Serve(const watch_cache::Arguments& arguments, const watch_cache::ServiceSettings& settings,
+           std::uint64_t seed) {
   boost::asio::io_context io(1);
-  relay::Service service(io, settings, seed);
-  std::optional<api::UnixServer> status_server;
+  watch_cache::Service service(io, settings, seed);
+  std::optional<http_api::UnixServer> status_server;
   if (!arguments.status_socket.empty()) {
-    status_server.emplace(io, arguments.status_socket, std::vector<uid_t>{}, api::ServerLimits{},
-                          [&](api::Request request, api::Peer) -> boost::asio::awaitable<api::Response> {
-                            co_return AnswerStatusRequest(service, request);
-                          });
+    status_server.emplace(
+        io, arguments.status_socket, std::vector<uid_t>{}, http_api::ServerLimits{},
+        [&](http_api::Request request, http_api::Peer) -> boost::asio::awaitable<http_api::Response> {
+          co_return AnswerStatusRequest(service, request);
+        });
   }
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
   DrainOnSignal(io, signals, service);
-  std::cerr << "badgerrelay: serves " << settings.cache.prefix << " on " << api::ToText(service.address())
-            << std::endl;
+  std::cerr << "badgerbridge-relay: serves " << settings.cache.prefix << " on "
+            << http_api::ToText(service.address()) << std::endl;
   while (!io.stopped()) {
     try {
       io.run();
     } catch (const std::exception& error) {
-      std::cerr << "badgerrelay: " << error.what() << '\n';
+      std::cerr << "badgerbridge-relay: " << error.what() << '\n';
     }
   }
 }
@@ -82,14 +86,14 @@
 }
 
 // Returns the exit code.
-int Run(const relay::Arguments& arguments) {
-  relay::RelayFile file;
-  if (!arguments.config.empty()) file = relay::LoadRelayFile(arguments.config);
-  std::cerr << operator_file::Lines(file.problems);
+int Run(const watch_cache::Arguments& arguments) {
+  watch_cache::RelayFile file;
+  if (!arguments.config.empty()) file = watch_cache::LoadRelayFile(arguments.config);
+  std::cerr << operator_config::Lines(file.problems);
   if (!file.ok()) return 1;
-  auto settings = relay::ApplyArguments(arguments, std::move(file.settings));
+  auto settings = watch_cache::ApplyArguments(arguments, std::move(file.settings));
   if (!settings) {
-    std::cerr << "badgerrelay: " << Message(settings.error()) << '\n';
+    std::cerr << "badgerbridge-relay: " << Message(settings.error()) << '\n';
     return 1;
   }
   if (arguments.check) return 0;
@@ -98,7 +102,7 @@
   try {
     Serve(arguments, *settings, seed);
   } catch (const std::exception& error) {
-    std::cerr << "badgerrelay: " << error.what() << '\n';
+    std::cerr << "badgerbridge-relay: " << error.what() << '\n';
     return 1;
   }
   return 0;
@@ -107,8 +111,8 @@
 }  // namespace
 
 int main(int count, char** values) {
-  CLI::App app("badgerrelay: serves reads and watches of one prefix of etcd's keys from memory");
-  relay::Arguments arguments;
+  CLI::App app("badgerbridge-relay: serves reads and watches of one prefix of etcd's keys from memory");
+  watch_cache::Arguments arguments;
   AddOptions(app, &arguments);
   CLI11_PARSE(app, count, values);
   std::signal(SIGPIPE, SIG_IGN);
--- a/src/relay/merged_backlog.cpp
+++ b/src/watch_cache/merged_backlog.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/merged_backlog.h"
+#include "watch_cache/merged_backlog.h"
 
 #include <algorithm>
 #include <iterator>
 #include <utility>
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 // Whether one of the events would replace, in the newest segment, an event that must be delivered.
 bool MergedBacklog::WouldHideMustDeliver(const std::vector<StoredEventPtr>& events) const {
@@ -115,4 +115,4 @@
   return taken;
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/merged_backlog.h
+++ b/src/watch_cache/merged_backlog.h
@@ -11,8 +11,8 @@
 /// key that must be delivered, too: any other later event of the key begins a new segment, which is sent in a
 /// message of its own. Two adjacent segments are joined once no such event blocks it, so there are at most as
 /// many segments as keys, plus one.
-#ifndef BADGERBRIDGE_RELAY_MERGED_BACKLOG_H_
-#define BADGERBRIDGE_RELAY_MERGED_BACKLOG_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_MERGED_BACKLOG_H_
+#define BADGERBRIDGE_WATCH_CACHE_MERGED_BACKLOG_H_
 
 #include <cstdint>
 #include <map>
@@ -21,9 +21,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "relay/event.h"
+#include "watch_cache/event.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 /// The merged backlog of one subscriber.
 class MergedBacklog {
@@ -75,6 +75,6 @@
   std::size_t size_ = 0;
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_MERGED_BACKLOG_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_MERGED_BACKLOG_H_
--- a/src/relay/read_queue.cpp
+++ b/src/watch_cache/read_queue.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/read_queue.h"
+#include "watch_cache/read_queue.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "relay/actions.h"
+#include "watch_cache/actions.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 namespace pb = etcdserverpb;
@@ -260,4 +260,4 @@
   return std::nullopt;
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/read_queue.h
+++ b/src/watch_cache/read_queue.h
@@ -7,8 +7,8 @@
 /// A confirmation serves only the reads that had arrived before it was issued. One is in flight at a time;
 /// reads that arrive meanwhile share the next. Every wait ends: at the read's deadline, or as soon as its
 /// confirmation fails.
-#ifndef BADGERBRIDGE_RELAY_READ_QUEUE_H_
-#define BADGERBRIDGE_RELAY_READ_QUEUE_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_READ_QUEUE_H_
+#define BADGERBRIDGE_WATCH_CACHE_READ_QUEUE_H_
 
 #include <cstdint>
 #include <deque>
@@ -20,9 +20,9 @@
 
 #include "etcd.pb.h"
 #include "etcd/grpc.h"
-#include "relay/watch_cache.h"
+#include "watch_cache/watch_cache.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 /// What the cache holds.
 struct CachePosition {
@@ -145,6 +145,6 @@
   Time progress_requested_at_{0};
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_READ_QUEUE_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_READ_QUEUE_H_
--- a/src/relay/relay_file.cpp
+++ b/src/watch_cache/relay_file.cpp
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/relay_file.h"
+#include "watch_cache/relay_file.h"
 
 #include <stdexcept>
 #include <utility>
 
 #include "membership/etcd_settings.h"
 #include "membership/value.h"
-#include "operator/operator_file.h"
-#include "operator/table_reader.h"
+#include "operator_config/operator_file.h"
+#include "operator_config/table_reader.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
-using operator_file::Problems;
-using operator_file::TableReader;
+using operator_config::Problems;
+using operator_config::TableReader;
 using std::chrono::hours;
 using std::chrono::milliseconds;
 using std::chrono::minutes;
@@ -48,9 +48,9 @@
 }
 
 void ReadUpstream(TableReader& table, const std::string& file, RelayFile* parsed) {
-  operator_file::EtcdLink link;
+  operator_config::EtcdLink link;
   if (table.Has("endpoints")) table.Report("endpoints", "are --upstream's");
-  operator_file::ReadEtcdLink(table, link);
+  operator_config::ReadEtcdLink(table, link);
   table.Finish();
   if (!parsed->ok()) return;
   try {
@@ -64,7 +64,7 @@
 }
 
 void ReadReaderTls(TableReader& table, etcd::ServerOptions* server) {
-  api::TlsFiles files{table.Text("certificate"), table.Text("key"), table.Text("client_authority")};
+  http_api::TlsFiles files{table.Text("certificate"), table.Text("key"), table.Text("client_authority")};
   const bool has_any = !files.certificate.empty() || !files.key.empty() || !files.authority.empty();
   const bool has_all = !files.certificate.empty() && !files.key.empty() && !files.authority.empty();
   if (has_any && !has_all) {
@@ -106,7 +106,7 @@
 
 RelayFile ParseRelayFile(std::string_view text, const std::string& file) {
   RelayFile parsed;
-  const auto root = operator_file::ParseToml(text, file, parsed.problems);
+  const auto root = operator_config::ParseToml(text, file, parsed.problems);
   if (!root) return parsed;
   TableReader reader(*root, "", file, parsed.problems);
   Settings& cache = parsed.settings.cache;
@@ -122,7 +122,7 @@
 
 RelayFile LoadRelayFile(const std::string& path) {
   RelayFile unreadable;
-  const auto text = operator_file::ReadFile(path, operator_file::kMostBytes, unreadable.problems);
+  const auto text = operator_config::ReadFile(path, operator_config::kMostBytes, unreadable.problems);
   if (!text) return unreadable;
   return ParseRelayFile(*text, path);
 }
@@ -136,4 +136,4 @@
   return !problem && member.state == membership::State::kDraining;
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/service.cpp
+++ b/src/watch_cache/service.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/service.h"
+#include "watch_cache/service.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "api/address.h"
-#include "relay/service_internal.h"
+#include "http_api/address.h"
+#include "watch_cache/service_internal.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 namespace json = boost::json;
@@ -234,7 +234,7 @@
 json::object Service::Describe() const {
   const WatchCache::Status status = cache_.status();
   return {{"prefix", settings_.cache.prefix},
-          {"listen", api::ToText(address())},
+          {"listen", http_api::ToText(address())},
           {"upstream", DescribeUpstream(status)},
           {"cluster_id", status.cluster_id},
           {"revision", status.revision},
@@ -248,7 +248,8 @@
 
 json::object Service::DescribeUpstream(const WatchCache::Status& status) const {
   json::array endpoints;
-  for (const auto& endpoint : settings_.upstream.endpoints) endpoints.emplace_back(api::ToText(endpoint));
+  for (const auto& endpoint : settings_.upstream.endpoints)
+    endpoints.emplace_back(http_api::ToText(endpoint));
   json::value age_ms = nullptr;
   if (status.last_upstream_message.count() != 0) age_ms = (Now() - status.last_upstream_message).count();
   return {{"endpoints", std::move(endpoints)},      {"connected", status.connected},
@@ -272,4 +273,4 @@
           {"protocol_violations", protocol_violations_}};
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/service.h
+++ b/src/watch_cache/service.h
@@ -6,8 +6,8 @@
 ///
 /// A watch is asked for its next message only while its connection has few unsent bytes, so that a slow
 /// reader's backlog stays in the core, where it is merged and bounded.
-#ifndef BADGERBRIDGE_RELAY_SERVICE_H_
-#define BADGERBRIDGE_RELAY_SERVICE_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_SERVICE_H_
+#define BADGERBRIDGE_WATCH_CACHE_SERVICE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -24,9 +24,9 @@
 #include "etcd/follower_link.h"
 #include "etcd/server.h"
 #include "net/one_shot_timer.h"
-#include "relay/watch_cache.h"
+#include "watch_cache/watch_cache.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 /// Configuration of the service.
 struct ServiceSettings {
@@ -143,6 +143,6 @@
   std::unique_ptr<etcd::FollowerLink> upstream_;
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_SERVICE_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_SERVICE_H_
--- a/src/relay/service_calls.cpp
+++ b/src/watch_cache/service_calls.cpp
@@ -7,10 +7,10 @@
 #include <string_view>
 #include <utility>
 
-#include "relay/service.h"
-#include "relay/service_internal.h"
+#include "watch_cache/service.h"
+#include "watch_cache/service_internal.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 namespace pb = etcdserverpb;
@@ -58,16 +58,17 @@
 
 void Service::RejectCall(Connection& connection, StreamId stream, const std::string& path) {
   if (path == kAuthenticatePath) {
-    connection.http2().Finish(stream, Error(Code::kFailedPrecondition,
-                                            "authentication is not enabled: badgerrelay knows its readers by "
-                                            "their certificates"));
+    connection.http2().Finish(stream,
+                              Error(Code::kFailedPrecondition,
+                                    "authentication is not enabled: badgerbridge-relay knows its readers by "
+                                    "their certificates"));
     return;
   }
   if (IsEtcdMethod(path)) {
     ++rejected_writes_;
     connection.http2().Finish(
-        stream, Error(Code::kPermissionDenied,
-                      "badgerrelay serves reads of " + settings_.cache.prefix + " only; write to etcd"));
+        stream, Error(Code::kPermissionDenied, "badgerbridge-relay serves reads of " +
+                                                   settings_.cache.prefix + " only; write to etcd"));
     return;
   }
   connection.http2().Finish(stream, Error(Code::kUnimplemented, "unknown method " + path));
@@ -234,4 +235,4 @@
   subscribers_.erase(found);
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/service_internal.h
+++ b/src/watch_cache/service_internal.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// What the source files of Service share.
-#ifndef BADGERBRIDGE_RELAY_SERVICE_INTERNAL_H_
-#define BADGERBRIDGE_RELAY_SERVICE_INTERNAL_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_SERVICE_INTERNAL_H_
+#define BADGERBRIDGE_WATCH_CACHE_SERVICE_INTERNAL_H_
 
 #include <algorithm>
 #include <deque>
@@ -13,9 +13,9 @@
 #include <string>
 #include <utility>
 
-#include "relay/service.h"
+#include "watch_cache/service.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 /// A call of a reader.
 struct Service::Call {
@@ -61,6 +61,6 @@
   CarryOutActions();
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_SERVICE_INTERNAL_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_SERVICE_INTERNAL_H_
--- a/src/relay/state.h
+++ b/src/watch_cache/state.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// The keys of the prefix at the cache's revision, and range reads of them as etcd answers a RangeRequest.
-#ifndef BADGERBRIDGE_RELAY_STATE_H_
-#define BADGERBRIDGE_RELAY_STATE_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_STATE_H_
+#define BADGERBRIDGE_WATCH_CACHE_STATE_H_
 
 #include <boost/multi_index/ranked_index.hpp>
 #include <boost/multi_index_container.hpp>
@@ -14,9 +14,9 @@
 
 #include "etcd.pb.h"
 #include "etcd/grpc.h"
-#include "relay/event.h"
+#include "watch_cache/event.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 class Window;
 
@@ -71,6 +71,6 @@
 RangeResult ReadRange(const State& state, const Window& window, std::int64_t revision,
                       const etcdserverpb::RangeRequest& request);
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_STATE_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_STATE_H_
--- a/src/relay/subscribers.cpp
+++ b/src/watch_cache/subscribers.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/subscribers.h"
+#include "watch_cache/subscribers.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "relay/actions.h"
-#include "relay/state.h"
+#include "watch_cache/actions.h"
+#include "watch_cache/state.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 namespace pb = etcdserverpb;
 
@@ -371,4 +371,4 @@
   subscriber->sent_events = 0;
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/subscribers.h
+++ b/src/watch_cache/subscribers.h
@@ -6,8 +6,8 @@
 ///
 /// Invariant, for a subscriber that has applied its messages in order: after each complete response (the last
 /// of its fragments) it holds the source's state, of its range and filters, at the header's revision.
-#ifndef BADGERBRIDGE_RELAY_SUBSCRIBERS_H_
-#define BADGERBRIDGE_RELAY_SUBSCRIBERS_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_SUBSCRIBERS_H_
+#define BADGERBRIDGE_WATCH_CACHE_SUBSCRIBERS_H_
 
 #include <compare>
 #include <cstdint>
@@ -21,13 +21,13 @@
 #include <vector>
 
 #include "etcd.pb.h"
-#include "relay/key_range.h"
-#include "relay/merged_backlog.h"
-#include "relay/read_queue.h"
-#include "relay/watch_cache.h"
-#include "relay/window.h"
+#include "watch_cache/key_range.h"
+#include "watch_cache/merged_backlog.h"
+#include "watch_cache/read_queue.h"
+#include "watch_cache/watch_cache.h"
+#include "watch_cache/window.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 /// All subscribers of a watch cache.
 class Subscribers {
@@ -155,6 +155,6 @@
   std::uint64_t compacted_count_ = 0;
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_SUBSCRIBERS_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_SUBSCRIBERS_H_
--- a/src/relay/upstream_validation.cpp
+++ b/src/watch_cache/upstream_validation.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/upstream_validation.h"
+#include "watch_cache/upstream_validation.h"
 
 #include <algorithm>
 #include <memory>
 #include <utility>
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 namespace pb = etcdserverpb;
@@ -88,4 +88,4 @@
   });
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/upstream_validation.h
+++ b/src/watch_cache/upstream_validation.h
@@ -2,19 +2,19 @@
 //
 /// \file
 /// Checks of what comes from upstream, before anything of it is applied.
-#ifndef BADGERBRIDGE_RELAY_UPSTREAM_VALIDATION_H_
-#define BADGERBRIDGE_RELAY_UPSTREAM_VALIDATION_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_UPSTREAM_VALIDATION_H_
+#define BADGERBRIDGE_WATCH_CACHE_UPSTREAM_VALIDATION_H_
 
 #include <cstdint>
 #include <vector>
 
 #include "etcd.pb.h"
-#include "relay/error.h"
-#include "relay/key_range.h"
-#include "relay/read_queue.h"
-#include "relay/state.h"
+#include "watch_cache/error.h"
+#include "watch_cache/key_range.h"
+#include "watch_cache/read_queue.h"
+#include "watch_cache/state.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 /// The keys of a snapshot at `revision`. Errors: kKeyOutsidePrefix, kKeyWithoutRevision,
 /// kRevisionAfterHeader, kDuplicateKey. `prefix` is the prefix's range.
@@ -31,6 +31,6 @@
 bool ContinuesHistory(const CachePosition& position, const State& state, std::uint64_t cluster_id,
                       std::int64_t revision, const State::Keys& keys);
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_UPSTREAM_VALIDATION_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_UPSTREAM_VALIDATION_H_
--- a/src/relay/watch_cache.cpp
+++ b/src/watch_cache/watch_cache.cpp
@@ -1,21 +1,21 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/watch_cache.h"
+#include "watch_cache/watch_cache.h"
 
 #include <algorithm>
 #include <set>
 #include <string_view>
 #include <utility>
 
-#include "relay/actions.h"
-#include "relay/error.h"
-#include "relay/key_range.h"
-#include "relay/read_queue.h"
-#include "relay/state.h"
-#include "relay/subscribers.h"
-#include "relay/upstream_validation.h"
-#include "relay/window.h"
+#include "watch_cache/actions.h"
+#include "watch_cache/error.h"
+#include "watch_cache/key_range.h"
+#include "watch_cache/read_queue.h"
+#include "watch_cache/state.h"
+#include "watch_cache/subscribers.h"
+#include "watch_cache/upstream_validation.h"
+#include "watch_cache/window.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 namespace pb = etcdserverpb;
@@ -448,4 +448,4 @@
 WatchCache::WatchCache(Settings settings) : impl_(std::make_unique<Impl>(std::move(settings))) {}
 WatchCache::~WatchCache() = default;
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/watch_cache.h
+++ b/src/watch_cache/watch_cache.h
@@ -10,8 +10,8 @@
 /// linearizable read is answered after the upstream has confirmed a committed revision by a read that began
 /// after this one arrived, and once the cache has reached that revision (the read-index technique of the Raft
 /// dissertation, section 6.4). One confirmation serves all reads that wait for it.
-#ifndef BADGERBRIDGE_RELAY_WATCH_CACHE_H_
-#define BADGERBRIDGE_RELAY_WATCH_CACHE_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_WATCH_CACHE_H_
+#define BADGERBRIDGE_WATCH_CACHE_WATCH_CACHE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -25,7 +25,7 @@
 #include "etcd.pb.h"
 #include "etcd/grpc.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 /// Monotonic time, in milliseconds since an arbitrary start.
 using Time = std::chrono::milliseconds;
@@ -216,6 +216,6 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_WATCH_CACHE_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_WATCH_CACHE_H_
--- a/src/relay/window.h
+++ b/src/watch_cache/window.h
@@ -3,15 +3,15 @@
 /// \file
 /// The past batches of events that the cache still holds, oldest first, bounded by bytes and events. It is
 /// shared by all subscribers, each of which has a position (a sequence number) in it.
-#ifndef BADGERBRIDGE_RELAY_WINDOW_H_
-#define BADGERBRIDGE_RELAY_WINDOW_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_WINDOW_H_
+#define BADGERBRIDGE_WATCH_CACHE_WINDOW_H_
 
 #include <cstdint>
 #include <deque>
 
-#include "relay/event.h"
+#include "watch_cache/event.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 /// A bounded queue of batches.
 class Window {
@@ -74,6 +74,6 @@
   std::size_t events_ = 0;
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_WINDOW_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_WINDOW_H_
--- a/tests/compatibility/agent_compatibility_test.cpp
+++ b/tests/compatibility/agent_compatibility_test.cpp
@@ -7,10 +7,10 @@
 
 #include <boost/json.hpp>
 
+#include "agent/fleet_file.h"
+#include "agent/orders.h"
+#include "agent/store.h"
 #include "compatibility/golden_file.h"
-#include "fleet/fleet_file.h"
-#include "fleet/orders.h"
-#include "fleet/store.h"
 
 namespace badgerbridge::compatibility {
 namespace {
@@ -19,10 +19,10 @@
 constexpr char kCompactedJournal[] = "agent/store_compacted.journal";
 
 /// The records of a journal, as a start of the agent reads them.
-std::vector<std::string> RecordsOf(const std::string& path) { return fleet::Store(path).TakeRecords(); }
+std::vector<std::string> RecordsOf(const std::string& path) { return agent::Store(path).TakeRecords(); }
 
-fleet::Fleet FleetOf(const std::vector<std::string>& records) {
-  fleet::Fleet fleet;
+agent::Fleet FleetOf(const std::vector<std::string>& records) {
+  agent::Fleet fleet;
   for (const std::string& record : records) fleet.Restore(record);
   return fleet;
 }
@@ -32,9 +32,9 @@
   const std::string path = directory.Path("state");
   WriteWholeFile(path, ReadGoldenFile(kJournal));
   {
-    fleet::Store store(path);
+    agent::Store store(path);
     EXPECT_EQ(store.dropped(), 0u);
-    const fleet::Fleet fleet = FleetOf(store.TakeRecords());
+    const agent::Fleet fleet = FleetOf(store.TakeRecords());
     ASSERT_TRUE(store.Compact(fleet.Everything())) << store.error();
   }
   EXPECT_TRUE(MatchesGoldenFile(kCompactedJournal, ReadWholeFile(path)));
@@ -44,8 +44,8 @@
   const TemporaryDirectory directory;
   const std::string path = directory.Path("state");
   WriteWholeFile(path, ReadGoldenFile(kCompactedJournal));
-  const fleet::Fleet fleet = FleetOf(RecordsOf(path));
-  EXPECT_EQ(fleet::Store::Frame(fleet.Everything()), ReadGoldenFile(kCompactedJournal));
+  const agent::Fleet fleet = FleetOf(RecordsOf(path));
+  EXPECT_EQ(agent::Store::Frame(fleet.Everything()), ReadGoldenFile(kCompactedJournal));
 }
 
 TEST(AgentStoreCompatibility, JournalAppendedBatchByBatchIsTheSameBytes) {
@@ -53,7 +53,7 @@
   const std::string path = directory.Path("state");
   for (const std::string& line : GoldenLines(kJournal)) {
     WriteWholeFile(directory.Path("batch"), line + "\n");
-    fleet::Store store(path);
+    agent::Store store(path);
     ASSERT_TRUE(store.Append(RecordsOf(directory.Path("batch")))) << store.error();
   }
   EXPECT_EQ(ReadWholeFile(path), ReadGoldenFile(kJournal));
@@ -62,82 +62,82 @@
 constexpr int kGeneration = 4;
 
 /// At generation 4: two instances that run, and are ready, and one that was never started.
-fleet::Fleet RunningFleet() {
-  fleet::Fleet fleet;
+agent::Fleet RunningFleet() {
+  agent::Fleet fleet;
   fleet.Restore("{\"generation\":" + std::to_string(kGeneration) + "}");
   for (const std::string name : {"n1", "n2"}) {
     EXPECT_TRUE(fleet.Add(name, "definition of " + name, true));
-    fleet::Observation ready;
+    agent::Observation ready;
     ready.state = "ready";
     ready.reloads_applied = 3;
     ready.reloads_refused = 1;
-    std::vector<fleet::Action> actions;
-    fleet.Handle(fleet::Time(1000), fleet::Adopted{name, 100}, &actions);
-    fleet.Handle(fleet::Time(1001), fleet::Observed{name, ready, fleet::Time(1000)}, &actions);
+    std::vector<agent::Action> actions;
+    fleet.Handle(agent::Time(1000), agent::Adopted{name, 100}, &actions);
+    fleet.Handle(agent::Time(1001), agent::Observed{name, ready, agent::Time(1000)}, &actions);
   }
   EXPECT_TRUE(fleet.Add("n3", "definition of n3", false));
   fleet.TakeChanges();
   return fleet;
 }
 
-fleet::Order OrderWithEveryField(fleet::Verb verb) {
-  fleet::Order order;
-  order.id = "order-" + std::string(fleet::Name(verb));
+agent::Order OrderWithEveryField(agent::Verb verb) {
+  agent::Order order;
+  order.id = "order-" + std::string(agent::Name(verb));
   order.verb = verb;
   order.instances = {"n1", "n2", "n3"};
   order.who = "ana";
   order.against = kGeneration;
-  order.deadline = fleet::Time(45000);
+  order.deadline = agent::Time(45000);
   const bool ends_processes =
-      verb == fleet::Verb::kStop || verb == fleet::Verb::kRestart || verb == fleet::Verb::kApply;
-  if (ends_processes) order.force_after = fleet::Time(9000);
+      verb == agent::Verb::kStop || verb == agent::Verb::kRestart || verb == agent::Verb::kApply;
+  if (ends_processes) order.force_after = agent::Time(9000);
   order.at_most = 2;
-  if (verb == fleet::Verb::kApply)
+  if (verb == agent::Verb::kApply)
     order.definitions = {{"n1", "a new definition"}, {"n2", ""}, {"n3", "another"}};
   return order;
 }
 
 /// What the agent writes when an order is accepted, and when an instance's process ends.
-std::vector<std::string> RecordsOfOrder(const fleet::Order& order) {
-  fleet::Fleet fleet = RunningFleet();
-  std::vector<fleet::Action> actions;
-  const fleet::Verdict verdict = fleet.Submit(fleet::Time(2000), 1700000000123, order, &actions);
-  EXPECT_EQ(verdict.kind, fleet::Verdict::Kind::kAccepted) << verdict.text;
+std::vector<std::string> RecordsOfOrder(const agent::Order& order) {
+  agent::Fleet fleet = RunningFleet();
+  std::vector<agent::Action> actions;
+  const agent::Verdict verdict = fleet.Submit(agent::Time(2000), 1700000000123, order, &actions);
+  EXPECT_EQ(verdict.kind, agent::Verdict::Kind::kAccepted) << verdict.text;
   std::vector<std::string> records = fleet.TakeChanges();
-  fleet.Handle(fleet::Time(2500), fleet::Exited{"n1", "was killed by signal 9"}, &actions);
+  fleet.Handle(agent::Time(2500), agent::Exited{"n1", "was killed by signal 9"}, &actions);
   for (std::string& record : fleet.TakeChanges()) records.push_back(std::move(record));
   return records;
 }
 
 TEST(AgentStoreCompatibility, AcceptedOrderOfEachVerbWritesTheGoldenRecords) {
   std::vector<std::string> lines;
-  for (const fleet::Verb verb :
-       {fleet::Verb::kStart, fleet::Verb::kStop, fleet::Verb::kDrain, fleet::Verb::kUndrain,
-        fleet::Verb::kReload, fleet::Verb::kRestart, fleet::Verb::kApply}) {
+  for (const agent::Verb verb :
+       {agent::Verb::kStart, agent::Verb::kStop, agent::Verb::kDrain, agent::Verb::kUndrain,
+        agent::Verb::kReload, agent::Verb::kRestart, agent::Verb::kApply}) {
     for (std::string& record : RecordsOfOrder(OrderWithEveryField(verb))) lines.push_back(std::move(record));
   }
   EXPECT_TRUE(MatchesGoldenFile("agent/order_records.jsonl", JoinLines(lines)));
 }
 
 TEST(AgentStoreCompatibility, SupersedingOrderWritesTheGoldenRecords) {
-  fleet::Fleet fleet = RunningFleet();
-  std::vector<fleet::Action> actions;
-  fleet::Order drain = OrderWithEveryField(fleet::Verb::kDrain);
+  agent::Fleet fleet = RunningFleet();
+  std::vector<agent::Action> actions;
+  agent::Order drain = OrderWithEveryField(agent::Verb::kDrain);
   drain.instances = {"n1", "n2"};
   drain.at_most = 1;
-  const fleet::Verdict of_drain = fleet.Submit(fleet::Time(2000), 1700000000123, drain, &actions);
-  EXPECT_EQ(of_drain.kind, fleet::Verdict::Kind::kAccepted) << of_drain.text;
-  fleet::Order stop = OrderWithEveryField(fleet::Verb::kStop);
+  const agent::Verdict of_drain = fleet.Submit(agent::Time(2000), 1700000000123, drain, &actions);
+  EXPECT_EQ(of_drain.kind, agent::Verdict::Kind::kAccepted) << of_drain.text;
+  agent::Order stop = OrderWithEveryField(agent::Verb::kStop);
   stop.against = 0;
   stop.supersede = true;
-  const fleet::Verdict of_stop = fleet.Submit(fleet::Time(2100), 1700000000223, stop, &actions);
-  EXPECT_EQ(of_stop.kind, fleet::Verdict::Kind::kAccepted) << of_stop.text;
+  const agent::Verdict of_stop = fleet.Submit(agent::Time(2100), 1700000000223, stop, &actions);
+  EXPECT_EQ(of_stop.kind, agent::Verdict::Kind::kAccepted) << of_stop.text;
   EXPECT_TRUE(MatchesGoldenFile("agent/superseded_order_records.jsonl", JoinLines(fleet.TakeChanges())));
 }
 
 TEST(AgentDefinitionCompatibility, DefinitionReadAndWrittenBackIsTheSameBytes) {
   for (const std::string& line : GoldenLines("agent/definitions.jsonl"))
-    EXPECT_EQ(fleet::ToText(fleet::DefinitionOf(line)), line);
+    EXPECT_EQ(agent::ToText(agent::DefinitionOf(line)), line);
 }
 
 TEST(AgentAuditLogCompatibility, LinesAreAppendedAndFilesMovedAsideAsBefore) {
@@ -145,7 +145,7 @@
   const std::string path = directory.Path("audit.log");
   const std::vector<std::string> lines = GoldenLines("agent/audit.jsonl");
   WriteWholeFile(path, lines.front() + "\n");
-  fleet::AuditLog log(path, lines.front().size() + 2, 2);
+  agent::AuditLog log(path, lines.front().size() + 2, 2);
   ASSERT_TRUE(log.Add({lines[1]}));
   EXPECT_EQ(ReadWholeFile(path), lines[0] + "\n" + lines[1] + "\n");
   ASSERT_TRUE(log.Add({lines[2], lines[3]}));
--- a/tests/compatibility/membership_compatibility_test.cpp
+++ b/tests/compatibility/membership_compatibility_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-/// A converter's value in etcd, as the version before wrote it: read, and written back byte for byte.
+/// A backend's value in etcd, as the version before wrote it: read, and written back byte for byte.
 #include <gtest/gtest.h>
 
 #include "compatibility/etcd_transaction_text.h"
--- a/tests/compatibility/operator_config_compatibility_test.cpp
+++ b/tests/compatibility/operator_config_compatibility_test.cpp
@@ -4,15 +4,15 @@
 /// before.
 #include <gtest/gtest.h>
 
+#include "agent/fleet_file.h"
 #include "compatibility/golden_file.h"
 #include "compatibility/key_value_dump.h"
-#include "fleet/fleet_file.h"
-#include "operator/operator_file.h"
+#include "operator_config/operator_file.h"
 
 namespace badgerbridge::compatibility {
 namespace {
 
-void AddEtcdLink(const operator_file::EtcdLink& link, KeyValueDump* dump) {
+void AddEtcdLink(const operator_config::EtcdLink& link, KeyValueDump* dump) {
   dump->Add("endpoints", link.endpoints);
   dump->Add("user", link.user);
   dump->Add("password_file", link.password_file);
@@ -24,7 +24,7 @@
   dump->Add("ping_timeout", link.ping_timeout);
 }
 
-void AddControl(const operator_file::Control& control, KeyValueDump* dump) {
+void AddControl(const operator_config::Control& control, KeyValueDump* dump) {
   dump->BeginTable("control");
   dump->Add("socket", control.socket);
   dump->Add("max_connections", control.max_connections);
@@ -33,7 +33,7 @@
   dump->Add("allow_uids", control.allow_uids);
 }
 
-void AddEtcd(const operator_file::Etcd& etcd, KeyValueDump* dump) {
+void AddEtcd(const operator_config::Etcd& etcd, KeyValueDump* dump) {
   dump->BeginTable("etcd");
   AddEtcdLink(etcd, dump);
   dump->Add("prefix", etcd.prefix);
@@ -43,7 +43,7 @@
   dump->Add("most_departures_percent", etcd.most_departures_percent);
 }
 
-void AddRegions(const operator_file::Regions& regions, KeyValueDump* dump) {
+void AddRegions(const operator_config::Regions& regions, KeyValueDump* dump) {
   dump->BeginTable("regions");
   dump->Add("decide = together", regions.together);
   AddEtcdLink(regions, dump);
@@ -55,7 +55,7 @@
   dump->Add("step", regions.step);
   dump->Add("round_trip", regions.round_trip);
   dump->Add("price_percent", regions.price_percent);
-  for (const operator_file::Regions::Link& link : regions.links) {
+  for (const operator_config::Regions::Link& link : regions.links) {
     dump->Add("link.from", link.from);
     dump->Add("link.to", link.to);
     dump->Add("link.round_trip", link.round_trip);
@@ -63,7 +63,7 @@
   }
 }
 
-std::string DumpOf(const operator_file::OperatorFile& file) {
+std::string DumpOf(const operator_config::OperatorFile& file) {
   KeyValueDump dump;
   if (file.control) AddControl(*file.control, &dump);
   if (file.etcd) AddEtcd(*file.etcd, &dump);
@@ -73,10 +73,10 @@
 
 /// What is read from operator files that stand in golden/operator_config, without problems.
 std::string DumpOfOperatorFile(const std::string& name) {
-  operator_file::Problems problems;
-  const operator_file::OperatorFile file =
-      operator_file::Parse(ReadGoldenFile("operator_config/" + name), name, problems);
-  EXPECT_EQ(operator_file::Lines(problems), "");
+  operator_config::Problems problems;
+  const operator_config::OperatorFile file =
+      operator_config::Parse(ReadGoldenFile("operator_config/" + name), name, problems);
+  EXPECT_EQ(operator_config::Lines(problems), "");
   return DumpOf(file);
 }
 
@@ -96,13 +96,14 @@
 }
 
 TEST(OperatorFileCompatibility, UnknownKeysAreReportedAsBefore) {
-  operator_file::Problems problems;
-  operator_file::Parse(ReadGoldenFile("operator_config/operator_unknown_keys.toml"), "operator.toml",
-                       problems);
-  EXPECT_TRUE(MatchesGoldenFile("operator_config/operator_unknown_keys.txt", operator_file::Lines(problems)));
+  operator_config::Problems problems;
+  operator_config::Parse(ReadGoldenFile("operator_config/operator_unknown_keys.toml"), "operator.toml",
+                         problems);
+  EXPECT_TRUE(
+      MatchesGoldenFile("operator_config/operator_unknown_keys.txt", operator_config::Lines(problems)));
 }
 
-void AddAgent(const fleet::AgentSettings& agent, KeyValueDump* dump) {
+void AddAgent(const agent::AgentSettings& agent, KeyValueDump* dump) {
   dump->BeginTable("agent");
   dump->Add("name", agent.name);
   dump->Add("state_dir", agent.state_dir);
@@ -121,10 +122,11 @@
   dump->Add("certificate", agent.tls->certificate);
   dump->Add("key", agent.tls->key);
   dump->Add("client_ca", agent.tls->client_ca);
-  for (const auto& [name, role] : agent.tls->roles) dump->Add("roles." + name, std::string(api::Name(role)));
+  for (const auto& [name, role] : agent.tls->roles)
+    dump->Add("roles." + name, std::string(http_api::Name(role)));
 }
 
-void AddInstance(const fleet::Definition& instance, KeyValueDump* dump) {
+void AddInstance(const agent::Definition& instance, KeyValueDump* dump) {
   dump->BeginTable("instance");
   dump->Add("name", instance.name);
   dump->Add("command", instance.command);
@@ -142,15 +144,15 @@
   std::string text = ReadGoldenFile("operator_config/" + name);
   constexpr std::string_view kPlaceholder = "@OPERATOR_FILE@";
   text.replace(text.find(kPlaceholder), kPlaceholder.size(), operator_path);
-  operator_file::Problems problems;
-  const fleet::FleetFile file = fleet::ParseFleet(text, name, problems);
+  operator_config::Problems problems;
+  const agent::FleetFile file = agent::ParseFleet(text, name, problems);
   KeyValueDump dump;
   AddAgent(file.agent, &dump);
-  for (const fleet::Definition& instance : file.instances) {
+  for (const agent::Definition& instance : file.instances) {
     EXPECT_EQ(instance.operator_file, operator_path);
     AddInstance(instance, &dump);
   }
-  return dump.text() + operator_file::Lines(problems);
+  return dump.text() + operator_config::Lines(problems);
 }
 
 std::string PathOfInstancesOperatorFile() { return GoldenPath("operator_config/operator_defaults.toml"); }
--- a/tests/compatibility/proxy_compatibility_test.cpp
+++ b/tests/compatibility/proxy_compatibility_test.cpp
@@ -10,16 +10,16 @@
 
 #include "compatibility/golden_file.h"
 #include "compatibility/settings_dump.h"
-#include "node/config.h"
-#include "node/discovery.h"
-#include "node/json_values.h"
+#include "proxy/config.h"
+#include "proxy/discovery.h"
+#include "proxy/json_values.h"
 
 namespace badgerbridge::compatibility {
 namespace {
 
 namespace json = boost::json;
 
-node::Environment EnvironmentOf(const std::map<std::string, std::string>& variables) {
+proxy::Environment EnvironmentOf(const std::map<std::string, std::string>& variables) {
   return [&variables](const char* name) -> const char* {
     const auto found = variables.find(name);
     return found == variables.end() ? nullptr : found->second.c_str();
@@ -32,7 +32,7 @@
   return text.str();
 }
 
-std::string DumpOf(const node::Config& config) {
+std::string DumpOf(const proxy::Config& config) {
   KeyValueDump dump;
   dump.Add("name", config.name);
   dump.Add("listen", TextOf(config.listen));
@@ -51,8 +51,8 @@
   return dump.text();
 }
 
-node::Config ConfigOf(const std::string& name, const std::map<std::string, std::string>& variables = {}) {
-  return node::ParseConfig(ReadGoldenFile("proxy/" + name), EnvironmentOf(variables));
+proxy::Config ConfigOf(const std::string& name, const std::map<std::string, std::string>& variables = {}) {
+  return proxy::ParseConfig(ReadGoldenFile("proxy/" + name), EnvironmentOf(variables));
 }
 
 TEST(ProxyConfigCompatibility, FileWithEverySettingIsReadAsBefore) {
@@ -65,9 +65,9 @@
 }
 
 TEST(ProxyConfigCompatibility, VariablesOfTheEnvironmentGoBeforeTheFile) {
-  const node::Config config = ConfigOf("config_defaults.json", {{"ROUTER_NAME", "other"},
-                                                                {"ROUTER_LISTEN", "127.0.0.5:5005"},
-                                                                {"ROUTER_DISCOVERY", "127.0.0.6:6006"}});
+  const proxy::Config config = ConfigOf("config_defaults.json", {{"ROUTER_NAME", "other"},
+                                                                 {"ROUTER_LISTEN", "127.0.0.5:5005"},
+                                                                 {"ROUTER_DISCOVERY", "127.0.0.6:6006"}});
   EXPECT_EQ(config.name, "other");
   EXPECT_EQ(TextOf(config.listen), "127.0.0.5:5005");
   EXPECT_EQ(TextOf(config.discovery), "127.0.0.6:6006");
@@ -78,13 +78,13 @@
       {"ROUTER_CONFIG", GoldenPath("proxy/config_defaults.json")},
       {"ROUTER_NAME", "other"},
       {"ROUTER_DISCOVERY", "127.0.0.6:6006"}};
-  EXPECT_EQ(TextOf(node::ReadConfig(EnvironmentOf(variables)).discovery), "127.0.0.6:6006");
-  const node::Config again = node::RereadConfig(EnvironmentOf(variables));
+  EXPECT_EQ(TextOf(proxy::ReadConfig(EnvironmentOf(variables)).discovery), "127.0.0.6:6006");
+  const proxy::Config again = proxy::RereadConfig(EnvironmentOf(variables));
   EXPECT_EQ(again.name, "other");
   EXPECT_EQ(TextOf(again.discovery), "127.0.0.1:7001");
 }
 
-void AddEndpoint(const node::Endpoint& endpoint, KeyValueDump* dump) {
+void AddEndpoint(const proxy::Endpoint& endpoint, KeyValueDump* dump) {
   dump->BeginTable("  endpoints");
   dump->Add("name", endpoint.name);
   dump->Add("address", TextOf(endpoint.address));
@@ -98,29 +98,29 @@
 }
 
 /// The lists of a watch on discovery, one after another.
-std::string DumpOfWatch(std::string_view bytes, node::ListReader reader) {
+std::string DumpOfWatch(std::string_view bytes, proxy::ListReader reader) {
   constexpr std::size_t kMaxListBytes = 1 << 20;
-  node::JsonValues values(kMaxListBytes);
+  proxy::JsonValues values(kMaxListBytes);
   KeyValueDump dump;
   for (;;) {
-    const node::JsonValues::Found found = values.Next(&bytes);
-    if (found == node::JsonValues::Found::kNothing) return dump.text();
+    const proxy::JsonValues::Found found = values.Next(&bytes);
+    if (found == proxy::JsonValues::Found::kNothing) return dump.text();
     dump.BeginTable("");
-    if (found == node::JsonValues::Found::kEmptyLine) {
+    if (found == proxy::JsonValues::Found::kEmptyLine) {
       dump.Add("heartbeat", true);
       continue;
     }
-    const node::EndpointList list = reader.Read(values.Take());
+    const proxy::EndpointList list = reader.Read(values.Take());
     dump.Add("snapshot", list.snapshot);
     dump.Add("index", reader.index());
-    for (const node::Endpoint& endpoint : list.endpoints) AddEndpoint(endpoint, &dump);
+    for (const proxy::Endpoint& endpoint : list.endpoints) AddEndpoint(endpoint, &dump);
   }
 }
 
 TEST(DiscoveryListCompatibility, ListsOfAWatchAreReadAsBefore) {
   const std::string watch = ReadGoldenFile("proxy/discovery_watch.json");
-  const node::Config config = ConfigOf("config_every_setting.json");
-  EXPECT_TRUE(MatchesGoldenFile("proxy/discovery_watch.txt", DumpOfWatch(watch, node::ListReader(config))));
+  const proxy::Config config = ConfigOf("config_every_setting.json");
+  EXPECT_TRUE(MatchesGoldenFile("proxy/discovery_watch.txt", DumpOfWatch(watch, proxy::ListReader(config))));
 }
 
 }  // namespace
--- a/tests/compatibility/simulator_protocol_compatibility_test.cpp
+++ b/tests/compatibility/simulator_protocol_compatibility_test.cpp
@@ -11,7 +11,7 @@
 #include <cstring>
 
 #include "compatibility/golden_file.h"
-#include "hex.h"
+#include "simulator_protocol/hex.h"
 
 namespace badgerbridge::compatibility {
 namespace {
@@ -24,7 +24,7 @@
 std::string BytesOfHexFile(const std::string& name) {
   std::string digits;
   for (const std::string& line : GoldenLines(name)) digits += line.substr(0, line.find('#'));
-  return fordlb::testing::Hex(digits);
+  return balancer::testing::Hex(digits);
 }
 
 std::string HexOf(std::string_view bytes) {
--- a/tests/compatibility/watch_cache_compatibility_test.cpp
+++ b/tests/compatibility/watch_cache_compatibility_test.cpp
@@ -5,12 +5,13 @@
 
 #include "compatibility/golden_file.h"
 #include "compatibility/key_value_dump.h"
-#include "relay/relay_file.h"
+#include "watch_cache/relay_file.h"
 
 namespace badgerbridge::compatibility {
 namespace {
 
-void AddTls(const std::optional<api::TlsFiles>& tls, std::string_view authority_key, KeyValueDump* dump) {
+void AddTls(const std::optional<http_api::TlsFiles>& tls, std::string_view authority_key,
+            KeyValueDump* dump) {
   dump->Add("certificate", tls ? tls->certificate : "");
   dump->Add("key", tls ? tls->key : "");
   dump->Add(authority_key, tls ? tls->authority : "");
@@ -26,7 +27,7 @@
   dump->Add("server_name", upstream.channel.server_name);
 }
 
-void AddReaders(const relay::ServiceSettings& settings, KeyValueDump* dump) {
+void AddReaders(const watch_cache::ServiceSettings& settings, KeyValueDump* dump) {
   dump->BeginTable("readers");
   AddTls(settings.server.tls, "client_authority", dump);
   dump->Add("connections", settings.server.connections);
@@ -37,7 +38,7 @@
   dump->Add("stall_timeout", settings.server.stall_timeout);
 }
 
-void AddBounds(const relay::Settings& bounds, KeyValueDump* dump) {
+void AddBounds(const watch_cache::Settings& bounds, KeyValueDump* dump) {
   dump->BeginTable("bounds");
   dump->Add("window_bytes", bounds.max_window_bytes);
   dump->Add("window_events", bounds.max_window_events);
@@ -51,7 +52,7 @@
   dump->Add("list_burst_bytes", bounds.list_burst_bytes);
 }
 
-std::string DumpOf(const relay::ServiceSettings& settings) {
+std::string DumpOf(const watch_cache::ServiceSettings& settings) {
   KeyValueDump dump;
   dump.Add("drain_period", settings.cache.drain_period);
   dump.Add("upstream_grace", settings.cache.upstream_grace);
@@ -68,8 +69,8 @@
   const std::size_t placeholder = text.find(kPlaceholder);
   if (placeholder != std::string::npos)
     text.replace(placeholder, kPlaceholder.size(), GoldenPath("watch_cache/password"));
-  const relay::RelayFile file = relay::ParseRelayFile(text, "relay.toml");
-  return DumpOf(file.settings) + operator_file::Lines(file.problems);
+  const watch_cache::RelayFile file = watch_cache::ParseRelayFile(text, "relay.toml");
+  return DumpOf(file.settings) + operator_config::Lines(file.problems);
 }
 
 TEST(WatchCacheFileCompatibility, FileWithEveryKeyIsReadAsBefore) {
--- a/tests/fingerprint/decision_module_fingerprint_test.cpp
+++ b/tests/fingerprint/decision_module_fingerprint_test.cpp
@@ -10,19 +10,19 @@
 #include <map>
 #include <variant>
 
+#include "badgerbridge/balancer.h"
 #include "fingerprint/fingerprint.h"
 #include "fingerprint/scenario.h"
 #include "fingerprint/timeline.h"
-#include "fordlb/balancer.h"
 
 namespace badgerbridge::fingerprint {
 namespace {
 
-using fordlb::Duration;
-using fordlb::Outcome;
-using fordlb::RequestId;
-using fordlb::ServerId;
-using fordlb::TimePoint;
+using balancer::BackendId;
+using balancer::Duration;
+using balancer::Outcome;
+using balancer::RequestId;
+using balancer::TimePoint;
 
 constexpr std::uint64_t kSeeds = 40;
 constexpr Duration kRunTime{30000};
@@ -49,8 +49,8 @@
         fleet_(settings_, &random_),
         clients_(settings_, fleet_, &random_),
         surroundings_(&fleet_, &timeline_, &random_,
-                      {[this](const fordlb::ListUpdate& update) { Handle(update); },
-                       [this](const fordlb::ZoneShares& shares) { Handle(shares); }}),
+                      {[this](const balancer::EndpointListUpdate& update) { Handle(update); },
+                       [this](const balancer::ZoneQuotas& shares) { Handle(shares); }}),
         balancer_(settings_, random_.Next()),
         fingerprint_("decision_module", seed),
         coverage_(coverage) {}
@@ -75,7 +75,7 @@
   static constexpr Duration kQuietTime{65000};
 
   struct Attempt {
-    ServerId server = 0;
+    BackendId server = 0;
     TimePoint sent_at{};
     bool ended = false;
     bool must_end_cancelled = false;
@@ -94,7 +94,7 @@
       timeline_.At(quiet_from_ + kQuietTime, [this] { Arrive(); });
       return;
     }
-    fordlb::Submit submit = clients_.DrawSubmit(timeline_.now());
+    balancer::Submit submit = clients_.DrawSubmit(timeline_.now());
     submit.request = ++last_request_;
     requests_[submit.request] = {submit.work_ms < 1e6 ? submit.work_ms : 10, submit.due, {}, false};
     timeline_.At(submit.due, [this, id = submit.request] { EndOfClientsTime(id); });
@@ -115,7 +115,7 @@
     if (requests_[id].settled) return;
     requests_[id].settled = true;
     ++coverage_->departures;
-    Handle(fordlb::ClientGone{id});
+    Handle(balancer::ClientDisconnected{id});
   }
 
   void EndAttempt(RequestId id, std::size_t number, Outcome outcome) {
@@ -124,7 +124,7 @@
     if (attempt.ended) return;
     attempt.ended = true;
     fleet_.FinishAttempt(attempt.server);
-    fordlb::AttemptEnded end;
+    balancer::AttemptEnded end;
     end.request = id;
     end.attempt = static_cast<int>(number);
     end.server = attempt.server;
@@ -140,13 +140,13 @@
   void StartStream(RequestId id, std::size_t attempt) {
     if (requests_[id].attempts[attempt].ended) return;
     ++coverage_->streams;
-    Handle(fordlb::StreamStarted{id, static_cast<int>(attempt)});
+    Handle(balancer::StreamStarted{id, static_cast<int>(attempt)});
   }
 
   /// Events that the module must ignore or refuse.
   void SendNonsense() {
     const RequestId known = 1 + random_.Next() % (last_request_ + 1);
-    fordlb::Submit submit = clients_.DrawSubmit(timeline_.now());
+    balancer::Submit submit = clients_.DrawSubmit(timeline_.now());
     submit.request = RequestId{1} << 40;
     submit.request_class = random_.Chance(0.5) ? -1 : 100;
     Handle(submit);
@@ -154,20 +154,20 @@
       submit.request = last_request_;
       Handle(submit);
     }
-    fordlb::AttemptEnded end;
+    balancer::AttemptEnded end;
     end.request = known;
     end.attempt = random_.Integer(-1, 5);
     if (end.attempt < 0 || end.attempt > 3) Handle(end);
-    Handle(fordlb::ClientGone{RequestId{1} << 41});
-    Handle(fordlb::StreamStarted{RequestId{1} << 41, 0});
-    Handle(fordlb::TimerFired{random_.Next()});
+    Handle(balancer::ClientDisconnected{RequestId{1} << 41});
+    Handle(balancer::StreamStarted{RequestId{1} << 41, 0});
+    Handle(balancer::TimerFired{random_.Next()});
     timeline_.After(Duration(random_.Between(500, 4000)), [this] { SendNonsense(); });
   }
 
   void InspectRegularly() {
-    const std::vector<fordlb::ServerView> views = balancer_.Inspect();
+    const std::vector<balancer::BackendView> views = balancer_.Inspect();
     AddViews(views, &fingerprint_.digest());
-    for (const fordlb::ServerView& view : views) {
+    for (const balancer::BackendView& view : views) {
       coverage_->ejected += view.ejected;
       coverage_->silent += view.silent;
       coverage_->cold += view.warm_share < 1;
@@ -178,17 +178,17 @@
 
   // ---- what the module answers ----
 
-  void Handle(const fordlb::Event& event) {
-    std::vector<fordlb::Action> actions;
+  void Handle(const balancer::Event& event) {
+    std::vector<balancer::Action> actions;
     balancer_.Handle(timeline_.now(), event, &actions);
     fingerprint_.digest().Add(actions.size());
-    for (const fordlb::Action& action : actions)
+    for (const balancer::Action& action : actions)
       std::visit([this](const auto& act) { Perform(act); }, action);
     fingerprint_.EndStep();
   }
 
   // The first number that each adds stands for the kind of action.
-  void Perform(const fordlb::Dispatch& action) {
+  void Perform(const balancer::Dispatch& action) {
     fingerprint_.digest().Add(1, action.request, action.server, action.timeout, action.begin_before);
     Request& request = requests_[action.request];
     const std::size_t number = request.attempts.size();
@@ -207,7 +207,7 @@
     if (random_.Chance(0.05))
       timeline_.After(ending.after * 0.5, [this, id = action.request, number] { StartStream(id, number); });
   }
-  void Perform(const fordlb::Abandon& action) {
+  void Perform(const balancer::Abandon& action) {
     fingerprint_.digest().Add(2, action.request, action.attempt);
     ++coverage_->cancellations;
     const auto number = static_cast<std::size_t>(action.attempt);
@@ -215,43 +215,43 @@
     timeline_.After(Duration(random_.Chance(0.5) ? 0 : 1),
                     [this, id = action.request, number] { EndAttempt(id, number, Outcome::kOk); });
   }
-  void Perform(const fordlb::Refuse& action) {
+  void Perform(const balancer::Refuse& action) {
     fingerprint_.digest().Add(3, action.request, action.retry_after);
     ++coverage_->rejections;
     coverage_->rejections_with_advice += action.retry_after > Duration(0);
     requests_[action.request].settled = true;
   }
-  void Perform(const fordlb::Fail& action) {
+  void Perform(const balancer::Fail& action) {
     fingerprint_.digest().Add(4, action.request);
     ++coverage_->failures;
     requests_[action.request].settled = true;
   }
-  void Perform(const fordlb::SetTimer& action) {
+  void Perform(const balancer::SetTimer& action) {
     fingerprint_.digest().Add(5, action.at, action.token);
     ++coverage_->timers;
     // Some callers round times: a timer may come late, or a little early.
     Duration error{0};
     if (random_.Chance(0.1)) error = Duration(random_.Between(-0.5, 5));
-    timeline_.At(action.at + error, [this, token = action.token] { Handle(fordlb::TimerFired{token}); });
+    timeline_.At(action.at + error, [this, token = action.token] { Handle(balancer::TimerFired{token}); });
   }
-  void Perform(const fordlb::Subscribe&) {
+  void Perform(const balancer::Subscribe&) {
     fingerprint_.digest().Add(6);
     ++coverage_->subscriptions;
     if (random_.Chance(0.2)) return;  // the answer is lost
     timeline_.After(Duration(random_.Between(1, 300)), [this] { Handle(fleet_.AnswerCall()); });
   }
-  void Perform(const fordlb::Log&) {  // its text is for people, and may change
+  void Perform(const balancer::Log&) {  // its text is for people, and may change
     fingerprint_.digest().Add(7);
     ++coverage_->logs;
   }
 
   Random random_;
-  fordlb::Settings settings_;
+  balancer::Settings settings_;
   SimulatedFleet fleet_;
   Clients clients_;
   Timeline timeline_;
   Surroundings surroundings_;
-  fordlb::Balancer balancer_;
+  balancer::Balancer balancer_;
   Fingerprint fingerprint_;
   Coverage* coverage_;
   std::map<RequestId, Request> requests_;
--- a/tests/fingerprint/request_table_fingerprint_test.cpp
+++ b/tests/fingerprint/request_table_fingerprint_test.cpp
@@ -12,23 +12,23 @@
 #include <utility>
 #include <variant>
 
-#include "exchange/exchange.h"
 #include "fingerprint/fingerprint.h"
 #include "fingerprint/scenario.h"
 #include "fingerprint/timeline.h"
+#include "request_table/request_table.h"
 
 namespace badgerbridge::fingerprint {
 namespace {
 
-using exchange::Cancel;
-using exchange::RequestTable;
-using exchange::Respond;
-using exchange::Send;
-using exchange::Withdraw;
-using fordlb::Duration;
-using fordlb::Outcome;
-using fordlb::RequestId;
-using fordlb::TimePoint;
+using balancer::Duration;
+using balancer::Outcome;
+using balancer::RequestId;
+using balancer::TimePoint;
+using request_table::Cancel;
+using request_table::RequestTable;
+using request_table::Respond;
+using request_table::Send;
+using request_table::Withdraw;
 
 constexpr std::uint64_t kSeeds = 40;
 constexpr Duration kRunTime{20000};
@@ -53,11 +53,11 @@
         fleet_(settings_, &random_),
         clients_(settings_, fleet_, &random_),
         surroundings_(&fleet_, &timeline_, &random_,
-                      {[this](fordlb::ListUpdate update) {
+                      {[this](balancer::EndpointListUpdate update) {
                          table_.UpdateEndpoints(timeline_.now(), std::move(update), &actions_);
                          EndCall();
                        },
-                       [this](fordlb::ZoneShares shares) {
+                       [this](balancer::ZoneQuotas shares) {
                          table_.UpdateZoneQuotas(timeline_.now(), std::move(shares), &actions_);
                          EndCall();
                        }}),
@@ -86,7 +86,7 @@
   // ---- what happens to the proxy ----
 
   void Arrive() {
-    fordlb::Submit submit = clients_.DrawSubmit(timeline_.now());
+    balancer::Submit submit = clients_.DrawSubmit(timeline_.now());
     if (random_.Chance(0.01))
       submit.due = timeline_.now() + Duration(random_.Between(-2, 12));  // too late, or nearly
     pending_work_ms_ = submit.work_ms < 1e6 ? submit.work_ms : 10;
@@ -130,7 +130,7 @@
   void EndCall() {
     const RequestTable::Actions actions = std::exchange(actions_, {});
     fingerprint_.digest().Add(actions.size());
-    for (const exchange::Action& action : actions)
+    for (const request_table::Action& action : actions)
       std::visit([this](const auto& act) { Perform(act); }, action);
     const auto wake = table_.NextWake();
     fingerprint_.digest().Add(table_.open(), wake.has_value());
@@ -175,13 +175,13 @@
     ++coverage_->withdrawals;
     if (random_.Chance(0.3)) return;  // it has been written whole, and ends as it does
     ScheduleEnd(attempts_.at({action.request, action.attempt}).send, Duration(random_.Integer(0, 1)),
-                Outcome::kMoot);
+                Outcome::kNotSent);
   }
   void Perform(const Respond& action) {
     fingerprint_.digest().Add(4, action.request, action.outcome, action.retry_after);
     ++coverage_->answers[static_cast<std::size_t>(action.outcome)];
   }
-  void Perform(const fordlb::Subscribe&) {
+  void Perform(const balancer::Subscribe&) {
     fingerprint_.digest().Add(5);
     ++coverage_->subscriptions;
     timeline_.After(Duration(random_.Between(1, 300)), [this] {
@@ -189,7 +189,7 @@
       EndCall();
     });
   }
-  void Perform(const fordlb::Log&) {  // its text is for people, and may change
+  void Perform(const balancer::Log&) {  // its text is for people, and may change
     fingerprint_.digest().Add(6);
     ++coverage_->logs;
   }
@@ -202,7 +202,7 @@
 
   void AddState() {
     AddViews(table_.Inspect(), &fingerprint_.digest());
-    for (const exchange::RequestCounters& counters : table_.counters()) {
+    for (const request_table::RequestCounters& counters : table_.counters()) {
       fingerprint_.digest().Add(counters.accepted, counters.served, counters.rejected, counters.failed,
                                 counters.open);
       fingerprint_.digest().Add(counters.client_disconnected, counters.deadline_fallback);
@@ -211,7 +211,7 @@
   }
 
   Random random_;
-  fordlb::Settings settings_;
+  balancer::Settings settings_;
   SimulatedFleet fleet_;
   Clients clients_;
   Timeline timeline_;
--- a/tests/fingerprint/scenario.cpp
+++ b/tests/fingerprint/scenario.cpp
@@ -8,14 +8,14 @@
 
 namespace badgerbridge::fingerprint {
 
-using fordlb::Duration;
-using fordlb::ListKind;
-using fordlb::ListUpdate;
-using fordlb::Outcome;
-using fordlb::ServerEntry;
-using fordlb::ServerId;
-using fordlb::ServerState;
-using fordlb::TimePoint;
+using balancer::BackendEntry;
+using balancer::BackendId;
+using balancer::BackendState;
+using balancer::Duration;
+using balancer::EndpointListKind;
+using balancer::EndpointListUpdate;
+using balancer::Outcome;
+using balancer::TimePoint;
 
 namespace {
 
@@ -23,15 +23,15 @@
 constexpr int kKinds = 2;
 constexpr int kCells = 2;
 
-fordlb::ClassSettings DrawClass(Random* random) {
-  fordlb::ClassSettings settings;
-  settings.effect = static_cast<fordlb::Effect>(random->Integer(0, 2));
-  settings.group = static_cast<fordlb::Group>(random->Integer(0, 2));
-  settings.aim = Duration(random->Between(60, 500));
-  settings.deadline = settings.aim * random->Between(1.2, 5);
+balancer::ClassSettings DrawClass(Random* random) {
+  balancer::ClassSettings settings;
+  settings.effect = static_cast<balancer::Idempotency>(random->Integer(0, 2));
+  settings.group = static_cast<balancer::DeduplicationScope>(random->Integer(0, 2));
+  settings.latency_objective = Duration(random->Between(60, 500));
+  settings.deadline = settings.latency_objective * random->Between(1.2, 5);
   settings.window = settings.deadline * random->Between(0.2, 1.2);
-  settings.worth = random->Between(1, 10);
-  settings.late_worth = random->Chance(0.3) ? 0 : random->Between(0, 0.8);
+  settings.priority_weight = random->Between(1, 10);
+  settings.late_weight = random->Chance(0.3) ? 0 : random->Between(0, 0.8);
   return settings;
 }
 
@@ -42,32 +42,32 @@
 
 }  // namespace
 
-fordlb::Settings DrawSettings(Random* random) {
-  fordlb::Settings settings;
+balancer::Settings DrawSettings(Random* random) {
+  balancer::Settings settings;
   // Of hundreds of proxies each may have only a few attempts out.
-  settings.balancers = random->Chance(0.25) ? random->Integer(50, 300) : random->Integer(1, 12);
-  settings.me = random->Integer(0, settings.balancers - 1);
+  settings.balancer_count = random->Chance(0.25) ? random->Integer(50, 300) : random->Integer(1, 12);
+  settings.balancer_index = random->Integer(0, settings.balancer_count - 1);
   settings.zone = random->Integer(0, kZones - 1);
   settings.classes.resize(static_cast<std::size_t>(random->Integer(1, 4)));
-  for (fordlb::ClassSettings& drawn : settings.classes) drawn = DrawClass(random);
+  for (balancer::ClassSettings& drawn : settings.classes) drawn = DrawClass(random);
   settings.tenants.resize(static_cast<std::size_t>(random->Integer(0, 3)));
-  for (fordlb::TenantSettings& drawn : settings.tenants) drawn.quota_per_s = random->Between(1, 300);
-  settings.over_share_worth = random->Between(0, 1);
-  settings.price_cross_zone = DrawOrZero(random, 0.3, 0.01, 0.4);
-  settings.warm_keys = random->Chance(0.5);
-  settings.must_ask_for_list = random->Chance(0.5);
-  settings.must_ask_within = Duration(random->Between(2000, 12000));
+  for (balancer::TenantSettings& drawn : settings.tenants) drawn.quota_per_s = random->Between(1, 300);
+  settings.over_quota_weight = random->Between(0, 1);
+  settings.cross_zone_cost = DrawOrZero(random, 0.3, 0.01, 0.4);
+  settings.key_affinity = random->Chance(0.5);
+  settings.polls_endpoint_list = random->Chance(0.5);
+  settings.max_poll_interval = Duration(random->Between(2000, 12000));
   settings.max_attempts = random->Integer(1, 5);
   settings.max_retry_after = Duration(DrawOrZero(random, 0.3, 100, 3000));
   settings.tick = Duration(random->Between(1, 10));
-  settings.cold_from = random->Between(0.05, 1);
-  settings.warm_up = Duration(DrawOrZero(random, 0.1, 2000, 15000));
-  settings.fall_multiple = DrawOrZero(random, 0.05, 1, 4);
-  settings.overload_for = Duration(DrawOrZero(random, 0.05, 500, 3000));
+  settings.slow_start_floor = random->Between(0.05, 1);
+  settings.slow_start_window = Duration(DrawOrZero(random, 0.1, 2000, 15000));
+  settings.overload_factor = DrawOrZero(random, 0.05, 1, 4);
+  settings.overload_duration = Duration(DrawOrZero(random, 0.05, 500, 3000));
   return settings;
 }
 
-SimulatedFleet::SimulatedFleet(const fordlb::Settings& settings, Random* random)
+SimulatedFleet::SimulatedFleet(const balancer::Settings& settings, Random* random)
     : settings_(settings), random_(random) {
   // Lists of more than 32 entries take another way through the module.
   most_servers_ =
@@ -76,8 +76,8 @@
   places_ = random->Integer(1, 4);
 }
 
-ServerEntry SimulatedFleet::DrawEntry(ServerId server, TimePoint now) {
-  ServerEntry entry;
+BackendEntry SimulatedFleet::DrawEntry(BackendId server, TimePoint now) {
+  BackendEntry entry;
   entry.server = server;
   entry.zone = random_->Integer(0, static_cast<int>(zones_) - 1);
   entry.kind = random_->Integer(0, kKinds - 1);
@@ -87,26 +87,26 @@
   return entry;
 }
 
-ListUpdate SimulatedFleet::FirstList(TimePoint now) {
+EndpointListUpdate SimulatedFleet::FirstList(TimePoint now) {
   while (servers_.size() < most_servers_) {
     Server& server = servers_[next_server_];
     server.entry = DrawEntry(next_server_, now);
     server.speed = random_->Between(0.7, 1.4);
     ++next_server_;
   }
-  return WholeList(settings_.must_ask_for_list ? ListKind::kCached : ListKind::kFull);
+  return WholeList(settings_.polls_endpoint_list ? EndpointListKind::kCached : EndpointListKind::kFull);
 }
 
-ListUpdate SimulatedFleet::WholeList(ListKind kind) const {
-  ListUpdate update;
+EndpointListUpdate SimulatedFleet::WholeList(EndpointListKind kind) const {
+  EndpointListUpdate update;
   update.kind = kind;
   for (const auto& [id, server] : servers_) {
-    if (server.entry.state != ServerState::kGone) update.entries.push_back(server.entry);
+    if (server.entry.state != BackendState::kGone) update.entries.push_back(server.entry);
   }
   return update;
 }
 
-ServerEntry SimulatedFleet::ChangeEntry(TimePoint now) {
+BackendEntry SimulatedFleet::ChangeEntry(TimePoint now) {
   if (random_->Chance(0.1)) {  // a new server
     Server& added = servers_[next_server_];
     added.entry = DrawEntry(next_server_, now);
@@ -116,39 +116,39 @@
   Server& server =
       std::next(servers_.begin(), static_cast<std::ptrdiff_t>(random_->Index(servers_.size())))->second;
   const double draw = random_->Unit();
-  if (server.entry.state != ServerState::kReady || draw < 0.4) {  // restarted, or as it was
-    server.entry.state = ServerState::kReady;
+  if (server.entry.state != BackendState::kReady || draw < 0.4) {  // restarted, or as it was
+    server.entry.state = BackendState::kReady;
     if (draw < 0.8) server.entry.up_since = now - Duration(random_->Between(0, 1500));
   } else if (draw < 0.6) {
-    server.entry.state = ServerState::kDraining;
+    server.entry.state = BackendState::kDraining;
   } else if (draw < 0.8) {
-    server.entry.state = ServerState::kGone;
+    server.entry.state = BackendState::kGone;
   } else {
     server.entry = DrawEntry(server.entry.server, now);
   }
   return server.entry;
 }
 
-ListUpdate SimulatedFleet::ChangeList(TimePoint now) {
-  ListUpdate update;
+EndpointListUpdate SimulatedFleet::ChangeList(TimePoint now) {
+  EndpointListUpdate update;
   for (int count = random_->Integer(1, 3); count > 0; --count) update.entries.push_back(ChangeEntry(now));
-  if (random_->Chance(0.1)) return {ListKind::kFailed, {}};
-  if (random_->Chance(0.3)) return WholeList(ListKind::kFull);
-  if (random_->Chance(0.05)) return WholeList(ListKind::kCached);
+  if (random_->Chance(0.1)) return {EndpointListKind::kFailed, {}};
+  if (random_->Chance(0.3)) return WholeList(EndpointListKind::kFull);
+  if (random_->Chance(0.05)) return WholeList(EndpointListKind::kCached);
   return update;
 }
 
-ListUpdate SimulatedFleet::AnswerCall() {
-  if (random_->Chance(0.4)) return {ListKind::kFailed, {}};
-  return WholeList(ListKind::kFull);
+EndpointListUpdate SimulatedFleet::AnswerCall() {
+  if (random_->Chance(0.4)) return {EndpointListKind::kFailed, {}};
+  return WholeList(EndpointListKind::kFull);
 }
 
-ListUpdate SimulatedFleet::RestartAll(TimePoint now) {
+EndpointListUpdate SimulatedFleet::RestartAll(TimePoint now) {
   for (auto& [id, server] : servers_) {
-    server.entry.state = ServerState::kReady;
+    server.entry.state = BackendState::kReady;
     server.entry.up_since = now;
   }
-  return WholeList(ListKind::kFull);
+  return WholeList(EndpointListKind::kFull);
 }
 
 void SimulatedFleet::ChangeConditions() {
@@ -165,19 +165,19 @@
   double time = work_ms * server.speed * other_load_ * random_->Between(0.7, 1.3);
   time *= std::max(1.0, server.in_flight / places_);
   if (server.condition == Condition::kSlow) time *= 6;
-  const bool cold = now - server.entry.up_since < settings_.warm_up;
-  if (cold) time /= std::max(settings_.cold_from, 0.1);
+  const bool cold = now - server.entry.up_since < settings_.slow_start_window;
+  if (cold) time /= std::max(settings_.slow_start_floor, 0.1);
   if (random_->Chance(0.01)) time *= 10;  // the tail
   return time;
 }
 
-AttemptEnding SimulatedFleet::BeginAttempt(ServerId id, TimePoint now, double work_ms) {
+AttemptEnding SimulatedFleet::BeginAttempt(BackendId id, TimePoint now, double work_ms) {
   Server& server = servers_[id];
   ++server.in_flight;
   AttemptEnding ending;
   ending.after = Duration(ServiceTime(server, now, work_ms));
   const double draw = random_->Unit();
-  if (server.entry.state == ServerState::kGone ||
+  if (server.entry.state == BackendState::kGone ||
       (server.condition == Condition::kUnreachable && draw < 0.9)) {
     ending.outcome = Outcome::kConnectFailed;
     ending.after = Duration(random_->Between(0, 4));
@@ -185,7 +185,7 @@
     ending.outcome = Outcome::kError;
     ending.after = ending.after * 0.2;
   } else if (server.condition == Condition::kFull && draw < 0.8) {
-    ending.outcome = Outcome::kFull;
+    ending.outcome = Outcome::kRejected;
     ending.after = Duration(random_->Between(0, 3));
   } else if (server.condition == Condition::kResets && draw < 0.6) {
     ending.outcome = Outcome::kReset;
@@ -193,20 +193,20 @@
   } else if (server.condition == Condition::kSilent || draw < 0.01) {  // or its connection is dead
     ending.never = true;
   } else if (draw > 0.99) {
-    constexpr Outcome kRare[] = {Outcome::kError, Outcome::kCancelled, Outcome::kMoot, Outcome::kUnknown,
+    constexpr Outcome kRare[] = {Outcome::kError, Outcome::kCancelled, Outcome::kNotSent, Outcome::kUnknown,
                                  Outcome::kTimeout};
     ending.outcome = kRare[random_->Index(std::size(kRare))];
   }
   return ending;
 }
 
-void SimulatedFleet::FinishAttempt(ServerId id) { --servers_[id].in_flight; }
+void SimulatedFleet::FinishAttempt(BackendId id) { --servers_[id].in_flight; }
 
 double SimulatedFleet::Capacity(double mean_work_ms) const {
   return static_cast<double>(most_servers_) * places_ / mean_work_ms;
 }
 
-Clients::Clients(const fordlb::Settings& settings, const SimulatedFleet& fleet, Random* random)
+Clients::Clients(const balancer::Settings& settings, const SimulatedFleet& fleet, Random* random)
     : settings_(settings), random_(random) {
   mean_work_ms_ = random->Between(3, 60);
   hinted_share_ = random->Chance(0.3) ? 0 : random->Chance(0.7) ? 1 : 0.5;
@@ -218,10 +218,10 @@
   mean_pause_ms_ = 1 / arrivals_per_ms;
 }
 
-fordlb::Submit Clients::DrawSubmit(TimePoint now) {
-  fordlb::Submit submit;
+balancer::Submit Clients::DrawSubmit(TimePoint now) {
+  balancer::Submit submit;
   submit.request_class = random_->Integer(0, static_cast<int>(settings_.classes.size()) - 1);
-  const fordlb::ClassSettings& drawn = settings_.classes[static_cast<std::size_t>(submit.request_class)];
+  const balancer::ClassSettings& drawn = settings_.classes[static_cast<std::size_t>(submit.request_class)];
   submit.client_retry = random_->Chance(client_retry_share_);
   // The last try of a client has what is left of its deadline.
   const double part = random_->Chance(0.1) ? random_->Between(0.01, 1) : 0.8;
@@ -274,8 +274,8 @@
   timeline_->After(Duration(random_->Between(200, 4000)), [this] { ChangeZoneShares(); });
 }
 
-fordlb::ZoneShares DrawZoneShares(Random* random) {
-  fordlb::ZoneShares shares;
+balancer::ZoneQuotas DrawZoneShares(Random* random) {
+  balancer::ZoneQuotas shares;
   shares.work_per_ms.resize(static_cast<std::size_t>(random->Integer(0, kZones)));
   for (double& share : shares.work_per_ms) {
     share = random->Chance(0.5) ? -1 : random->Between(0, 6);
@@ -285,9 +285,9 @@
   return shares;
 }
 
-void AddViews(const std::vector<fordlb::ServerView>& views, Digest* digest) {
+void AddViews(const std::vector<balancer::BackendView>& views, Digest* digest) {
   digest->Add(views.size());
-  for (const fordlb::ServerView& view : views) {
+  for (const balancer::BackendView& view : views) {
     digest->Add(view.entry.server, view.entry.zone, view.entry.kind, view.entry.cell, view.entry.state);
     digest->Add(view.entry.weight, view.entry.up_since);
     digest->Add(view.ejected, view.ejected_until, view.silent, view.in_flight, view.work_in_flight);
--- a/tests/fingerprint/scenario.h
+++ b/tests/fingerprint/scenario.h
@@ -12,43 +12,43 @@
 #include <map>
 #include <vector>
 
+#include "badgerbridge/balancer.h"
 #include "fingerprint/digest.h"
 #include "fingerprint/random.h"
 #include "fingerprint/timeline.h"
-#include "fordlb/balancer.h"
 
 namespace badgerbridge::fingerprint {
 
 /// Settings with every field drawn from what the platform can give.
-fordlb::Settings DrawSettings(Random* random);
+balancer::Settings DrawSettings(Random* random);
 
 /// How an attempt at a simulated server ends, if nobody stops it before.
 struct AttemptEnding {
-  fordlb::Outcome outcome = fordlb::Outcome::kOk;
-  fordlb::Duration after{0};  ///< From when it was sent.
-  bool never = false;         ///< It gets no answer at all.
+  balancer::Outcome outcome = balancer::Outcome::kOk;
+  balancer::Duration after{0};  ///< From when it was sent.
+  bool never = false;           ///< It gets no answer at all.
 };
 
 /// The simulated servers and the endpoint list that the proxy gets of them.
 class SimulatedFleet {
  public:
-  SimulatedFleet(const fordlb::Settings& settings, Random* random);
+  SimulatedFleet(const balancer::Settings& settings, Random* random);
 
   /// All servers, as the first list that a proxy gets. Of kind kCached where the settings say that the list
   /// must be asked for.
-  fordlb::ListUpdate FirstList(fordlb::TimePoint now);
+  balancer::EndpointListUpdate FirstList(balancer::TimePoint now);
   /// Changes the fleet a little, and returns the update that tells of it; sometimes one of kind kFailed.
-  fordlb::ListUpdate ChangeList(fordlb::TimePoint now);
+  balancer::EndpointListUpdate ChangeList(balancer::TimePoint now);
   /// What a call for the list returns.
-  fordlb::ListUpdate AnswerCall();
+  balancer::EndpointListUpdate AnswerCall();
   /// Every server starts anew at `now`, and is cold.
-  fordlb::ListUpdate RestartAll(fordlb::TimePoint now);
+  balancer::EndpointListUpdate RestartAll(balancer::TimePoint now);
   /// Lets a random server begin or cease to misbehave, or changes the load that other proxies bring to all.
   void ChangeConditions();
 
   /// An attempt begins at a server. FinishAttempt must follow once it is over.
-  AttemptEnding BeginAttempt(fordlb::ServerId server, fordlb::TimePoint now, double work_ms);
-  void FinishAttempt(fordlb::ServerId server);
+  AttemptEnding BeginAttempt(balancer::BackendId server, balancer::TimePoint now, double work_ms);
+  void FinishAttempt(balancer::BackendId server);
 
   /// Requests a millisecond that the fleet can serve when all is well.
   double Capacity(double mean_work_ms) const;
@@ -56,22 +56,22 @@
  private:
   enum class Condition { kHealthy, kSlow, kErrors, kFull, kSilent, kUnreachable, kResets, kConditions };
   struct Server {
-    fordlb::ServerEntry entry;
+    balancer::BackendEntry entry;
     Condition condition = Condition::kHealthy;
     double speed = 1;  ///< Time over hinted work, when not crowded.
     int in_flight = 0;
   };
 
-  fordlb::ServerEntry DrawEntry(fordlb::ServerId server, fordlb::TimePoint now);
-  fordlb::ServerEntry ChangeEntry(fordlb::TimePoint now);
-  fordlb::ListUpdate WholeList(fordlb::ListKind kind) const;
-  double ServiceTime(const Server& server, fordlb::TimePoint now, double work_ms);
+  balancer::BackendEntry DrawEntry(balancer::BackendId server, balancer::TimePoint now);
+  balancer::BackendEntry ChangeEntry(balancer::TimePoint now);
+  balancer::EndpointListUpdate WholeList(balancer::EndpointListKind kind) const;
+  double ServiceTime(const Server& server, balancer::TimePoint now, double work_ms);
 
-  fordlb::Settings settings_;
+  balancer::Settings settings_;
   Random* random_;
-  std::map<fordlb::ServerId, Server> servers_;
+  std::map<balancer::BackendId, Server> servers_;
   std::size_t most_servers_;
-  fordlb::ServerId next_server_ = 1;
+  balancer::BackendId next_server_ = 1;
   double places_ = 1;      // attempts that a server serves at once
   double other_load_ = 1;  // factor of all service times
   double zones_ = 1;
@@ -80,17 +80,17 @@
 /// Draws the requests of clients.
 class Clients {
  public:
-  Clients(const fordlb::Settings& settings, const SimulatedFleet& fleet, Random* random);
+  Clients(const balancer::Settings& settings, const SimulatedFleet& fleet, Random* random);
 
   /// A request that arrives at `now`, without its id.
-  fordlb::Submit DrawSubmit(fordlb::TimePoint now);
+  balancer::Submit DrawSubmit(balancer::TimePoint now);
   /// From one arrival to the next: often 0, since requests come in bursts.
-  fordlb::Duration DrawPause();
+  balancer::Duration DrawPause();
   /// Whether its client leaves before it gives up, and after what time.
-  bool DrawDeparture(fordlb::Duration* after);
+  bool DrawDeparture(balancer::Duration* after);
 
  private:
-  fordlb::Settings settings_;
+  balancer::Settings settings_;
   Random* random_;
   double mean_work_ms_;
   double hinted_share_;  // of the requests
@@ -105,15 +105,15 @@
  public:
   /// Told to the core under test.
   struct Callbacks {
-    std::function<void(fordlb::ListUpdate)> update_list;
-    std::function<void(fordlb::ZoneShares)> set_zone_shares;
+    std::function<void(balancer::EndpointListUpdate)> update_list;
+    std::function<void(balancer::ZoneQuotas)> set_zone_shares;
   };
 
   /// All pointers must outlive it.
   Surroundings(SimulatedFleet* fleet, Timeline* timeline, Random* random, Callbacks callbacks);
   /// Begins with the first list at once, and goes on for as long as the timeline runs. A run lasts
   /// `run_time`.
-  void Start(fordlb::TimePoint now, fordlb::Duration run_time);
+  void Start(balancer::TimePoint now, balancer::Duration run_time);
 
  private:
   void ChangeList();
@@ -127,10 +127,10 @@
 };
 
 /// Limits for each zone, some of them without limit or not a number.
-fordlb::ZoneShares DrawZoneShares(Random* random);
+balancer::ZoneQuotas DrawZoneShares(Random* random);
 
 /// Adds all that Inspect() gives.
-void AddViews(const std::vector<fordlb::ServerView>& views, Digest* digest);
+void AddViews(const std::vector<balancer::BackendView>& views, Digest* digest);
 
 }  // namespace badgerbridge::fingerprint
 
--- a/tests/fingerprint/timeline.h
+++ b/tests/fingerprint/timeline.h
@@ -10,7 +10,7 @@
 #include <optional>
 #include <utility>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
 namespace badgerbridge::fingerprint {
 
@@ -20,14 +20,14 @@
   using Callback = std::function<void()>;
 
   /// The time of the callback that runs, or ran last.
-  fordlb::TimePoint now() const { return now_; }
+  balancer::TimePoint now() const { return now_; }
 
   /// Adds a callback. One that is due in the past runs next, without turning the time back.
-  void At(fordlb::TimePoint time, Callback callback) { callbacks_.emplace(time, std::move(callback)); }
-  void After(fordlb::Duration delay, Callback callback) { At(now_ + delay, std::move(callback)); }
+  void At(balancer::TimePoint time, Callback callback) { callbacks_.emplace(time, std::move(callback)); }
+  void After(balancer::Duration delay, Callback callback) { At(now_ + delay, std::move(callback)); }
 
   /// Runs all that is due by `end`, also what is added meanwhile, and sets the time to `end`.
-  void RunUntil(fordlb::TimePoint end) {
+  void RunUntil(balancer::TimePoint end) {
     while (!callbacks_.empty() && callbacks_.begin()->first <= end) {
       const auto first = callbacks_.extract(callbacks_.begin());
       if (first.key() > now_) now_ = first.key();
@@ -37,8 +37,8 @@
   }
 
  private:
-  fordlb::TimePoint now_{};
-  std::multimap<fordlb::TimePoint, Callback> callbacks_;
+  balancer::TimePoint now_{};
+  std::multimap<balancer::TimePoint, Callback> callbacks_;
 };
 
 }  // namespace badgerbridge::fingerprint
--- a/tests/exchange/request_table_harness.h
+++ b/tests/request_table/request_table_harness.h
@@ -3,8 +3,8 @@
 /// \file
 /// A harness for tests of the request table: it plays clients, servers and the clock, and checks the
 /// invariants after each step.
-#ifndef BADGERBRIDGE_TESTS_EXCHANGE_REQUEST_TABLE_HARNESS_H_
-#define BADGERBRIDGE_TESTS_EXCHANGE_REQUEST_TABLE_HARNESS_H_
+#ifndef BADGERBRIDGE_TESTS_REQUEST_TABLE_REQUEST_TABLE_HARNESS_H_
+#define BADGERBRIDGE_TESTS_REQUEST_TABLE_REQUEST_TABLE_HARNESS_H_
 
 #include <gtest/gtest.h>
 
@@ -13,18 +13,18 @@
 #include <utility>
 #include <vector>
 
-#include "exchange/exchange.h"
 #include "harness.h"
+#include "request_table/request_table.h"
 
-namespace badgerbridge::exchange::testing {
+namespace badgerbridge::request_table::testing {
 
-using namespace fordlb;
-using fordlb::testing::At;
-using fordlb::testing::Entry;
+using namespace balancer;
+using balancer::testing::At;
+using balancer::testing::Entry;
 
 /// Whether an attempt with this outcome may have had an effect (the protocol's table of outcomes).
 inline bool MayHaveRun(Outcome outcome) {
-  return outcome != Outcome::kFull && outcome != Outcome::kConnectFailed && outcome != Outcome::kMoot;
+  return outcome != Outcome::kRejected && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
 }
 
 /// A request table with its clients, servers and clock. After each step it checks the invariants that
@@ -51,7 +51,7 @@
   double now = 100000;  // ms
   std::map<RequestId, Request> requests;
   std::vector<Send> in_flight;  // attempts that have not ended
-  std::map<ServerId, ServerEntry> servers;
+  std::map<BackendId, BackendEntry> servers;
   int sends = 0;
   int retries = 0;
   int cancels = 0;
@@ -107,10 +107,10 @@
     Check(actions);
   }
 
-  void UpdateEndpoint(const ServerEntry& entry) {
+  void UpdateEndpoint(const BackendEntry& entry) {
     servers[entry.server] = entry;
     Actions actions;
-    table_.UpdateEndpoints(At(now), {ListKind::kDelta, {entry}}, &actions);
+    table_.UpdateEndpoints(At(now), {EndpointListKind::kDelta, {entry}}, &actions);
     Check(actions);
   }
 
@@ -164,7 +164,7 @@
     EXPECT_GT(send.timeout.count(), 0);
     EXPECT_LT(At(now) + send.timeout, request.deadline);
     EXPECT_EQ(send.sent_at, At(now));
-    EXPECT_EQ(servers.at(send.server).state, ServerState::kReady);
+    EXPECT_EQ(servers.at(send.server).state, BackendState::kReady);
     CheckRetryRules(send, request);
     request.in_flight = true;
     ++request.attempts;
@@ -175,15 +175,15 @@
   void CheckRetryRules(const Send& send, const Request& request) const {
     const ClassSettings& settings = SettingsOf(request);
     if (request.may_have_run) {
-      EXPECT_NE(settings.effect, Effect::kUnsafe);
-      if (settings.effect == Effect::kKeyed) {
+      EXPECT_NE(settings.effect, Idempotency::kNotIdempotent);
+      if (settings.effect == Idempotency::kIdempotencyKey) {
         EXPECT_EQ(servers.at(send.server).cell, request.cell);
         EXPECT_LE(At(now) - request.first_run, settings.window);
         EXPECT_LE(send.begin_before - request.first_run, settings.window);
         EXPECT_LT(At(now), send.begin_before);
       }
     }
-    if (!request.may_have_run || settings.effect == Effect::kSafe) {
+    if (!request.may_have_run || settings.effect == Idempotency::kIdempotent) {
       EXPECT_EQ(send.begin_before, TimePoint::max());
     }
   }
@@ -210,8 +210,8 @@
     EXPECT_LT(At(now), request.deadline);
     request.outcome = respond.outcome;
     if (respond.outcome != RequestOutcome::kRejected) return;
-    EXPECT_FALSE(request.in_flight && SettingsOf(request).effect == Effect::kUnsafe);
-    if (SettingsOf(request).effect == Effect::kUnsafe) {
+    EXPECT_FALSE(request.in_flight && SettingsOf(request).effect == Idempotency::kNotIdempotent);
+    if (SettingsOf(request).effect == Idempotency::kNotIdempotent) {
       EXPECT_FALSE(request.may_have_run) << "a rejection says that a retry is harmless";
     }
   }
@@ -226,9 +226,9 @@
 
 /// Adds ready servers with ids from 1 on, in two cells.
 inline void AddServers(Harness& harness, int count) {
-  for (int i = 1; i <= count; ++i) harness.UpdateEndpoint(Entry(static_cast<ServerId>(i), 0, i % 2));
+  for (int i = 1; i <= count; ++i) harness.UpdateEndpoint(Entry(static_cast<BackendId>(i), 0, i % 2));
 }
 
-}  // namespace badgerbridge::exchange::testing
+}  // namespace badgerbridge::request_table::testing
 
-#endif  // BADGERBRIDGE_TESTS_EXCHANGE_REQUEST_TABLE_HARNESS_H_
+#endif  // BADGERBRIDGE_TESTS_REQUEST_TABLE_REQUEST_TABLE_HARNESS_H_
--- a/tests/exchange/exchange_test.cpp
+++ b/tests/request_table/request_table_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "exchange/exchange.h"
+#include "request_table/request_table.h"
 
 #include <gtest/gtest.h>
 
@@ -8,12 +8,12 @@
 #include <iterator>
 #include <random>
 
-#include "exchange/request_table_harness.h"
+#include "request_table/request_table_harness.h"
 
-namespace badgerbridge::exchange::testing {
+namespace badgerbridge::request_table::testing {
 namespace {
 
-using fordlb::testing::Usual;
+using balancer::testing::Usual;
 
 TEST(RequestTableTest, SuccessfulAttemptServesRequestOnce) {
   Harness harness(Usual(), 1);
@@ -37,7 +37,7 @@
   AddServers(harness, 2);
   const RequestId id = harness.Accept(request_class, 300);
   ASSERT_EQ(harness.in_flight.size(), 1u);
-  const ServerId server = harness.in_flight[0].server;
+  const BackendId server = harness.in_flight[0].server;
   harness.now += elapsed_ms;
   for (const Coincidence event : order) {
     switch (event) {
@@ -45,7 +45,7 @@
         harness.EndAttempt(0, outcome);
         break;
       case Coincidence::kServerDrains:
-        harness.UpdateEndpoint(Entry(server, 0, harness.servers.at(server).cell, ServerState::kDraining));
+        harness.UpdateEndpoint(Entry(server, 0, harness.servers.at(server).cell, BackendState::kDraining));
         break;
       case Coincidence::kClientDisconnects:
         harness.Disconnect(id);
@@ -60,7 +60,7 @@
 }
 
 TEST(RequestTableTest, SimultaneousEventsInAnyOrderCompleteRequestOnce) {
-  constexpr std::array kOutcomes = {Outcome::kOk, Outcome::kError, Outcome::kReset, Outcome::kFull,
+  constexpr std::array kOutcomes = {Outcome::kOk, Outcome::kError, Outcome::kReset, Outcome::kRejected,
                                     Outcome::kTimeout};
   // While another attempt still has time, and at the moment of the deadline fallback.
   const std::array elapsed_ms = {40.0, 300 - kDeadlineFallbackMargin.count()};
@@ -106,7 +106,7 @@
     harness.Disconnect(left);
     EXPECT_EQ(harness.withdrawals, 1);
     harness.Disconnect(left);
-    harness.EndAttempt(0, Outcome::kMoot);
+    harness.EndAttempt(0, Outcome::kNotSent);
     EXPECT_EQ(harness.withdrawals, 1);
     harness.now += 200 - kDeadlineFallbackMargin.count();
     harness.Wake();
@@ -155,7 +155,7 @@
     submit.due = At(now + patience);
     RequestTable table(Usual(), 1);
     RequestTable::Actions actions;
-    table.UpdateEndpoints(At(now), {ListKind::kFull, {Entry(1), Entry(2)}}, &actions);
+    table.UpdateEndpoints(At(now), {EndpointListKind::kFull, {Entry(1), Entry(2)}}, &actions);
     const RequestId id = table.Accept(At(now), submit, &actions);
     for (const Action& action : actions) EXPECT_FALSE(std::holds_alternative<Send>(action)) << patience;
     if (table.IsOpen(id)) table.Wake(At(now + patience), &actions);
@@ -255,18 +255,18 @@
 
   void EndRandomAttempt() {
     constexpr Outcome kOutcomes[] = {
-        Outcome::kOk,        Outcome::kOk,     Outcome::kOk,      Outcome::kOk,    Outcome::kError,
-        Outcome::kFull,      Outcome::kMoot,   Outcome::kTimeout, Outcome::kReset, Outcome::kConnectFailed,
+        Outcome::kOk,        Outcome::kOk,      Outcome::kOk,      Outcome::kOk,    Outcome::kError,
+        Outcome::kRejected,  Outcome::kNotSent, Outcome::kTimeout, Outcome::kReset, Outcome::kConnectFailed,
         Outcome::kCancelled, Outcome::kUnknown};
     harness_.EndAttempt(static_cast<std::size_t>(Draw(harness_.in_flight.size())),
                         kOutcomes[Draw(std::size(kOutcomes))]);
   }
 
   void UpdateRandomEndpoint() {
-    const auto server = static_cast<ServerId>(1 + Draw(8));
-    constexpr ServerState kStates[] = {ServerState::kGone, ServerState::kDraining, ServerState::kReady,
-                                       ServerState::kReady};
-    const ServerState state = kStates[Draw(std::size(kStates))];
+    const auto server = static_cast<BackendId>(1 + Draw(8));
+    constexpr BackendState kStates[] = {BackendState::kGone, BackendState::kDraining, BackendState::kReady,
+                                        BackendState::kReady};
+    const BackendState state = kStates[Draw(std::size(kStates))];
     const double up_since = Draw(3) == 0 ? harness_.now - Draw(12000) : 0;
     harness_.UpdateEndpoint(Entry(server, 0, static_cast<int>(server % 2), state, up_since));
   }
@@ -305,4 +305,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::exchange::testing
+}  // namespace badgerbridge::request_table::testing
--- a/tests/relay/harness.h
+++ b/tests/watch_cache/harness.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// The watch cache's core under test: the harness gives it events and sorts its actions.
-#ifndef BADGERBRIDGE_TESTS_RELAY_HARNESS_H_
-#define BADGERBRIDGE_TESTS_RELAY_HARNESS_H_
+#ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_HARNESS_H_
+#define BADGERBRIDGE_TESTS_WATCH_CACHE_HARNESS_H_
 
 #include <gtest/gtest.h>
 
@@ -13,9 +13,9 @@
 #include <variant>
 #include <vector>
 
-#include "relay/watch_cache.h"
+#include "watch_cache/watch_cache.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 namespace pb = etcdserverpb;
 using etcd::Code;
@@ -214,6 +214,6 @@
   int ticks_ = 0;
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_TESTS_RELAY_HARNESS_H_
+#endif  // BADGERBRIDGE_TESTS_WATCH_CACHE_HARNESS_H_
--- a/tests/relay/random_test.cpp
+++ b/tests/watch_cache/random_test.cpp
@@ -9,9 +9,9 @@
 
 #include <iostream>
 
-#include "relay/world.h"
+#include "watch_cache/world.h"
 
-namespace badgerbridge::relay::simulation {
+namespace badgerbridge::watch_cache::simulation {
 namespace {
 
 constexpr int kStepsPerSeed = 12'500;
@@ -93,4 +93,4 @@
                                            Mutation::kWrongResume, Mutation::kEarlyProgress));
 
 }  // namespace
-}  // namespace badgerbridge::relay::simulation
+}  // namespace badgerbridge::watch_cache::simulation
--- a/tests/relay/reads_test.cpp
+++ b/tests/watch_cache/reads_test.cpp
@@ -2,12 +2,12 @@
 //
 /// \file
 /// Reads: what is served, what is rejected, and what a linearizable read waits for.
-#include "relay/harness.h"
-#include "relay/state.h"
-#include "relay/window.h"
 #include "standins/etcd_store.h"
+#include "watch_cache/harness.h"
+#include "watch_cache/state.h"
+#include "watch_cache/window.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 using Strings = std::vector<std::string>;
@@ -413,4 +413,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/tests/relay/service_harness.h
+++ b/tests/watch_cache/service_harness.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// A stand-in etcd, watch caches below it and readers below them, all on one event loop and real sockets.
-#ifndef BADGERBRIDGE_TESTS_RELAY_SERVICE_HARNESS_H_
-#define BADGERBRIDGE_TESTS_RELAY_SERVICE_HARNESS_H_
+#ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SERVICE_HARNESS_H_
+#define BADGERBRIDGE_TESTS_WATCH_CACHE_SERVICE_HARNESS_H_
 
 #include <gtest/gtest.h>
 
@@ -16,11 +16,11 @@
 
 #include "etcd/follower_link.h"
 #include "etcd/key_range.h"
-#include "relay/relay_file.h"
-#include "relay/service.h"
 #include "standins/etcd.h"
+#include "watch_cache/relay_file.h"
+#include "watch_cache/service.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 using boost::asio::ip::tcp;
 using std::chrono::milliseconds;
@@ -193,6 +193,6 @@
   std::unique_ptr<standins::Etcd> etcd;
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_TESTS_RELAY_SERVICE_HARNESS_H_
+#endif  // BADGERBRIDGE_TESTS_WATCH_CACHE_SERVICE_HARNESS_H_
--- a/tests/relay/service_requests.h
+++ b/tests/watch_cache/service_requests.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// Requests to a watch cache, and a watch stream to send them on.
-#ifndef BADGERBRIDGE_TESTS_RELAY_SERVICE_REQUESTS_H_
-#define BADGERBRIDGE_TESTS_RELAY_SERVICE_REQUESTS_H_
+#ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SERVICE_REQUESTS_H_
+#define BADGERBRIDGE_TESTS_WATCH_CACHE_SERVICE_REQUESTS_H_
 
 #include <gtest/gtest.h>
 
@@ -15,9 +15,9 @@
 
 #include "etcd/channel.h"
 #include "etcd/key_range.h"
-#include "relay/service_harness.h"
+#include "watch_cache/service_harness.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 inline constexpr char kRangePath[] = "/etcdserverpb.KV/Range";
 inline constexpr char kWatchPath[] = "/etcdserverpb.Watch/Watch";
@@ -78,6 +78,6 @@
   }
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_TESTS_RELAY_SERVICE_REQUESTS_H_
+#endif  // BADGERBRIDGE_TESTS_WATCH_CACHE_SERVICE_REQUESTS_H_
--- a/tests/relay/service_test.cpp
+++ b/tests/watch_cache/service_test.cpp
@@ -3,7 +3,7 @@
 /// \file
 /// Watch caches on real sockets between a stand-in etcd and readers: reads and watches through one and two
 /// tiers.
-#include "relay/service.h"
+#include "watch_cache/service.h"
 
 #include <gtest/gtest.h>
 
@@ -14,10 +14,10 @@
 #include <utility>
 #include <vector>
 
-#include "relay/service_harness.h"
-#include "relay/service_requests.h"
+#include "watch_cache/service_harness.h"
+#include "watch_cache/service_requests.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 using etcd::Code;
@@ -98,7 +98,8 @@
                            "/etcdserverpb.Lease/LeaseKeepAlive", "/etcdserverpb.Auth/UserAdd"}) {
     const auto status = Call(cache->address(), path, std::string(100000, 'x'));
     EXPECT_EQ(status.code, Code::kPermissionDenied) << path << ": " << status.Text();
-    EXPECT_EQ(status.message, "badgerrelay serves reads of " + kPrefix + " only; write to etcd") << path;
+    EXPECT_EQ(status.message, "badgerbridge-relay serves reads of " + kPrefix + " only; write to etcd")
+        << path;
   }
   EXPECT_EQ(Call(cache->address(), "/some.Other/Method", "").code, Code::kUnimplemented);
   EXPECT_EQ(Call(cache->address(), "/etcdserverpb.Auth/Authenticate", "").code, Code::kFailedPrecondition);
@@ -293,4 +294,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/tests/relay/service_upstream_test.cpp
+++ b/tests/watch_cache/service_upstream_test.cpp
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "relay/service.h"
-#include "relay/service_harness.h"
-#include "relay/service_requests.h"
+#include "watch_cache/service.h"
+#include "watch_cache/service_harness.h"
+#include "watch_cache/service_requests.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 using etcd::Code;
@@ -280,4 +280,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/tests/relay/simulation_cache_node.h
+++ b/tests/watch_cache/simulation_cache_node.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// A watch cache of the simulation.
-#ifndef BADGERBRIDGE_TESTS_RELAY_SIMULATION_CACHE_NODE_H_
-#define BADGERBRIDGE_TESTS_RELAY_SIMULATION_CACHE_NODE_H_
+#ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_CACHE_NODE_H_
+#define BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_CACHE_NODE_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -15,11 +15,11 @@
 #include <variant>
 #include <vector>
 
-#include "relay/simulation_client.h"
-#include "relay/watch_cache.h"
-#include "relay/world.h"
+#include "watch_cache/simulation_client.h"
+#include "watch_cache/watch_cache.h"
+#include "watch_cache/world.h"
 
-namespace badgerbridge::relay::simulation {
+namespace badgerbridge::watch_cache::simulation {
 
 using etcd::Code;
 using etcd::Ending;
@@ -288,6 +288,6 @@
   std::uint64_t slow_subscribers_seen_ = 0;
 };
 
-}  // namespace badgerbridge::relay::simulation
+}  // namespace badgerbridge::watch_cache::simulation
 
-#endif  // BADGERBRIDGE_TESTS_RELAY_SIMULATION_CACHE_NODE_H_
+#endif  // BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_CACHE_NODE_H_
--- a/tests/relay/simulation_client.cpp
+++ b/tests/watch_cache/simulation_client.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/simulation_client.h"
+#include "watch_cache/simulation_client.h"
 
 #include <algorithm>
 #include <utility>
 #include <variant>
 
-#include "relay/world.h"
+#include "watch_cache/world.h"
 
-namespace badgerbridge::relay::simulation {
+namespace badgerbridge::watch_cache::simulation {
 
 namespace {
 
@@ -168,4 +168,4 @@
   if (action.last) events_.snapshot(action.cluster_id, action.revision, std::exchange(pages_, {}));
 }
 
-}  // namespace badgerbridge::relay::simulation
+}  // namespace badgerbridge::watch_cache::simulation
--- a/tests/relay/simulation_client.h
+++ b/tests/watch_cache/simulation_client.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// A follower in virtual time, and the interface of the servers that it connects to.
-#ifndef BADGERBRIDGE_TESTS_RELAY_SIMULATION_CLIENT_H_
-#define BADGERBRIDGE_TESTS_RELAY_SIMULATION_CLIENT_H_
+#ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_CLIENT_H_
+#define BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_CLIENT_H_
 
 #include <cstdint>
 #include <deque>
@@ -13,9 +13,9 @@
 #include <vector>
 
 #include "etcd/follower.h"
-#include "relay/simulation_keys.h"
+#include "watch_cache/simulation_keys.h"
 
-namespace badgerbridge::relay::simulation {
+namespace badgerbridge::watch_cache::simulation {
 
 class World;
 
@@ -106,6 +106,6 @@
   std::vector<pb::KeyValue> pages_;
 };
 
-}  // namespace badgerbridge::relay::simulation
+}  // namespace badgerbridge::watch_cache::simulation
 
-#endif  // BADGERBRIDGE_TESTS_RELAY_SIMULATION_CLIENT_H_
+#endif  // BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_CLIENT_H_
--- a/tests/relay/simulation_history.cpp
+++ b/tests/watch_cache/simulation_history.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/simulation_history.h"
+#include "watch_cache/simulation_history.h"
 
 #include <utility>
 
-namespace badgerbridge::relay::simulation {
+namespace badgerbridge::watch_cache::simulation {
 
 namespace {
 
@@ -58,4 +58,4 @@
   return newest;
 }
 
-}  // namespace badgerbridge::relay::simulation
+}  // namespace badgerbridge::watch_cache::simulation
--- a/tests/relay/simulation_history.h
+++ b/tests/watch_cache/simulation_history.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// What the source held at each revision.
-#ifndef BADGERBRIDGE_TESTS_RELAY_SIMULATION_HISTORY_H_
-#define BADGERBRIDGE_TESTS_RELAY_SIMULATION_HISTORY_H_
+#ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_HISTORY_H_
+#define BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_HISTORY_H_
 
 #include <cstdint>
 #include <map>
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "relay/simulation_keys.h"
+#include "watch_cache/simulation_keys.h"
 
-namespace badgerbridge::relay::simulation {
+namespace badgerbridge::watch_cache::simulation {
 
 /// All states that the source ever had, by cluster id and revision.
 class History {
@@ -40,6 +40,6 @@
   std::map<std::uint64_t, Cluster> clusters_;
 };
 
-}  // namespace badgerbridge::relay::simulation
+}  // namespace badgerbridge::watch_cache::simulation
 
-#endif  // BADGERBRIDGE_TESTS_RELAY_SIMULATION_HISTORY_H_
+#endif  // BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_HISTORY_H_
--- a/tests/relay/simulation_keys.h
+++ b/tests/watch_cache/simulation_keys.h
@@ -2,17 +2,17 @@
 //
 /// \file
 /// The keys of the simulation, and key values as texts that can be compared.
-#ifndef BADGERBRIDGE_TESTS_RELAY_SIMULATION_KEYS_H_
-#define BADGERBRIDGE_TESTS_RELAY_SIMULATION_KEYS_H_
+#ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_KEYS_H_
+#define BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_KEYS_H_
 
 #include <algorithm>
 #include <map>
 #include <string>
 
 #include "etcd.pb.h"
-#include "relay/watch_cache.h"
+#include "watch_cache/watch_cache.h"
 
-namespace badgerbridge::relay::simulation {
+namespace badgerbridge::watch_cache::simulation {
 
 namespace pb = etcdserverpb;
 
@@ -70,6 +70,6 @@
   return settings;
 }
 
-}  // namespace badgerbridge::relay::simulation
+}  // namespace badgerbridge::watch_cache::simulation
 
-#endif  // BADGERBRIDGE_TESTS_RELAY_SIMULATION_KEYS_H_
+#endif  // BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_KEYS_H_
--- a/tests/relay/simulation_reader.h
+++ b/tests/watch_cache/simulation_reader.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// A reader of the simulation.
-#ifndef BADGERBRIDGE_TESTS_RELAY_SIMULATION_READER_H_
-#define BADGERBRIDGE_TESTS_RELAY_SIMULATION_READER_H_
+#ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_READER_H_
+#define BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_READER_H_
 
 #include <cstdint>
 #include <map>
@@ -12,10 +12,10 @@
 #include <utility>
 #include <vector>
 
-#include "relay/simulation_client.h"
-#include "relay/world.h"
+#include "watch_cache/simulation_client.h"
+#include "watch_cache/world.h"
 
-namespace badgerbridge::relay::simulation {
+namespace badgerbridge::watch_cache::simulation {
 
 /// A reader. It checks its state whenever it has applied a message.
 class Reader {
@@ -81,6 +81,6 @@
   std::unique_ptr<Client> client_;
 };
 
-}  // namespace badgerbridge::relay::simulation
+}  // namespace badgerbridge::watch_cache::simulation
 
-#endif  // BADGERBRIDGE_TESTS_RELAY_SIMULATION_READER_H_
+#endif  // BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_READER_H_
--- a/tests/relay/simulation_source.h
+++ b/tests/watch_cache/simulation_source.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// The source of the simulation.
-#ifndef BADGERBRIDGE_TESTS_RELAY_SIMULATION_SOURCE_H_
-#define BADGERBRIDGE_TESTS_RELAY_SIMULATION_SOURCE_H_
+#ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_SOURCE_H_
+#define BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_SOURCE_H_
 
 #include <cstdint>
 #include <map>
@@ -11,11 +11,11 @@
 #include <utility>
 #include <vector>
 
-#include "relay/simulation_client.h"
-#include "relay/world.h"
 #include "standins/etcd_store.h"
+#include "watch_cache/simulation_client.h"
+#include "watch_cache/world.h"
 
-namespace badgerbridge::relay::simulation {
+namespace badgerbridge::watch_cache::simulation {
 
 using etcd::Code;
 using etcd::Ending;
@@ -172,6 +172,6 @@
   std::map<std::uint64_t, WatchState> watches_;
 };
 
-}  // namespace badgerbridge::relay::simulation
+}  // namespace badgerbridge::watch_cache::simulation
 
-#endif  // BADGERBRIDGE_TESTS_RELAY_SIMULATION_SOURCE_H_
+#endif  // BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_SOURCE_H_
--- a/tests/relay/slow_test.cpp
+++ b/tests/watch_cache/slow_test.cpp
@@ -5,10 +5,10 @@
 #include <random>
 #include <set>
 
-#include "relay/harness.h"
-#include "relay/merged_backlog.h"
+#include "watch_cache/harness.h"
+#include "watch_cache/merged_backlog.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 using Strings = std::vector<std::string>;
@@ -376,4 +376,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/tests/relay/upstream_test.cpp
+++ b/tests/watch_cache/upstream_test.cpp
@@ -2,9 +2,9 @@
 //
 /// \file
 /// Data from upstream: repeated snapshots, replaced history, and contradictory data.
-#include "relay/harness.h"
+#include "watch_cache/harness.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 using Strings = std::vector<std::string>;
@@ -214,4 +214,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/tests/relay/watch_test.cpp
+++ b/tests/watch_cache/watch_test.cpp
@@ -4,9 +4,9 @@
 /// Watches that keep up: resuming, the window's floor, filters, fragments, progress, and the end.
 #include <limits>
 
-#include "relay/harness.h"
+#include "watch_cache/harness.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 using Strings = std::vector<std::string>;
@@ -392,4 +392,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/tests/relay/world.cpp
+++ b/tests/watch_cache/world.cpp
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/world.h"
+#include "watch_cache/world.h"
 
 #include <algorithm>
 #include <optional>
 #include <utility>
 
-#include "relay/simulation_cache_node.h"
-#include "relay/simulation_reader.h"
-#include "relay/simulation_source.h"
+#include "watch_cache/simulation_cache_node.h"
+#include "watch_cache/simulation_reader.h"
+#include "watch_cache/simulation_source.h"
 
-namespace badgerbridge::relay::simulation {
+namespace badgerbridge::watch_cache::simulation {
 
 World::World(std::uint64_t seed, Mutation mutation)
     : random_(seed), source_(std::make_unique<Source>(*this)) {
@@ -208,4 +208,4 @@
   return counts;
 }
 
-}  // namespace badgerbridge::relay::simulation
+}  // namespace badgerbridge::watch_cache::simulation
--- a/tests/relay/world.h
+++ b/tests/watch_cache/world.h
@@ -5,8 +5,8 @@
 /// the watch cache and etcd::Follower are the product's, the source is the stand-in's store, and the links
 /// are queues of messages. Faults occur on the links, at the caches and at the source. Whenever a reader
 /// applies a message, its state is compared with the source's state at the revision that the reader has.
-#ifndef BADGERBRIDGE_TESTS_RELAY_WORLD_H_
-#define BADGERBRIDGE_TESTS_RELAY_WORLD_H_
+#ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_WORLD_H_
+#define BADGERBRIDGE_TESTS_WATCH_CACHE_WORLD_H_
 
 #include <cstdint>
 #include <functional>
@@ -16,10 +16,10 @@
 #include <string>
 #include <vector>
 
-#include "relay/simulation_client.h"
-#include "relay/simulation_history.h"
+#include "watch_cache/simulation_client.h"
+#include "watch_cache/simulation_history.h"
 
-namespace badgerbridge::relay::simulation {
+namespace badgerbridge::watch_cache::simulation {
 
 class Source;
 class CacheNode;
@@ -114,6 +114,6 @@
   std::vector<std::unique_ptr<Reader>> readers_;
 };
 
-}  // namespace badgerbridge::relay::simulation
+}  // namespace badgerbridge::watch_cache::simulation
 
-#endif  // BADGERBRIDGE_TESTS_RELAY_WORLD_H_
+#endif  // BADGERBRIDGE_TESTS_WATCH_CACHE_WORLD_H_
