--- a/tests/fingerprint/digest.h
+++ b/tests/fingerprint/digest.h
@@ -9,6 +9,7 @@
 #include <chrono>
 #include <cstddef>
 #include <cstdint>
+#include <string>
 #include <string_view>
 #include <type_traits>
 
@@ -31,6 +32,7 @@
   }
   /// Without it a literal would be taken for a boolean.
   void Add(const char* bytes) { Add(std::string_view(bytes)); }
+  void Add(const std::string& bytes) { Add(std::string_view(bytes)); }  ///< As a string_view.
   /// Adds the count of the duration's own unit.
   template <typename Rep, typename Period>
   void Add(std::chrono::duration<Rep, Period> duration) {
