--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -77,7 +77,7 @@
 void MeasureFeed(Report& report);           // etcd's messages, membership::Feed
 void MeasureProxy(Report& report);          // all that a proxy holds of its backends
 void MeasureConfiguration(Report& report);  // proxy::ParseConfig
-void MeasureRegions(Report& report);        // zone_failover::Member, zone_failover::Decider
+void MeasureRegions(Report& report);        // zone_failover::Member, zone_failover::FailoverLeader
 void MeasureAgent(Report& report);          // badgerbridge-agent and badgerbridge-ctl, as processes
 void MeasureTool(Report& report);           // badgerbridge-ctl members
 void MeasureRelay(Report& report);          // watch_cache::WatchCache
--- a/src/watch_cache/relay_file.cpp
+++ b/src/watch_cache/relay_file.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "membership/etcd_settings.h"
-#include "membership/value.h"
+#include "membership/member_codec.h"
 #include "operator_config/operator_file.h"
 #include "operator_config/table_reader.h"
 
@@ -61,6 +61,9 @@
   } catch (const std::runtime_error& error) {
     parsed->problems.push_back({file, 0, 0, error.what()});
   }
+  settings->upstream.channel = client->channel;
+  settings->upstream.user = client->user;
+  settings->upstream.password = client->password;
 }
 
 void ReadReaderTls(TableReader& table, etcd::ServerOptions* server) {
--- a/tests/sample_settings.h
+++ b/tests/sample_settings.h
@@ -1,9 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// Settings as the platform writes them.
 #ifndef BADGERBRIDGE_TESTS_SAMPLE_SETTINGS_H_
 #define BADGERBRIDGE_TESTS_SAMPLE_SETTINGS_H_
 
 namespace badgerbridge::balancer::testing {
 
+/// Two classes and a tenant, one `key=value` a line.
 inline constexpr char kSampleSettings[] = R"(
 balancers=2
 classes.count=2
