--- a/src/proxy_main/zone_failover_source.cpp
+++ b/src/proxy_main/zone_failover_source.cpp
@@ -147,8 +147,12 @@
   if (found == out_.end()) return;
   const Out out = found->second;
   out_.erase(found);
-  member_.Ended(now, out.number, out.request_class, EndOf(outcome), now - send.sent_at, out.work,
-                UtilIn(load));
+  member_.AttemptEnded(now, out.number,
+                       {.request_class = out.request_class,
+                        .outcome = AttemptOutcomeOf(outcome),
+                        .latency = now - send.sent_at,
+                        .work = out.work,
+                        .utilization = UtilIn(load)});
 }
 
 void RegionsSource::Step() {
--- a/src/watch_cache/relay_file.cpp
+++ b/src/watch_cache/relay_file.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "watch_cache/relay_file.h"
 
-#include <stdexcept>
+#include <chrono>
 #include <utility>
 
 #include "membership/etcd_settings.h"
@@ -53,17 +53,14 @@
   operator_config::ReadEtcdLink(table, link);
   table.Finish();
   if (!parsed->ok()) return;
-  try {
-    const etcd::ClientSettings client = membership::ClientSettingsOf(link);
-    parsed->settings.upstream.channel = client.channel;
-    parsed->settings.upstream.user = client.user;
-    parsed->settings.upstream.password = client.password;
-  } catch (const std::runtime_error& error) {
-    parsed->problems.push_back({file, 0, 0, error.what()});
+  const auto client = membership::MakeEtcdClientSettings(link);
+  if (!client) {
+    parsed->problems.push_back({file, 0, 0, Message(client.error())});
+    return;
   }
-  settings->upstream.channel = client->channel;
-  settings->upstream.user = client->user;
-  settings->upstream.password = client->password;
+  parsed->settings.upstream.channel = client->channel;
+  parsed->settings.upstream.user = client->user;
+  parsed->settings.upstream.password = client->password;
 }
 
 void ReadReaderTls(TableReader& table, etcd::ServerOptions* server) {
@@ -134,9 +131,8 @@
   const std::string& key = kv.key();
   const std::size_t slash = key.rfind('/');
   const std::string name = slash == std::string::npos ? key : key.substr(slash + 1);
-  membership::Member member;
-  const auto problem = membership::ReadMember(name, kv.value(), &member);
-  return !problem && member.state == membership::State::kDraining;
+  const auto member = membership::ParseMember(name, kv.value());
+  return member && member->state == membership::MemberState::kDraining;
 }
 
 }  // namespace badgerbridge::watch_cache
--- a/tests/fingerprint/zone_failover_fingerprint_test.cpp
+++ b/tests/fingerprint/zone_failover_fingerprint_test.cpp
@@ -27,6 +27,7 @@
 
 using balancer::Duration;
 using balancer::TimePoint;
+using zone_failover::AttemptOutcome;
 using zone_failover::Decision;
 using zone_failover::Member;
 
@@ -40,7 +41,7 @@
 /// How often the runs met what they must meet, summed over the seeds.
 struct Coverage {
   std::uint64_t grants = 0, keep_alives = 0, heartbeats = 0, campaigns = 0, proposals = 0;
-  std::uint64_t deciders = 0, out_of_touch = 0, not_admitted = 0, alone = 0, limited = 0;
+  std::uint64_t leaders = 0, out_of_contact = 0, not_admitted = 0, alone = 0, limited = 0;
   std::array<std::uint64_t, kZoneStates> zone_states{};
 };
 
@@ -53,16 +54,18 @@
 }
 
 void AddDecision(const Decision& decision, Digest* digest) {
-  digest->Add(decision.epoch, decision.decider, decision.admitted, decision.counted);
-  for (const Decision::Returned& returned : decision.returned) digest->Add(returned.member, returned.created);
+  digest->Add(decision.epoch, decision.leader, decision.admitted_revision, decision.counted_revision);
+  for (const zone_failover::MemberIncarnation& readmitted : decision.readmitted)
+    digest->Add(readmitted.member, readmitted.create_revision);
   for (const Decision::Zone& zone : decision.zones) {
-    digest->Add(zone.state, zone.shown, zone.limit, zone.carried, zone.demand, zone.members, zone.lost);
-    digest->Add(!zone.why.empty());
+    digest->Add(zone.state, zone.observed_capacity, zone.limit, zone.served, zone.demand, zone.members,
+                zone.lost_members);
+    digest->Add(!zone.reason.empty());
   }
   AddMatrix(decision.grants, digest);
-  AddMatrix(decision.ceiling, digest);
+  AddMatrix(decision.grant_ceiling, digest);
   AddMatrix(decision.standby, digest);
-  for (const Decision::Counted& counted : decision.roster) digest->Add(counted.member, counted.zone);
+  for (const zone_failover::RosterEntry& entry : decision.roster) digest->Add(entry.member, entry.zone);
 }
 
 /// Members with clocks of their own, their calls of etcd, and the zones that they send work to.
@@ -71,9 +74,9 @@
   SimulatedZones(std::uint64_t seed, Coverage* coverage)
       : random_(seed), fingerprint_("zone_failover", seed), coverage_(coverage) {
     const auto zones = static_cast<std::size_t>(random_.Integer(2, 4));
-    together_ = random_.Chance(0.8);
+    coordinated_ = random_.Chance(0.8);
     const int members = random_.Integer(6, 12);
-    DrawRules(zones);
+    DrawSettings(zones);
     for (std::size_t zone = 0; zone < zones; ++zone)
       zones_.push_back({.capacity = 1.5 * members / static_cast<double>(zones)});
     for (int number = 0; number < members; ++number) AddMember(number);
@@ -115,28 +118,29 @@
     std::uint64_t attempts = 0, epoch_seen = 0;
   };
 
-  void DrawRules(std::size_t zones) {
-    rules_.zones = zones;
-    rules_.round_trip = zone_failover::Matrix(zones);
-    rules_.price = zone_failover::Matrix(zones);
+  void DrawSettings(std::size_t zones) {
+    settings_.zones = zones;
+    settings_.round_trip_ms = zone_failover::Matrix(zones);
+    settings_.transfer_price = zone_failover::Matrix(zones);
     for (std::size_t origin = 0; origin < zones; ++origin) {
       for (std::size_t receiver = 0; receiver < origin; ++receiver) {
         const double round_trip = random_.Between(1, 120);
         const double price = random_.Between(0, 0.4);
-        rules_.round_trip.at(origin, receiver) = rules_.round_trip.at(receiver, origin) = round_trip;
-        rules_.price.at(origin, receiver) = rules_.price.at(receiver, origin) = price;
+        settings_.round_trip_ms.at(origin, receiver) = settings_.round_trip_ms.at(receiver, origin) =
+            round_trip;
+        settings_.transfer_price.at(origin, receiver) = settings_.transfer_price.at(receiver, origin) = price;
       }
     }
-    rules_.latency_objective = random_.Between(150, 600);
-    rules_.hold = Duration(random_.Between(2000, 6000));
-    rules_.forget = Duration(random_.Between(8000, 60000));
-    rules_.step = Duration(random_.Between(200, 800));
+    settings_.latency_objective_ms = random_.Between(150, 600);
+    settings_.grant_hold = Duration(random_.Between(2000, 6000));
+    settings_.standby_hold = Duration(random_.Between(8000, 60000));
+    settings_.recovery_step = Duration(random_.Between(200, 800));
   }
 
   void AddMember(int number) {
     SimulatedMember added;
     added.name = "n" + std::to_string(number);
-    added.zone = static_cast<std::size_t>(number) % rules_.zones;
+    added.zone = static_cast<std::size_t>(number) % settings_.zones;
     added.clock_rate = random_.Between(0.99, 1.01);
     added.clock_offset_ms = random_.Between(1e6, 2e6);
     added.demand = random_.Between(0.4, 0.8);
@@ -148,11 +152,11 @@
     zone_failover::MemberSettings settings;
     settings.name = member->name;
     settings.zone = static_cast<int>(member->zone);
-    settings.rules = rules_;
-    settings.classes = 2;
-    settings.together = together_;
+    settings.failover = settings_;
+    settings.request_classes = 2;
+    settings.coordinated = coordinated_;
     member->member = std::make_unique<Member>(settings, random_.Next());
-    member->member->Listed(std::vector<double>(rules_.zones, 10));
+    member->member->UpdateWarmBackends(std::vector<double>(settings_.zones, 10));
     member->call.reset();
     member->reply.reset();
     member->dead = member->stopped = false;
@@ -188,7 +192,7 @@
     } else if (draw < 0.022) {
       std::vector<double> warm(zones_.size());
       for (double& share : warm) share = random_.Between(2, 12);
-      if (!member.dead) member.member->Listed(std::move(warm));
+      if (!member.dead) member.member->UpdateWarmBackends(std::move(warm));
     }
   }
 
@@ -227,10 +231,10 @@
     if (step % static_cast<int>(kWorkIntervalMs / kStepMs) == 0) SendWork(now, member);
     if (member->call && member->reply && now_ms_ >= member->returns_ms) {
       member->call.reset();
-      member->member->Done(now, *std::exchange(member->reply, std::nullopt));
+      member->member->CallEnded(now, *std::exchange(member->reply, std::nullopt));
     }
     if (member->call) return;
-    std::optional<Member::Call> call = member->member->Next(now);
+    std::optional<Member::Call> call = member->member->NextCall(now);
     AddDecisionOf(member);
     if (!call) return;
     fingerprint_.digest().Add(member->name);
@@ -256,15 +260,15 @@
   /// What is asked of a member goes to its own zone as far as it may, and the rest wherever it may.
   void SendWork(TimePoint now, SimulatedMember* member) {
     const double work = member->demand * kWorkIntervalMs;
-    member->member->Arrived(now, work);
-    const std::vector<double> shares = member->member->Shares(now);
-    for (const double share : shares) fingerprint_.digest().Add(share);
+    member->member->RequestArrived(now, work);
+    const std::vector<double> quotas = member->member->ZoneQuotas(now);
+    for (const double quota : quotas) fingerprint_.digest().Add(quota);
     double left = work;
     for (std::size_t offset = 0; offset < zones_.size(); ++offset) {
       const std::size_t receiver = (member->zone + offset) % zones_.size();
-      const bool limited = shares[receiver] != zone_failover::kFree;
-      coverage_->limited += limited && shares[receiver] > 0;
-      const double part = limited ? std::min(left, shares[receiver] * kWorkIntervalMs) : left;
+      const bool limited = quotas[receiver] != zone_failover::kUnlimited;
+      coverage_->limited += limited && quotas[receiver] > 0;
+      const double part = limited ? std::min(left, quotas[receiver] * kWorkIntervalMs) : left;
       if (part <= 0) continue;
       left -= part;
       SendTo(now, receiver, part, member);
@@ -274,31 +278,33 @@
   void SendTo(TimePoint now, std::size_t receiver, double work, SimulatedMember* member) {
     Zone& zone = zones_[receiver];
     const std::uint64_t attempt = ++member->attempts;
-    member->member->Sent(now, attempt, receiver);
+    member->member->AttemptStarted(now, attempt, receiver);
     zone.load += work;
     if (zone.silent) return;
-    zone_failover::Meter::End end =
-        zone.capacity > 0 ? zone_failover::Meter::End::kServed : zone_failover::Meter::End::kFailed;
-    if (random_.Chance(0.02)) end = zone_failover::Meter::End::kFull;
-    if (random_.Chance(0.02)) end = zone_failover::Meter::End::kNothing;
-    const Duration took(zone.slow * random_.Between(15, 30));
-    member->member->Ended(now + Duration(20), attempt, static_cast<std::size_t>(random_.Integer(0, 1)), end,
-                          took, work, zone.used);
+    zone_failover::AttemptResult result;
+    result.outcome = zone.capacity > 0 ? AttemptOutcome::kServed : AttemptOutcome::kFailed;
+    if (random_.Chance(0.02)) result.outcome = AttemptOutcome::kRejected;
+    if (random_.Chance(0.02)) result.outcome = AttemptOutcome::kCancelled;
+    result.latency = Duration(zone.slow * random_.Between(15, 30));
+    result.request_class = static_cast<std::size_t>(random_.Integer(0, 1));
+    result.work = work;
+    result.utilization = zone.used;
+    member->member->AttemptEnded(now + Duration(20), attempt, result);
   }
 
   // ---- what the members do ----
 
   // The first number that each adds stands for the kind of call.
-  void AddCall(const Member::Grant& call) {
+  void AddCall(const Member::GrantLease& call) {
     fingerprint_.digest().Add(1, call.ttl_s);
     ++coverage_->grants;
   }
-  void AddCall(const Member::KeepAlive& call) {
+  void AddCall(const Member::KeepLeaseAlive& call) {
     fingerprint_.digest().Add(2, call.lease);
     ++coverage_->keep_alives;
   }
   void AddCall(const Member::Heartbeat& call) {
-    fingerprint_.digest().Add(3, call.lease, call.all, call.known, call.value);
+    fingerprint_.digest().Add(3, call.lease, call.read_all, call.known_revision, call.load_report);
     ++coverage_->heartbeats;
   }
   void AddCall(const Member::Campaign& call) {
@@ -306,8 +312,8 @@
     ++coverage_->campaigns;
   }
   void AddCall(const Member::Propose& call) {
-    fingerprint_.digest().Add(5, call.decider_created, call.decision_modified, call.roster);
-    AddJson(boost::json::parse(call.value), {"why"}, &fingerprint_.digest());
+    fingerprint_.digest().Add(5, call.leader_create_revision, call.decision_mod_revision, call.roster);
+    AddJson(boost::json::parse(call.decision), {"why"}, &fingerprint_.digest());
     ++coverage_->proposals;
   }
 
@@ -315,7 +321,7 @@
     const std::optional<Decision>& decision = member->member->decision();
     if (!decision || decision->epoch == member->epoch_seen) return;
     member->epoch_seen = decision->epoch;
-    coverage_->alone += !together_;
+    coverage_->alone += !coordinated_;
     fingerprint_.digest().Add(member->name);
     AddDecision(*decision, &fingerprint_.digest());
     for (const Decision::Zone& zone : decision->zones)
@@ -326,12 +332,12 @@
     Digest& digest = fingerprint_.digest();
     for (const SimulatedMember& each : members_) {
       const Member& member = *each.member;
-      const bool in_touch = member.in_touch(ClockOf(each));
-      digest.Add(in_touch, member.deciding(), member.admitted(), member.decider(), member.calls());
-      digest.Add(!member.last_error().empty(), member.wake());
-      coverage_->deciders += member.deciding();
-      coverage_->out_of_touch += !in_touch;
-      coverage_->not_admitted += !member.admitted();
+      const bool in_contact = member.IsInContact(ClockOf(each));
+      digest.Add(in_contact, member.is_leader(), member.IsAdmitted(), member.leader(), member.calls());
+      digest.Add(!member.last_error().empty(), member.wake_at());
+      coverage_->leaders += member.is_leader();
+      coverage_->out_of_contact += !in_contact;
+      coverage_->not_admitted += !member.IsAdmitted();
     }
     const std::optional<Decision>& decision = members_.front().member->decision();
     if (!decision) return;
@@ -339,16 +345,16 @@
   }
 
   void AddEvacuationPlan(const Decision& decision, std::size_t zone) {
-    const zone_failover::Evacuation plan = zone_failover::PlanEvacuation(
-        decision, rules_.round_trip, rules_.price, rules_.latency_objective, zone);
-    fingerprint_.digest().Add(plan.moved, plan.unplaced, plan.receivers.size());
-    for (const zone_failover::Evacuation::Receiver& receiver : plan.receivers)
-      fingerprint_.digest().Add(receiver.zone, receiver.carries, receiver.would, receiver.limit);
+    const zone_failover::EvacuationPlan plan = zone_failover::PlanEvacuation(
+        decision, {settings_.round_trip_ms, settings_.transfer_price}, settings_.latency_objective_ms, zone);
+    fingerprint_.digest().Add(plan.moved_load, plan.unplaced_load, plan.receivers.size());
+    for (const zone_failover::EvacuationPlan::Receiver& receiver : plan.receivers)
+      fingerprint_.digest().Add(receiver.zone, receiver.load, receiver.planned_load, receiver.limit);
   }
 
   Random random_;
-  zone_failover::Rules rules_;
-  bool together_ = true;  ///< Else each member decides for itself.
+  zone_failover::FailoverSettings settings_;
+  bool coordinated_ = true;  ///< Else each member decides for itself.
   std::vector<SimulatedMember> members_;
   std::vector<Zone> zones_;
   simulator::EtcdModel etcd_;
@@ -367,8 +373,8 @@
   EXPECT_GT(coverage.heartbeats, 1000U);
   EXPECT_GT(coverage.campaigns, 20U);
   EXPECT_GT(coverage.proposals, 200U);
-  EXPECT_GT(coverage.deciders, 100U);
-  EXPECT_GT(coverage.out_of_touch, 50U);
+  EXPECT_GT(coverage.leaders, 100U);
+  EXPECT_GT(coverage.out_of_contact, 50U);
   EXPECT_GT(coverage.not_admitted, 50U);
   EXPECT_GT(coverage.alone, 50U);
   EXPECT_GT(coverage.limited, 1000U);
