--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -80,7 +80,7 @@
 void MeasureRegions(Report& report);        // zone_failover::Member, zone_failover::FailoverLeader
 void MeasureAgent(Report& report);          // badgerbridge-agent and badgerbridge-ctl, as processes
 void MeasureTool(Report& report);           // badgerbridge-ctl members
-void MeasureRelay(Report& report);          // watch_cache::Relay
+void MeasureRelay(Report& report);          // watch_cache::WatchCache
 void MeasureWire(Report& report);           // etcd::Http2Client, etcd::Http2Server
 
 }  // namespace badgerbridge::bench
--- a/src/proxy_main/zone_failover_source.cpp
+++ b/src/proxy_main/zone_failover_source.cpp
@@ -150,7 +150,7 @@
   member_.AttemptEnded(now, out.number,
                        {.request_class = out.request_class,
                         .outcome = AttemptOutcomeOf(outcome),
-                        .latency = now - send.at,
+                        .latency = now - send.sent_at,
                         .work = out.work,
                         .utilization = UtilIn(load)});
 }
--- a/src/simulator/world_clients.cpp
+++ b/src/simulator/world_clients.cpp
@@ -75,18 +75,20 @@
     queue_.At(now + cls.rules.deadline * clients_.Unit(), this, kLeave, number);
 }
 
-void World::Ended(TimePoint now, std::uint64_t id, request_table::Ending ending, double retry_after) {
+void World::Ended(TimePoint now, std::uint64_t id, request_table::RequestOutcome outcome,
+                  double retry_after) {
   const auto found = traces_.find(id);
   if (found == traces_.end()) return;
   Trace& trace = found->second;
   const ClassModel& cls = model_.classes[static_cast<std::size_t>(trace.request_class)];
   const bool waited = !trace.left && !trace.answered;
-  referee_.Answered(now, queue_.steps(), trace, cls.rules, ending == request_table::Ending::kRefused);
-  Digest(id ^ static_cast<std::uint64_t>(ending) << 60);
+  referee_.Answered(now, queue_.steps(), trace, cls.rules,
+                    outcome == request_table::RequestOutcome::kRejected);
+  Digest(id ^ static_cast<std::uint64_t>(outcome) << 60);
   Digest(std::bit_cast<std::uint64_t>(now.time_since_epoch().count()));
   if (!waited) return;
   const std::uint64_t intent = trace.intent;
-  if (ending == request_table::Ending::kServed) {
+  if (outcome == request_table::RequestOutcome::kServed) {
     ClassResult& result = result_.classes[static_cast<std::size_t>(trace.request_class)];
     const Intent& wanted = intents_.at(intent);
     const bool in_aim = now - trace.sent <= cls.rules.latency_objective;
@@ -95,15 +97,16 @@
     result.latency.Add((now - wanted.began).count());
     intents_.erase(intent);
   } else {
-    Again(now, intent, retry_after, ending);
+    Again(now, intent, retry_after, outcome);
   }
 }
 
 // A refusal says that trying again is harmless; a failure is tried again where that is safe or has a key.
-void World::Again(TimePoint now, std::uint64_t id, double retry_after, request_table::Ending ending) {
+void World::Again(TimePoint now, std::uint64_t id, double retry_after,
+                  request_table::RequestOutcome outcome) {
   Intent& intent = intents_.at(id);
   ClassResult& result = result_.classes[static_cast<std::size_t>(intent.request_class)];
-  const bool refused = ending == request_table::Ending::kRefused;
+  const bool refused = outcome == request_table::RequestOutcome::kRejected;
   const Idempotency effect = model_.classes[static_cast<std::size_t>(intent.request_class)].rules.effect;
   if (intent.tries >= model_.clients.tries || (!refused && effect == Idempotency::kNotIdempotent)) {
     ++(refused ? result.refused : result.failed);
@@ -140,7 +143,7 @@
   intents_.erase(trace.intent);
   Proxy& proxy = proxies_[trace.proxy];
   if (proxy.incarnation != trace.incarnation || proxy.traces.erase(trace.request) == 0) return;
-  proxy.core->Gone(now, trace.request, &proxy.actions);
+  proxy.core->ClientDisconnected(now, trace.request, &proxy.actions);
   Carry(now, trace.proxy);
 }
 
