--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -33,12 +33,12 @@
 // A fleet file or an operator's file, by what stands in it.
 int Check(const std::string& path) {
   operator_file::Problems problems;
-  if (const auto text = operator_file::ReadFile(path, fleet::kMostFleetBytes, problems)) {
+  if (const auto text = operator_file::ReadFile(path, fleet::kMaxFleetFileBytes, problems)) {
     operator_file::Problems ignored;
     const auto root = operator_file::ParseToml(*text, path, ignored);
     if (root && (root->contains("agent") || root->contains("instance"))) {
       root->at("agent").is_array_of_tables() ? void(ctl::ParseContext(*text, path, problems))
-                                             : void(fleet::ParseFleet(*text, path, problems));
+                                             : void(fleet::ParseFleetFile(*text, path, problems));
     } else {
       std::cerr << operator_file::Lines(operator_file::Parse(*text, path, problems).warnings);
     }
--- /dev/null
+++ b/src/fleet/change_signal.h
@@ -0,0 +1,32 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+/// \file
+/// Wakes coroutines that wait for any change of the agent's state.
+#ifndef BADGERBRIDGE_FLEET_CHANGE_SIGNAL_H_
+#define BADGERBRIDGE_FLEET_CHANGE_SIGNAL_H_
+
+#include <boost/asio/awaitable.hpp>
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <chrono>
+
+namespace badgerbridge::fleet {
+
+/// One timer for all that wait: the shortest wait ends all of them, so each waiter checks its condition and
+/// may have to wait again. For one event loop; not thread-safe.
+class ChangeSignal {
+ public:
+  explicit ChangeSignal(boost::asio::io_context& io) : timer_(io) {}
+
+  /// Ends all waits.
+  void Notify() { timer_.cancel(); }
+  /// Returns after `max_wait`, or sooner.
+  boost::asio::awaitable<void> Wait(std::chrono::milliseconds max_wait);
+
+ private:
+  boost::asio::steady_timer timer_;
+};
+
+}  // namespace badgerbridge::fleet
+
+#endif  // BADGERBRIDGE_FLEET_CHANGE_SIGNAL_H_
--- /dev/null
+++ b/src/fleet/disk.h
@@ -0,0 +1,32 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+/// \file
+/// The system calls that change files of the agent's state.
+#ifndef BADGERBRIDGE_FLEET_DISK_H_
+#define BADGERBRIDGE_FLEET_DISK_H_
+
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <system_error>
+
+namespace badgerbridge::fleet {
+
+/// Writes to the file system. A test replaces it by one that fails. Every error is an errno of
+/// std::generic_category(); none means success.
+class Disk {
+ public:
+  virtual ~Disk() = default;
+  /// Writes all bytes, or fails; then some of them may have been written.
+  virtual std::error_code Write(int file, std::string_view bytes);
+  /// fdatasync(2).
+  virtual std::error_code Sync(int file);
+  /// ftruncate(2).
+  virtual std::error_code Truncate(int file, std::uint64_t size);
+  /// rename(2).
+  virtual std::error_code Rename(const std::string& from, const std::string& to);
+};
+
+}  // namespace badgerbridge::fleet
+
+#endif  // BADGERBRIDGE_FLEET_DISK_H_
--- /dev/null
+++ b/src/fleet/file_descriptor.h
@@ -0,0 +1,34 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+/// \file
+/// Ownership of a file descriptor.
+#ifndef BADGERBRIDGE_FLEET_FILE_DESCRIPTOR_H_
+#define BADGERBRIDGE_FLEET_FILE_DESCRIPTOR_H_
+
+namespace badgerbridge::fleet {
+
+/// Owns a file descriptor and closes it when destroyed. Movable, not copyable.
+class FileDescriptor {
+ public:
+  /// Takes ownership of `number`; a negative one stands for no descriptor.
+  explicit FileDescriptor(int number = -1) : number_(number) {}
+  ~FileDescriptor();
+  FileDescriptor(FileDescriptor&& other) noexcept : number_(other.Release()) {}
+  FileDescriptor& operator=(FileDescriptor&& other) noexcept;
+  FileDescriptor(const FileDescriptor&) = delete;
+  FileDescriptor& operator=(const FileDescriptor&) = delete;
+
+  /// The descriptor; negative if there is none.
+  int get() const { return number_; }
+  /// Whether a descriptor is held.
+  bool is_open() const { return number_ >= 0; }
+  /// Gives up ownership without closing, and returns the descriptor.
+  int Release();
+
+ private:
+  int number_;
+};
+
+}  // namespace badgerbridge::fleet
+
+#endif  // BADGERBRIDGE_FLEET_FILE_DESCRIPTOR_H_
--- a/src/fleet/fleet_file.h
+++ b/src/fleet/fleet_file.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The fleet file: what an agent keeps on its machine, and how it is reached. deploy/fleet.toml lists every
-// key.
+/// \file
+/// The fleet file (TOML): what an agent keeps on its machine, and how it is reached. deploy/fleet.toml lists
+/// every key.
 #ifndef BADGERBRIDGE_FLEET_FLEET_FILE_H_
 #define BADGERBRIDGE_FLEET_FLEET_FILE_H_
 
@@ -16,65 +17,50 @@
 #include <vector>
 
 #include "api/message.h"
+#include "fleet/instance_definition.h"
 #include "operator/problem.h"
 
 namespace badgerbridge::fleet {
 
+/// The agent's API over TLS. Files are PEM.
 struct TlsSettings {
-  std::string listen;                       // address:port
-  std::string certificate, key, client_ca;  // PEM files
-  std::map<std::string, api::Role> roles;   // by a client certificate's common name
+  std::string listen;                      ///< address:port
+  std::string certificate;                 ///< path of the agent's certificate chain
+  std::string key;                         ///< path of its private key
+  std::string client_ca;                   ///< path of the authority of client certificates
+  std::map<std::string, api::Role> roles;  ///< by a client certificate's common name
 };
 
+/// The [agent] table.
 struct AgentSettings {
-  std::string name, state_dir, socket;
-  std::vector<uid_t> allow_uids;
-  std::size_t max_connections = 32;
-  std::optional<TlsSettings> tls;
-  std::chrono::milliseconds poll{5000};  // between two looks at an idle instance
-  std::uint64_t log_bytes = 8 << 20;     // of an instance's log; its forerunner is kept as well
-  std::chrono::milliseconds first_backoff{200}, most_backoff{10000}, short_life{10000};
-  int most_deaths = 5;
-};
-
-// How one instance is started. As JSON it is what orders carry and what the agent stores.
-struct Definition {
-  std::string name;
-  std::vector<std::string> command;  // the program, by path, and its arguments
-  std::map<std::string, std::string> environment;
-  std::string listen;          // ROUTER_LISTEN; empty: as the configuration says
-  std::string operator_file;   // with a [control] table: the agent asks and commands there
-  std::string control_socket;  // what stands there; read when the fleet file is
-  std::string working_directory;
-  std::map<std::string, std::string> labels;
-  std::int64_t descriptors = 0, address_space_mb = 0;  // limits of the process; 0: as the agent's own
-
-  friend bool operator==(const Definition&, const Definition&) = default;
+  std::string name;                                ///< what tools call this agent
+  std::string state_dir;                           ///< absolute path of the directory of its state
+  std::string socket;                              ///< absolute path of its API's Unix socket
+  std::vector<uid_t> allow_uids;                   ///< peers on the socket beside its own uid and root
+  std::size_t max_connections = 32;                ///< to each of its servers
+  std::optional<TlsSettings> tls;                  ///< nothing: no TLS
+  std::chrono::milliseconds poll_interval{5000};   ///< between two polls of an idle instance
+  std::uint64_t max_log_bytes = 8 << 20;           ///< of an instance's log; one old file is kept as well
+  std::chrono::milliseconds initial_backoff{200};  ///< before the first restart after a crash
+  std::chrono::milliseconds max_backoff{10000};    ///< before any restart
+  std::chrono::milliseconds min_uptime{10000};     ///< a process that ended sooner has crashed
+  int max_consecutive_crashes = 5;                 ///< then an instance is given up
 };
 
+/// A whole fleet file.
 struct FleetFile {
   AgentSettings agent;
-  std::vector<Definition> instances;
+  std::vector<InstanceDefinition> instances;
 };
 
-constexpr std::size_t kMostFleetBytes = 1 << 20;
+constexpr std::size_t kMaxFleetFileBytes = 1 << 20;  ///< of a fleet file's text
 
-// Checks the whole text, and the operator's files that it names. What it gives counts only if no problem was
-// added.
-FleetFile ParseFleet(std::string_view text, const std::string& file, operator_file::Problems& problems);
-FleetFile LoadFleet(const std::string& path, operator_file::Problems& problems);
+/// Checks the whole text, and the operator's files that it names. `file` is the name for the problems, all of
+/// which are appended to `problems`; the result counts only if none was.
+FleetFile ParseFleetFile(std::string_view text, const std::string& file, operator_file::Problems& problems);
 
-std::string ToText(const Definition& definition);  // JSON, members in a fixed order
-Definition DefinitionOf(std::string_view text);    // throws std::exception if it is none
-
-// What has to be done to go from one set of definitions to the other; both as ToText gives them, by name.
-struct Change {
-  std::string instance;
-  enum class Kind { kAdd, kChange, kRemove } kind = Kind::kAdd;
-  std::string text;  // which members differ
-};
-std::vector<Change> Diff(const std::map<std::string, std::string>& from,
-                         const std::map<std::string, std::string>& to);
+/// Reads and parses the file at `path`, with the same rules.
+FleetFile LoadFleetFile(const std::string& path, operator_file::Problems& problems);
 
 }  // namespace badgerbridge::fleet
 
--- a/src/fleet/main.cpp
+++ b/src/fleet/main.cpp
@@ -1,49 +1,71 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgeragent: keeps the instances of one machine.
+/// \file
+/// The agent's program: keeps the instances of one machine.
 #include <CLI/CLI.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
 #include <iostream>
+#include <string>
 
 #include "api/version.h"
 #include "fleet/agent.h"
 
+namespace {
+
+using namespace badgerbridge;
+
+/// Runs the event loop until it is stopped. What one handler throws must not end the agent.
+void RunUntilStopped(boost::asio::io_context& io) {
+  while (!io.stopped()) {
+    try {
+      io.run();
+    } catch (const std::exception& error) {
+      std::cerr << "badgeragent: " << error.what() << '\n';
+    }
+  }
+}
+
+/// Keeps the file's instances until SIGTERM or SIGINT. Returns the exit code.
+int RunAgent(const fleet::FleetFile& file) {
+  boost::asio::io_context io(1);
+  const auto agent = fleet::Agent::Create(io, file);
+  if (!agent) {
+    std::cerr << "badgeragent: " << fleet::Message(agent.error()) << '\n';
+    return 1;
+  }
+  boost::asio::signal_set signals(io, SIGTERM, SIGINT);
+  signals.async_wait([&](const boost::system::error_code& error, int) {
+    if (!error) io.stop();
+  });
+  std::cerr << "badgeragent: " << file.agent.name << " answers on " << file.agent.socket << '\n';
+  RunUntilStopped(io);
+  return 0;
+}
+
+}  // namespace
+
 int main(int count, char** arguments) {
-  using namespace badgerbridge;
   CLI::App app("badgeragent: keeps the instances of a fleet file; badgerctl commands it");
   std::string path;
-  bool check = false;
+  bool check_only = false;
   app.add_option("--fleet", path, "the fleet file (deploy/fleet.toml lists every key)")->required();
-  app.add_flag("--check", check, "check the file and the operator's files that it names, and start nothing");
+  app.add_flag("--check", check_only,
+               "check the file and the operator's files that it names, and start nothing");
   app.set_version_flag("--version", api::VersionText("badgeragent", {"TLS"}));
   CLI11_PARSE(app, count, arguments);
 
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGHUP, SIG_IGN);
   operator_file::Problems problems;
-  const fleet::FleetFile file = fleet::LoadFleet(path, problems);
+  const fleet::FleetFile file = fleet::LoadFleetFile(path, problems);
   std::cerr << operator_file::Lines(problems);
   if (!problems.empty()) return 1;
-  if (check) return 0;
-  boost::asio::io_context io(1);
+  if (check_only) return 0;
   try {
-    fleet::Agent agent(io, file);
-    boost::asio::signal_set signals(io, SIGTERM, SIGINT);
-    signals.async_wait([&](const boost::system::error_code& error, int) {
-      if (!error) io.stop();
-    });
-    std::cerr << "badgeragent: " << file.agent.name << " answers on " << file.agent.socket << '\n';
-    while (!io.stopped()) {
-      try {
-        io.run();
-      } catch (const std::exception& error) {
-        std::cerr << "badgeragent: " << error.what() << '\n';
-      }
-    }
+    return RunAgent(file);
   } catch (const std::exception& error) {
     std::cerr << "badgeragent: " << error.what() << '\n';
     return 1;
   }
-  return 0;
 }
--- a/src/fleet/process.cpp
+++ b/src/fleet/process.cpp
@@ -4,66 +4,137 @@
 #include <fcntl.h>
 #include <poll.h>
 #include <sys/file.h>
-#include <sys/resource.h>
 #include <sys/stat.h>
 #include <sys/syscall.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <cerrno>
 #include <charconv>
 #include <csignal>
-#include <cstdio>
+#include <cstdlib>
 #include <cstring>
 #include <fstream>
+#include <iterator>
 #include <sstream>
 #include <utility>
-#include <vector>
+
+#include "fleet/child_process.h"
 
 namespace badgerbridge::fleet {
 namespace {
 
-constexpr int kLockDescriptor = 3;  // of the instance; all others are closed
+FileDescriptor OpenPidfd(pid_t pid) {
+  FileDescriptor pidfd(static_cast<int>(syscall(SYS_pidfd_open, pid, 0)));
+  if (pidfd.is_open()) fcntl(pidfd.get(), F_SETFD, FD_CLOEXEC);
+  return pidfd;
+}
 
-int OpenPidfd(pid_t pid) { return static_cast<int>(syscall(SYS_pidfd_open, pid, 0)); }
+AgentError StartError(std::string where, int error_number) {
+  return {AgentErrorKind::kStartFailed, std::move(where), "", error_number};
+}
 
-// In the child, between fork and exec: only what is safe after a fork. Tells the parent what failed.
-[[noreturn]] void Fail(int report, const char* what) {
-  const int number = errno;
-  char text[256];
-  const int size = std::snprintf(text, sizeof text, "%d %s", number, what);
-  [[maybe_unused]] const ssize_t written = write(report, text, static_cast<std::size_t>(size));
-  _exit(127);
+Result<FileDescriptor> OpenLocked(const std::string& path) {
+  FileDescriptor lock(open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
+  if (!lock.is_open()) return StartError(path, errno);
+  if (flock(lock.get(), LOCK_EX | LOCK_NB) != 0) return AgentError{AgentErrorKind::kAlreadyRunning, path, ""};
+  return lock;
 }
 
-void Limit(int resource, std::int64_t value, int report, const char* what) {
-  if (value <= 0) return;
-  const rlimit limit{static_cast<rlim_t>(value), static_cast<rlim_t>(value)};
-  if (setrlimit(static_cast<__rlimit_resource>(resource), &limit) != 0) Fail(report, what);
+Result<FileDescriptor> OpenLog(const std::string& path) {
+  FileDescriptor log(open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600));
+  if (!log.is_open()) return StartError(path, errno);
+  return log;
 }
 
-}  // namespace
+/// Both ends of a pipe.
+struct Pipe {
+  FileDescriptor read_end;
+  FileDescriptor write_end;
+};
+
+Result<Pipe> OpenPipe() {
+  int ends[2];
+  if (pipe2(ends, O_CLOEXEC) != 0) return StartError("", errno);
+  return Pipe{FileDescriptor(ends[0]), FileDescriptor(ends[1])};
+}
+
+/// All bytes up to the end; the end comes once the child has executed its program, or has ended.
+std::string ReadToEnd(int file) {
+  std::string text;
+  char piece[256];
+  for (;;) {
+    const ssize_t count = read(file, piece, sizeof piece);
+    if (count == 0) return text;
+    if (count < 0 && errno != EINTR) return text;
+    if (count > 0) text.append(piece, static_cast<std::size_t>(count));
+  }
+}
+
+/// From a report of the child: "errno text".
+AgentError ParseReport(const std::string& report) {
+  int error_number = 0;
+  std::from_chars(report.data(), report.data() + report.size(), error_number);
+  const std::size_t space = std::min(report.size(), report.find(' ') + 1);
+  return StartError(report.substr(space), error_number);
+}
+
+Result<Process> WatchChild(pid_t pid) {
+  Process process;
+  process.pid = pid;
+  process.is_child = true;
+  process.pidfd = OpenPidfd(pid);  // a child's pid is not reused before it is reaped
+  if (!process.pidfd.is_open()) {
+    const int error_number = errno;
+    kill(pid, SIGKILL);
+    waitpid(pid, nullptr, 0);
+    return AgentError{AgentErrorKind::kWatchFailed, "", "", error_number};
+  }
+  process.start_time = ReadStartTime(pid).value_or(0);
+  return process;
+}
 
-Descriptor::~Descriptor() {
-  if (number_ >= 0) close(number_);
+/// The pid that the lock's holder has written; nothing if that is no pid of another process.
+std::optional<pid_t> ReadPid(int lock) {
+  char text[64] = {};
+  if (pread(lock, text, sizeof text - 1, 0) <= 0) return std::nullopt;
+  const auto pid = static_cast<pid_t>(std::strtol(text, nullptr, 10));
+  if (pid <= 0 || pid == getpid()) return std::nullopt;
+  return pid;
 }
-Descriptor& Descriptor::operator=(Descriptor&& other) noexcept {
-  if (number_ >= 0) close(number_);
-  number_ = other.Release();
-  return *this;
+
+/// Whether the process has the lock's file open where an instance has it.
+bool HoldsLock(pid_t pid, int lock) {
+  struct stat own {};
+  struct stat held {};
+  const std::string path = "/proc/" + std::to_string(pid) + "/fd/" + std::to_string(kLockDescriptor);
+  if (fstat(lock, &own) != 0 || stat(path.c_str(), &held) != 0) return false;
+  return own.st_ino == held.st_ino && own.st_dev == held.st_dev;
 }
-int Descriptor::Release() { return std::exchange(number_, -1); }
 
-std::optional<std::uint64_t> StartTime(pid_t pid) {
+std::string DescribeExit(int status) {
+  if (WIFEXITED(status)) return "exited with " + std::to_string(WEXITSTATUS(status));
+  if (!WIFSIGNALED(status)) return "ended";
+  const int number = WTERMSIG(status);
+  return "was killed by signal " + std::to_string(number) + " (" + strsignal(number) + ")";
+}
+
+}  // namespace
+
+std::optional<std::uint64_t> ReadStartTime(pid_t pid) {
+  constexpr int kStateField = 3;
+  constexpr int kStartTimeField = 22;
   std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
-  std::string text((std::istreambuf_iterator<char>(file)), {});
-  const std::size_t name_end = text.rfind(')');  // the name may hold anything
+  const std::string text((std::istreambuf_iterator<char>(file)), {});
+  const std::size_t name_end = text.rfind(')');  // the name may hold any character
   if (name_end == std::string::npos) return std::nullopt;
   std::istringstream fields(text.substr(name_end + 1));
   std::string field;
-  for (int i = 3; i <= 22; ++i) {
+  for (int i = kStateField; i <= kStartTimeField; ++i) {
     if (!(fields >> field)) return std::nullopt;
-    if (i == 3 && (field == "Z" || field == "X")) return std::nullopt;
+    const bool has_ended = i == kStateField && (field == "Z" || field == "X");
+    if (has_ended) return std::nullopt;
   }
   std::uint64_t ticks = 0;
   const auto [end, error] = std::from_chars(field.data(), field.data() + field.size(), ticks);
@@ -71,137 +142,43 @@
   return ticks;
 }
 
-std::optional<Process> StartProcess(const Definition& definition, const Paths& paths, std::string* error) {
-  // All that allocates, before the fork.
-  std::vector<std::string> variables;
-  for (char** at = environ; *at; ++at) {
-    const std::string_view entry(*at);
-    const std::string name(entry.substr(0, entry.find('=')));
-    // The agent's own settings are not the instance's.
-    if (definition.environment.count(name) || name.rfind("ROUTER_", 0) == 0 ||
-        name == "BADGERBRIDGE_OPERATOR")
-      continue;
-    variables.emplace_back(entry);
-  }
-  for (const auto& [name, value] : definition.environment) variables.push_back(name + "=" + value);
-  if (!definition.environment.count("ROUTER_NAME")) variables.push_back("ROUTER_NAME=" + definition.name);
-  if (!definition.listen.empty()) variables.push_back("ROUTER_LISTEN=" + definition.listen);
-  if (!definition.operator_file.empty())
-    variables.push_back("BADGERBRIDGE_OPERATOR=" + definition.operator_file);
-  std::vector<char*> environment, arguments;
-  for (std::string& variable : variables) environment.push_back(variable.data());
-  environment.push_back(nullptr);
-  std::vector<std::string> words = definition.command;
-  for (std::string& word : words) arguments.push_back(word.data());
-  arguments.push_back(nullptr);
-
-  Descriptor lock(open(paths.lock.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
-  if (lock.get() < 0) {
-    *error = "cannot be started: " + paths.lock + ": " + std::strerror(errno);
-    return std::nullopt;
-  }
-  if (flock(lock.get(), LOCK_EX | LOCK_NB) != 0) {
-    *error = "already runs";
-    return std::nullopt;
-  }
-  Descriptor log(open(paths.log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600));
-  if (log.get() < 0) {
-    *error = "cannot be started: " + paths.log + ": " + std::strerror(errno);
-    return std::nullopt;
-  }
-  int ends[2];
-  if (pipe2(ends, O_CLOEXEC) != 0) {
-    *error = std::string("cannot be started: ") + std::strerror(errno);
-    return std::nullopt;
-  }
-  Descriptor report(ends[0]), reported(ends[1]);
+Result<Process> StartProcess(const InstanceDefinition& definition, const InstancePaths& paths) {
+  const CStringArray environment(BuildEnvironment(definition));
+  const CStringArray arguments(definition.command);
+  const Result<FileDescriptor> lock = OpenLocked(paths.lock);
+  if (!lock) return lock.error();
+  const Result<FileDescriptor> log = OpenLog(paths.log);
+  if (!log) return log.error();
+  Result<Pipe> report = OpenPipe();
+  if (!report) return report.error();
 
   const pid_t pid = fork();
-  if (pid < 0) {
-    *error = std::string("cannot be started: ") + std::strerror(errno);
-    return std::nullopt;
-  }
-  if (pid == 0) {
-    setsid();
-    // Above all that is about to be replaced.
-    const int out = fcntl(reported.get(), F_DUPFD_CLOEXEC, 64), held = fcntl(lock.get(), F_DUPFD_CLOEXEC, 64),
-              to = fcntl(log.get(), F_DUPFD_CLOEXEC, 64), nothing = open("/dev/null", O_RDONLY);
-    if (out < 0 || held < 0 || to < 0 || nothing < 0) _exit(127);
-    if (dup2(nothing, 0) < 0 || dup2(to, 1) < 0 || dup2(to, 2) < 0) Fail(out, "redirect its output");
-    if (held == kLockDescriptor || dup2(held, kLockDescriptor) < 0) Fail(out, "hold its lock");
-    // Who holds it; written here, so that it is true also if the agent dies now.
-    char text[64];
-    const int size = std::snprintf(text, sizeof text, "%ld\n", static_cast<long>(getpid()));
-    if (ftruncate(kLockDescriptor, 0) != 0 ||
-        pwrite(kLockDescriptor, text, static_cast<std::size_t>(size), 0) != size)
-      Fail(out, "write its lock");
-    for (int number = kLockDescriptor + 1; number < 64; ++number) close(number);
-#ifdef SYS_close_range
-    syscall(SYS_close_range, 64u, ~0u,
-            4u);  // CLOSE_RANGE_CLOEXEC: also what this agent was given by its parent
-#endif
-    sigset_t none;
-    sigemptyset(&none);
-    sigprocmask(SIG_SETMASK, &none, nullptr);
-    for (const int number : {SIGPIPE, SIGHUP, SIGTERM, SIGINT, SIGCHLD}) std::signal(number, SIG_DFL);
-    if (!definition.working_directory.empty() && chdir(definition.working_directory.c_str()) != 0)
-      Fail(out, "enter its working directory");
-    Limit(RLIMIT_NOFILE, definition.descriptors, out, "limit its descriptors");
-    Limit(RLIMIT_AS, definition.address_space_mb << 20, out, "limit its address space");
-    execve(arguments[0], arguments.data(), environment.data());
-    Fail(out, arguments[0]);
-  }
-  reported = Descriptor();
-  std::string why;
-  char piece[256];
-  for (ssize_t n; (n = read(report.get(), piece, sizeof piece)) != 0;) {
-    if (n < 0 && errno != EINTR) break;
-    if (n > 0) why.append(piece, static_cast<std::size_t>(n));
-  }
-  if (!why.empty()) {
-    waitpid(pid, nullptr, 0);
-    int number = 0;
-    std::from_chars(why.data(), why.data() + why.size(), number);
-    *error = "cannot be started: " + why.substr(std::min(why.size(), why.find(' ') + 1)) + ": " +
-             std::strerror(number);
-    return std::nullopt;
-  }
-  Process process;
-  process.pid = pid;
-  process.child = true;
-  process.pidfd = Descriptor(OpenPidfd(pid));  // a child's pid stays its own until it is reaped
-  process.started = StartTime(pid).value_or(0);
-  if (process.pidfd.get() < 0) {
-    *error = std::string("cannot be followed: ") + std::strerror(errno);
-    kill(pid, SIGKILL);
-    waitpid(pid, nullptr, 0);
-    return std::nullopt;
-  }
-  fcntl(process.pidfd.get(), F_SETFD, FD_CLOEXEC);
-  return process;
+  if (pid < 0) return StartError("", errno);
+  if (pid == 0)
+    RunChild({definition, arguments, environment, lock->get(), log->get(), report->write_end.get()});
+  report->write_end = FileDescriptor();
+  const std::string failure = ReadToEnd(report->read_end.get());
+  if (failure.empty()) return WatchChild(pid);
+  waitpid(pid, nullptr, 0);
+  return ParseReport(failure);
 }
 
-std::optional<Process> FindProcess(const Paths& paths) {
-  Descriptor lock(open(paths.lock.c_str(), O_RDWR | O_CLOEXEC));
-  if (lock.get() < 0) return std::nullopt;
-  if (flock(lock.get(), LOCK_EX | LOCK_NB) == 0) return std::nullopt;  // nobody holds it: what it says is old
-  char text[64] = {};
-  if (pread(lock.get(), text, sizeof text - 1, 0) <= 0) return std::nullopt;
+std::optional<Process> FindProcess(const InstancePaths& paths) {
+  const FileDescriptor lock(open(paths.lock.c_str(), O_RDWR | O_CLOEXEC));
+  if (!lock.is_open()) return std::nullopt;
+  // A lock that nobody holds: the pid in the file is of a process that has ended.
+  if (flock(lock.get(), LOCK_EX | LOCK_NB) == 0) return std::nullopt;
+  const auto pid = ReadPid(lock.get());
+  if (!pid) return std::nullopt;
   Process process;
-  process.pid = static_cast<pid_t>(std::strtol(text, nullptr, 10));
-  if (process.pid <= 0 || process.pid == getpid()) return std::nullopt;
-  process.pidfd = Descriptor(OpenPidfd(process.pid));
-  if (process.pidfd.get() < 0) return std::nullopt;
-  const auto started = StartTime(process.pid);
-  if (!started) return std::nullopt;
-  process.started = *started;
-  // It runs and has the pid: does it hold the file, too? Else the pid is somebody else's by now.
-  struct stat mine {
-  }, its{};
-  const std::string held = "/proc/" + std::to_string(process.pid) + "/fd/" + std::to_string(kLockDescriptor);
-  if (fstat(lock.get(), &mine) != 0 || stat(held.c_str(), &its) != 0 || mine.st_ino != its.st_ino ||
-      mine.st_dev != its.st_dev)
-    return std::nullopt;
+  process.pid = *pid;
+  process.pidfd = OpenPidfd(*pid);
+  if (!process.pidfd.is_open()) return std::nullopt;
+  const auto start_time = ReadStartTime(*pid);
+  if (!start_time) return std::nullopt;
+  process.start_time = *start_time;
+  // The pid may have been reused, unless its process has the file open.
+  if (!HoldsLock(*pid, lock.get())) return std::nullopt;
   return process;
 }
 
@@ -210,54 +187,14 @@
 }
 
 std::optional<std::string> ReapProcess(const Process& process) {
-  pollfd ended{process.pidfd.get(), POLLIN, 0};
-  if (poll(&ended, 1, 0) == 0) return std::nullopt;
-  if (!process.child) return "ended";
+  pollfd end{process.pidfd.get(), POLLIN, 0};
+  if (poll(&end, 1, 0) == 0) return std::nullopt;
+  if (!process.is_child) return "ended";
   int status = 0;
   const pid_t reaped = waitpid(process.pid, &status, WNOHANG);
   if (reaped == 0) return std::nullopt;
   if (reaped != process.pid) return "ended";
-  if (WIFEXITED(status)) return "exited with " + std::to_string(WEXITSTATUS(status));
-  if (WIFSIGNALED(status))
-    return "was killed by signal " + std::to_string(WTERMSIG(status)) + " (" + strsignal(WTERMSIG(status)) +
-           ")";
-  return "ended";
-}
-
-std::string LastLine(const std::string& path, std::size_t most) {
-  std::ifstream file(path, std::ios::binary | std::ios::ate);
-  if (!file) return "";
-  const std::streamoff size = file.tellg();
-  const std::streamoff from = std::max<std::streamoff>(0, size - 4096);
-  file.seekg(from);
-  std::string text(static_cast<std::size_t>(size - from), '\0');
-  file.read(text.data(), static_cast<std::streamsize>(text.size()));
-  const std::size_t end = text.find_last_not_of(" \r\n");
-  if (end == std::string::npos) return "";
-  const std::size_t begin = text.rfind('\n', end);
-  text = text.substr(begin == std::string::npos ? 0 : begin + 1,
-                     end - (begin == std::string::npos ? -1 : begin));
-  for (char& c : text) {
-    if (static_cast<unsigned char>(c) < ' ') c = ' ';
-  }
-  return text.substr(0, most);
-}
-
-void BoundLog(const std::string& path, std::uint64_t most) {
-  struct stat about {};
-  if (stat(path.c_str(), &about) != 0 || static_cast<std::uint64_t>(about.st_size) <= most) return;
-  // The newest part alone: one that writes a great deal between two looks must not fill the disk twice over.
-  std::ifstream in(path, std::ios::binary);
-  in.seekg(static_cast<std::streamoff>(static_cast<std::uint64_t>(about.st_size) - most));
-  std::ofstream out(path + ".1", std::ios::binary | std::ios::trunc);
-  std::vector<char> piece(1 << 16);
-  for (std::uint64_t left = most; left > 0 && in;) {
-    in.read(piece.data(), static_cast<std::streamsize>(std::min<std::uint64_t>(left, piece.size())));
-    if (in.gcount() <= 0) break;
-    out.write(piece.data(), in.gcount());
-    left -= static_cast<std::uint64_t>(in.gcount());
-  }
-  if (truncate(path.c_str(), 0) != 0) std::perror(path.c_str());
+  return DescribeExit(status);
 }
 
 }  // namespace badgerbridge::fleet
--- a/src/fleet/process.h
+++ b/src/fleet/process.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The processes of instances. Each holds a lock on a file of its own (flock(2), inherited through exec and
-// let go at its end, however it ends): no instance is started while it runs, whatever the agent remembers.
-// Its process is meant by a pidfd (pidfd_open(2)), checked against the start time in /proc/PID/stat: never a
-// recycled pid.
+/// \file
+/// The processes of instances. Each holds a lock on a file of its own (flock(2), inherited through exec and
+/// released at its end, however it ends): an instance is never started while it runs, whatever the agent
+/// remembers. A process is referred to by a pidfd (pidfd_open(2)), so that a recycled pid is never signalled.
 #ifndef BADGERBRIDGE_FLEET_PROCESS_H_
 #define BADGERBRIDGE_FLEET_PROCESS_H_
 
@@ -13,58 +13,42 @@
 #include <optional>
 #include <string>
 
-#include "fleet/fleet_file.h"
+#include "fleet/error.h"
+#include "fleet/file_descriptor.h"
+#include "fleet/instance_definition.h"
 
 namespace badgerbridge::fleet {
 
-struct Paths {
-  std::string lock, log;
-};
-
-// A file descriptor of its own.
-class Descriptor {
- public:
-  explicit Descriptor(int number = -1) : number_(number) {}
-  ~Descriptor();
-  Descriptor(Descriptor&& other) noexcept : number_(other.Release()) {}
-  Descriptor& operator=(Descriptor&& other) noexcept;
-  int get() const { return number_; }
-  int Release();
-
- private:
-  int number_;
+/// Where an instance keeps its files.
+struct InstancePaths {
+  std::string lock;  ///< locked by the process; holds its pid
+  std::string log;   ///< standard output and error
 };
 
+/// A process of an instance.
 struct Process {
   pid_t pid = 0;
-  std::uint64_t started = 0;  // ticks since the boot, field 22 of /proc/PID/stat
-  Descriptor pidfd;           // readable once it has ended
-  bool child = false;         // of this agent: its exit status is to be had
+  std::uint64_t start_time = 0;  ///< ticks since the boot, field 22 of /proc/PID/stat
+  FileDescriptor pidfd;          ///< readable once the process has ended
+  bool is_child = false;         ///< of this agent: its exit status can be read
 };
 
-// Starts it in a session of its own, its output appended to the log. It outlives the agent. On failure
-// nothing runs and `error` says why; "already runs" where the lock is held.
-std::optional<Process> StartProcess(const Definition& definition, const Paths& paths, std::string* error);
+/// Starts the instance in a session of its own, its output appended to the log. It outlives the agent. On
+/// failure nothing runs; AgentErrorKind::kAlreadyRunning where the lock is held.
+Result<Process> StartProcess(const InstanceDefinition& definition, const InstancePaths& paths);
 
-// The instance that holds the lock, if one does.
-std::optional<Process> FindProcess(const Paths& paths);
+/// The process that holds the lock; nothing if there is none.
+std::optional<Process> FindProcess(const InstancePaths& paths);
 
-// To that process and no other; false if it has ended.
+/// Signals that process and no other. False if it has ended.
 bool SendSignal(const Process& process, int number);
 
-// How it ended, in words: "exited with 0", "was killed by signal 9 (Killed)", or "ended" where this agent has
-// not started it. Nothing while it runs; never waits.
+/// How the process ended, for people: "exited with 0", "was killed by signal 9 (Killed)", or "ended" where
+/// this agent has not started it. Nothing while it runs. Never waits.
 std::optional<std::string> ReapProcess(const Process& process);
 
-// The last line that is not blank, at most `most` bytes of it.
-std::string LastLine(const std::string& path, std::size_t most);
-
-// Start time of a process; nothing if there is none.
-std::optional<std::uint64_t> StartTime(pid_t pid);
-
-// Cuts a log that has grown over `most`: what it held moves to PATH.1 and it goes on empty. Its writer
-// appends and notices nothing; what it writes in between is lost.
-void BoundLog(const std::string& path, std::uint64_t most);
+/// The start time of a process, in ticks since the boot; nothing if it does not run.
+std::optional<std::uint64_t> ReadStartTime(pid_t pid);
 
 }  // namespace badgerbridge::fleet
 
--- /dev/null
+++ b/src/fleet/process_table.h
@@ -0,0 +1,64 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+/// \file
+/// The running processes of all instances of an agent, and their ends.
+#ifndef BADGERBRIDGE_FLEET_PROCESS_TABLE_H_
+#define BADGERBRIDGE_FLEET_PROCESS_TABLE_H_
+
+#include <sys/types.h>
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/posix/stream_descriptor.hpp>
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "fleet/process.h"
+
+namespace badgerbridge::fleet {
+
+/// Holds one process an instance until its end. Destroying the table leaves the processes alone. For one
+/// event loop; not thread-safe.
+class ProcessTable {
+ public:
+  /// Called from the event loop when a process has ended, after it has left the table. `description` as
+  /// ReapProcess gives it.
+  using ExitHandler =
+      std::function<void(const std::string& instance, pid_t pid, const std::string& description)>;
+
+  ProcessTable(boost::asio::io_context& io, ExitHandler on_exit);
+  ~ProcessTable();
+  ProcessTable(const ProcessTable&) = delete;
+  ProcessTable& operator=(const ProcessTable&) = delete;
+
+  /// Takes the process of the instance in, and watches for its end.
+  void Add(const std::string& instance, Process process);
+  /// The pid of the instance's process; 0: there is none.
+  pid_t FindPid(const std::string& instance) const;
+  /// Sends the signal, if the instance has a process.
+  void Signal(const std::string& instance, int number) const;
+  /// The names of the instances that have a process.
+  std::vector<std::string> Instances() const;
+  /// Whether no instance has a process.
+  bool empty() const { return entries_.empty(); }
+
+ private:
+  struct Entry {
+    Process process;
+    boost::asio::posix::stream_descriptor watch;  // a duplicate of the pidfd
+  };
+
+  void AwaitExit(const std::string& instance, pid_t pid);
+  void HandleReadable(const std::string& instance, pid_t pid);
+
+  boost::asio::io_context& io_;
+  ExitHandler on_exit_;
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once destroyed
+  std::map<std::string, Entry> entries_;                        // by instance
+};
+
+}  // namespace badgerbridge::fleet
+
+#endif  // BADGERBRIDGE_FLEET_PROCESS_TABLE_H_
--- /dev/null
+++ b/src/fleet/status_codec.h
@@ -0,0 +1,27 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+/// \file
+/// A proxy's answer to GET /v1/status, as far as the agent reads it.
+#ifndef BADGERBRIDGE_FLEET_STATUS_CODEC_H_
+#define BADGERBRIDGE_FLEET_STATUS_CODEC_H_
+
+#include <boost/json/value.hpp>
+#include <cstdint>
+#include <optional>
+
+#include "fleet/instance.h"
+
+namespace badgerbridge::fleet {
+
+/// What a proxy reports of itself.
+struct ProxyStatus {
+  Observation observation;
+  std::uint64_t pid = 0;  ///< of the process that has answered; 0: it does not say
+};
+
+/// Nothing if the value is no status. Numbers that are missing or malformed are 0.
+std::optional<ProxyStatus> DecodeProxyStatus(const boost::json::value& value);
+
+}  // namespace badgerbridge::fleet
+
+#endif  // BADGERBRIDGE_FLEET_STATUS_CODEC_H_
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -6,210 +6,166 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-#include <boost/crc.hpp>
 #include <boost/json.hpp>
 #include <cerrno>
-#include <charconv>
-#include <cstdio>
-#include <cstring>
+
+#include "fleet/store_codec.h"
 
 namespace badgerbridge::fleet {
 namespace {
 
 namespace json = boost::json;
 
-std::string Crc(std::string_view bytes) {
-  boost::crc_32_type crc;
-  crc.process_bytes(bytes.data(), bytes.size());
-  char text[9];
-  std::snprintf(text, sizeof text, "%08x", static_cast<unsigned>(crc.checksum()));
-  return text;
-}
+/// A rename or a new file lasts once its directory is synced.
+void SyncDirectoryOf(const std::string& path) {
+  const std::size_t slash = path.rfind('/');
+  const std::string name = slash == std::string::npos ? "." : path.substr(0, slash + 1);
+  const FileDescriptor directory(open(name.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  if (directory.is_open()) fsync(directory.get());
+}
+
+/// The file that a compaction writes; removed again unless it has taken the place of the old one.
+class SuccessorFile {
+ public:
+  explicit SuccessorFile(std::string path)
+      : path_(std::move(path)),
+        file_(open(path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600)) {}
+  ~SuccessorFile() {
+    if (file_.is_open()) unlink(path_.c_str());
+  }
+  SuccessorFile(const SuccessorFile&) = delete;
+  SuccessorFile& operator=(const SuccessorFile&) = delete;
 
-// The JSON of the batch that begins the text, and the bytes it takes; 0 bytes: no whole batch.
-std::size_t FirstBatch(std::string_view text, std::string_view* json) {
-  const std::size_t first = text.find(' ');
-  if (first != 8) return 0;
-  const std::size_t second = text.find(' ', first + 1);
-  if (second == std::string_view::npos || second - first > 12) return 0;
-  std::size_t length = 0;
-  const auto [end, error] = std::from_chars(text.data() + first + 1, text.data() + second, length);
-  if (error != std::errc() || end != text.data() + second) return 0;
-  const std::size_t whole = second + 1 + length + 1;
-  if (whole > text.size() || text[whole - 1] != '\n') return 0;
-  *json = text.substr(second + 1, length);
-  return Crc(*json) == text.substr(0, 8) ? whole : 0;
-}
+  const FileDescriptor& file() const { return file_; }
+  const std::string& path() const { return path_; }
+  /// The file has been renamed: it stays, and belongs to the caller.
+  FileDescriptor Keep() { return std::move(file_); }
 
-// Renames and new files last once their folder is synced.
-void SyncFolder(const std::string& path) {
-  const std::size_t slash = path.rfind('/');
-  const int folder = open(slash == std::string::npos ? "." : path.substr(0, slash + 1).c_str(),
-                          O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  if (folder < 0) return;
-  fsync(folder);
-  close(folder);
-}
+ private:
+  std::string path_;
+  FileDescriptor file_;
+};
 
 }  // namespace
 
-int Disk::Write(int file, std::string_view bytes) {
-  while (!bytes.empty()) {
-    const ssize_t n = write(file, bytes.data(), bytes.size());
-    if (n < 0 && errno == EINTR) continue;
-    if (n < 0) return errno;
-    bytes.remove_prefix(static_cast<std::size_t>(n));
+Result<Store> Store::Open(std::string path, std::shared_ptr<Disk> disk) {
+  FileDescriptor file(open(path.c_str(), O_RDWR | O_CREAT | O_APPEND | O_CLOEXEC, 0600));
+  if (!file.is_open()) return AgentError{AgentErrorKind::kStoreIo, "open", std::move(path), errno};
+  if (flock(file.get(), LOCK_EX | LOCK_NB) != 0)
+    return AgentError{AgentErrorKind::kStoreInUse, std::move(path), ""};
+  Store store(std::move(path), std::move(disk), std::move(file));
+  if (const Result<void> loaded = store.Load(); !loaded) return loaded.error();
+  return store;
+}
+
+Result<void> Store::Load() {
+  const Result<std::string> text = ReadFile();
+  if (!text) return text.error();
+  const Result<std::size_t> intact_size = ReadBatches(*text);
+  if (!intact_size) return intact_size.error();
+  if (const Result<void> checked = CheckTornEnd(*text, *intact_size); !checked) return checked.error();
+  dropped_bytes_ = text->size() - *intact_size;
+  size_ = *intact_size;
+  compacted_size_ = *intact_size;
+  has_torn_end_ = dropped_bytes_ > 0;
+  return {};
+}
+
+Result<std::string> Store::ReadFile() const {
+  struct stat about {};
+  if (fstat(file_.get(), &about) != 0) return IoError("read", errno);
+  if (about.st_size > static_cast<off_t>(kMaxFileSize))
+    return AgentError{AgentErrorKind::kStoreTooLarge, path_, ""};
+  std::string text(static_cast<std::size_t>(about.st_size), '\0');
+  std::size_t done = 0;
+  while (done < text.size()) {
+    const ssize_t count =
+        pread(file_.get(), text.data() + done, text.size() - done, static_cast<off_t>(done));
+    if (count < 0 && errno == EINTR) continue;
+    if (count < 0) return IoError("read", errno);
+    if (count == 0) return AgentError{AgentErrorKind::kStoreTruncated, path_, ""};
+    done += static_cast<std::size_t>(count);
   }
-  return 0;
-}
-int Disk::Sync(int file) { return fdatasync(file) == 0 ? 0 : errno; }
-int Disk::Truncate(int file, std::uint64_t size) {
-  return ftruncate(file, static_cast<off_t>(size)) == 0 ? 0 : errno;
-}
-int Disk::Rename(const std::string& from, const std::string& to) {
-  return rename(from.c_str(), to.c_str()) == 0 ? 0 : errno;
+  return text;
 }
 
-Store::Store(std::string path, std::shared_ptr<Disk> disk) : path_(std::move(path)), disk_(std::move(disk)) {
-  file_ = open(path_.c_str(), O_RDWR | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
-  if (file_ < 0) throw BadStore("cannot open " + path_ + ": " + std::strerror(errno));
-  try {
-    if (flock(file_, LOCK_EX | LOCK_NB) != 0) throw BadStore(path_ + " is in use by another agent");
-    Read();
-  } catch (...) {
-    close(file_);
-    throw;
+/// Takes the records of all intact batches from the beginning on; returns how many bytes those are.
+Result<std::size_t> Store::ReadBatches(std::string_view text) {
+  std::size_t offset = 0;
+  while (const auto batch = FindBatch(text.substr(offset))) {
+    boost::system::error_code error;
+    const json::value records = json::parse(json::string_view(batch->json.data(), batch->json.size()), error);
+    if (error || !records.is_array())
+      return AgentError{AgentErrorKind::kStoreInvalidBatch, path_, "", 0, offset};
+    for (const json::value& record : records.get_array()) records_.push_back(json::serialize(record));
+    offset += batch->size;
   }
+  return offset;
 }
 
-Store::~Store() { close(file_); }
-
-void Store::Read() {
-  struct stat about {};
-  if (fstat(file_, &about) != 0) throw BadStore("cannot read " + path_ + ": " + std::strerror(errno));
-  if (about.st_size > static_cast<off_t>(kMostSize)) throw BadStore(path_ + " is too large to be a state");
-  std::string text(static_cast<std::size_t>(about.st_size), '\0');
-  for (std::size_t at = 0; at < text.size();) {
-    const ssize_t n = pread(file_, text.data() + at, text.size() - at, static_cast<off_t>(at));
-    if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) throw BadStore("cannot read " + path_ + ": " + (n < 0 ? std::strerror(errno) : "it shrinks"));
-    at += static_cast<std::size_t>(n);
+/// What follows the intact batches must be less than one batch. An intact one behind it means damage in
+/// between.
+Result<void> Store::CheckTornEnd(std::string_view text, std::size_t intact_size) const {
+  std::size_t line_end = text.find('\n', intact_size);
+  while (line_end != std::string_view::npos && line_end + 1 < text.size()) {
+    if (FindBatch(text.substr(line_end + 1)))
+      return AgentError{AgentErrorKind::kStoreDamaged, path_, "", 0, intact_size, line_end};
+    line_end = text.find('\n', line_end + 1);
   }
-  std::size_t at = 0;
-  while (at < text.size()) {
-    std::string_view batch;
-    const std::size_t size = FirstBatch(std::string_view(text).substr(at), &batch);
-    if (size == 0) break;
-    boost::system::error_code error;
-    const json::value value = json::parse(json::string_view(batch.data(), batch.size()), error);
-    if (error || !value.is_array())
-      throw BadStore(path_ + ": the batch at byte " + std::to_string(at) + " is no list of records");
-    for (const json::value& record : value.get_array()) records_.push_back(json::serialize(record));
-    at += size;
-  }
-  // Torn: the rest is less than one batch, with nothing whole behind it. A whole one means damage in between.
-  for (std::size_t next = text.find('\n', at); next != std::string::npos && next + 1 < text.size();
-       next = text.find('\n', next + 1)) {
-    std::string_view ignored;
-    if (FirstBatch(std::string_view(text).substr(next + 1), &ignored) > 0)
-      throw BadStore(path_ + " is damaged from byte " + std::to_string(at) + " to " + std::to_string(next) +
-                     ", with good state behind it; restore it, or cut it at byte " + std::to_string(at) +
-                     " to go on from there (instances that run are adopted in either case)");
-  }
-  dropped_ = text.size() - at;
-  size_ = compacted_size_ = at;
-  torn_ = dropped_ > 0;
+  return {};
 }
 
-bool Store::Fail(const char* what, int error) {
-  error_ = "cannot " + std::string(what) + " " + path_ + ": " + std::strerror(error);
-  return false;
+AgentError Store::IoError(std::string_view operation, int error_number) const {
+  return {AgentErrorKind::kStoreIo, std::string(operation), path_, error_number};
 }
 
-std::string Store::Frame(const std::vector<std::string>& records) {
-  std::string text = "[";
-  for (const std::string& record : records) text += (text.size() > 1 ? "," : "") + record;
-  text += "]";
-  return Crc(text) + " " + std::to_string(text.size()) + " " + text + "\n";
+AgentError Store::Fail(std::string_view operation, const std::error_code& error) {
+  last_error_ = IoError(operation, error.value());
+  return *last_error_;
 }
 
-bool Store::Append(const std::vector<std::string>& records) {
-  if (records.empty()) return true;
-  if (torn_) {
-    if (const int error = disk_->Truncate(file_, size_)) return Fail("cut the torn end of", error);
-    torn_ = false;
-  }
-  const std::string batch = Frame(records);
-  int error = disk_->Write(file_, batch);
-  const char* what = "write to";
-  if (!error) {
-    error = disk_->Sync(file_);
-    what = "sync";
+Result<void> Store::Append(const std::vector<std::string>& records) {
+  if (records.empty()) return {};
+  if (has_torn_end_) {
+    if (const auto error = disk_->Truncate(file_.get(), size_)) return Fail("cut the torn end of", error);
+    has_torn_end_ = false;
   }
+  const std::string batch = EncodeBatch(records);
+  const std::error_code write_error = disk_->Write(file_.get(), batch);
+  const std::error_code error = write_error ? write_error : disk_->Sync(file_.get());
   if (error) {
-    // Also after a failed sync: what the disk holds then is not known, and must not come back as accepted.
-    torn_ = disk_->Truncate(file_, size_) != 0;
-    return Fail(what, error);
+    // Also after a failed sync: it is not known what the disk holds then, and it must not come back as
+    // stored.
+    has_torn_end_ = static_cast<bool>(disk_->Truncate(file_.get(), size_));
+    return Fail(write_error ? "write to" : "sync", error);
   }
   size_ += batch.size();
-  error_.clear();
-  return true;
-}
-
-bool Store::Compact(const std::vector<std::string>& records) {
-  const std::string fresh = path_ + ".new";
-  const int file = open(fresh.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600);
-  if (file < 0) return Fail("make the successor of", errno);
-  const std::string batch = Frame(records);
-  int error = disk_->Write(file, batch);
-  if (!error) error = disk_->Sync(file);
-  if (!error && flock(file, LOCK_EX | LOCK_NB) != 0) error = errno;
-  if (!error) error = disk_->Rename(fresh, path_);
-  if (error) {
-    close(file);
-    unlink(fresh.c_str());
-    return Fail("compact", error);
-  }
-  SyncFolder(path_);
-  close(file_);
-  file_ = file;
-  size_ = compacted_size_ = batch.size();
-  torn_ = false;
-  error_.clear();
-  return true;
-}
-
-AuditLog::AuditLog(std::string path, std::uint64_t most_bytes, int kept)
-    : path_(std::move(path)), most_bytes_(most_bytes), kept_(kept) {
-  Open();
-}
-
-AuditLog::~AuditLog() {
-  if (file_ >= 0) close(file_);
+  last_error_.reset();
+  return {};
 }
 
-void AuditLog::Open() {
-  if (file_ >= 0) close(file_);
-  file_ = open(path_.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
-  struct stat about {};
-  size_ = file_ >= 0 && fstat(file_, &about) == 0 ? static_cast<std::uint64_t>(about.st_size) : 0;
+/// Writes, syncs and locks the new file, then renames it over the old one.
+std::error_code Store::WriteSuccessor(int file, const std::string& successor, const std::string& batch) {
+  if (const auto error = disk_->Write(file, batch)) return error;
+  if (const auto error = disk_->Sync(file)) return error;
+  if (flock(file, LOCK_EX | LOCK_NB) != 0) return {errno, std::generic_category()};
+  return disk_->Rename(successor, path_);
 }
 
-bool AuditLog::Add(const std::vector<std::string>& lines) {
-  if (lines.empty()) return ok_;
-  std::string text;
-  for (const std::string& line : lines) text += line + "\n";
-  if (size_ >= most_bytes_) {
-    for (int i = kept_ - 1; i >= 1; --i)
-      rename((path_ + "." + std::to_string(i)).c_str(), (path_ + "." + std::to_string(i + 1)).c_str());
-    rename(path_.c_str(), (path_ + ".1").c_str());
-    Open();
-  }
-  if (file_ < 0) Open();
-  Disk disk;
-  ok_ = file_ >= 0 && disk.Write(file_, text) == 0 && disk.Sync(file_) == 0;
-  if (ok_) size_ += text.size();
-  return ok_;
+Result<void> Store::Compact(const std::vector<std::string>& records) {
+  SuccessorFile successor(path_ + ".new");
+  if (!successor.file().is_open())
+    return Fail("make the successor of", std::error_code(errno, std::generic_category()));
+  const std::string batch = EncodeBatch(records);
+  if (const auto error = WriteSuccessor(successor.file().get(), successor.path(), batch))
+    return Fail("compact", error);
+  SyncDirectoryOf(path_);
+  file_ = successor.Keep();
+  size_ = batch.size();
+  compacted_size_ = batch.size();
+  has_torn_end_ = false;
+  last_error_.reset();
+  return {};
 }
 
 }  // namespace badgerbridge::fleet
--- /dev/null
+++ b/tests/fleet/agent_fixture.h
@@ -0,0 +1,71 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+/// \file
+/// What the tests of the agent as a process share.
+#ifndef BADGERBRIDGE_TESTS_FLEET_AGENT_FIXTURE_H_
+#define BADGERBRIDGE_TESTS_FLEET_AGENT_FIXTURE_H_
+
+#include <gtest/gtest.h>
+#include <sys/types.h>
+
+#include <boost/asio/io_context.hpp>
+#include <boost/json.hpp>
+#include <chrono>
+#include <map>
+#include <memory>
+#include <string>
+
+#include "api/client.h"
+#include "standins/site.h"
+
+namespace badgerbridge::fleet {
+
+/// "result: text" of one instance in the output of `badgerctl ... -o json`.
+inline std::string ResultOf(const standins::CommandResult& result, const std::string& instance) {
+  boost::system::error_code error;
+  const boost::json::value answer = boost::json::parse(result.out, error);
+  if (error || !answer.is_array()) return result.out + result.err;
+  for (const boost::json::value& agent : answer.as_array()) {
+    if (!agent.as_object().contains("order")) return std::string(agent.at("error").as_string());
+    for (const boost::json::value& part : agent.at("order").at("instances").as_array()) {
+      if (part.at("instance").as_string() == instance)
+        return std::string(part.at("result").as_string()) + ": " + std::string(part.at("text").as_string());
+    }
+  }
+  return "no line";
+}
+
+/// A site with an agent and proxies as processes, and stand-ins for what they talk to.
+class AgentTest : public ::testing::Test {
+ protected:
+  /// Makes the site; nothing runs yet. `agent_extra` are further lines of the [agent] table.
+  void Start(int proxies = 3, const std::string& agent_extra = "") {
+    standins::SiteSettings settings;
+    settings.proxies = proxies;
+    settings.converters = 3;
+    settings.service = std::chrono::milliseconds(10);
+    settings.agent_extra = agent_extra;
+    site = std::make_unique<standins::Site>(io, settings);
+  }
+  /// Makes the site, starts the agent, and waits until all proxies are ready.
+  void StartReady(int proxies = 3, const std::string& agent_extra = "") {
+    Start(proxies, agent_extra);
+    site->StartAgent();
+    ASSERT_TRUE(site->Until([&] { return site->All("ready"); })) << site->Read("agent.err");
+  }
+  /// The pids of all instances, by name.
+  std::map<std::string, pid_t> Pids() {
+    std::map<std::string, pid_t> pids;
+    const api::Reply reply = site->Call("GET", "/v1/status");
+    for (const boost::json::value& one : reply.body.at("instances").as_array())
+      pids[std::string(one.at("name").as_string())] = one.at("pid").to_number<pid_t>();
+    return pids;
+  }
+
+  boost::asio::io_context io{1};
+  std::unique_ptr<standins::Site> site;
+};
+
+}  // namespace badgerbridge::fleet
+
+#endif  // BADGERBRIDGE_TESTS_FLEET_AGENT_FIXTURE_H_
--- a/tests/fleet/hard_cases_test.cpp
+++ b/tests/fleet/agent_robustness_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What peers, terminals, shells and time do to agent and tool: silent and half connections at Unix sockets, a
-// stranger on an instance's control socket, a state that outgrows its bound, colours, the completion, missing
-// rights.
+// Agent and tool under misbehaving peers and unusual environments: silent connections and incomplete requests
+// at Unix sockets, another process on an instance's control socket, a state that outgrows its bound,
+// terminals, shells, missing rights.
 #include <gtest/gtest.h>
 #include <pty.h>
 #include <sys/stat.h>
@@ -33,8 +33,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class HardCasesTest : public ::testing::Test {
+/// A site with an agent and proxies as processes.
+class AgentRobustnessTest : public ::testing::Test {
  protected:
+  /// Starts the agent, and waits until all proxies are ready. `agent_extra` are lines of the [agent] table.
   void Start(int proxies, const std::string& agent_extra = "") {
     SiteSettings settings;
     settings.proxies = proxies;
@@ -44,8 +46,8 @@
     site->StartAgent();
     ASSERT_TRUE(site->Until([&] { return site->All("ready"); })) << site->Read("agent.err");
   }
-  // Connections that say nothing: as many as the server's backlog takes.
-  std::vector<Local::socket> Silent(const std::string& path, int count) {
+  /// Connections that send nothing: as many of `count` as the server's backlog takes.
+  std::vector<Local::socket> ConnectSilently(const std::string& path, int count) {
     std::vector<Local::socket> sockets;
     for (int i = 0; i < count; ++i) {
       Local::socket socket(io);
@@ -62,10 +64,10 @@
   std::unique_ptr<Site> site;
 };
 
-TEST_F(HardCasesTest, FiveHundredSilentConnectionsDelayAnOperatorAndNoMore) {
+TEST_F(AgentRobustnessTest, SilentConnectionsDelayAnOperatorOnlyBriefly) {
   Start(1);
   for (const std::string& path : {site->folder() + "/agent.sock", site->folder() + "/n1.sock"}) {
-    const auto silent = Silent(path, 500);
+    const auto silent = ConnectSilently(path, 500);
     EXPECT_GT(silent.size(), 60u) << "the backlog is full: the tool's connect meets EAGAIN";
     const CommandResult result = site->Ctl({"get", "n1"});
     EXPECT_EQ(result.code, 0) << path << ": " << result.err;
@@ -80,7 +82,7 @@
   EXPECT_EQ(result.out, "") << "no empty table";
 }
 
-TEST_F(HardCasesTest, HalfARequestAtTheAgentsSocketChangesNothingAndEndsByItsTime) {
+TEST_F(AgentRobustnessTest, IncompleteRequestTimesOutAndChangesNothing) {
   Start(1);
   Local::socket half(io);
   half.connect(Local::endpoint(site->folder() + "/agent.sock"));
@@ -97,7 +99,7 @@
   EXPECT_EQ(site->Call("GET", "/v1/orders/half").status, 404u);
 }
 
-TEST_F(HardCasesTest, BadJsonIsOneLineThatSaysWhere) {
+TEST_F(AgentRobustnessTest, MalformedJsonIsReportedWithItsPosition) {
   Start(1);
   for (const auto& [body, says] :
        {std::pair(R"({"verb":})", "the body is no JSON: syntax error at byte 8"),
@@ -110,7 +112,7 @@
   }
 }
 
-TEST_F(HardCasesTest, AStrangerOnAnInstancesControlSocketIsNotTakenForIt) {
+TEST_F(AgentRobustnessTest, AnswerOfAnotherProcessIsNotTakenForTheInstances) {
   Start(2);
   const std::string path = site->folder() + "/n1.sock";
   unlink(path.c_str());
@@ -126,7 +128,7 @@
   EXPECT_EQ(site->StateOf("n2"), "drained") << "and the other does as told";
 }
 
-TEST_F(HardCasesTest, TheStateIsCompactedWhileTheAgentRunsAndReadBackWhole) {
+TEST_F(AgentRobustnessTest, StateIsCompactedAndRestoredComplete) {
   Start(2);
   const std::string state = site->folder() + "/state/state";
   std::uintmax_t largest = 0;
@@ -153,8 +155,8 @@
   EXPECT_EQ(site->PidOf("n1"), pid) << "adopted";
 }
 
-// badgerctl on a terminal of its own; what it printed there.
-std::string OnTerminal(Site& site, std::vector<std::string> arguments, bool no_color) {
+/// Runs badgerctl on a terminal of its own, and returns what it printed there.
+std::string RunOnTerminal(Site& site, std::vector<std::string> arguments, bool no_color) {
   arguments.insert(arguments.begin(), {Binary("badgerctl"), "--context", site.folder() + "/context.toml"});
   int master = -1;
   const pid_t pid = forkpty(&master, nullptr, nullptr, nullptr);
@@ -175,19 +177,20 @@
   return out;
 }
 
-TEST_F(HardCasesTest, ColoursAndProgressAreForTerminalsAndNoColorIsObeyed) {
+TEST_F(AgentRobustnessTest, ColorsAndProgressAreOnlyForTerminals) {
   Start(2);
   ASSERT_EQ(site->Ctl({"drain", "n2"}).code, 0);
   const std::string plain = site->Ctl({"status"}).out;
   EXPECT_EQ(plain.find('\x1b'), std::string::npos) << "none in a pipe";
-  EXPECT_NE(OnTerminal(*site, {"status"}, false).find("\x1b["), std::string::npos);
-  EXPECT_EQ(OnTerminal(*site, {"status"}, true).find('\x1b'), std::string::npos);
-  EXPECT_NE(OnTerminal(*site, {"undrain", "n2"}, false).find("instances"), std::string::npos)
+  EXPECT_NE(RunOnTerminal(*site, {"status"}, false).find("\x1b["), std::string::npos);
+  EXPECT_EQ(RunOnTerminal(*site, {"status"}, true).find('\x1b'), std::string::npos);
+  EXPECT_NE(RunOnTerminal(*site, {"undrain", "n2"}, false).find("instances"), std::string::npos)
       << "its progress";
   EXPECT_EQ(site->Ctl({"drain", "n2"}).err, "") << "none in a pipe";
 }
 
-std::string Shell(const std::string& script) {
+/// The output of a shell script, and its exit code.
+std::string RunShell(const std::string& script) {
   std::string out;
   FILE* pipe = popen(script.c_str(), "r");
   if (!pipe) return "no shell";
@@ -197,13 +200,13 @@
   return out + "exit " + std::to_string(WEXITSTATUS(status));
 }
 
-TEST_F(HardCasesTest, TheCompletionCompletesInAShell) {
+TEST_F(AgentRobustnessTest, CompletionWorksInAShell) {
   Start(2);
   const auto complete = [&](const std::string& words, int at) {
-    return Shell("BADGERCTL_CONTEXT=" + site->folder() +
-                 "/context.toml PATH=" + std::filesystem::path(Binary("badgerctl")).parent_path().string() +
-                 ":$PATH bash -c '" + "source <(badgerctl completion bash); COMP_WORDS=(" + words +
-                 "); COMP_CWORD=" + std::to_string(at) + "; _badgerctl; echo ${COMPREPLY[@]}'");
+    return RunShell("BADGERCTL_CONTEXT=" + site->folder() + "/context.toml PATH=" +
+                    std::filesystem::path(Binary("badgerctl")).parent_path().string() + ":$PATH bash -c '" +
+                    "source <(badgerctl completion bash); COMP_WORDS=(" + words +
+                    "); COMP_CWORD=" + std::to_string(at) + "; _badgerctl; echo ${COMPREPLY[@]}'");
   };
   EXPECT_EQ(complete("badgerctl dr", 1), "drain\nexit 0");
   EXPECT_EQ(complete("badgerctl mem", 1), "members\nexit 0");
@@ -213,13 +216,13 @@
   EXPECT_EQ(complete("badgerctl drain \"\"", 2), "n1 n2\nexit 0");
 }
 
-TEST(Scripts, WithoutRightsTheOneLineToRunIsPrinted) {
+TEST(Scripts, MissingPackagesWithoutRootPrintTheCommand) {
   std::string folder = ::testing::TempDir() + "rights_XXXXXX";
   ASSERT_NE(mkdtemp(folder.data()), nullptr);
   std::ofstream(folder + "/id") << "#!/bin/sh\necho 1000\n";  // not root, on a machine with none of the tools
   std::ofstream(folder + "/dirname") << "#!/bin/sh\necho " SOURCE_DIR "/scripts\n";
   for (const char* name : {"/id", "/dirname"}) chmod((folder + name).c_str(), 0755);
-  const std::string out = Shell("PATH=" + folder + " /bin/sh " SOURCE_DIR "/scripts/packages 2>&1");
+  const std::string out = RunShell("PATH=" + folder + " /bin/sh " SOURCE_DIR "/scripts/packages 2>&1");
   EXPECT_NE(out.find("These packages are missing. Run this once, as root:\n  apt-get update && apt-get "
                      "install -y cmake g++"),
             std::string::npos)
--- a/tests/fleet/orders_random_test.cpp
+++ b/tests/fleet/fleet_controller_random_test.cpp
@@ -7,7 +7,8 @@
 #include <csignal>
 #include <set>
 
-#include "fleet/orders.h"
+#include "fleet/fleet_controller.h"
+#include "fleet/order_codec.h"
 
 namespace badgerbridge::fleet {
 namespace {
@@ -16,7 +17,7 @@
 class World {
  public:
   explicit World(std::uint64_t seed) : random_(seed), fleet_(seed) {
-    for (int i = 0; i < 6; ++i) fleet_.Add("n" + std::to_string(i), "old", false);
+    for (int i = 0; i < 6; ++i) fleet_.AddInstance("n" + std::to_string(i), "old", false);
   }
 
   void Step() {
@@ -83,29 +84,30 @@
     std::set<std::string> names;
     for (std::uint64_t n = Below(4) + 1; n > 0; --n) names.insert(Some());
     order.instances.assign(names.begin(), names.end());
-    order.who = "w" + std::to_string(Below(2));
+    order.author = "w" + std::to_string(Below(2));
     order.supersede = Below(3) == 0;
     order.deadline = Time(200 + Below(4000));
     if (Below(3) == 0) order.force_after = Time(Below(3000));
-    order.at_most = static_cast<unsigned>(Below(3));
+    order.max_parallel = static_cast<unsigned>(Below(3));
     if (Below(3) == 0)
-      order.against = fleet_.generation() - std::min<std::uint64_t>(fleet_.generation(), Below(3));
+      order.expected_generation =
+          fleet_.generation() - std::min<std::uint64_t>(fleet_.generation(), Below(3));
     if (order.verb == Verb::kApply) {
       for (const std::string& name : names) order.definitions[name] = Below(4) == 0 ? "" : "new";
     }
     const bool known = fleet_.FindOrder(order.id) != nullptr;
     const std::uint64_t before = fleet_.generation();
-    const Verdict verdict = fleet_.Submit(now_, 0, order, &actions_);
-    if (verdict.kind == Verdict::Kind::kAccepted) {
+    const ValidationResult verdict = fleet_.Submit(now_, 0, order, &actions_);
+    if (verdict.code == ValidationResult::Code::kAccepted) {
       ++accepted;
       EXPECT_FALSE(known) << "carried out twice";
       EXPECT_EQ(fleet_.generation(), before + 1);
       orders_[order.id] = order;
     } else {
-      conflicts += verdict.kind == Verdict::Kind::kConflict;
+      conflicts += verdict.code == ValidationResult::Code::kConflict;
       EXPECT_EQ(fleet_.generation(), before);
       EXPECT_TRUE(actions_.empty());
-      EXPECT_FALSE(verdict.text.empty());
+      EXPECT_FALSE(verdict.message.empty());
     }
   }
 
@@ -115,10 +117,10 @@
       const std::string name = *spawning_.begin();
       spawning_.erase(name);
       if (Below(5) == 0) {
-        fleet_.Handle(now_, Spawned{name, 0, "cannot be started"}, &actions_);
+        fleet_.Handle(now_, SpawnFailed{name, "cannot be started"}, &actions_);
       } else {
         processes_[name] = {++pid_, false, false, 0, Time(0)};
-        fleet_.Handle(now_, Spawned{name, pid_, ""}, &actions_);
+        fleet_.Handle(now_, Spawned{name, pid_}, &actions_);
       }
     } else if (!calls_.empty() && Below(2)) {
       const auto [name, drain] = *calls_.begin();
@@ -126,15 +128,20 @@
       Process& process = processes_[name];
       const bool heard = process.pid != 0 && !hung_.count(name);
       if (heard) process.drained = drain;
-      fleet_.Handle(now_, CallEnded{name, heard ? "" : "no answer"}, &actions_);
+      const Event ended = heard ? Event(CallSucceeded{name}) : Event(CallFailed{name, "no answer"});
+      fleet_.Handle(now_, ended, &actions_);
     } else {
       const std::string name = Some();
       Process& process = processes_[name];
       if (process.pid == 0) return;
-      if (hung_.count(name)) return fleet_.Handle(now_, Silent{name, "no answer"}, &actions_);
+      if (hung_.count(name)) return fleet_.Handle(now_, Unresponsive{name, "no answer"}, &actions_);
       if (process.dying) return End(name, "exited with 0");
       Observation seen;
-      seen.state = process.drained ? Below(2) ? "drained" : "draining" : Below(4) ? "ready" : "starting";
+      if (process.drained) {
+        seen.state = Below(2) ? "drained" : "draining";
+      } else {
+        seen.state = Below(4) ? "ready" : "starting";
+      }
       seen.reloads_applied = process.applied;
       fleet_.Handle(now_, Observed{name, seen, now_}, &actions_);
     }
@@ -152,8 +159,8 @@
   // Killed at any moment: what was out is lost, what is stored comes back, what runs is adopted.
   void RestartAgent() {
     ++restarts;
-    Fleet fresh(Below(1000));
-    for (const std::string& record : stored_) fresh.Restore(record);
+    FleetController fresh(Below(1000));
+    for (const std::string& record : stored_) fresh.RestoreRecord(record);
     calls_.clear();
     // A start that was under way may have come to be.
     for (const std::string& name : spawning_) {
@@ -164,7 +171,7 @@
     for (auto& [name, process] : processes_) {
       if (process.pid != 0) running[name] = process.pid;
     }
-    fresh.Restored(now_, true, running);
+    fresh.FinishRestore(now_, true, running);
     EXPECT_EQ(fresh.generation(), fleet_.generation());
     fleet_ = std::move(fresh);
     fleet_.Handle(now_, Tick{}, &actions_);
@@ -172,7 +179,7 @@
 
   void Take() {
     for (std::string& record : fleet_.TakeChanges()) stored_.push_back(std::move(record));
-    if (stored_.size() > 300) stored_ = fleet_.Everything();
+    if (stored_.size() > 300) stored_ = fleet_.AllRecords();
     for (const Action& action : actions_) {
       if (const auto* spawn = std::get_if<Spawn>(&action)) {
         ++spawns;
@@ -207,10 +214,10 @@
 
   void CheckKill(const std::string& name) {
     for (const OrderState& order : fleet_.orders()) {
-      for (const Part& part : order.parts) {
-        if (part.instance != name || part.result != Result::kRunning) continue;
+      for (const InstanceTask& task : order.tasks) {
+        if (task.instance != name || task.state != TaskState::kRunning) continue;
         ASSERT_TRUE(order.order.force_after.has_value());
-        EXPECT_GE(now_ - part.began, *order.order.force_after);
+        EXPECT_GE(now_ - task.started_at, *order.order.force_after);
         ASSERT_NE(processes_[name].terminated, Time(0)) << "killed without SIGTERM";
         EXPECT_GE(now_ - processes_[name].terminated, Time(3700));
         return;
@@ -230,33 +237,34 @@
       last = order.generation;
       unsigned running = 0;
       bool all_final = true;
-      for (const Part& part : order.parts) {
-        running += part.result == Result::kRunning;
-        all_final &= Final(part.result);
-        if (part.result == Result::kRunning) {
-          EXPECT_EQ(++holders[part.instance], 1) << "two orders at one instance";
+      for (const InstanceTask& task : order.tasks) {
+        running += task.state == TaskState::kRunning;
+        all_final &= IsTerminal(task.state);
+        if (task.state == TaskState::kRunning) {
+          EXPECT_EQ(++holders[task.instance], 1) << "two orders at one instance";
           // By its deadline, and what ending the step takes.
-          if (!spawning_.count(part.instance) && !HasCall(part.instance)) {
-            const Time force = order.order.force_after ? kAnswerTime : Time(0);
-            EXPECT_LE(now_ - part.began, order.order.deadline + force + Time(5200)) << part.instance;
+          if (!spawning_.count(task.instance) && !HasCall(task.instance)) {
+            const Time force = order.order.force_after ? kTerminationGracePeriod : Time(0);
+            EXPECT_LE(now_ - task.started_at, order.order.deadline + force + Time(5200)) << task.instance;
           }
         }
-        const auto key = order.order.id + "/" + part.instance;
+        const auto key = order.order.id + "/" + task.instance;
         const auto ended = ended_.find(key);
         if (ended != ended_.end()) {
-          EXPECT_EQ(ended->second, std::string(Name(part.result)) + part.text) << "a final result changed";
-        } else if (Final(part.result)) {
-          EXPECT_FALSE(part.text.empty());
-          superseded += part.result == Result::kSuperseded;
-          ended_[key] = std::string(Name(part.result)) + part.text;
+          EXPECT_EQ(ended->second, std::string(TaskStateName(task.state)) + task.message)
+              << "a final result changed";
+        } else if (IsTerminal(task.state)) {
+          EXPECT_FALSE(task.message.empty());
+          superseded += task.state == TaskState::kSuperseded;
+          ended_[key] = std::string(TaskStateName(task.state)) + task.message;
         }
       }
       EXPECT_EQ(order.ended, all_final);
-      EXPECT_TRUE(order.order.at_most == 0 || running <= order.order.at_most);
+      EXPECT_TRUE(order.order.max_parallel == 0 || running <= order.order.max_parallel);
     }
-    EXPECT_LE(fleet_.orders().size(), kMostOrders + kMostOrders / 2);
+    EXPECT_LE(fleet_.orders().size(), kMaxOrders + kMaxOrders / 2);
     for (const auto& [name, instance] : fleet_.instances()) {
-      EXPECT_FALSE(instance.pid != 0 && instance.spawning);
+      EXPECT_FALSE(instance.pid != 0 && instance.start_in_flight);
       EXPECT_EQ(instance.pid != 0, processes_[name].pid != 0) << name;
     }
   }
@@ -265,7 +273,7 @@
   }
 
   std::mt19937_64 random_;
-  Fleet fleet_;
+  FleetController fleet_;
   Time now_{1000000};
   pid_t pid_ = 0;
   int next_id_ = 0;
@@ -273,16 +281,16 @@
   std::map<std::string, Process> processes_;
   std::set<std::string> spawning_, hung_;
   std::set<std::pair<std::string, bool>> calls_;
-  std::vector<std::string> dead_, stored_ = fleet_.Everything();
+  std::vector<std::string> dead_, stored_ = fleet_.AllRecords();
   std::map<std::string, Order> orders_;
   std::map<std::string, std::string> ended_;
   std::set<std::string> ended_orders_;
   int checks_ = 0;
 };
 
-class FleetRandom : public ::testing::TestWithParam<std::uint64_t> {};
+class FleetControllerRandom : public ::testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(FleetRandom, InvariantsHoldAtEachStep) {
+TEST_P(FleetControllerRandom, InvariantsHoldAtEachStep) {
   std::uint64_t accepted = 0, conflicts = 0, kills = 0, spawns = 0, restarts = 0, superseded = 0, steps = 0;
   for (std::uint64_t seed = GetParam(); seed < GetParam() + 10; ++seed) {
     World world(seed);
@@ -292,8 +300,12 @@
     }
     world.Settle();
     if (HasFailure()) FAIL() << "seed " << seed << ", at the end";
-    accepted += world.accepted, conflicts += world.conflicts, kills += world.kills;
-    spawns += world.spawns, restarts += world.restarts, superseded += world.superseded;
+    accepted += world.accepted;
+    conflicts += world.conflicts;
+    kills += world.kills;
+    spawns += world.spawns;
+    restarts += world.restarts;
+    superseded += world.superseded;
   }
   // The schedules reach what they are for.
   EXPECT_EQ(steps, 50000u);
@@ -306,7 +318,7 @@
 }
 
 // 300,000 steps in all.
-INSTANTIATE_TEST_SUITE_P(Seeds, FleetRandom, ::testing::Values(1, 11, 21, 31, 41, 51));
+INSTANTIATE_TEST_SUITE_P(Seeds, FleetControllerRandom, ::testing::Values(1, 11, 21, 31, 41, 51));
 
 }  // namespace
 }  // namespace badgerbridge::fleet
--- a/tests/fleet/fleet_file_test.cpp
+++ b/tests/fleet/fleet_file_test.cpp
@@ -31,16 +31,16 @@
   }
   std::string Check(const std::string& text) const {
     operator_file::Problems problems;
-    ParseFleet(text, "f", problems);
+    ParseFleetFile(text, "f", problems);
     return operator_file::Lines(problems);
   }
 
   std::string folder_;
 };
 
-TEST_F(FleetFileTest, ReadsWhatIsThere) {
+TEST_F(FleetFileTest, CompleteFileIsRead) {
   operator_file::Problems problems;
-  const FleetFile file = ParseFleet(
+  const FleetFile file = ParseFleetFile(
       Agent() +
           "poll = \"2s\"\n[agent.tls]\nlisten = \"127.0.0.1:7443\"\ncertificate = \"c\"\nkey = \"k\"\n"
           "client_ca = \"ca\"\nroles = { ana = \"operator\" }\n" +
@@ -50,16 +50,16 @@
       "f", problems);
   EXPECT_EQ(operator_file::Lines(problems), "");
   ASSERT_EQ(file.instances.size(), 1u);
-  const Definition& one = file.instances[0];
+  const InstanceDefinition& one = file.instances[0];
   EXPECT_EQ(one.control_socket, "/run/n1.sock");
-  EXPECT_EQ(one.descriptors, 1024);
+  EXPECT_EQ(one.max_descriptors, 1024);
   EXPECT_EQ(one.labels.at("zone"), "a");
-  EXPECT_EQ(file.agent.poll, std::chrono::milliseconds(2000));
+  EXPECT_EQ(file.agent.poll_interval, std::chrono::milliseconds(2000));
   EXPECT_EQ(file.agent.tls->roles.at("ana"), api::Role::kOperator);
-  EXPECT_EQ(DefinitionOf(ToText(one)), one);
+  EXPECT_EQ(ParseDefinition(SerializeDefinition(one)).value(), one);
 }
 
-TEST_F(FleetFileTest, TheExamplesNameEveryKey) {
+TEST_F(FleetFileTest, ExampleFilesHaveNoProblems) {
   for (const char* name : {"fleet.toml", "context.toml"}) {
     std::ifstream in(std::string(SOURCE_DIR) + "/deploy/" + name);
     std::string text((std::istreambuf_iterator<char>(in)), {});
@@ -68,7 +68,7 @@
     if (at != std::string::npos) text.replace(at, 25, folder_ + "/op.toml");
     operator_file::Problems problems;
     if (std::string(name) == "fleet.toml") {
-      ParseFleet(text, name, problems);
+      ParseFleetFile(text, name, problems);
     } else {
       ctl::ParseContext(text, name, problems);
     }
@@ -76,7 +76,7 @@
   }
 }
 
-TEST_F(FleetFileTest, EveryProblemIsALine) {
+TEST_F(FleetFileTest, EachProblemIsReportedOnALine) {
   EXPECT_EQ(Check("x = 1\n"),
             "f:1:1: agent is missing; give an [agent] table\n"
             "f:1:1: x is no key here; known are agent, instance\n");
@@ -97,18 +97,21 @@
       std::string::npos);
 }
 
-TEST_F(FleetFileTest, DiffNamesWhatIsNewChangedAndGone) {
+TEST_F(FleetFileTest, DiffReportsAddedChangedAndRemovedInstances) {
   operator_file::Problems problems;
-  const FleetFile file = ParseFleet(Agent() + Instance("n1"), "f", problems);
-  Definition changed = file.instances[0];
-  changed.descriptors = 99;
-  const auto changes =
-      Diff({{"n1", ToText(file.instances[0])}, {"old", "{}"}}, {{"n1", ToText(changed)}, {"new", "{}"}});
+  const FleetFile file = ParseFleetFile(Agent() + Instance("n1"), "f", problems);
+  InstanceDefinition changed = file.instances[0];
+  changed.max_descriptors = 99;
+  const auto changes = DiffDefinitions({{"n1", SerializeDefinition(file.instances[0])}, {"old", "{}"}},
+                                       {{"n1", SerializeDefinition(changed)}, {"new", "{}"}})
+                           .value();
   ASSERT_EQ(changes.size(), 3u);
-  EXPECT_EQ(changes[0].text, "descriptors: 0 -> 99");
-  EXPECT_EQ(changes[1].kind, Change::Kind::kAdd);
-  EXPECT_EQ(changes[2].kind, Change::Kind::kRemove);
-  EXPECT_TRUE(Diff({{"n1", ToText(changed)}}, {{"n1", ToText(changed)}}).empty());
+  EXPECT_EQ(changes[0].description, "descriptors: 0 -> 99");
+  EXPECT_EQ(changes[1].kind, DefinitionChange::Kind::kAdd);
+  EXPECT_EQ(changes[2].kind, DefinitionChange::Kind::kRemove);
+  EXPECT_TRUE(DiffDefinitions({{"n1", SerializeDefinition(changed)}}, {{"n1", SerializeDefinition(changed)}})
+                  .value()
+                  .empty());
 }
 
 TEST(Context, ProblemsAreLines) {
--- a/tests/fleet/store_test.cpp
+++ b/tests/fleet/store_test.cpp
@@ -11,6 +11,8 @@
 #include <fstream>
 #include <sstream>
 
+#include "fleet/audit_log.h"
+
 namespace badgerbridge::fleet {
 namespace {
 
@@ -32,30 +34,37 @@
   void Write(const std::string& text) const {
     std::ofstream(path_, std::ios::binary | std::ios::trunc) << text;
   }
-  std::vector<std::string> Records() const { return Store(path_).TakeRecords(); }
+  /// Opens the store at path_; the test fails if that fails.
+  Store Open(std::shared_ptr<Disk> disk = std::make_shared<Disk>()) const {
+    return Store::Open(path_, std::move(disk)).value();
+  }
+  std::vector<std::string> Records() const { return Open().TakeRecords(); }
 
   std::string folder_, path_;
 };
 
-// Fails the n-th call of each kind, or all from then on.
+/// Fails one call of a kind, after a number of others.
 struct FailingDisk : Disk {
-  int fail_write = 0, fail_sync = 0, fail_truncate = 0,
-      fail_rename = 0;  // calls left before it fails; 0: never
+  // Calls of each kind until one fails; 0: none does.
+  int fail_write = 0;
+  int fail_sync = 0;
+  int fail_truncate = 0;
+  int fail_rename = 0;
   bool partly = false;  // the failing write leaves half of its bytes
-  int error = ENOSPC;
 
-  bool Due(int* left) { return *left > 0 && --*left == 0; }
-  int Write(int file, std::string_view bytes) override {
+  static std::error_code Error() { return {ENOSPC, std::generic_category()}; }
+  static bool Due(int* left) { return *left > 0 && --*left == 0; }
+  std::error_code Write(int file, std::string_view bytes) override {
     if (!Due(&fail_write)) return Disk::Write(file, bytes);
     if (partly) Disk::Write(file, bytes.substr(0, bytes.size() / 2));
-    return error;
+    return Error();
   }
-  int Sync(int file) override { return Due(&fail_sync) ? error : Disk::Sync(file); }
-  int Truncate(int file, std::uint64_t size) override {
-    return Due(&fail_truncate) ? error : Disk::Truncate(file, size);
+  std::error_code Sync(int file) override { return Due(&fail_sync) ? Error() : Disk::Sync(file); }
+  std::error_code Truncate(int file, std::uint64_t size) override {
+    return Due(&fail_truncate) ? Error() : Disk::Truncate(file, size);
   }
-  int Rename(const std::string& from, const std::string& to) override {
-    return Due(&fail_rename) ? error : Disk::Rename(from, to);
+  std::error_code Rename(const std::string& from, const std::string& to) override {
+    return Due(&fail_rename) ? Error() : Disk::Rename(from, to);
   }
 };
 
@@ -63,17 +72,17 @@
 
 TEST_F(StoreTest, KeepsBatchesInOrder) {
   {
-    Store store(path_);
-    EXPECT_TRUE(store.Append({R"({"a":1})", R"({"b":2})"}));
-    EXPECT_TRUE(store.Append({R"({"c":"x\ny"})"}));
-    EXPECT_TRUE(store.Append({}));
+    Store store = Open();
+    EXPECT_TRUE(store.Append({R"({"a":1})", R"({"b":2})"}).has_value());
+    EXPECT_TRUE(store.Append({R"({"c":"x\ny"})"}).has_value());
+    EXPECT_TRUE(store.Append({}).has_value());
   }
   EXPECT_EQ(Records(), (Texts{R"({"a":1})", R"({"b":2})", R"({"c":"x\ny"})"}));
 }
 
-TEST_F(StoreTest, ABatchTornAtAnyByteIsDroppedWhole) {
+TEST_F(StoreTest, TornLastBatchIsDroppedWhole) {
   {
-    Store store(path_);
+    Store store = Open();
     store.Append({R"({"a":1})"});
     store.Append({R"({"b":2})", R"({"c":3})"});
   }
@@ -81,20 +90,20 @@
   const std::size_t first = whole.find('\n') + 1;
   for (std::size_t size = 0; size < whole.size(); ++size) {
     Write(whole.substr(0, size));
-    Store store(path_);
+    Store store = Open();
     const Texts expected = size < first ? Texts{} : Texts{R"({"a":1})"};
     EXPECT_EQ(store.TakeRecords(), expected) << size;
-    EXPECT_EQ(store.dropped(), size < first ? size : size - first) << size;
+    EXPECT_EQ(store.dropped_bytes(), size < first ? size : size - first) << size;
     // And it goes on behind what is whole.
     const bool tried = size % 16 == 0 || size + 1 == whole.size();
-    EXPECT_TRUE(!tried || store.Append({R"({"d":4})"})) << size;
+    EXPECT_TRUE(!tried || store.Append({R"({"d":4})"}).has_value()) << size;
   }
   EXPECT_EQ(Records().back(), R"({"d":4})");
 }
 
-TEST_F(StoreTest, DamageInTheMidstIsSaidAndNothingBehindItIsGuessed) {
+TEST_F(StoreTest, DamageBeforeIntactBatchesFailsTheOpen) {
   {
-    Store store(path_);
+    Store store = Open();
     for (int i = 0; i < 3; ++i) store.Append({R"({"a":)" + std::to_string(i) + "}"});
   }
   const std::string whole = Read();
@@ -104,110 +113,113 @@
     spoilt[at] = static_cast<char>(spoilt[at] ^ 1);
     if (spoilt[at] == '\n') continue;
     Write(spoilt);
-    try {
-      Store store(path_);
-      FAIL() << "byte " << at;
-    } catch (const BadStore& bad) {
-      EXPECT_NE(std::string(bad.what()).find("damaged from byte " + std::to_string(first)), std::string::npos)
-          << bad.what();
-    }
+    const Result<Store> store = Store::Open(path_);
+    if (store) FAIL() << "byte " << at;
+    EXPECT_EQ(store.error().kind, AgentErrorKind::kStoreDamaged);
+    EXPECT_NE(Message(store.error()).find("damaged from byte " + std::to_string(first)), std::string::npos)
+        << Message(store.error());
     EXPECT_EQ(Read(), spoilt) << "nothing is lost by refusing";
   }
 }
 
-TEST_F(StoreTest, WhatTheDiskRefusesIsNotThereAndTheNextTryIs) {
+TEST_F(StoreTest, FailedAppendStoresNothingAndTheNextSucceeds) {
   for (const bool partly : {false, true}) {
     for (const char* which : {"write", "sync"}) {
       std::filesystem::remove(path_);
       const auto disk = std::make_shared<FailingDisk>();
       {
-        Store store(path_, disk);
-        ASSERT_TRUE(store.Append({R"({"a":1})"}));
+        Store store = Open(disk);
+        ASSERT_TRUE(store.Append({R"({"a":1})"}).has_value());
         (which[0] == 'w' ? disk->fail_write : disk->fail_sync) = 1;
         disk->partly = partly;
-        EXPECT_FALSE(store.Append({R"({"lost":1})"}));
-        EXPECT_NE(store.error().find("No space left"), std::string::npos) << store.error();
-        EXPECT_TRUE(store.Append({R"({"b":2})"}));
-        EXPECT_EQ(store.error(), "");
+        EXPECT_FALSE(store.Append({R"({"lost":1})"}).has_value());
+        ASSERT_TRUE(store.last_error());
+        EXPECT_NE(Message(*store.last_error()).find("No space left"), std::string::npos)
+            << Message(*store.last_error());
+        EXPECT_TRUE(store.Append({R"({"b":2})"}).has_value());
+        EXPECT_FALSE(store.last_error());
       }
       EXPECT_EQ(Records(), (Texts{R"({"a":1})", R"({"b":2})"})) << which << partly;
     }
   }
 }
 
-TEST_F(StoreTest, HalfAWriteThatCannotBeCutOffIsCutOffBeforeTheNext) {
+TEST_F(StoreTest, TornEndIsCutBeforeTheNextAppend) {
   const auto disk = std::make_shared<FailingDisk>();
   {
-    Store store(path_, disk);
-    ASSERT_TRUE(store.Append({R"({"a":1})"}));
+    Store store = Open(disk);
+    ASSERT_TRUE(store.Append({R"({"a":1})"}).has_value());
     disk->fail_write = 1;
     disk->partly = true;
     disk->fail_truncate = 1;
-    EXPECT_FALSE(store.Append({R"({"lost":1})"}));
+    EXPECT_FALSE(store.Append({R"({"lost":1})"}).has_value());
     disk->fail_truncate = 1;
-    EXPECT_FALSE(store.Append({R"({"lost":2})"}));
-    EXPECT_TRUE(store.Append({R"({"b":2})"}));
+    EXPECT_FALSE(store.Append({R"({"lost":2})"}).has_value());
+    EXPECT_TRUE(store.Append({R"({"b":2})"}).has_value());
   }
   EXPECT_EQ(Records(), (Texts{R"({"a":1})", R"({"b":2})"}));
 }
 
-TEST_F(StoreTest, CompactionIsAllOrNothing) {
+TEST_F(StoreTest, FailedCompactionKeepsTheOldFile) {
   const auto disk = std::make_shared<FailingDisk>();
   {
-    Store store(path_, disk);
+    Store store = Open(disk);
     store.Append({R"({"a":1})"});
     for (int* which : {&disk->fail_write, &disk->fail_sync, &disk->fail_rename}) {
       *which = 1;
-      EXPECT_FALSE(store.Compact({R"({"new":1})"}));
+      EXPECT_FALSE(store.Compact({R"({"new":1})"}).has_value());
       EXPECT_FALSE(std::filesystem::exists(path_ + ".new"));
     }
-    EXPECT_TRUE(store.Append({R"({"b":2})"}));
+    EXPECT_TRUE(store.Append({R"({"b":2})"}).has_value());
   }
   EXPECT_EQ(Records().size(), 2u);
   {
-    Store store(path_, disk);
-    EXPECT_TRUE(store.Compact({R"({"all":1})"}));
-    EXPECT_TRUE(store.Append({R"({"c":3})"}));
-    EXPECT_THROW(Store second(path_), BadStore) << "the new file is locked as the old one was";
+    Store store = Open(disk);
+    EXPECT_TRUE(store.Compact({R"({"all":1})"}).has_value());
+    EXPECT_TRUE(store.Append({R"({"c":3})"}).has_value());
+    EXPECT_EQ(Store::Open(path_).error().kind, AgentErrorKind::kStoreInUse)
+        << "the new file is locked as the old one was";
   }
   EXPECT_EQ(Records(), (Texts{R"({"all":1})", R"({"c":3})"}));
 }
 
-TEST_F(StoreTest, GrowsUntilItWantsCompaction) {
-  Store store(path_);
+TEST_F(StoreTest, GrownFileWantsCompaction) {
+  Store store = Open();
   const std::string record = "\"" + std::string(65536, 'x') + "\"";
   int appended = 0;
-  while (!store.WantsCompaction() && appended < 1000) store.Append({record}), ++appended;
+  while (!store.WantsCompaction() && appended < 1000) {
+    EXPECT_TRUE(store.Append({record}).has_value());
+    ++appended;
+  }
   EXPECT_GT(appended, 12);
   EXPECT_LT(appended, 20);
-  EXPECT_TRUE(store.Compact({record}));
+  EXPECT_TRUE(store.Compact({record}).has_value());
   EXPECT_FALSE(store.WantsCompaction());
   EXPECT_LT(store.size(), 70000u);
 }
 
-TEST_F(StoreTest, TwoAgentsNeverShareOne) {
-  Store store(path_);
-  EXPECT_THROW(Store second(path_), BadStore);
+TEST_F(StoreTest, SecondOpenFailsAsInUse) {
+  Store store = Open();
+  EXPECT_EQ(Store::Open(path_).error().kind, AgentErrorKind::kStoreInUse);
 }
 
-TEST_F(StoreTest, WhatCannotBeOpenedIsOneLine) {
-  EXPECT_THROW(Store store(folder_ + "/no/such/state"), BadStore);
-  EXPECT_THROW(Store store(folder_), BadStore);
+TEST_F(StoreTest, UnopenablePathFails) {
+  EXPECT_EQ(Store::Open(folder_ + "/no/such/state").error().kind, AgentErrorKind::kStoreIo);
+  EXPECT_EQ(Store::Open(folder_).error().kind, AgentErrorKind::kStoreIo);
 }
 
-TEST_F(StoreTest, ARealFullDiskIsRefusedAndRecoveredFrom) {
+TEST_F(StoreTest, FullDeviceFailsTheWrite) {
   // /dev/full takes nothing: a write to it fails with ENOSPC.
-  const int full = open("/dev/full", O_WRONLY);
-  if (full < 0) GTEST_SKIP() << "no /dev/full here";
+  const FileDescriptor full(open("/dev/full", O_WRONLY));
+  if (!full.is_open()) GTEST_SKIP() << "no /dev/full here";
   Disk disk;
-  EXPECT_EQ(disk.Write(full, "x"), ENOSPC);
-  close(full);
+  EXPECT_EQ(disk.Write(full.get(), "x").value(), ENOSPC);
 }
 
-TEST_F(StoreTest, TheAuditLogIsBounded) {
+TEST_F(StoreTest, AuditLogIsRotatedAndBounded) {
   const std::string path = folder_ + "/audit.log";
   AuditLog audit(path, 100, 3);
-  for (int i = 0; i < 80; ++i) ASSERT_TRUE(audit.Add({"line " + std::to_string(i)}));
+  for (int i = 0; i < 80; ++i) ASSERT_TRUE(audit.Append({"line " + std::to_string(i)}).has_value());
   std::uintmax_t total = 0;
   int files = 0;
   for (const auto& entry : std::filesystem::directory_iterator(folder_)) {
