--- a/src/fleet/agent_persistence.cpp
+++ b/src/fleet/agent_persistence.cpp
@@ -82,7 +82,7 @@
 }
 
 Result<void> AgentRuntime::WriteAuditLines(const std::vector<std::string>& lines) {
-  const Result<void> written = audit_log_.Append(lines);
+  Result<void> written = audit_log_.Append(lines);
   if (written) return written;
   for (const std::string& line : lines)
     std::cerr << "badgeragent: the audit log cannot be written: " << line << '\n';
--- a/src/fleet/agent_runtime.h
+++ b/src/fleet/agent_runtime.h
@@ -37,6 +37,7 @@
   /// otherwise a file that differs from the state is only warned about. Start() makes it act.
   static Result<std::unique_ptr<AgentRuntime>> Create(boost::asio::io_context& io, const FleetFile& file,
                                                       std::shared_ptr<Disk> disk);
+  /// Leaves the instances running.
   ~AgentRuntime();
   AgentRuntime(const AgentRuntime&) = delete;
   AgentRuntime& operator=(const AgentRuntime&) = delete;
@@ -44,7 +45,9 @@
   /// Starts what shall run, and begins to poll.
   void Start() { HandleEvent(Tick{}); }
 
+  /// What it knows of instances and orders.
   const FleetController& controller() const { return controller_; }
+  /// The [agent] table that it was made with.
   const AgentSettings& settings() const { return settings_; }
   /// MonotonicNow() when the runtime was made.
   Time started_at() const { return started_at_; }
--- a/src/fleet/audit_log.cpp
+++ b/src/fleet/audit_log.cpp
@@ -57,7 +57,7 @@
   for (const std::string& line : lines) text += line + "\n";
   if (size_ >= max_bytes_) Rotate();
   if (!file_.is_open()) Open();
-  const Result<void> written = WriteAndSync(text);
+  Result<void> written = WriteAndSync(text);
   ok_ = written.has_value();
   if (ok_) size_ += text.size();
   return written;
--- a/src/fleet/change_signal.h
+++ b/src/fleet/change_signal.h
@@ -16,6 +16,7 @@
 /// may have to wait again. For one event loop; not thread-safe.
 class ChangeSignal {
  public:
+  /// Waits run on `io`, which must outlive the signal.
   explicit ChangeSignal(boost::asio::io_context& io) : timer_(io) {}
 
   /// Ends all waits.
--- a/src/fleet/child_process.h
+++ b/src/fleet/child_process.h
@@ -19,6 +19,7 @@
 /// A null-terminated array of C strings, as execve(2) takes it, with the memory behind it.
 class CStringArray {
  public:
+  /// Takes the strings over.
   explicit CStringArray(std::vector<std::string> strings);
   CStringArray(const CStringArray&) = delete;
   CStringArray& operator=(const CStringArray&) = delete;
@@ -33,11 +34,11 @@
 
 /// All that the child needs.
 struct ChildSetup {
-  const InstanceDefinition& definition;
-  const CStringArray& arguments;
-  const CStringArray& environment;
-  int lock = -1;    ///< descriptor of the locked file
-  int log = -1;     ///< descriptor of the log
+  const InstanceDefinition& definition;  ///< working directory and limits
+  const CStringArray& arguments;         ///< the first is the program's path
+  const CStringArray& environment;       ///< as NAME=value
+  int lock = -1;                         ///< descriptor of the locked file
+  int log = -1;                          ///< descriptor of the log
   int report = -1;  ///< close-on-exec pipe: what failed is written there, as "errno text"
 };
 
--- a/src/fleet/disk.h
+++ b/src/fleet/disk.h
@@ -16,6 +16,7 @@
 /// std::generic_category(); none means success.
 class Disk {
  public:
+  /// Closes nothing: files belong to the caller.
   virtual ~Disk() = default;
   /// Writes all bytes, or fails; then some of them may have been written.
   virtual std::error_code Write(int file, std::string_view bytes);
--- a/src/fleet/file_descriptor.h
+++ b/src/fleet/file_descriptor.h
@@ -12,8 +12,11 @@
  public:
   /// Takes ownership of `number`; a negative one stands for no descriptor.
   explicit FileDescriptor(int number = -1) : number_(number) {}
+  /// Closes the descriptor, if there is one.
   ~FileDescriptor();
+  /// Takes ownership from `other`, which holds none then.
   FileDescriptor(FileDescriptor&& other) noexcept : number_(other.Release()) {}
+  /// Closes its own descriptor and takes ownership from `other`.
   FileDescriptor& operator=(FileDescriptor&& other) noexcept;
   FileDescriptor(const FileDescriptor&) = delete;
   FileDescriptor& operator=(const FileDescriptor&) = delete;
--- a/src/fleet/fleet_controller.h
+++ b/src/fleet/fleet_controller.h
@@ -5,7 +5,7 @@
 /// there is no socket, clock, file or process here, and a FleetController is a value that can be copied,
 /// stored and restored.
 ///
-/// Invariants (checked at each step by orders_random_test.cpp):
+/// Invariants (checked at each step by tests/agent/fleet_controller_random_test.cpp):
 /// - An instance is worked on by one order at most. An order that names an instance of an open order is a
 ///   conflict unless it supersedes; then the other order hands the instance over between two steps, and
 ///   begins no further instance.
--- a/src/fleet/fleet_file.h
+++ b/src/fleet/fleet_file.h
@@ -49,8 +49,8 @@
 
 /// A whole fleet file.
 struct FleetFile {
-  AgentSettings agent;
-  std::vector<InstanceDefinition> instances;
+  AgentSettings agent;                        ///< the [agent] table
+  std::vector<InstanceDefinition> instances;  ///< the [[instance]] tables, in the order of the file
 };
 
 constexpr std::size_t kMaxFleetFileBytes = 1 << 20;  ///< of a fleet file's text
--- a/src/fleet/fleet_state.h
+++ b/src/fleet/fleet_state.h
@@ -18,8 +18,8 @@
 
 /// A task that is running, and its order. Both null: there is none.
 struct RunningTask {
-  OrderState* order = nullptr;
-  InstanceTask* task = nullptr;
+  OrderState* order = nullptr;   ///< that the task belongs to
+  InstanceTask* task = nullptr;  ///< that works on the instance
 };
 
 /// A value: copied to undo an order that could not be stored.
--- a/src/fleet/instance.h
+++ b/src/fleet/instance.h
@@ -18,9 +18,9 @@
 
 /// What an instance reported of itself (a proxy's /v1/status).
 struct Observation {
-  std::string state;  ///< starting, ready, draining, drained or stopping
-  std::uint64_t open_requests = 0;
-  std::uint64_t connections = 0;
+  std::string state;                   ///< starting, ready, draining, drained or stopping
+  std::uint64_t open_requests = 0;     ///< taken and not answered yet
+  std::uint64_t connections = 0;       ///< of its clients
   std::uint64_t reloads_applied = 0;   ///< since the start of the process
   std::uint64_t reloads_rejected = 0;  ///< since the start of the process
   std::string reload_error;            ///< of the newest rejected reload
@@ -28,9 +28,9 @@
 
 /// The desired and the current state of one instance. What is known of its process is not stored.
 struct Instance {
-  std::string name;
-  std::string definition;  ///< JSON text; empty until an order defines it
-  bool desired_running = false;
+  std::string name;                        ///< unique among the instances of the agent
+  std::string definition;                  ///< JSON text; empty until an order defines it
+  bool desired_running = false;            ///< whether its process shall run
   bool desired_drained = false;            ///< while it runs
   std::uint64_t changed_generation = 0;    ///< of the newest order that named it
   std::string changed_by_order;            ///< that order's id
@@ -46,14 +46,14 @@
   std::string crash_loop_reason;           ///< why it is not started any more; empty: it is
   std::optional<Observation> observation;  ///< the newest, of this process
   Time observed_at{0};                     ///< when the observation was asked for
-  Time unresponsive_since{0};
-  std::string unresponsive_reason;  ///< empty: it answers
+  Time unresponsive_since{0};              ///< when it first did not answer
+  std::string unresponsive_reason;         ///< empty: it answers
 };
 
 /// When and how often a process that ended is started again.
 struct RestartPolicy {
-  Time initial_backoff{200};
-  Time max_backoff{10000};
+  Time initial_backoff{200};        ///< after the first crash; doubles with each further one
+  Time max_backoff{10000};          ///< upper bound of the backoff
   Time min_uptime{10000};           ///< a process that ended sooner has crashed
   int max_consecutive_crashes = 5;  ///< then the instance is given up
 };
--- a/src/fleet/instance_definition.h
+++ b/src/fleet/instance_definition.h
@@ -18,7 +18,7 @@
 
 /// How one instance is started. As JSON it is what orders carry and what the agent stores.
 struct InstanceDefinition {
-  std::string name;
+  std::string name;                                ///< unique among the instances of the agent; ROUTER_NAME
   std::vector<std::string> command;                ///< the program, by path, and its arguments
   std::map<std::string, std::string> environment;  ///< variables beside the agent's own
   std::string listen;                              ///< ROUTER_LISTEN; empty: as the configuration says
@@ -46,8 +46,8 @@
 struct DefinitionChange {
   /// What is done.
   enum class Kind { kAdd = 0, kChange = 1, kRemove = 2 };
-  std::string instance;
-  Kind kind = Kind::kAdd;
+  std::string instance;     ///< name
+  Kind kind = Kind::kAdd;   ///< what is done with it
   std::string description;  ///< for people: which members differ, and how
 };
 
--- a/src/fleet/instance_poller.h
+++ b/src/fleet/instance_poller.h
@@ -33,18 +33,18 @@
   /// The newest answer of an instance.
   struct LatestStatus {
     boost::json::object status;  ///< as the instance gave it
-    Time requested_at{0};
+    Time requested_at{0};        ///< when the poll was sent
   };
-  /// What the poller calls: with Observed or Unresponsive after each poll, and when the next poll is due at
-  /// another time than before.
+  /// What the poller calls; on_event with Observed or Unresponsive.
   struct Callbacks {
-    std::function<void(Event)> on_event;
-    std::function<void()> on_schedule_change;
+    std::function<void(Event)> on_event;       ///< after each poll
+    std::function<void()> on_schedule_change;  ///< NextPoll() has changed
   };
 
   /// `poll_interval` is that of idle instances. The references must outlive the poller.
   InstancePoller(boost::asio::io_context& io, const FleetController& controller,
                  const ProcessTable& processes, Time poll_interval, Callbacks callbacks);
+  /// Polls that are out are not reported any more.
   ~InstancePoller();
   InstancePoller(const InstancePoller&) = delete;
   InstancePoller& operator=(const InstancePoller&) = delete;
--- a/src/fleet/order.h
+++ b/src/fleet/order.h
@@ -21,13 +21,13 @@
 
 /// What an order asks of its instances. The values index the wire names in order_codec.cpp.
 enum class Verb {
-  kStart = 0,
-  kStop = 1,
-  kDrain = 2,
-  kUndrain = 3,
-  kReload = 4,
-  kRestart = 5,
-  kApply = 6,  ///< add, change or remove instances, to match a fleet file
+  kStart = 0,    ///< run the process, and take work
+  kStop = 1,     ///< end the process
+  kDrain = 2,    ///< finish the work, and take no more
+  kUndrain = 3,  ///< take work again
+  kReload = 4,   ///< read the configuration again
+  kRestart = 5,  ///< drain, end and start the process
+  kApply = 6,    ///< add, change or remove instances, to match a fleet file
 };
 
 /// Definitions of instances as JSON texts (SerializeDefinition), by the instance's name.
@@ -62,10 +62,10 @@
 
 /// How one instance fares under one order.
 enum class TaskState {
-  kPending = 0,
-  kRunning = 1,
-  kSucceeded = 2,
-  kFailed = 3,
+  kPending = 0,     ///< not begun yet
+  kRunning = 1,     ///< at one of its steps
+  kSucceeded = 2,   ///< all steps are done
+  kFailed = 3,      ///< InstanceTask::message says why
   kSuperseded = 4,  ///< another order took the instance over
   kSkipped = 5,     ///< never begun, since the order halted
 };
@@ -92,32 +92,32 @@
 
 /// One instance under one order: the steps to take, and how far it has come.
 struct InstanceTask {
-  std::string instance;        ///< name
-  std::vector<Step> steps;     ///< all steps, in order
-  std::size_t step_index = 0;  ///< of the current step; steps.size(): all are done
-  TaskState state = TaskState::kPending;
-  Time started_at{0};                  ///< when its first step began; 0: never
-  Time step_started_at{0};             ///< when the current step began
-  Time ended_at{0};                    ///< when its state became terminal
-  std::string message;                 ///< for people: notes while it runs, the outcome once it has ended
-  std::string last_call_error;         ///< why the newest attempt of the current step's call failed
-  bool action_sent = false;            ///< the current step's action has been issued
-  bool killed = false;                 ///< SIGKILL was sent, as force_after allows
-  Time retry_at{0};                    ///< when the current step's call may be attempted again
-  std::uint64_t reloads_applied = 0;   ///< by the instance before SIGHUP
-  std::uint64_t reloads_rejected = 0;  ///< by the instance before SIGHUP
+  std::string instance;                   ///< name
+  std::vector<Step> steps;                ///< all steps, in order
+  std::size_t step_index = 0;             ///< of the current step; steps.size(): all are done
+  TaskState state = TaskState::kPending;  ///< final once IsTerminal
+  Time started_at{0};                     ///< when its first step began; 0: never
+  Time step_started_at{0};                ///< when the current step began
+  Time ended_at{0};                       ///< when its state became terminal
+  std::string message;                    ///< for people: notes while it runs, the outcome once it has ended
+  std::string last_call_error;            ///< why the newest attempt of the current step's call failed
+  bool action_sent = false;               ///< the current step's action has been issued
+  bool killed = false;                    ///< SIGKILL was sent, as force_after allows
+  Time retry_at{0};                       ///< when the current step's call may be attempted again
+  std::uint64_t reloads_applied = 0;      ///< by the instance before SIGHUP
+  std::uint64_t reloads_rejected = 0;     ///< by the instance before SIGHUP
 };
 
 /// An accepted order and its progress.
 struct OrderState {
-  Order order;
+  Order order;                        ///< as submitted
   std::uint64_t generation = 0;       ///< that the order made
   std::int64_t accepted_unix_ms = 0;  ///< wall clock, for people only
-  Time accepted_at{0};
-  std::vector<InstanceTask> tasks;  ///< one for each instance, in the order's order
-  std::string superseded_by;        ///< id of the order that took over; no further task begins
-  bool halted = false;              ///< a task failed; no further task begins
-  bool ended = false;               ///< all tasks are in a terminal state
+  Time accepted_at{0};                ///< by this agent's clock
+  std::vector<InstanceTask> tasks;    ///< one for each instance, in the order's order
+  std::string superseded_by;          ///< id of the order that took over; no further task begins
+  bool halted = false;                ///< a task failed; no further task begins
+  bool ended = false;                 ///< all tasks are in a terminal state
 };
 
 }  // namespace badgerbridge::fleet
--- a/src/fleet/order_validation.h
+++ b/src/fleet/order_validation.h
@@ -16,14 +16,14 @@
 struct ValidationResult {
   /// The outcome, or the reason of the rejection.
   enum class Code {
-    kAccepted = 0,
+    kAccepted = 0,         ///< nothing is in the way
     kDuplicate = 1,        ///< the id is known; the order is carried out once
     kConflict = 2,         ///< another open order holds one of its instances
     kStale = 3,            ///< one of its instances has changed since its author looked
     kUnknownInstance = 4,  ///< it names an instance that does not exist
     kInvalid = 5,          ///< the order itself is malformed
   };
-  Code code = Code::kAccepted;
+  Code code = Code::kAccepted;    ///< the outcome
   std::string message;            ///< for people: what is in the way, whose it is, and how to go on
   std::string conflicting_order;  ///< id of the order in the way, or of the duplicate
 
--- a/src/fleet/process.h
+++ b/src/fleet/process.h
@@ -27,7 +27,7 @@
 
 /// A process of an instance.
 struct Process {
-  pid_t pid = 0;
+  pid_t pid = 0;                 ///< of the process
   std::uint64_t start_time = 0;  ///< ticks since the boot, field 22 of /proc/PID/stat
   FileDescriptor pidfd;          ///< readable once the process has ended
   bool is_child = false;         ///< of this agent: its exit status can be read
--- a/src/fleet/process_table.h
+++ b/src/fleet/process_table.h
@@ -28,7 +28,9 @@
   using ExitHandler =
       std::function<void(const std::string& instance, pid_t pid, const std::string& description)>;
 
+  /// Watches processes on `io`, which must outlive the table.
   ProcessTable(boost::asio::io_context& io, ExitHandler on_exit);
+  /// Leaves the processes running.
   ~ProcessTable();
   ProcessTable(const ProcessTable&) = delete;
   ProcessTable& operator=(const ProcessTable&) = delete;
--- a/src/fleet/request_body.h
+++ b/src/fleet/request_body.h
@@ -25,6 +25,7 @@
 /// is empty. A member that is null counts as missing. The object must outlive the reader.
 class RequestBody {
  public:
+  /// Reads `object`, which must outlive the reader.
   explicit RequestBody(const boost::json::object& object) : object_(object) {}
 
   /// A string; nothing if it is missing.
@@ -53,15 +54,15 @@
 
 /// An order as requested, and whether it is to be validated only.
 struct OrderRequest {
-  Order order;
-  bool dry_run = false;
+  Order order;           ///< with the peer as its author
+  bool dry_run = false;  ///< nothing is carried out
 };
 
 /// A fleet file as requested to be applied. Its order has no instances yet.
 struct FleetRequest {
-  OrderRequest order_request;
-  std::string fleet_text;  ///< of the fleet file
-  std::string file_name;   ///< for the problems of the fleet file
+  OrderRequest order_request;  ///< of Verb::kApply
+  std::string fleet_text;      ///< of the fleet file
+  std::string file_name;       ///< for the problems of the fleet file
 };
 
 /// The body of POST /v1/orders.
--- a/src/fleet/status_codec.h
+++ b/src/fleet/status_codec.h
@@ -15,8 +15,8 @@
 
 /// What a proxy reports of itself.
 struct ProxyStatus {
-  Observation observation;
-  std::uint64_t pid = 0;  ///< of the process that has answered; 0: it does not say
+  Observation observation;  ///< what the controller needs of it
+  std::uint64_t pid = 0;    ///< of the process that has answered; 0: it does not say
 };
 
 /// Nothing if the value is no status. Numbers that are missing or malformed are 0.
--- a/tests/fleet/fleet_controller_random_test.cpp
+++ b/tests/fleet/fleet_controller_random_test.cpp
@@ -1,11 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Random schedules of orders, deaths, hangs and restarts of the agent against the pure core, from fixed
-// seeds; the invariants of orders.h are checked at each step.
+// Random schedules of orders, crashes, unresponsive instances and restarts of the agent against the pure
+// core, from fixed seeds; the invariants of fleet_controller.h are checked at each step.
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <csignal>
+#include <map>
+#include <random>
 #include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "fleet/fleet_controller.h"
 #include "fleet/order_codec.h"
@@ -13,308 +19,362 @@
 namespace badgerbridge::fleet {
 namespace {
 
-// A world of simulated processes that obeys the actions, late and not always.
-class World {
+/// How often what the schedules are for has happened.
+struct Counts {
+  std::uint64_t accepted = 0;
+  std::uint64_t conflicts = 0;
+  std::uint64_t kills = 0;
+  std::uint64_t spawns = 0;
+  std::uint64_t restarts = 0;  // of the agent
+  std::uint64_t superseded = 0;
+
+  Counts& operator+=(const Counts& other) {
+    accepted += other.accepted;
+    conflicts += other.conflicts;
+    kills += other.kills;
+    spawns += other.spawns;
+    restarts += other.restarts;
+    superseded += other.superseded;
+    return *this;
+  }
+};
+
+/// A controller and simulated processes that obey its actions, late and not always.
+class Simulation {
  public:
-  explicit World(std::uint64_t seed) : random_(seed), fleet_(seed) {
-    for (int i = 0; i < 6; ++i) fleet_.AddInstance("n" + std::to_string(i), "old", false);
+  explicit Simulation(std::uint64_t seed) : random_(seed), controller_(seed) {
+    for (int i = 0; i < 6; ++i) controller_.AddInstance("n" + std::to_string(i), "old", false);
   }
 
+  /// Lets a little time pass, lets one thing happen, and checks the invariants.
   void Step() {
-    now_ += Time(Below(120));
+    now_ += Time(RandomBelow(120));
     actions_.clear();
-    const std::uint64_t kind = Below(100);
-    if (kind < 12) {
-      SubmitSome();
-    } else if (kind < 70) {
-      Answer();
-    } else if (kind < 76) {
-      Die();
-    } else if (kind < 78) {
-      if (Below(6) == 0) RestartAgent();
-    } else if (kind < 80) {
-      const std::string name = Some();
-      hung_.count(name) ? hung_.erase(name) : hung_.insert(name).second;
-    } else if (kind < 82) {
+    const std::uint64_t percentile = RandomBelow(100);
+    if (percentile < 12) {
+      SubmitRandomOrder();
+    } else if (percentile < 70) {
+      AnswerSomething();
+    } else if (percentile < 76) {
+      CrashRandomInstance();
+    } else if (percentile < 78) {
+      if (RandomBelow(6) == 0) RestartAgent();
+    } else if (percentile < 80) {
+      ToggleUnresponsive(RandomInstance());
+    } else if (percentile < 82) {
       now_ += Time(5000);
-      fleet_.Handle(now_, Tick{}, &actions_);
+      Handle(Tick{});
     } else {
-      fleet_.Handle(now_, Tick{}, &actions_);
+      Handle(Tick{});
     }
-    Take();
-    Check();
+    PerformActions();
+    CheckInvariants();
   }
 
-  // No new orders, no more hangs: everything must come to an end.
+  /// Without new orders and unresponsive instances every order must end.
   void Settle() {
-    hung_.clear();
+    unresponsive_.clear();
     for (int i = 0; i < 5000; ++i) {
       now_ += Time(100);
       actions_.clear();
-      fleet_.Handle(now_, Tick{}, &actions_);
-      Take();
+      Handle(Tick{});
+      PerformActions();
       actions_.clear();
-      Answer();
-      Take();
-      Check();
-      if (std::all_of(fleet_.orders().begin(), fleet_.orders().end(), [](const auto& o) { return o.ended; }))
-        return;
+      AnswerSomething();
+      PerformActions();
+      CheckInvariants();
+      const auto& orders = controller_.orders();
+      const bool all_ended =
+          std::all_of(orders.begin(), orders.end(), [](const OrderState& order) { return order.ended; });
+      if (all_ended) return;
     }
     ADD_FAILURE() << "an order has not ended";
   }
 
-  std::uint64_t accepted = 0, conflicts = 0, kills = 0, spawns = 0, restarts = 0, superseded = 0;
+  const Counts& counts() const { return counts_; }
 
  private:
   struct Process {
     pid_t pid = 0;
-    bool drained = false, dying = false;
-    std::uint64_t applied = 0;
-    Time terminated{0};  // by the first SIGTERM
+    bool drained = false;
+    bool terminating = false;
+    std::uint64_t reloads = 0;
+    Time sigterm_at{0};  // of the first
   };
+  /// Calls that are out, by instance; the value: whether it is a drain.
+  using PendingCalls = std::map<std::string, bool>;
 
-  std::uint64_t Below(std::uint64_t n) { return random_() % n; }
-  std::string Some() { return "n" + std::to_string(Below(8)); }
+  std::uint64_t RandomBelow(std::uint64_t limit) { return random_() % limit; }
+  std::string RandomInstance() { return "n" + std::to_string(RandomBelow(8)); }
+  void Handle(const Event& event) { controller_.Handle(now_, event, &actions_); }
 
-  void SubmitSome() {
+  void ToggleUnresponsive(const std::string& name) {
+    if (unresponsive_.erase(name) == 0) unresponsive_.insert(name);
+  }
+
+  Order RandomOrder() {
     Order order;
-    order.id = Below(10) == 0 && next_id_ > 0 ? "o" + std::to_string(next_id_ - 1)
-                                              : "o" + std::to_string(next_id_++);
-    order.verb = static_cast<Verb>(Below(7));
+    const bool repeats_id = RandomBelow(10) == 0 && next_order_ > 0;
+    order.id = "o" + std::to_string(repeats_id ? next_order_ - 1 : next_order_++);
+    order.verb = static_cast<Verb>(RandomBelow(7));
     std::set<std::string> names;
-    for (std::uint64_t n = Below(4) + 1; n > 0; --n) names.insert(Some());
+    for (std::uint64_t left = RandomBelow(4) + 1; left > 0; --left) names.insert(RandomInstance());
     order.instances.assign(names.begin(), names.end());
-    order.author = "w" + std::to_string(Below(2));
-    order.supersede = Below(3) == 0;
-    order.deadline = Time(200 + Below(4000));
-    if (Below(3) == 0) order.force_after = Time(Below(3000));
-    order.max_parallel = static_cast<unsigned>(Below(3));
-    if (Below(3) == 0)
+    order.author = "w" + std::to_string(RandomBelow(2));
+    order.supersede = RandomBelow(3) == 0;
+    order.deadline = Time(200 + RandomBelow(4000));
+    if (RandomBelow(3) == 0) order.force_after = Time(RandomBelow(3000));
+    order.max_parallel = static_cast<unsigned>(RandomBelow(3));
+    if (RandomBelow(3) == 0)
       order.expected_generation =
-          fleet_.generation() - std::min<std::uint64_t>(fleet_.generation(), Below(3));
+          controller_.generation() - std::min<std::uint64_t>(controller_.generation(), RandomBelow(3));
     if (order.verb == Verb::kApply) {
-      for (const std::string& name : names) order.definitions[name] = Below(4) == 0 ? "" : "new";
+      for (const std::string& name : names) order.definitions[name] = RandomBelow(4) == 0 ? "" : "new";
     }
-    const bool known = fleet_.FindOrder(order.id) != nullptr;
-    const std::uint64_t before = fleet_.generation();
-    const ValidationResult verdict = fleet_.Submit(now_, 0, order, &actions_);
-    if (verdict.code == ValidationResult::Code::kAccepted) {
-      ++accepted;
-      EXPECT_FALSE(known) << "carried out twice";
-      EXPECT_EQ(fleet_.generation(), before + 1);
-      orders_[order.id] = order;
-    } else {
-      conflicts += verdict.code == ValidationResult::Code::kConflict;
-      EXPECT_EQ(fleet_.generation(), before);
-      EXPECT_TRUE(actions_.empty());
-      EXPECT_FALSE(verdict.message.empty());
+    return order;
+  }
+
+  void SubmitRandomOrder() {
+    const Order order = RandomOrder();
+    const bool is_known = controller_.FindOrder(order.id) != nullptr;
+    const std::uint64_t before = controller_.generation();
+    const ValidationResult result = controller_.Submit(now_, 0, order, &actions_);
+    if (result.accepted()) {
+      ++counts_.accepted;
+      EXPECT_FALSE(is_known) << "carried out twice";
+      EXPECT_EQ(controller_.generation(), before + 1);
+      return;
     }
+    if (result.code == ValidationResult::Code::kConflict) ++counts_.conflicts;
+    EXPECT_EQ(controller_.generation(), before);
+    EXPECT_TRUE(actions_.empty());
+    EXPECT_FALSE(result.message.empty());
   }
 
-  // One of what is owed, drawn at random.
-  void Answer() {
-    if (!spawning_.empty() && Below(2)) {
-      const std::string name = *spawning_.begin();
-      spawning_.erase(name);
-      if (Below(5) == 0) {
-        fleet_.Handle(now_, SpawnFailed{name, "cannot be started"}, &actions_);
-      } else {
-        processes_[name] = {++pid_, false, false, 0, Time(0)};
-        fleet_.Handle(now_, Spawned{name, pid_}, &actions_);
-      }
-    } else if (!calls_.empty() && Below(2)) {
-      const auto [name, drain] = *calls_.begin();
-      calls_.erase(calls_.begin());
-      Process& process = processes_[name];
-      const bool heard = process.pid != 0 && !hung_.count(name);
-      if (heard) process.drained = drain;
-      const Event ended = heard ? Event(CallSucceeded{name}) : Event(CallFailed{name, "no answer"});
-      fleet_.Handle(now_, ended, &actions_);
+  /// Answers a start, a call or a poll, drawn at random.
+  void AnswerSomething() {
+    if (!starting_.empty() && RandomBelow(2)) return AnswerSpawn(*starting_.begin());
+    if (!calls_.empty() && RandomBelow(2)) return AnswerCall(*calls_.begin());
+    AnswerPoll(RandomInstance());
+  }
+
+  void AnswerSpawn(std::string name) {
+    starting_.erase(name);
+    if (RandomBelow(5) == 0) return Handle(SpawnFailed{name, "cannot be started"});
+    processes_[name] = {++last_pid_, false, false, 0, Time(0)};
+    Handle(Spawned{name, last_pid_});
+  }
+
+  void AnswerCall(PendingCalls::value_type call) {
+    const auto& [name, drain] = call;
+    calls_.erase(name);
+    Process& process = processes_[name];
+    if (process.pid == 0 || unresponsive_.contains(name)) return Handle(CallFailed{name, "no answer"});
+    process.drained = drain;
+    Handle(CallSucceeded{name});
+  }
+
+  void AnswerPoll(const std::string& name) {
+    Process& process = processes_[name];
+    if (process.pid == 0) return;
+    if (unresponsive_.contains(name)) return Handle(Unresponsive{name, "no answer"});
+    if (process.terminating) return EndProcess(name, "exited with 0");
+    Observation observation;
+    if (process.drained) {
+      observation.state = RandomBelow(2) ? "drained" : "draining";
     } else {
-      const std::string name = Some();
-      Process& process = processes_[name];
-      if (process.pid == 0) return;
-      if (hung_.count(name)) return fleet_.Handle(now_, Unresponsive{name, "no answer"}, &actions_);
-      if (process.dying) return End(name, "exited with 0");
-      Observation seen;
-      if (process.drained) {
-        seen.state = Below(2) ? "drained" : "draining";
-      } else {
-        seen.state = Below(4) ? "ready" : "starting";
-      }
-      seen.reloads_applied = process.applied;
-      fleet_.Handle(now_, Observed{name, seen, now_}, &actions_);
+      observation.state = RandomBelow(4) ? "ready" : "starting";
     }
+    observation.reloads_applied = process.reloads;
+    Handle(Observed{name, observation, now_});
   }
 
-  void Die() {
-    const std::string name = Some();
-    if (processes_[name].pid != 0) End(name, "was killed by signal 11");
+  void CrashRandomInstance() {
+    const std::string name = RandomInstance();
+    if (processes_[name].pid != 0) EndProcess(name, "was killed by signal 11");
   }
-  void End(const std::string& name, const std::string& how) {
+
+  void EndProcess(const std::string& name, const std::string& description) {
     processes_[name] = {};
-    fleet_.Handle(now_, Exited{name, how}, &actions_);
+    Handle(Exited{name, description});
   }
 
-  // Killed at any moment: what was out is lost, what is stored comes back, what runs is adopted.
+  /// The agent is killed: what was in flight is lost, what was stored is restored, what runs is adopted.
   void RestartAgent() {
-    ++restarts;
-    FleetController fresh(Below(1000));
-    for (const std::string& record : stored_) fresh.RestoreRecord(record);
+    ++counts_.restarts;
+    FleetController restored(RandomBelow(1000));
+    for (const std::string& record : stored_) EXPECT_TRUE(restored.RestoreRecord(record).has_value());
     calls_.clear();
-    // A start that was under way may have come to be.
-    for (const std::string& name : spawning_) {
-      if (Below(2)) processes_[name] = {++pid_, false, false, 0, Time(0)};
+    // A start that was in flight may have succeeded.
+    for (const std::string& name : starting_) {
+      if (RandomBelow(2)) processes_[name] = {++last_pid_, false, false, 0, Time(0)};
     }
-    spawning_.clear();
+    starting_.clear();
     std::map<std::string, pid_t> running;
-    for (auto& [name, process] : processes_) {
+    for (const auto& [name, process] : processes_) {
       if (process.pid != 0) running[name] = process.pid;
     }
-    fresh.FinishRestore(now_, true, running);
-    EXPECT_EQ(fresh.generation(), fleet_.generation());
-    fleet_ = std::move(fresh);
-    fleet_.Handle(now_, Tick{}, &actions_);
+    restored.FinishRestore(now_, true, running);
+    EXPECT_EQ(restored.generation(), controller_.generation());
+    controller_ = std::move(restored);
+    Handle(Tick{});
   }
 
-  void Take() {
-    for (std::string& record : fleet_.TakeChanges()) stored_.push_back(std::move(record));
-    if (stored_.size() > 300) stored_ = fleet_.AllRecords();
+  /// Stores the changes, and carries out all actions, also those that follow from a SIGKILL.
+  void PerformActions() {
+    for (std::string& record : controller_.TakeChanges()) stored_.push_back(std::move(record));
+    if (stored_.size() > 300) stored_ = controller_.AllRecords();
     for (const Action& action : actions_) {
-      if (const auto* spawn = std::get_if<Spawn>(&action)) {
-        ++spawns;
-        EXPECT_EQ(processes_[spawn->instance].pid, 0) << "started twice: " << spawn->instance;
-        EXPECT_TRUE(spawning_.insert(spawn->instance).second) << "started twice: " << spawn->instance;
-        EXPECT_FALSE(spawn->definition.empty());
-      } else if (const auto* call = std::get_if<Call>(&action)) {
-        for (const auto& [name, drain] : calls_) EXPECT_NE(name, call->instance) << "two calls at once";
-        calls_.emplace(call->instance, call->drain);
-      } else if (const auto* signal = std::get_if<Signal>(&action)) {
-        Process& process = processes_[signal->instance];
-        EXPECT_NE(process.pid, 0) << "a signal to none";
-        if (signal->number == SIGKILL) {
-          ++kills;
-          CheckKill(signal->instance);
-          dead_.push_back(signal->instance);
-        } else if (signal->number == SIGTERM) {
-          process.dying = true;
-          if (process.terminated == Time(0)) process.terminated = now_;
-        } else {
-          ++process.applied;
-        }
-      }
+      std::visit([this](const auto& one) { Perform(one); }, action);
     }
     actions_.clear();
-    const std::vector<std::string> dead = std::exchange(dead_, {});
-    for (const std::string& name : dead) {
-      if (processes_[name].pid != 0) End(name, "was killed by signal 9");
+    const std::vector<std::string> killed = std::exchange(killed_, {});
+    for (const std::string& name : killed) {
+      if (processes_[name].pid != 0) EndProcess(name, "was killed by signal 9");
     }
-    if (!dead.empty()) Take();
+    if (!killed.empty()) PerformActions();
   }
 
-  void CheckKill(const std::string& name) {
-    for (const OrderState& order : fleet_.orders()) {
+  void Perform(const Spawn& spawn) {
+    ++counts_.spawns;
+    EXPECT_EQ(processes_[spawn.instance].pid, 0) << "started twice: " << spawn.instance;
+    EXPECT_TRUE(starting_.insert(spawn.instance).second) << "started twice: " << spawn.instance;
+    EXPECT_FALSE(spawn.definition.empty());
+  }
+
+  void Perform(const Call& call) {
+    for (const auto& [name, drain] : calls_) EXPECT_NE(name, call.instance) << "two calls at once";
+    calls_.emplace(call.instance, call.drain);
+  }
+
+  void Perform(const Signal& signal) {
+    Process& process = processes_[signal.instance];
+    EXPECT_NE(process.pid, 0) << "a signal to none";
+    if (signal.number == SIGKILL) {
+      ++counts_.kills;
+      CheckSigkill(signal.instance);
+      killed_.push_back(signal.instance);
+    } else if (signal.number == SIGTERM) {
+      process.terminating = true;
+      if (process.sigterm_at == Time(0)) process.sigterm_at = now_;
+    } else {
+      ++process.reloads;
+    }
+  }
+
+  /// SIGKILL is sent only by an order's force_after, and after the grace period.
+  void CheckSigkill(const std::string& name) {
+    for (const OrderState& order : controller_.orders()) {
       for (const InstanceTask& task : order.tasks) {
         if (task.instance != name || task.state != TaskState::kRunning) continue;
         ASSERT_TRUE(order.order.force_after.has_value());
         EXPECT_GE(now_ - task.started_at, *order.order.force_after);
-        ASSERT_NE(processes_[name].terminated, Time(0)) << "killed without SIGTERM";
-        EXPECT_GE(now_ - processes_[name].terminated, Time(3700));
+        ASSERT_NE(processes_[name].sigterm_at, Time(0)) << "killed without SIGTERM";
+        EXPECT_GE(now_ - processes_[name].sigterm_at, Time(3700));
         return;
       }
     }
     ADD_FAILURE() << "killed without an order";
   }
 
-  void Check() {
+  /// Those of fleet_controller.h. Orders that have ended before are looked at only at each 100th step.
+  void CheckInvariants() {
     std::map<std::string, int> holders;
-    std::uint64_t last = 0;
-    const bool all = ++checks_ % 100 == 0;  // what has ended long ago is looked at only now and then
-    for (const OrderState& order : fleet_.orders()) {
-      if (order.ended && !all && ended_orders_.count(order.order.id)) continue;
+    std::uint64_t last_generation = 0;
+    const bool checks_all = ++checks_ % 100 == 0;
+    for (const OrderState& order : controller_.orders()) {
+      if (order.ended && !checks_all && ended_orders_.contains(order.order.id)) continue;
       if (order.ended) ended_orders_.insert(order.order.id);
-      EXPECT_GT(order.generation, last);
-      last = order.generation;
-      unsigned running = 0;
-      bool all_final = true;
-      for (const InstanceTask& task : order.tasks) {
-        running += task.state == TaskState::kRunning;
-        all_final &= IsTerminal(task.state);
-        if (task.state == TaskState::kRunning) {
-          EXPECT_EQ(++holders[task.instance], 1) << "two orders at one instance";
-          // By its deadline, and what ending the step takes.
-          if (!spawning_.count(task.instance) && !HasCall(task.instance)) {
-            const Time force = order.order.force_after ? kTerminationGracePeriod : Time(0);
-            EXPECT_LE(now_ - task.started_at, order.order.deadline + force + Time(5200)) << task.instance;
-          }
-        }
-        const auto key = order.order.id + "/" + task.instance;
-        const auto ended = ended_.find(key);
-        if (ended != ended_.end()) {
-          EXPECT_EQ(ended->second, std::string(TaskStateName(task.state)) + task.message)
-              << "a final result changed";
-        } else if (IsTerminal(task.state)) {
-          EXPECT_FALSE(task.message.empty());
-          superseded += task.state == TaskState::kSuperseded;
-          ended_[key] = std::string(TaskStateName(task.state)) + task.message;
-        }
-      }
-      EXPECT_EQ(order.ended, all_final);
-      EXPECT_TRUE(order.order.max_parallel == 0 || running <= order.order.max_parallel);
+      EXPECT_GT(order.generation, last_generation);
+      last_generation = order.generation;
+      CheckOrder(order, holders);
     }
-    EXPECT_LE(fleet_.orders().size(), kMaxOrders + kMaxOrders / 2);
-    for (const auto& [name, instance] : fleet_.instances()) {
+    EXPECT_LE(controller_.orders().size(), kMaxOrders + kMaxOrders / 2);
+    for (const auto& [name, instance] : controller_.instances()) {
       EXPECT_FALSE(instance.pid != 0 && instance.start_in_flight);
       EXPECT_EQ(instance.pid != 0, processes_[name].pid != 0) << name;
     }
   }
-  bool HasCall(const std::string& name) const {
-    return std::any_of(calls_.begin(), calls_.end(), [&](const auto& call) { return call.first == name; });
+
+  void CheckOrder(const OrderState& order, std::map<std::string, int>& holders) {
+    unsigned running = 0;
+    bool all_terminal = true;
+    for (const InstanceTask& task : order.tasks) {
+      all_terminal = all_terminal && IsTerminal(task.state);
+      if (task.state == TaskState::kRunning) {
+        ++running;
+        EXPECT_EQ(++holders[task.instance], 1) << "two orders at one instance";
+        CheckDeadline(order.order, task);
+      }
+      CheckOutcome(order.order, task);
+    }
+    EXPECT_EQ(order.ended, all_terminal);
+    EXPECT_TRUE(order.order.max_parallel == 0 || running <= order.order.max_parallel);
+  }
+
+  /// A task ends by its deadline, and by what ending its step takes.
+  void CheckDeadline(const Order& order, const InstanceTask& task) {
+    if (starting_.contains(task.instance) || calls_.contains(task.instance)) return;
+    const Time grace_period = order.force_after ? kTerminationGracePeriod : Time(0);
+    EXPECT_LE(now_ - task.started_at, order.deadline + grace_period + Time(5200)) << task.instance;
+  }
+
+  /// The outcome of a task never changes.
+  void CheckOutcome(const Order& order, const InstanceTask& task) {
+    const std::string key = order.id + "/" + task.instance;
+    const std::string outcome = std::string(TaskStateName(task.state)) + task.message;
+    const auto known = outcomes_.find(key);
+    if (known != outcomes_.end()) {
+      EXPECT_EQ(known->second, outcome) << "a final result changed";
+    } else if (IsTerminal(task.state)) {
+      EXPECT_FALSE(task.message.empty());
+      if (task.state == TaskState::kSuperseded) ++counts_.superseded;
+      outcomes_[key] = outcome;
+    }
   }
 
   std::mt19937_64 random_;
-  FleetController fleet_;
+  FleetController controller_;
+  Counts counts_;
   Time now_{1000000};
-  pid_t pid_ = 0;
-  int next_id_ = 0;
-  std::vector<Action> actions_;
-  std::map<std::string, Process> processes_;
-  std::set<std::string> spawning_, hung_;
-  std::set<std::pair<std::string, bool>> calls_;
-  std::vector<std::string> dead_, stored_ = fleet_.AllRecords();
-  std::map<std::string, Order> orders_;
-  std::map<std::string, std::string> ended_;
-  std::set<std::string> ended_orders_;
+  pid_t last_pid_ = 0;
+  int next_order_ = 0;
+  std::vector<Action> actions_;               // not carried out yet
+  std::map<std::string, Process> processes_;  // by instance
+  std::set<std::string> starting_;            // instances whose start is in flight
+  std::set<std::string> unresponsive_;        // instances
+  PendingCalls calls_;
+  std::vector<std::string> killed_;  // instances whose process has got SIGKILL
+  std::vector<std::string> stored_ = controller_.AllRecords();
+  std::map<std::string, std::string> outcomes_;  // of ended tasks, by "order/instance"
+  std::set<std::string> ended_orders_;           // ids
   int checks_ = 0;
 };
 
 class FleetControllerRandom : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(FleetControllerRandom, InvariantsHoldAtEachStep) {
-  std::uint64_t accepted = 0, conflicts = 0, kills = 0, spawns = 0, restarts = 0, superseded = 0, steps = 0;
+  Counts counts;
+  std::uint64_t steps = 0;
   for (std::uint64_t seed = GetParam(); seed < GetParam() + 10; ++seed) {
-    World world(seed);
-    for (int i = 0; i < 5000; ++i, ++steps) {
-      world.Step();
+    Simulation simulation(seed);
+    for (int i = 0; i < 5000; ++i) {
+      simulation.Step();
+      ++steps;
       if (HasFailure()) FAIL() << "seed " << seed << ", step " << i;
     }
-    world.Settle();
+    simulation.Settle();
     if (HasFailure()) FAIL() << "seed " << seed << ", at the end";
-    accepted += world.accepted;
-    conflicts += world.conflicts;
-    kills += world.kills;
-    spawns += world.spawns;
-    restarts += world.restarts;
-    superseded += world.superseded;
+    counts += simulation.counts();
   }
   // The schedules reach what they are for.
   EXPECT_EQ(steps, 50000u);
-  EXPECT_GT(accepted, 1000u);
-  EXPECT_GT(conflicts, 200u);
-  EXPECT_GT(kills, 50u);
-  EXPECT_GT(spawns, 500u);
-  EXPECT_GT(restarts, 100u);
-  EXPECT_GT(superseded, 100u);
+  EXPECT_GT(counts.accepted, 1000u);
+  EXPECT_GT(counts.conflicts, 200u);
+  EXPECT_GT(counts.kills, 50u);
+  EXPECT_GT(counts.spawns, 500u);
+  EXPECT_GT(counts.restarts, 100u);
+  EXPECT_GT(counts.superseded, 100u);
 }
 
 // 300,000 steps in all.
