--- a/src/fleet/agent.cpp
+++ b/src/agent/agent.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/agent.h"
+#include "agent/agent.h"
 
 #include <chrono>
 #include <exception>
 #include <utility>
 
-#include "api/address.h"
+#include "http_api/address.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace asio = boost::asio;
@@ -31,19 +31,19 @@
 }
 
 Result<void> Agent::Listen(asio::io_context& io, const AgentSettings& settings) {
-  const api::Handler handler = [this](api::Request request, api::Peer peer) {
+  const http_api::Handler handler = [this](http_api::Request request, http_api::Peer peer) {
     return api_.Handle(std::move(request), std::move(peer));
   };
-  const api::ServerLimits limits{settings.max_connections, kMaxHeaderBytes, kMaxBodyBytes, kRequestTimeout,
-                                 kIdleTimeout};
+  const http_api::ServerLimits limits{settings.max_connections, kMaxHeaderBytes, kMaxBodyBytes,
+                                      kRequestTimeout, kIdleTimeout};
   try {
     unix_server_ =
-        std::make_unique<api::UnixServer>(io, settings.socket, settings.allow_uids, limits, handler);
+        std::make_unique<http_api::UnixServer>(io, settings.socket, settings.allow_uids, limits, handler);
     if (!settings.tls) return {};
     const TlsSettings& tls = *settings.tls;
-    const auto address = *api::ParseAddress(tls.listen);  // checked when the file was read
-    const api::TlsFiles files{tls.certificate, tls.key, tls.client_ca};
-    tls_server_ = std::make_unique<api::TlsServer>(io, address, files, tls.roles, limits, handler);
+    const auto address = *http_api::ParseAddress(tls.listen);  // checked when the file was read
+    const http_api::TlsFiles files{tls.certificate, tls.key, tls.client_ca};
+    tls_server_ = std::make_unique<http_api::TlsServer>(io, address, files, tls.roles, limits, handler);
     return {};
   } catch (const std::exception& error) {
     return AgentError{AgentErrorKind::kListenFailed, settings.socket, error.what()};
@@ -55,4 +55,4 @@
   return tls_server_->address();
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/agent.h
+++ b/src/agent/agent.h
@@ -2,22 +2,22 @@
 //
 /// \file
 /// The agent of one machine: keeps the instances of a fleet file and serves its API, all on one io_context.
-#ifndef BADGERBRIDGE_FLEET_AGENT_H_
-#define BADGERBRIDGE_FLEET_AGENT_H_
+#ifndef BADGERBRIDGE_AGENT_AGENT_H_
+#define BADGERBRIDGE_AGENT_AGENT_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <memory>
 #include <optional>
 
-#include "api/server.h"
-#include "api/tls.h"
-#include "fleet/agent_api.h"
-#include "fleet/agent_runtime.h"
-#include "fleet/error.h"
-#include "fleet/fleet_file.h"
+#include "agent/agent_api.h"
+#include "agent/agent_runtime.h"
+#include "agent/error.h"
+#include "agent/fleet_file.h"
+#include "http_api/server.h"
+#include "http_api/tls.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// Runs while the io_context does. Destroying it leaves the instances running. Not thread-safe.
 class Agent {
@@ -40,10 +40,10 @@
 
   std::unique_ptr<AgentRuntime> runtime_;
   AgentApi api_;
-  std::unique_ptr<api::UnixServer> unix_server_;
-  std::unique_ptr<api::TlsServer> tls_server_;
+  std::unique_ptr<http_api::UnixServer> unix_server_;
+  std::unique_ptr<http_api::TlsServer> tls_server_;
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_AGENT_H_
+#endif  // BADGERBRIDGE_AGENT_AGENT_H_
--- a/src/fleet/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/agent_api.h"
+#include "agent/agent_api.h"
 
 #include <boost/json.hpp>
 #include <chrono>
@@ -7,11 +7,11 @@
 #include <string_view>
 #include <utility>
 
-#include "api/client.h"
-#include "fleet/instance_log.h"
-#include "fleet/response_codec.h"
+#include "agent/instance_log.h"
+#include "agent/response_codec.h"
+#include "http_api/client.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace asio = boost::asio;
@@ -39,9 +39,9 @@
   return 500;
 }
 
-api::Role RequiredRole(const api::Request& request) {
-  if (request.method == "GET" || request.path == "/v1/diff") return api::Role::kReader;
-  return request.path == "/v1/apply" ? api::Role::kAdmin : api::Role::kOperator;
+http_api::Role RequiredRole(const http_api::Request& request) {
+  if (request.method == "GET" || request.path == "/v1/diff") return http_api::Role::kReader;
+  return request.path == "/v1/apply" ? http_api::Role::kAdmin : http_api::Role::kOperator;
 }
 
 /// What follows the prefix; empty if the path does not begin with it, or ends there.
@@ -63,53 +63,55 @@
   return InstancePath{below.substr(0, slash), below.substr(slash)};
 }
 
-api::Response UnknownCall() { return api::Error(404, "no such call; docs/operators/fleet.md lists them"); }
+http_api::Response UnknownCall() {
+  return http_api::Error(404, "no such call; docs/operators/fleet.md lists them");
+}
 
-api::Response UnknownInstance(const std::string& name) {
-  return api::Error(404, "there is no instance " + name);
+http_api::Response UnknownInstance(const std::string& name) {
+  return http_api::Error(404, "there is no instance " + name);
 }
 
 }  // namespace
 
 // ---- routes -------------------------------------------------------------------------------------------
 
-asio::awaitable<api::Response> AgentApi::Handle(api::Request request, api::Peer peer) {
-  const api::Role required = RequiredRole(request);
+asio::awaitable<http_api::Response> AgentApi::Handle(http_api::Request request, http_api::Peer peer) {
+  const http_api::Role required = RequiredRole(request);
   const bool is_post = request.method == "POST";
   if (peer.role < required) {
     const bool is_write = is_post && request.path != "/v1/diff";
     if (is_write) agent_.Audit(peer.who, "not allowed", {{"path", request.path}});
-    co_return api::Error(403, peer.who + " has the role " + std::string(api::Name(peer.role)) +
-                                  "; this takes " + std::string(api::Name(required)));
+    co_return http_api::Error(403, peer.who + " has the role " + std::string(http_api::Name(peer.role)) +
+                                       "; this takes " + std::string(http_api::Name(required)));
   }
   if (request.method == "GET") {
-    api::Response response = co_await HandleGet(std::move(request), std::move(peer));
+    http_api::Response response = co_await HandleGet(std::move(request), std::move(peer));
     co_return response;
   }
   if (is_post) {
-    api::Response response = co_await HandlePost(std::move(request), std::move(peer));
+    http_api::Response response = co_await HandlePost(std::move(request), std::move(peer));
     co_return response;
   }
   co_return UnknownCall();
 }
 
-asio::awaitable<api::Response> AgentApi::HandleGet(api::Request request, api::Peer peer) {
+asio::awaitable<http_api::Response> AgentApi::HandleGet(http_api::Request request, http_api::Peer peer) {
   if (request.path == "/v1/status") {
     co_await agent_.RefreshStatus();
-    co_return api::Response{200, EncodeStatus(agent_)};
+    co_return http_api::Response{200, EncodeStatus(agent_)};
   }
-  if (request.path == "/v1/orders") co_return api::Response{200, EncodeOrderList(agent_.controller())};
+  if (request.path == "/v1/orders") co_return http_api::Response{200, EncodeOrderList(agent_.controller())};
   if (const std::string id = After(request.path, "/v1/orders/"); !id.empty()) {
-    api::Response response = co_await GetOrder(id, request);
+    http_api::Response response = co_await GetOrder(id, request);
     co_return response;
   }
   if (const auto path = ParseInstancePath(request.path)) {
     if (path->rest.empty()) {
-      api::Response response = co_await GetInstance(path->name);
+      http_api::Response response = co_await GetInstance(path->name);
       co_return response;
     }
     if (path->rest == "/members") {
-      api::Response response = co_await ForwardToInstance(path->name, "/v1/members", peer, false);
+      http_api::Response response = co_await ForwardToInstance(path->name, "/v1/members", peer, false);
       co_return response;
     }
   }
@@ -118,13 +120,13 @@
   co_return UnknownCall();
 }
 
-asio::awaitable<api::Response> AgentApi::HandlePost(api::Request request, api::Peer peer) {
+asio::awaitable<http_api::Response> AgentApi::HandlePost(http_api::Request request, http_api::Peer peer) {
   if (request.path == "/v1/orders") co_return PostOrder(request, peer);
   if (request.path == "/v1/apply") co_return PostFleet(request, peer, /*apply=*/true);
   if (request.path == "/v1/diff") co_return PostFleet(request, peer, /*apply=*/false);
   const auto path = ParseInstancePath(request.path);
   if (path && path->rest == "/members/release") {
-    api::Response response = co_await ForwardToInstance(path->name, "/v1/members/release", peer, true);
+    http_api::Response response = co_await ForwardToInstance(path->name, "/v1/members/release", peer, true);
     co_return response;
   }
   co_return UnknownCall();
@@ -132,7 +134,7 @@
 
 // ---- instances ----------------------------------------------------------------------------------------
 
-asio::awaitable<api::Response> AgentApi::GetInstance(std::string name) {
+asio::awaitable<http_api::Response> AgentApi::GetInstance(std::string name) {
   const auto found = agent_.controller().instances().find(name);
   if (found == agent_.controller().instances().end()) co_return UnknownInstance(name);
   const Instance& instance = found->second;
@@ -141,38 +143,38 @@
   if (const InstancePoller::LatestStatus* latest = agent_.FindStatus(name)) answer["status"] = latest->status;
   if (instance.pid != 0) {
     const std::string socket = ParseDefinition(instance.definition).value().control_socket;
-    const api::Reply reply =
-        co_await api::CallUnix(socket, "GET", "/v1/converters", "", kInstanceCallTimeout);
+    const http_api::Reply reply =
+        co_await http_api::CallUnix(socket, "GET", "/v1/converters", "", kInstanceCallTimeout);
     if (reply.ok() && reply.body.is_object() && reply.body.get_object().contains("converters")) {
       answer["converters"] = reply.body.get_object().at("converters");
     } else {
       answer["converters_error"] = reply.Why();
     }
   }
-  co_return api::Response{200, std::move(answer)};
+  co_return http_api::Response{200, std::move(answer)};
 }
 
-asio::awaitable<api::Response> AgentApi::ForwardToInstance(std::string name, std::string path, api::Peer peer,
-                                                           bool is_write) {
+asio::awaitable<http_api::Response> AgentApi::ForwardToInstance(std::string name, std::string path,
+                                                                http_api::Peer peer, bool is_write) {
   const auto found = agent_.controller().instances().find(name);
   if (found == agent_.controller().instances().end()) co_return UnknownInstance(name);
-  if (found->second.pid == 0) co_return api::Error(409, "the instance " + name + " does not run");
+  if (found->second.pid == 0) co_return http_api::Error(409, "the instance " + name + " does not run");
   // What changes something is in the audit log before it is done.
   if (is_write && !agent_.Audit(peer.who, "asked", {{"instance", name}, {"path", path}}))
-    co_return api::Error(507, "the agent cannot write its audit log, and asks nothing without it");
+    co_return http_api::Error(507, "the agent cannot write its audit log, and asks nothing without it");
   const std::string socket = ParseDefinition(found->second.definition).value().control_socket;
   const std::string method = is_write ? "POST" : "GET";
   const std::string body = is_write ? "{}" : "";
-  const api::Reply reply = co_await api::CallUnix(socket, method, path, body, kInstanceCallTimeout);
+  const http_api::Reply reply = co_await http_api::CallUnix(socket, method, path, body, kInstanceCallTimeout);
   if (is_write)
     agent_.Audit(peer.who, "answered", {{"instance", name}, {"path", path}, {"status", reply.status}});
-  if (reply.status == 0) co_return api::Error(504, "the instance does not answer: " + reply.Why());
-  co_return api::Response{reply.status, reply.body};
+  if (reply.status == 0) co_return http_api::Error(504, "the instance does not answer: " + reply.Why());
+  co_return http_api::Response{reply.status, reply.body};
 }
 
-api::Response AgentApi::GetLog(const std::string& name, const api::Request& request) const {
+http_api::Response AgentApi::GetLog(const std::string& name, const http_api::Request& request) const {
   if (!agent_.controller().instances().contains(name)) return UnknownInstance(name);
-  const std::int64_t max_lines = api::QueryNumber(request, "lines", kDefaultLogLines, kMaxLogLines);
+  const std::int64_t max_lines = http_api::QueryNumber(request, "lines", kDefaultLogLines, kMaxLogLines);
   const std::vector<std::string> lines =
       ReadLastLines(agent_.PathsOf(name).log, static_cast<std::size_t>(max_lines));
   return {200, EncodeLog(name, lines)};
@@ -180,57 +182,58 @@
 
 // ---- orders -------------------------------------------------------------------------------------------
 
-asio::awaitable<api::Response> AgentApi::GetOrder(std::string id, api::Request request) {
-  const auto max_wait = milliseconds(api::QueryNumber(request, "wait_ms", 0, kMaxOrderWait.count()));
+asio::awaitable<http_api::Response> AgentApi::GetOrder(std::string id, http_api::Request request) {
+  const auto max_wait = milliseconds(http_api::QueryNumber(request, "wait_ms", 0, kMaxOrderWait.count()));
   const auto due = std::chrono::steady_clock::now() + max_wait;
   for (;;) {
     const OrderState* order = agent_.controller().FindOrder(id);
-    if (!order) co_return api::Error(404, "there is no order " + id + ", or it ended long ago");
+    if (!order) co_return http_api::Error(404, "there is no order " + id + ", or it ended long ago");
     const auto left = std::chrono::duration_cast<milliseconds>(due - std::chrono::steady_clock::now());
     if (order->ended || left <= milliseconds(0))
-      co_return api::Response{200, EncodeOrderStatus(agent_.controller(), *order)};
+      co_return http_api::Response{200, EncodeOrderStatus(agent_.controller(), *order)};
     co_await agent_.WaitForChange(left);
   }
 }
 
-api::Response AgentApi::SubmitOrder(const OrderRequest& request) {
+http_api::Response AgentApi::SubmitOrder(const OrderRequest& request) {
   const Result<ValidationResult> validation = agent_.SubmitOrder(request.order, request.dry_run);
-  if (!validation) return api::Error(507, Message(validation.error()));
+  if (!validation) return http_api::Error(507, Message(validation.error()));
   const bool would_be_accepted = request.dry_run && validation->accepted();
   const unsigned status = would_be_accepted ? 200 : HttpStatusOf(validation->code);
   return {status, EncodeSubmission(agent_.controller(), request.order, *validation, status, request.dry_run)};
 }
 
-api::Response AgentApi::PostOrder(const api::Request& request, const api::Peer& peer) {
+http_api::Response AgentApi::PostOrder(const http_api::Request& request, const http_api::Peer& peer) {
   std::string error;
-  const auto body = api::ReadObject(request, &error);
-  if (!body) return api::Error(400, error);
+  const auto body = http_api::ReadObject(request, &error);
+  if (!body) return http_api::Error(400, error);
   const Result<OrderRequest> order = ParseOrderRequest(*body, peer);
-  if (!order) return api::Error(400, Message(order.error()));
+  if (!order) return http_api::Error(400, Message(order.error()));
   return SubmitOrder(*order);
 }
 
-api::Response AgentApi::PostFleet(const api::Request& request, const api::Peer& peer, bool apply) {
+http_api::Response AgentApi::PostFleet(const http_api::Request& request, const http_api::Peer& peer,
+                                       bool apply) {
   std::string error;
-  const auto body = api::ReadObject(request, &error);
-  if (!body) return api::Error(400, error);
+  const auto body = http_api::ReadObject(request, &error);
+  if (!body) return http_api::Error(400, error);
   Result<FleetRequest> fleet = ParseFleetRequest(*body, peer);
-  if (!fleet) return api::Error(400, Message(fleet.error()));
-  operator_file::Problems problems;
+  if (!fleet) return http_api::Error(400, Message(fleet.error()));
+  operator_config::Problems problems;
   const FleetFile file = ParseFleetFile(fleet->fleet_text, fleet->file_name, problems);
-  if (!problems.empty()) return api::Error(400, operator_file::Lines(problems));
+  if (!problems.empty()) return http_api::Error(400, operator_config::Lines(problems));
   const std::string& own_name = agent_.settings().name;
   if (file.agent.name != own_name)
-    return api::Error(400, "the file is for agent " + file.agent.name + ", and this is " + own_name);
+    return http_api::Error(400, "the file is for agent " + file.agent.name + ", and this is " + own_name);
   return ApplyFleet(std::move(*fleet), file, apply);
 }
 
-api::Response AgentApi::ApplyFleet(FleetRequest request, const FleetFile& file, bool apply) {
+http_api::Response AgentApi::ApplyFleet(FleetRequest request, const FleetFile& file, bool apply) {
   DefinitionTexts before;
   for (const auto& [name, instance] : agent_.controller().instances()) before[name] = instance.definition;
   const DefinitionTexts after = SerializeDefinitions(file.instances);
   const auto changes = DiffDefinitions(before, after);
-  if (!changes) return api::Error(400, Message(changes.error()));
+  if (!changes) return http_api::Error(400, Message(changes.error()));
   if (!apply || changes->empty())
     return {200, json::object{{"generation", agent_.controller().generation()},
                               {"changes", EncodeChanges(*changes)}}};
@@ -240,9 +243,9 @@
     order.instances.push_back(change.instance);
     order.definitions[change.instance] = removes ? std::string() : after.at(change.instance);
   }
-  api::Response response = SubmitOrder(request.order_request);
+  http_api::Response response = SubmitOrder(request.order_request);
   if (json::object* answer = response.body.if_object()) (*answer)["changes"] = EncodeChanges(*changes);
   return response;
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/agent_persistence.cpp
+++ b/src/agent/agent_persistence.cpp
@@ -4,11 +4,11 @@
 #include <boost/asio/post.hpp>
 #include <iostream>
 
-#include "fleet/agent_runtime.h"
-#include "fleet/agent_state_codec.h"
-#include "fleet/clock.h"
+#include "agent/agent_runtime.h"
+#include "agent/agent_state_codec.h"
+#include "agent/clock.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 constexpr Time kSaveRetryDelay{2000};  // after the disk has refused
@@ -56,7 +56,7 @@
   if (const Result<void> saved = store_.Append(changes); !saved) {
     is_unsaved_ = true;
     retry_save_at_ = MonotonicNow() + kSaveRetryDelay;
-    std::cerr << "badgeragent: " << Message(saved.error())
+    std::cerr << "badgerbridge-agent: " << Message(saved.error())
               << "; new orders are refused until that works again\n";
     return;
   }
@@ -68,7 +68,7 @@
   if (!is_unsaved_ || now < retry_save_at_) return;
   is_unsaved_ = !store_.Compact(AllRecords());
   retry_save_at_ = now + kSaveRetryDelay;
-  if (!is_unsaved_) std::cerr << "badgeragent: the state is on disk again\n";
+  if (!is_unsaved_) std::cerr << "badgerbridge-agent: the state is on disk again\n";
 }
 
 std::string AgentRuntime::DiskHealth() const {
@@ -85,7 +85,7 @@
   Result<void> written = audit_log_.Append(lines);
   if (written) return written;
   for (const std::string& line : lines)
-    std::cerr << "badgeragent: the audit log cannot be written: " << line << '\n';
+    std::cerr << "badgerbridge-agent: the audit log cannot be written: " << line << '\n';
   return written;
 }
 
@@ -105,4 +105,4 @@
   });
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/agent_restore.cpp
+++ b/src/agent/agent_restore.cpp
@@ -9,11 +9,11 @@
 #include <iostream>
 #include <utility>
 
-#include "fleet/agent_runtime.h"
-#include "fleet/agent_state_codec.h"
-#include "fleet/clock.h"
+#include "agent/agent_runtime.h"
+#include "agent/agent_state_codec.h"
+#include "agent/clock.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 constexpr std::uint64_t kMaxAuditLogBytes = 4 << 20;  // of one file
@@ -50,7 +50,7 @@
   Result<Store> store = Store::Open(state_dir + "/state", std::move(disk));
   if (!store) return store.error();
   if (store->dropped_bytes() > 0)
-    std::cerr << "badgeragent: the last " << store->dropped_bytes()
+    std::cerr << "badgerbridge-agent: the last " << store->dropped_bytes()
               << " bytes of the state were torn and are dropped\n";
   std::unique_ptr<AgentRuntime> runtime(new AgentRuntime(io, file, std::move(*store)));
   if (const Result<void> restored = runtime->Restore(file); !restored) return restored.error();
@@ -128,9 +128,9 @@
   const auto changes = DiffDefinitions(stored, SerializeDefinitions(file.instances));
   if (!changes) return changes.error();
   if (changes->empty()) return {};
-  std::cerr << "badgeragent: the fleet file differs from what was last applied in " << changes->size()
-            << " instances, which stay as they are; see badgerctl diff, and apply\n";
+  std::cerr << "badgerbridge-agent: the fleet file differs from what was last applied in " << changes->size()
+            << " instances, which stay as they are; see badgerbridge-ctl diff, and apply\n";
   return {};
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/agent_runtime.cpp
+++ b/src/agent/agent_runtime.cpp
@@ -2,7 +2,7 @@
 //
 // Events, actions and the work that is due by time. The start is in agent_restore.cpp, orders, state and
 // audit log in agent_persistence.cpp.
-#include "fleet/agent_runtime.h"
+#include "agent/agent_runtime.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -12,10 +12,10 @@
 #include <utility>
 #include <variant>
 
-#include "fleet/clock.h"
-#include "fleet/instance_log.h"
+#include "agent/clock.h"
+#include "agent/instance_log.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace asio = boost::asio;
@@ -98,7 +98,7 @@
   std::string body = "{}";
   if (drain && deadline > Time(0)) body = json::serialize(json::object{{"deadline_ms", deadline.count()}});
   const std::string path = drain ? "/v1/drain" : "/v1/undrain";
-  const api::Reply reply = co_await api::CallUnix(socket, "POST", path, body, kInstanceCallTimeout);
+  const http_api::Reply reply = co_await http_api::CallUnix(socket, "POST", path, body, kInstanceCallTimeout);
   if (!*alive) co_return;
   if (reply.ok()) {
     HandleEvent(CallSucceeded{instance});
@@ -163,4 +163,4 @@
   }
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/agent_runtime.h
+++ b/src/agent/agent_runtime.h
@@ -3,8 +3,8 @@
 /// \file
 /// The agent without its servers: carries out what a FleetController decides with processes, calls, files and
 /// the clock, and keeps the state and the audit log on disk.
-#ifndef BADGERBRIDGE_FLEET_AGENT_RUNTIME_H_
-#define BADGERBRIDGE_FLEET_AGENT_RUNTIME_H_
+#ifndef BADGERBRIDGE_AGENT_AGENT_RUNTIME_H_
+#define BADGERBRIDGE_AGENT_AGENT_RUNTIME_H_
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -18,17 +18,17 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/audit_log.h"
-#include "fleet/change_signal.h"
-#include "fleet/error.h"
-#include "fleet/fleet_controller.h"
-#include "fleet/fleet_file.h"
-#include "fleet/instance_poller.h"
-#include "fleet/process_table.h"
-#include "fleet/store.h"
+#include "agent/audit_log.h"
+#include "agent/change_signal.h"
+#include "agent/error.h"
+#include "agent/fleet_controller.h"
+#include "agent/fleet_file.h"
+#include "agent/instance_poller.h"
+#include "agent/process_table.h"
+#include "agent/store.h"
 #include "net/one_shot_timer.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// Runs on one event loop; not thread-safe. Destroying it leaves the instances running.
 class AgentRuntime {
@@ -124,6 +124,6 @@
   ChangeSignal changes_;
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_AGENT_RUNTIME_H_
+#endif  // BADGERBRIDGE_AGENT_AGENT_RUNTIME_H_
--- a/src/fleet/agent_state_codec.cpp
+++ b/src/agent/agent_state_codec.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/agent_state_codec.h"
+#include "agent/agent_state_codec.h"
 
 #include <boost/json.hpp>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 namespace json = boost::json;
 
@@ -20,4 +20,4 @@
   return std::string(boot_id->get_string());
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/agent_state_codec.h
+++ b/src/agent/agent_state_codec.h
@@ -2,14 +2,14 @@
 //
 /// \file
 /// The record of the boot whose clock the stored times are of.
-#ifndef BADGERBRIDGE_FLEET_AGENT_STATE_CODEC_H_
-#define BADGERBRIDGE_FLEET_AGENT_STATE_CODEC_H_
+#ifndef BADGERBRIDGE_AGENT_AGENT_STATE_CODEC_H_
+#define BADGERBRIDGE_AGENT_AGENT_STATE_CODEC_H_
 
 #include <optional>
 #include <string>
 #include <string_view>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// The record of a boot id.
 std::string EncodeBootRecord(const std::string& boot_id);
@@ -17,6 +17,6 @@
 /// The boot id; nothing if the record is another one, or none.
 std::optional<std::string> DecodeBootRecord(std::string_view record);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_AGENT_STATE_CODEC_H_
+#endif  // BADGERBRIDGE_AGENT_AGENT_STATE_CODEC_H_
--- a/src/fleet/audit_log.cpp
+++ b/src/agent/audit_log.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/audit_log.h"
+#include "agent/audit_log.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -10,10 +10,10 @@
 #include <ctime>
 #include <utility>
 
-#include "fleet/disk.h"
-#include "fleet/order_codec.h"
+#include "agent/disk.h"
+#include "agent/order_codec.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace json = boost::json;
@@ -101,4 +101,4 @@
                           {"took_ms", has_begun ? (task.ended_at - task.started_at).count() : 0}});
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/audit_log.h
+++ b/src/agent/audit_log.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// The audit log: who changed what, when, and with what result. One JSON line each, synced.
-#ifndef BADGERBRIDGE_FLEET_AUDIT_LOG_H_
-#define BADGERBRIDGE_FLEET_AUDIT_LOG_H_
+#ifndef BADGERBRIDGE_AGENT_AUDIT_LOG_H_
+#define BADGERBRIDGE_AGENT_AUDIT_LOG_H_
 
 #include <boost/json/object.hpp>
 #include <cstdint>
@@ -11,12 +11,12 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/error.h"
-#include "fleet/file_descriptor.h"
-#include "fleet/order.h"
-#include "fleet/order_validation.h"
+#include "agent/error.h"
+#include "agent/file_descriptor.h"
+#include "agent/order.h"
+#include "agent/order_validation.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// An append-only file that is rotated at a size; PATH.1 is the newest of the old files. A file that cannot
 /// be opened is tried again with each Append. Not thread-safe.
@@ -53,6 +53,6 @@
 /// The line for a task that has ended.
 std::string EncodeAuditResult(const Order& order, const InstanceTask& task);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_AUDIT_LOG_H_
+#endif  // BADGERBRIDGE_AGENT_AUDIT_LOG_H_
--- a/src/fleet/change_signal.cpp
+++ b/src/agent/change_signal.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/change_signal.h"
+#include "agent/change_signal.h"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 namespace asio = boost::asio;
 
@@ -16,4 +16,4 @@
   co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/change_signal.h
+++ b/src/agent/change_signal.h
@@ -2,15 +2,15 @@
 //
 /// \file
 /// Wakes coroutines that wait for any change of the agent's state.
-#ifndef BADGERBRIDGE_FLEET_CHANGE_SIGNAL_H_
-#define BADGERBRIDGE_FLEET_CHANGE_SIGNAL_H_
+#ifndef BADGERBRIDGE_AGENT_CHANGE_SIGNAL_H_
+#define BADGERBRIDGE_AGENT_CHANGE_SIGNAL_H_
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// One timer for all that wait: the shortest wait ends all of them, so each waiter checks its condition and
 /// may have to wait again. For one event loop; not thread-safe.
@@ -28,6 +28,6 @@
   boost::asio::steady_timer timer_;
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_CHANGE_SIGNAL_H_
+#endif  // BADGERBRIDGE_AGENT_CHANGE_SIGNAL_H_
--- a/src/fleet/child_process.cpp
+++ b/src/agent/child_process.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/child_process.h"
+#include "agent/child_process.h"
 
 #include <fcntl.h>
 #include <sys/resource.h>
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <utility>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 /// Descriptors below this one are replaced or closed; the child keeps its own above it until exec.
@@ -111,4 +111,4 @@
   ReportAndExit(report, setup.arguments.data()[0]);
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/child_process.h
+++ b/src/agent/child_process.h
@@ -3,15 +3,15 @@
 /// \file
 /// The part of StartProcess that runs in the child, between fork(2) and execve(2). Only async-signal-safe
 /// functions are called there, so all that allocates is prepared before.
-#ifndef BADGERBRIDGE_FLEET_CHILD_PROCESS_H_
-#define BADGERBRIDGE_FLEET_CHILD_PROCESS_H_
+#ifndef BADGERBRIDGE_AGENT_CHILD_PROCESS_H_
+#define BADGERBRIDGE_AGENT_CHILD_PROCESS_H_
 
 #include <string>
 #include <vector>
 
-#include "fleet/instance_definition.h"
+#include "agent/instance_definition.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// The descriptor on which an instance holds its lock. All higher ones are closed.
 constexpr int kLockDescriptor = 3;
@@ -48,6 +48,6 @@
 /// Replaces the child by the instance. Ends the child if that fails.
 [[noreturn]] void RunChild(const ChildSetup& setup);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_CHILD_PROCESS_H_
+#endif  // BADGERBRIDGE_AGENT_CHILD_PROCESS_H_
--- a/src/fleet/clock.cpp
+++ b/src/agent/clock.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/clock.h"
+#include "agent/clock.h"
 
 #include <chrono>
 #include <ctime>
 #include <fstream>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 Time MonotonicNow() {
   timespec now{};
@@ -25,4 +25,4 @@
   return id;
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/clock.h
+++ b/src/agent/clock.h
@@ -2,15 +2,15 @@
 //
 /// \file
 /// The clocks of the agent.
-#ifndef BADGERBRIDGE_FLEET_CLOCK_H_
-#define BADGERBRIDGE_FLEET_CLOCK_H_
+#ifndef BADGERBRIDGE_AGENT_CLOCK_H_
+#define BADGERBRIDGE_AGENT_CLOCK_H_
 
 #include <cstdint>
 #include <string>
 
-#include "fleet/order.h"
+#include "agent/order.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// CLOCK_MONOTONIC: the clock of the boot, so that stored times mean the same to the next agent process.
 Time MonotonicNow();
@@ -21,6 +21,6 @@
 /// The id of this boot of the machine, which stored times belong to. Empty if the system gives none.
 std::string ReadBootId();
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_CLOCK_H_
+#endif  // BADGERBRIDGE_AGENT_CLOCK_H_
--- a/src/fleet/controller_events.h
+++ b/src/agent/controller_events.h
@@ -2,17 +2,17 @@
 //
 /// \file
 /// What a FleetController is told (events) and what it asks for (actions).
-#ifndef BADGERBRIDGE_FLEET_CONTROLLER_EVENTS_H_
-#define BADGERBRIDGE_FLEET_CONTROLLER_EVENTS_H_
+#ifndef BADGERBRIDGE_AGENT_CONTROLLER_EVENTS_H_
+#define BADGERBRIDGE_AGENT_CONTROLLER_EVENTS_H_
 
 #include <sys/types.h>
 
 #include <string>
 #include <variant>
 
-#include "fleet/instance.h"
+#include "agent/instance.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// A Spawn has succeeded.
 struct Spawned {
@@ -91,6 +91,6 @@
 /// Any action.
 using Action = std::variant<Spawn, Call, Signal>;
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_CONTROLLER_EVENTS_H_
+#endif  // BADGERBRIDGE_AGENT_CONTROLLER_EVENTS_H_
--- a/src/fleet/disk.cpp
+++ b/src/agent/disk.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/disk.h"
+#include "agent/disk.h"
 
 #include <unistd.h>
 
 #include <cerrno>
 #include <cstdio>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 /// The error of a system call that returned `result`.
@@ -36,4 +36,4 @@
   return ErrorOf(rename(from.c_str(), to.c_str()));
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/disk.h
+++ b/src/agent/disk.h
@@ -2,15 +2,15 @@
 //
 /// \file
 /// The system calls that change files of the agent's state.
-#ifndef BADGERBRIDGE_FLEET_DISK_H_
-#define BADGERBRIDGE_FLEET_DISK_H_
+#ifndef BADGERBRIDGE_AGENT_DISK_H_
+#define BADGERBRIDGE_AGENT_DISK_H_
 
 #include <cstdint>
 #include <string>
 #include <string_view>
 #include <system_error>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// Writes to the file system. A test replaces it by one that fails. Every error is an errno of
 /// std::generic_category(); none means success.
@@ -28,6 +28,6 @@
   virtual std::error_code Rename(const std::string& from, const std::string& to);
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_DISK_H_
+#endif  // BADGERBRIDGE_AGENT_DISK_H_
--- a/src/fleet/error.cpp
+++ b/src/agent/error.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/error.h"
+#include "agent/error.h"
 
 #include <cstring>
 #include <stdexcept>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 std::string DamageMessage(const AgentError& error) {
@@ -65,4 +65,4 @@
   throw std::runtime_error(Message(error));
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/error.h
+++ b/src/agent/error.h
@@ -2,15 +2,15 @@
 //
 /// \file
 /// The errors of the agent: what went wrong, where, and the value that was wrong.
-#ifndef BADGERBRIDGE_FLEET_ERROR_H_
-#define BADGERBRIDGE_FLEET_ERROR_H_
+#ifndef BADGERBRIDGE_AGENT_ERROR_H_
+#define BADGERBRIDGE_AGENT_ERROR_H_
 
 #include <boost/assert/source_location.hpp>
 #include <boost/system/result.hpp>
 #include <cstdint>
 #include <string>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// What went wrong.
 enum class AgentErrorKind {
@@ -56,6 +56,6 @@
 /// the message of the error.
 [[noreturn]] void throw_exception_from_error(const AgentError& error, const boost::source_location& location);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_ERROR_H_
+#endif  // BADGERBRIDGE_AGENT_ERROR_H_
--- a/src/fleet/file_descriptor.cpp
+++ b/src/agent/file_descriptor.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/file_descriptor.h"
+#include "agent/file_descriptor.h"
 
 #include <unistd.h>
 
 #include <utility>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 FileDescriptor::~FileDescriptor() {
   if (number_ >= 0) close(number_);
@@ -20,4 +20,4 @@
 
 int FileDescriptor::Release() { return std::exchange(number_, -1); }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/file_descriptor.h
+++ b/src/agent/file_descriptor.h
@@ -2,10 +2,10 @@
 //
 /// \file
 /// Ownership of a file descriptor.
-#ifndef BADGERBRIDGE_FLEET_FILE_DESCRIPTOR_H_
-#define BADGERBRIDGE_FLEET_FILE_DESCRIPTOR_H_
+#ifndef BADGERBRIDGE_AGENT_FILE_DESCRIPTOR_H_
+#define BADGERBRIDGE_AGENT_FILE_DESCRIPTOR_H_
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// Owns a file descriptor and closes it when destroyed. Movable, not copyable.
 class FileDescriptor {
@@ -32,6 +32,6 @@
   int number_;
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_FILE_DESCRIPTOR_H_
+#endif  // BADGERBRIDGE_AGENT_FILE_DESCRIPTOR_H_
--- a/src/fleet/fleet_controller.cpp
+++ b/src/agent/fleet_controller.cpp
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/fleet_controller.h"
+#include "agent/fleet_controller.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "fleet/order_codec.h"
-#include "fleet/step_description.h"
-#include "fleet/task_runner.h"
-#include "fleet/task_steps.h"
-#include "fleet/wakeup.h"
+#include "agent/order_codec.h"
+#include "agent/step_description.h"
+#include "agent/task_runner.h"
+#include "agent/task_steps.h"
+#include "agent/wakeup.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 bool Names(const Order& order, const std::string& instance) {
@@ -231,7 +231,7 @@
 // ---- what the shell asks ------------------------------------------------------------------------------
 
 std::string FleetController::DescribeStep(const OrderState& order, const InstanceTask& task) const {
-  return fleet::DescribeStep(state_, order, task);
+  return agent::DescribeStep(state_, order, task);
 }
 
 bool FleetController::NeedsFrequentPolling(const std::string& name) const {
@@ -292,4 +292,4 @@
   state_.changed_orders.clear();
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/fleet_controller.h
+++ b/src/agent/fleet_controller.h
@@ -15,8 +15,8 @@
 ///   outcome never changes.
 /// - An instance is started only while it is known not to run. SIGKILL is sent only as an order's force_after
 ///   says, and kTerminationGracePeriod after the process's SIGTERM at the earliest.
-#ifndef BADGERBRIDGE_FLEET_FLEET_CONTROLLER_H_
-#define BADGERBRIDGE_FLEET_FLEET_CONTROLLER_H_
+#ifndef BADGERBRIDGE_AGENT_FLEET_CONTROLLER_H_
+#define BADGERBRIDGE_AGENT_FLEET_CONTROLLER_H_
 
 #include <cstdint>
 #include <map>
@@ -25,13 +25,13 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/controller_events.h"
-#include "fleet/error.h"
-#include "fleet/fleet_state.h"
-#include "fleet/order_validation.h"
-#include "fleet/supervisor.h"
+#include "agent/controller_events.h"
+#include "agent/error.h"
+#include "agent/fleet_state.h"
+#include "agent/order_validation.h"
+#include "agent/supervisor.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// Carries out orders and supervises instances. Not thread-safe.
 class FleetController {
@@ -104,6 +104,6 @@
   Supervisor supervisor_;
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_FLEET_CONTROLLER_H_
+#endif  // BADGERBRIDGE_AGENT_FLEET_CONTROLLER_H_
--- a/src/fleet/fleet_file.cpp
+++ b/src/agent/fleet_file.cpp
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/fleet_file.h"
+#include "agent/fleet_file.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "api/address.h"
-#include "operator/operator_file.h"
-#include "operator/table_reader.h"
+#include "http_api/address.h"
+#include "operator_config/operator_file.h"
+#include "operator_config/table_reader.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
-using operator_file::Problems;
-using operator_file::TableReader;
+using operator_config::Problems;
+using operator_config::TableReader;
 using std::chrono::milliseconds;
 
 constexpr std::size_t kMaxSocketPathLength = 107;  // bytes, of sockaddr_un (unix(7))
@@ -45,11 +45,11 @@
   return table.Text(key);
 }
 
-std::map<std::string, api::Role> ReadRoles(TableReader& table) {
+std::map<std::string, http_api::Role> ReadRoles(TableReader& table) {
   table.Require("roles", "a table of common names and their roles, as in roles = { \"ana\" = \"operator\" }");
-  std::map<std::string, api::Role> roles;
+  std::map<std::string, http_api::Role> roles;
   for (const auto& [name, text] : table.TextMap("roles")) {
-    if (const auto role = api::ParseRole(text)) {
+    if (const auto role = http_api::ParseRole(text)) {
       roles[name] = *role;
     } else {
       table.Report("roles",
@@ -63,7 +63,7 @@
   TlsSettings tls;
   table.Require("listen", "an address and port, as in listen = \"127.0.0.1:7443\"");
   tls.listen = table.Text("listen");
-  if (table.Has("listen") && !api::ParseAddress(tls.listen))
+  if (table.Has("listen") && !http_api::ParseAddress(tls.listen))
     table.Report("listen", "is no address and port; \"127.0.0.1:7443\" would be right");
   tls.certificate = ReadPemPath(table, "certificate");
   tls.key = ReadPemPath(table, "key");
@@ -88,9 +88,10 @@
       table.Duration("most_backoff", agent.max_backoff, milliseconds(10), milliseconds(600000));
   if (agent.max_backoff < agent.initial_backoff)
     table.Report(table.Has("most_backoff") ? "most_backoff" : "first_backoff",
-                 "contradicts the other: most_backoff (" + operator_file::FormatDuration(agent.max_backoff) +
+                 "contradicts the other: most_backoff (" +
+                     operator_config::FormatDuration(agent.max_backoff) +
                      ") must not be shorter than first_backoff (" +
-                     operator_file::FormatDuration(agent.initial_backoff) + ")");
+                     operator_config::FormatDuration(agent.initial_backoff) + ")");
   agent.min_uptime = table.Duration("short_life", agent.min_uptime, milliseconds(100), milliseconds(3600000));
   agent.max_consecutive_crashes = static_cast<int>(table.Whole("most_deaths", 5, 1, 100));
 }
@@ -134,7 +135,7 @@
 
 std::string ReadListenAddress(TableReader& table) {
   std::string listen = table.Text("listen");
-  if (table.Has("listen") && !api::ParseAddress(listen))
+  if (table.Has("listen") && !http_api::ParseAddress(listen))
     table.Report("listen", "is no address and port; \"127.0.0.1:8080\" would be right");
   return listen;
 }
@@ -142,7 +143,7 @@
 /// The path of the control socket, from the operator's file of the instance.
 std::string ReadControlSocket(TableReader& table, const std::string& path, Problems& problems) {
   if (path.empty()) return "";
-  const auto file = operator_file::Load(path, problems);
+  const auto file = operator_config::Load(path, problems);
   if (file.control) return file.control->socket;
   table.Report("operator_file",
                "has no [control] table; the agent could neither ask nor drain this instance");
@@ -216,7 +217,7 @@
 
 FleetFile ParseFleetFile(std::string_view text, const std::string& file, Problems& problems) {
   FleetFile fleet;
-  const auto root = operator_file::ParseToml(text, file, problems);
+  const auto root = operator_config::ParseToml(text, file, problems);
   if (!root) return fleet;
   TableReader reader(*root, "", file, problems);
   reader.Require("agent", "an [agent] table");
@@ -227,8 +228,8 @@
 }
 
 FleetFile LoadFleetFile(const std::string& path, Problems& problems) {
-  const auto text = operator_file::ReadFile(path, kMaxFleetFileBytes, problems);
+  const auto text = operator_config::ReadFile(path, kMaxFleetFileBytes, problems);
   return text ? ParseFleetFile(*text, path, problems) : FleetFile{};
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/fleet_file.h
+++ b/src/agent/fleet_file.h
@@ -3,8 +3,8 @@
 /// \file
 /// The fleet file (TOML): what an agent keeps on its machine, and how it is reached. deploy/fleet.toml lists
 /// every key.
-#ifndef BADGERBRIDGE_FLEET_FLEET_FILE_H_
-#define BADGERBRIDGE_FLEET_FLEET_FILE_H_
+#ifndef BADGERBRIDGE_AGENT_FLEET_FILE_H_
+#define BADGERBRIDGE_AGENT_FLEET_FILE_H_
 
 #include <sys/types.h>
 
@@ -16,19 +16,19 @@
 #include <string_view>
 #include <vector>
 
-#include "api/message.h"
-#include "fleet/instance_definition.h"
-#include "operator/problem.h"
+#include "agent/instance_definition.h"
+#include "http_api/message.h"
+#include "operator_config/problem.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// The agent's API over TLS. Files are PEM.
 struct TlsSettings {
-  std::string listen;                      ///< address:port
-  std::string certificate;                 ///< path of the agent's certificate chain
-  std::string key;                         ///< path of its private key
-  std::string client_ca;                   ///< path of the authority of client certificates
-  std::map<std::string, api::Role> roles;  ///< by a client certificate's common name
+  std::string listen;                           ///< address:port
+  std::string certificate;                      ///< path of the agent's certificate chain
+  std::string key;                              ///< path of its private key
+  std::string client_ca;                        ///< path of the authority of client certificates
+  std::map<std::string, http_api::Role> roles;  ///< by a client certificate's common name
 };
 
 /// The [agent] table.
@@ -57,11 +57,11 @@
 
 /// Checks the whole text, and the operator's files that it names. `file` is the name for the problems, all of
 /// which are appended to `problems`; the result counts only if none was.
-FleetFile ParseFleetFile(std::string_view text, const std::string& file, operator_file::Problems& problems);
+FleetFile ParseFleetFile(std::string_view text, const std::string& file, operator_config::Problems& problems);
 
 /// Reads and parses the file at `path`, with the same rules.
-FleetFile LoadFleetFile(const std::string& path, operator_file::Problems& problems);
+FleetFile LoadFleetFile(const std::string& path, operator_config::Problems& problems);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_FLEET_FILE_H_
+#endif  // BADGERBRIDGE_AGENT_FLEET_FILE_H_
--- a/src/fleet/fleet_state.cpp
+++ b/src/agent/fleet_state.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/fleet_state.h"
+#include "agent/fleet_state.h"
 
 #include <algorithm>
 #include <iterator>
 #include <utility>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 bool FleetState::AddInstance(const std::string& name, const std::string& definition, bool desired_running) {
   if (instances.size() >= kMaxInstances || instances.contains(name)) return false;
@@ -59,4 +59,4 @@
     order = order->ended ? orders.erase(order) : std::next(order);
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/fleet_state.h
+++ b/src/agent/fleet_state.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// All that a FleetController knows: instances, orders, and which of them have to be stored again.
-#ifndef BADGERBRIDGE_FLEET_FLEET_STATE_H_
-#define BADGERBRIDGE_FLEET_FLEET_STATE_H_
+#ifndef BADGERBRIDGE_AGENT_FLEET_STATE_H_
+#define BADGERBRIDGE_AGENT_FLEET_STATE_H_
 
 #include <cstdint>
 #include <map>
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "fleet/instance.h"
-#include "fleet/order.h"
+#include "agent/instance.h"
+#include "agent/order.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// A task that is running, and its order. Both null: there is none.
 struct RunningTask {
@@ -52,6 +52,6 @@
   void MarkChanged(const OrderState& order) { changed_orders.insert(order.order.id); }
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_FLEET_STATE_H_
+#endif  // BADGERBRIDGE_AGENT_FLEET_STATE_H_
--- a/src/fleet/instance.cpp
+++ b/src/agent/instance.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/instance.h"
+#include "agent/instance.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 std::string_view InstanceStateName(const Instance& instance) {
   if (instance.start_in_flight) return "spawning";
@@ -17,4 +17,4 @@
   return "starting";
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/instance.h
+++ b/src/agent/instance.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// One supervised instance (a proxy process), as the agent knows it. Plain values; nothing here does I/O.
-#ifndef BADGERBRIDGE_FLEET_INSTANCE_H_
-#define BADGERBRIDGE_FLEET_INSTANCE_H_
+#ifndef BADGERBRIDGE_AGENT_INSTANCE_H_
+#define BADGERBRIDGE_AGENT_INSTANCE_H_
 
 #include <sys/types.h>
 
@@ -12,9 +12,9 @@
 #include <string>
 #include <string_view>
 
-#include "fleet/order.h"
+#include "agent/order.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// What an instance reported of itself (a proxy's /v1/status).
 struct Observation {
@@ -62,6 +62,6 @@
 /// backoff, failed or silent.
 std::string_view InstanceStateName(const Instance& instance);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_INSTANCE_H_
+#endif  // BADGERBRIDGE_AGENT_INSTANCE_H_
--- a/src/fleet/instance_definition.cpp
+++ b/src/agent/instance_definition.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/instance_definition.h"
+#include "agent/instance_definition.h"
 
 #include <boost/json.hpp>
 #include <stdexcept>
 #include <utility>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace json = boost::json;
@@ -128,4 +128,4 @@
   return changes;
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/instance_definition.h
+++ b/src/agent/instance_definition.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// How an instance is started, its stored form (JSON), and the differences between two sets of definitions.
-#ifndef BADGERBRIDGE_FLEET_INSTANCE_DEFINITION_H_
-#define BADGERBRIDGE_FLEET_INSTANCE_DEFINITION_H_
+#ifndef BADGERBRIDGE_AGENT_INSTANCE_DEFINITION_H_
+#define BADGERBRIDGE_AGENT_INSTANCE_DEFINITION_H_
 
 #include <cstdint>
 #include <map>
@@ -11,10 +11,10 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet/error.h"
-#include "fleet/order.h"
+#include "agent/error.h"
+#include "agent/order.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// How one instance is started. As JSON it is what orders carry and what the agent stores.
 struct InstanceDefinition {
@@ -55,6 +55,6 @@
 /// removals. AgentErrorKind::kInvalidDefinition if a text that has to be compared is no JSON object.
 Result<std::vector<DefinitionChange>> DiffDefinitions(const DefinitionTexts& from, const DefinitionTexts& to);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_INSTANCE_DEFINITION_H_
+#endif  // BADGERBRIDGE_AGENT_INSTANCE_DEFINITION_H_
--- a/src/fleet/instance_log.cpp
+++ b/src/agent/instance_log.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/instance_log.h"
+#include "agent/instance_log.h"
 
 #include <sys/stat.h>
 #include <unistd.h>
@@ -8,7 +8,7 @@
 #include <cstdio>
 #include <fstream>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 constexpr std::size_t kMaxLastLineBytes = 4096;      // searched for the last line
@@ -88,4 +88,4 @@
   if (truncate(path.c_str(), 0) != 0) std::perror(path.c_str());
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/instance_log.h
+++ b/src/agent/instance_log.h
@@ -2,15 +2,15 @@
 //
 /// \file
 /// The log files of instances: read from the end, and bounded in size.
-#ifndef BADGERBRIDGE_FLEET_INSTANCE_LOG_H_
-#define BADGERBRIDGE_FLEET_INSTANCE_LOG_H_
+#ifndef BADGERBRIDGE_AGENT_INSTANCE_LOG_H_
+#define BADGERBRIDGE_AGENT_INSTANCE_LOG_H_
 
 #include <cstddef>
 #include <cstdint>
 #include <string>
 #include <vector>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// The last line that is not blank, at most `max_bytes` of it. Empty if there is none. Control characters are
 /// replaced by spaces.
@@ -24,6 +24,6 @@
 /// writes it appends and notices nothing; what it writes in between is lost.
 void BoundLogSize(const std::string& path, std::uint64_t max_bytes);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_INSTANCE_LOG_H_
+#endif  // BADGERBRIDGE_AGENT_INSTANCE_LOG_H_
--- a/src/fleet/instance_poller.cpp
+++ b/src/agent/instance_poller.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/instance_poller.h"
+#include "agent/instance_poller.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -7,11 +7,11 @@
 #include <boost/json.hpp>
 #include <utility>
 
-#include "fleet/clock.h"
-#include "fleet/instance_definition.h"
-#include "fleet/status_codec.h"
+#include "agent/clock.h"
+#include "agent/instance_definition.h"
+#include "agent/status_codec.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace asio = boost::asio;
@@ -93,7 +93,8 @@
   if (known == controller_.instances().end() || pid == 0 || !polling_.insert(instance).second) co_return;
   const std::string socket = ControlSocketOf(known->second);
   const Time requested_at = MonotonicNow();
-  const api::Reply reply = co_await api::CallUnix(socket, "GET", "/v1/status", "", kInstanceCallTimeout);
+  const http_api::Reply reply =
+      co_await http_api::CallUnix(socket, "GET", "/v1/status", "", kInstanceCallTimeout);
   if (!*alive) co_return;
   polling_.erase(instance);
   // A reply of a process that has ended meanwhile says nothing of its successor.
@@ -101,7 +102,7 @@
 }
 
 void InstancePoller::HandleReply(const std::string& instance, pid_t pid, Time requested_at,
-                                 const api::Reply& reply) {
+                                 const http_api::Reply& reply) {
   const auto status = reply.ok() ? DecodeProxyStatus(reply.body) : std::nullopt;
   const Time now = MonotonicNow();
   const Time spawned_at = controller_.instances().at(instance).spawned_at;
@@ -123,4 +124,4 @@
   callbacks_.on_schedule_change();
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/instance_poller.h
+++ b/src/agent/instance_poller.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// Asks running instances for their status, as often as what waits for it needs.
-#ifndef BADGERBRIDGE_FLEET_INSTANCE_POLLER_H_
-#define BADGERBRIDGE_FLEET_INSTANCE_POLLER_H_
+#ifndef BADGERBRIDGE_AGENT_INSTANCE_POLLER_H_
+#define BADGERBRIDGE_AGENT_INSTANCE_POLLER_H_
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -15,11 +15,11 @@
 #include <set>
 #include <string>
 
-#include "api/client.h"
-#include "fleet/fleet_controller.h"
-#include "fleet/process_table.h"
+#include "agent/fleet_controller.h"
+#include "agent/process_table.h"
+#include "http_api/client.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// The bound on one call to an instance.
 constexpr std::chrono::milliseconds kInstanceCallTimeout{1000};
@@ -67,7 +67,7 @@
 
  private:
   boost::asio::awaitable<void> Poll(std::string instance);
-  void HandleReply(const std::string& instance, pid_t pid, Time requested_at, const api::Reply& reply);
+  void HandleReply(const std::string& instance, pid_t pid, Time requested_at, const http_api::Reply& reply);
   Time DueTime(const std::string& instance, Time now);
 
   boost::asio::io_context& io_;
@@ -81,6 +81,6 @@
   std::set<std::string> polling_;                               // instances with a poll in flight
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_INSTANCE_POLLER_H_
+#endif  // BADGERBRIDGE_AGENT_INSTANCE_POLLER_H_
--- a/src/fleet/main.cpp
+++ b/src/agent/main.cpp
@@ -8,8 +8,8 @@
 #include <iostream>
 #include <string>
 
-#include "api/version.h"
-#include "fleet/agent.h"
+#include "agent/agent.h"
+#include "http_api/version.h"
 
 namespace {
 
@@ -21,24 +21,24 @@
     try {
       io.run();
     } catch (const std::exception& error) {
-      std::cerr << "badgeragent: " << error.what() << '\n';
+      std::cerr << "badgerbridge-agent: " << error.what() << '\n';
     }
   }
 }
 
 /// Keeps the file's instances until SIGTERM or SIGINT. Returns the exit code.
-int RunAgent(const fleet::FleetFile& file) {
+int RunAgent(const agent::FleetFile& file) {
   boost::asio::io_context io(1);
-  const auto agent = fleet::Agent::Create(io, file);
+  const auto agent = agent::Agent::Create(io, file);
   if (!agent) {
-    std::cerr << "badgeragent: " << fleet::Message(agent.error()) << '\n';
+    std::cerr << "badgerbridge-agent: " << agent::Message(agent.error()) << '\n';
     return 1;
   }
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
   signals.async_wait([&](const boost::system::error_code& error, int) {
     if (!error) io.stop();
   });
-  std::cerr << "badgeragent: " << file.agent.name << " answers on " << file.agent.socket << '\n';
+  std::cerr << "badgerbridge-agent: " << file.agent.name << " answers on " << file.agent.socket << '\n';
   RunUntilStopped(io);
   return 0;
 }
@@ -46,26 +46,26 @@
 }  // namespace
 
 int main(int count, char** arguments) {
-  CLI::App app("badgeragent: keeps the instances of a fleet file; badgerctl commands it");
+  CLI::App app("badgerbridge-agent: keeps the instances of a fleet file; badgerbridge-ctl commands it");
   std::string path;
   bool check_only = false;
   app.add_option("--fleet", path, "the fleet file (deploy/fleet.toml lists every key)")->required();
   app.add_flag("--check", check_only,
                "check the file and the operator's files that it names, and start nothing");
-  app.set_version_flag("--version", api::VersionText("badgeragent", {"TLS"}));
+  app.set_version_flag("--version", http_api::VersionText("badgerbridge-agent", {"TLS"}));
   CLI11_PARSE(app, count, arguments);
 
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGHUP, SIG_IGN);
-  operator_file::Problems problems;
-  const fleet::FleetFile file = fleet::LoadFleetFile(path, problems);
-  std::cerr << operator_file::Lines(problems);
+  operator_config::Problems problems;
+  const agent::FleetFile file = agent::LoadFleetFile(path, problems);
+  std::cerr << operator_config::Lines(problems);
   if (!problems.empty()) return 1;
   if (check_only) return 0;
   try {
     return RunAgent(file);
   } catch (const std::exception& error) {
-    std::cerr << "badgeragent: " << error.what() << '\n';
+    std::cerr << "badgerbridge-agent: " << error.what() << '\n';
     return 1;
   }
 }
--- a/src/fleet/order.h
+++ b/src/agent/order.h
@@ -3,8 +3,8 @@
 /// \file
 /// An operator's order to instances, and the progress of each instance under it. Plain values; nothing here
 /// does I/O.
-#ifndef BADGERBRIDGE_FLEET_ORDER_H_
-#define BADGERBRIDGE_FLEET_ORDER_H_
+#ifndef BADGERBRIDGE_AGENT_ORDER_H_
+#define BADGERBRIDGE_AGENT_ORDER_H_
 
 #include <chrono>
 #include <cstddef>
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// Time since the boot of the machine (CLOCK_MONOTONIC), the same for all agents of one boot; only advances.
 using Time = std::chrono::milliseconds;
@@ -120,6 +120,6 @@
   bool ended = false;                 ///< all tasks are in a terminal state
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_ORDER_H_
+#endif  // BADGERBRIDGE_AGENT_ORDER_H_
--- a/src/fleet/order_codec.cpp
+++ b/src/agent/order_codec.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/order_codec.h"
+#include "agent/order_codec.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
 #include <stdexcept>
 #include <utility>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace json = boost::json;
@@ -239,4 +239,4 @@
   }
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/order_codec.h
+++ b/src/agent/order_codec.h
@@ -3,17 +3,17 @@
 /// \file
 /// The stored form of instances and orders (JSON records), and the wire names of verbs and task states. The
 /// one place where the names of stored data meet those of the code.
-#ifndef BADGERBRIDGE_FLEET_ORDER_CODEC_H_
-#define BADGERBRIDGE_FLEET_ORDER_CODEC_H_
+#ifndef BADGERBRIDGE_AGENT_ORDER_CODEC_H_
+#define BADGERBRIDGE_AGENT_ORDER_CODEC_H_
 
 #include <optional>
 #include <string>
 #include <string_view>
 
-#include "fleet/error.h"
-#include "fleet/fleet_state.h"
+#include "agent/error.h"
+#include "agent/fleet_state.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// The wire name: start, stop, drain, undrain, reload, restart or apply.
 std::string_view VerbName(Verb verb);
@@ -35,6 +35,6 @@
 /// none; the state is unchanged then.
 Result<void> DecodeRecord(std::string_view record, FleetState& state);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_ORDER_CODEC_H_
+#endif  // BADGERBRIDGE_AGENT_ORDER_CODEC_H_
--- a/src/fleet/order_validation.cpp
+++ b/src/agent/order_validation.cpp
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/order_validation.h"
+#include "agent/order_validation.h"
 
 #include <algorithm>
 #include <optional>
 #include <set>
 
-#include "fleet/order_codec.h"
-#include "fleet/step_description.h"
-#include "fleet/task_steps.h"
+#include "agent/order_codec.h"
+#include "agent/step_description.h"
+#include "agent/task_steps.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 using Code = ValidationResult::Code;
@@ -97,7 +97,7 @@
                 " has superseded, " + step + "; repeat this order once that has ended",
             open.order.id};
   return {Code::kConflict,
-          task.instance + " is held by " + holder + ", " + step + "; wait for it (badgerctl orders " +
+          task.instance + " is held by " + holder + ", " + step + "; wait for it (badgerbridge-ctl orders " +
               open.order.id + "), or take over with --supersede",
           open.order.id};
 }
@@ -119,7 +119,7 @@
     text += " by " + std::string(VerbName(by->order.verb)) + " (order " + by->order.id + ") of " +
             by->order.author;
   text += "; the order was written against generation " + std::to_string(order.expected_generation) +
-          ": look at it again (badgerctl status), then repeat the order";
+          ": look at it again (badgerbridge-ctl status), then repeat the order";
   return {Code::kStale, std::move(text), instance.changed_by_order};
 }
 
@@ -161,4 +161,4 @@
   return {};
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/order_validation.h
+++ b/src/agent/order_validation.h
@@ -2,15 +2,15 @@
 //
 /// \file
 /// Whether an order may be accepted. Pure: nothing changes.
-#ifndef BADGERBRIDGE_FLEET_ORDER_VALIDATION_H_
-#define BADGERBRIDGE_FLEET_ORDER_VALIDATION_H_
+#ifndef BADGERBRIDGE_AGENT_ORDER_VALIDATION_H_
+#define BADGERBRIDGE_AGENT_ORDER_VALIDATION_H_
 
 #include <string>
 
-#include "fleet/fleet_state.h"
-#include "fleet/order.h"
+#include "agent/fleet_state.h"
+#include "agent/order.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// What became of a submitted order.
 struct ValidationResult {
@@ -34,6 +34,6 @@
 /// Checks the order itself, then its instances, then conflicts with open orders, then its generation.
 ValidationResult ValidateOrder(const FleetState& state, const Order& order);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_ORDER_VALIDATION_H_
+#endif  // BADGERBRIDGE_AGENT_ORDER_VALIDATION_H_
--- a/src/fleet/process.cpp
+++ b/src/agent/process.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/process.h"
+#include "agent/process.h"
 
 #include <fcntl.h>
 #include <poll.h>
@@ -20,9 +20,9 @@
 #include <sstream>
 #include <utility>
 
-#include "fleet/child_process.h"
+#include "agent/child_process.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 FileDescriptor OpenPidfd(pid_t pid) {
@@ -197,4 +197,4 @@
   return DescribeExit(status);
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/process.h
+++ b/src/agent/process.h
@@ -4,8 +4,8 @@
 /// The processes of instances. Each holds a lock on a file of its own (flock(2), inherited through exec and
 /// released at its end, however it ends): an instance is never started while it runs, whatever the agent
 /// remembers. A process is referred to by a pidfd (pidfd_open(2)), so that a recycled pid is never signalled.
-#ifndef BADGERBRIDGE_FLEET_PROCESS_H_
-#define BADGERBRIDGE_FLEET_PROCESS_H_
+#ifndef BADGERBRIDGE_AGENT_PROCESS_H_
+#define BADGERBRIDGE_AGENT_PROCESS_H_
 
 #include <sys/types.h>
 
@@ -13,11 +13,11 @@
 #include <optional>
 #include <string>
 
-#include "fleet/error.h"
-#include "fleet/file_descriptor.h"
-#include "fleet/instance_definition.h"
+#include "agent/error.h"
+#include "agent/file_descriptor.h"
+#include "agent/instance_definition.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// Where an instance keeps its files.
 struct InstancePaths {
@@ -50,6 +50,6 @@
 /// The start time of a process, in ticks since the boot; nothing if it does not run.
 std::optional<std::uint64_t> ReadStartTime(pid_t pid);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_PROCESS_H_
+#endif  // BADGERBRIDGE_AGENT_PROCESS_H_
--- a/src/fleet/process_table.cpp
+++ b/src/agent/process_table.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/process_table.h"
+#include "agent/process_table.h"
 
 #include <fcntl.h>
 
 #include <optional>
 #include <utility>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 namespace asio = boost::asio;
 
@@ -51,10 +51,10 @@
   const auto found = entries_.find(instance);
   if (found == entries_.end() || found->second.process.pid != pid) return;
   const std::optional<std::string> description = ReapProcess(found->second.process);
-  // Under load a pidfd has been reported readable while its process ran (docs/fleet.md): wait again.
+  // Under load a pidfd has been reported readable while its process ran (docs/agent.md): wait again.
   if (!description) return AwaitExit(instance, pid);
   entries_.erase(found);
   on_exit_(instance, pid, *description);
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/process_table.h
+++ b/src/agent/process_table.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// The running processes of all instances of an agent, and their ends.
-#ifndef BADGERBRIDGE_FLEET_PROCESS_TABLE_H_
-#define BADGERBRIDGE_FLEET_PROCESS_TABLE_H_
+#ifndef BADGERBRIDGE_AGENT_PROCESS_TABLE_H_
+#define BADGERBRIDGE_AGENT_PROCESS_TABLE_H_
 
 #include <sys/types.h>
 
@@ -15,9 +15,9 @@
 #include <string>
 #include <vector>
 
-#include "fleet/process.h"
+#include "agent/process.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// Holds one process an instance until its end. Destroying the table leaves the processes alone. For one
 /// event loop; not thread-safe.
@@ -61,6 +61,6 @@
   std::map<std::string, Entry> entries_;                        // by instance
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_PROCESS_TABLE_H_
+#endif  // BADGERBRIDGE_AGENT_PROCESS_TABLE_H_
--- a/src/fleet/request_body.cpp
+++ b/src/agent/request_body.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/request_body.h"
+#include "agent/request_body.h"
 
 #include <boost/json.hpp>
 #include <cstdint>
 #include <utility>
 
-#include "fleet/order_codec.h"
+#include "agent/order_codec.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace json = boost::json;
@@ -15,7 +15,7 @@
 constexpr std::size_t kMaxAliasLength = 64;  // bytes of the name that a person gives for the audit log
 
 /// The members that orders of every verb share.
-Order ReadCommonMembers(RequestBody& body, const api::Peer& peer) {
+Order ReadCommonMembers(RequestBody& body, const http_api::Peer& peer) {
   Order order;
   order.id = body.ReadText("id").value_or("");
   order.author = peer.who;
@@ -103,7 +103,7 @@
   return {};
 }
 
-Result<OrderRequest> ParseOrderRequest(const json::object& object, const api::Peer& peer) {
+Result<OrderRequest> ParseOrderRequest(const json::object& object, const http_api::Peer& peer) {
   RequestBody body(object);
   OrderRequest request;
   request.order = ReadCommonMembers(body, peer);
@@ -114,7 +114,7 @@
   return request;
 }
 
-Result<FleetRequest> ParseFleetRequest(const json::object& object, const api::Peer& peer) {
+Result<FleetRequest> ParseFleetRequest(const json::object& object, const http_api::Peer& peer) {
   RequestBody body(object);
   FleetRequest request;
   request.order_request.order = ReadCommonMembers(body, peer);
@@ -126,4 +126,4 @@
   return request;
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/request_body.h
+++ b/src/agent/request_body.h
@@ -3,8 +3,8 @@
 /// \file
 /// Reads the members of a request's JSON body, and orders from them. The one place where the names of the
 /// API's requests meet those of the code.
-#ifndef BADGERBRIDGE_FLEET_REQUEST_BODY_H_
-#define BADGERBRIDGE_FLEET_REQUEST_BODY_H_
+#ifndef BADGERBRIDGE_AGENT_REQUEST_BODY_H_
+#define BADGERBRIDGE_AGENT_REQUEST_BODY_H_
 
 #include <boost/json/object.hpp>
 #include <cstdint>
@@ -15,11 +15,11 @@
 #include <string_view>
 #include <vector>
 
-#include "api/message.h"
-#include "fleet/error.h"
-#include "fleet/order.h"
+#include "agent/error.h"
+#include "agent/order.h"
+#include "http_api/message.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// Reads members one after another and keeps the first error, which Finish() returns; after it, what is read
 /// is empty. A member that is null counts as missing. The object must outlive the reader.
@@ -66,11 +66,11 @@
 };
 
 /// The body of POST /v1/orders.
-Result<OrderRequest> ParseOrderRequest(const boost::json::object& body, const api::Peer& peer);
+Result<OrderRequest> ParseOrderRequest(const boost::json::object& body, const http_api::Peer& peer);
 
 /// The body of POST /v1/apply and /v1/diff.
-Result<FleetRequest> ParseFleetRequest(const boost::json::object& body, const api::Peer& peer);
+Result<FleetRequest> ParseFleetRequest(const boost::json::object& body, const http_api::Peer& peer);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_REQUEST_BODY_H_
+#endif  // BADGERBRIDGE_AGENT_REQUEST_BODY_H_
--- a/src/fleet/response_codec.cpp
+++ b/src/agent/response_codec.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/response_codec.h"
+#include "agent/response_codec.h"
 
 #include <unistd.h>
 
@@ -8,11 +8,11 @@
 #include <string_view>
 #include <utility>
 
-#include "fleet/clock.h"
-#include "fleet/instance_definition.h"
-#include "fleet/order_codec.h"
+#include "agent/clock.h"
+#include "agent/instance_definition.h"
+#include "agent/order_codec.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace json = boost::json;
@@ -187,4 +187,4 @@
   return {{"instance", instance}, {"lines", std::move(answer)}};
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/response_codec.h
+++ b/src/agent/response_codec.h
@@ -3,17 +3,17 @@
 /// \file
 /// The JSON of the agent's API answers. The one place where the names of the API's answers meet those of the
 /// code.
-#ifndef BADGERBRIDGE_FLEET_RESPONSE_CODEC_H_
-#define BADGERBRIDGE_FLEET_RESPONSE_CODEC_H_
+#ifndef BADGERBRIDGE_AGENT_RESPONSE_CODEC_H_
+#define BADGERBRIDGE_AGENT_RESPONSE_CODEC_H_
 
 #include <boost/json/array.hpp>
 #include <boost/json/object.hpp>
 #include <string>
 #include <vector>
 
-#include "fleet/agent_runtime.h"
+#include "agent/agent_runtime.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// The answer to GET /v1/status.
 boost::json::object EncodeStatus(const AgentRuntime& agent);
@@ -41,6 +41,6 @@
 /// The answer to GET /v1/logs/NAME.
 boost::json::object EncodeLog(const std::string& instance, const std::vector<std::string>& lines);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_RESPONSE_CODEC_H_
+#endif  // BADGERBRIDGE_AGENT_RESPONSE_CODEC_H_
--- a/src/fleet/status_codec.cpp
+++ b/src/agent/status_codec.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/status_codec.h"
+#include "agent/status_codec.h"
 
 #include <boost/json.hpp>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace json = boost::json;
@@ -44,4 +44,4 @@
   return result;
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/status_codec.h
+++ b/src/agent/status_codec.h
@@ -2,16 +2,16 @@
 //
 /// \file
 /// A proxy's answer to GET /v1/status, as far as the agent reads it.
-#ifndef BADGERBRIDGE_FLEET_STATUS_CODEC_H_
-#define BADGERBRIDGE_FLEET_STATUS_CODEC_H_
+#ifndef BADGERBRIDGE_AGENT_STATUS_CODEC_H_
+#define BADGERBRIDGE_AGENT_STATUS_CODEC_H_
 
 #include <boost/json/value.hpp>
 #include <cstdint>
 #include <optional>
 
-#include "fleet/instance.h"
+#include "agent/instance.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// What a proxy reports of itself.
 struct ProxyStatus {
@@ -22,6 +22,6 @@
 /// Nothing if the value is no status. Numbers that are missing or malformed are 0.
 std::optional<ProxyStatus> DecodeProxyStatus(const boost::json::value& value);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_STATUS_CODEC_H_
+#endif  // BADGERBRIDGE_AGENT_STATUS_CODEC_H_
--- a/src/fleet/step_description.cpp
+++ b/src/agent/step_description.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/step_description.h"
+#include "agent/step_description.h"
 
-#include "fleet/order_codec.h"
+#include "agent/order_codec.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 std::string InParentheses(const std::string& text) { return text.empty() ? "" : " (" + text + ")"; }
@@ -74,4 +74,4 @@
   return std::to_string(tenths / 10) + "." + std::to_string(tenths % 10) + " s";
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/step_description.h
+++ b/src/agent/step_description.h
@@ -2,14 +2,14 @@
 //
 /// \file
 /// What a task is doing, in words for people.
-#ifndef BADGERBRIDGE_FLEET_STEP_DESCRIPTION_H_
-#define BADGERBRIDGE_FLEET_STEP_DESCRIPTION_H_
+#ifndef BADGERBRIDGE_AGENT_STEP_DESCRIPTION_H_
+#define BADGERBRIDGE_AGENT_STEP_DESCRIPTION_H_
 
 #include <string>
 
-#include "fleet/fleet_state.h"
+#include "agent/fleet_state.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// What the task is doing now, without the time; the wire name of its state if it has ended.
 std::string DescribeStep(const FleetState& state, const OrderState& order, const InstanceTask& task);
@@ -17,6 +17,6 @@
 /// A duration in seconds, rounded to tenths: "3.7 s".
 std::string FormatSeconds(Time time);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_STEP_DESCRIPTION_H_
+#endif  // BADGERBRIDGE_AGENT_STEP_DESCRIPTION_H_
--- a/src/fleet/store.cpp
+++ b/src/agent/store.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/store.h"
+#include "agent/store.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -9,9 +9,9 @@
 #include <boost/json.hpp>
 #include <cerrno>
 
-#include "fleet/store_codec.h"
+#include "agent/store_codec.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace json = boost::json;
@@ -168,4 +168,4 @@
   return {};
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/store.h
+++ b/src/agent/store.h
@@ -3,8 +3,8 @@
 /// \file
 /// The agent's state on disk: a journal of batches (store_codec.h), each written whole or not at all. A batch
 /// counts once it is synced. Compaction writes all records to a new file and renames it over the old one.
-#ifndef BADGERBRIDGE_FLEET_STORE_H_
-#define BADGERBRIDGE_FLEET_STORE_H_
+#ifndef BADGERBRIDGE_AGENT_STORE_H_
+#define BADGERBRIDGE_AGENT_STORE_H_
 
 #include <cstdint>
 #include <memory>
@@ -15,11 +15,11 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/disk.h"
-#include "fleet/error.h"
-#include "fleet/file_descriptor.h"
+#include "agent/disk.h"
+#include "agent/error.h"
+#include "agent/file_descriptor.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// An open state file, locked against other agents (flock(2)). Movable, not copyable; not thread-safe.
 class Store {
@@ -72,6 +72,6 @@
   std::vector<std::string> records_;
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_STORE_H_
+#endif  // BADGERBRIDGE_AGENT_STORE_H_
--- a/src/fleet/store_codec.cpp
+++ b/src/agent/store_codec.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/store_codec.h"
+#include "agent/store_codec.h"
 
 #include <boost/crc.hpp>
 #include <charconv>
 #include <cstdio>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 constexpr std::size_t kChecksumLength = 8;   // hexadecimal digits
@@ -54,4 +54,4 @@
   return BatchView{json, size};
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/store_codec.h
+++ b/src/agent/store_codec.h
@@ -4,8 +4,8 @@
 /// The form of the state file: a journal of batches, one line each, "crc32 length json\n". The JSON is an
 /// array of records; the checksum is CRC-32 (IEEE 802.3) of the JSON, in hexadecimal. Functions of bytes
 /// alone.
-#ifndef BADGERBRIDGE_FLEET_STORE_CODEC_H_
-#define BADGERBRIDGE_FLEET_STORE_CODEC_H_
+#ifndef BADGERBRIDGE_AGENT_STORE_CODEC_H_
+#define BADGERBRIDGE_AGENT_STORE_CODEC_H_
 
 #include <cstddef>
 #include <optional>
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <vector>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// A batch found in the text of a state file.
 struct BatchView {
@@ -27,6 +27,6 @@
 /// The batch at the beginning of the text; nothing if there is no complete one with a correct checksum.
 std::optional<BatchView> FindBatch(std::string_view text);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_STORE_CODEC_H_
+#endif  // BADGERBRIDGE_AGENT_STORE_CODEC_H_
--- a/src/fleet/supervisor.cpp
+++ b/src/agent/supervisor.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/supervisor.h"
+#include "agent/supervisor.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "fleet/step_description.h"
+#include "agent/step_description.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 void Supervisor::OnExit(Time now, Instance& instance, std::string description) {
   instance.last_exit = std::move(description);
@@ -52,4 +52,4 @@
          instance.observation->state == "ready";
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/supervisor.h
+++ b/src/agent/supervisor.h
@@ -3,16 +3,16 @@
 /// \file
 /// Keeps instances in their desired state outside of orders: restarts after a crash, with backoff, and drains
 /// again what came back. Pure.
-#ifndef BADGERBRIDGE_FLEET_SUPERVISOR_H_
-#define BADGERBRIDGE_FLEET_SUPERVISOR_H_
+#ifndef BADGERBRIDGE_AGENT_SUPERVISOR_H_
+#define BADGERBRIDGE_AGENT_SUPERVISOR_H_
 
 #include <cstdint>
 #include <random>
 #include <string>
 
-#include "fleet/instance.h"
+#include "agent/instance.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// Decides when a process that ended is started again. A value; holds the random numbers of the jitter.
 class Supervisor {
@@ -40,6 +40,6 @@
   RestartPolicy policy_;
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_SUPERVISOR_H_
+#endif  // BADGERBRIDGE_AGENT_SUPERVISOR_H_
--- a/src/fleet/task_runner.cpp
+++ b/src/agent/task_runner.cpp
@@ -2,16 +2,16 @@
 //
 // The course of a task: beginning, handing over, deadline and escalation. What each step does is in
 // task_runner_steps.cpp.
-#include "fleet/task_runner.h"
+#include "agent/task_runner.h"
 
 #include <algorithm>
 #include <csignal>
 #include <utility>
 
-#include "fleet/step_description.h"
-#include "fleet/task_steps.h"
+#include "agent/step_description.h"
+#include "agent/task_steps.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 void TaskRunner::Begin() {
   task_.state = TaskState::kRunning;
@@ -193,4 +193,4 @@
   return "does not run" + (instance_->last_exit.empty() ? "" : "; it last " + instance_->last_exit);
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/task_runner.h
+++ b/src/agent/task_runner.h
@@ -2,17 +2,17 @@
 //
 /// \file
 /// Carries one instance's task forward, step by step. Pure: what has to be done outside goes into actions.
-#ifndef BADGERBRIDGE_FLEET_TASK_RUNNER_H_
-#define BADGERBRIDGE_FLEET_TASK_RUNNER_H_
+#ifndef BADGERBRIDGE_AGENT_TASK_RUNNER_H_
+#define BADGERBRIDGE_AGENT_TASK_RUNNER_H_
 
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "fleet/controller_events.h"
-#include "fleet/fleet_state.h"
+#include "agent/controller_events.h"
+#include "agent/fleet_state.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// How far TaskRunner::RunStep came.
 enum class StepProgress {
@@ -83,6 +83,6 @@
   std::vector<Action>& actions_;
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_TASK_RUNNER_H_
+#endif  // BADGERBRIDGE_AGENT_TASK_RUNNER_H_
--- a/src/fleet/task_runner_steps.cpp
+++ b/src/agent/task_runner_steps.cpp
@@ -4,10 +4,10 @@
 #include <algorithm>
 #include <csignal>
 
-#include "fleet/task_runner.h"
-#include "fleet/task_steps.h"
+#include "agent/task_runner.h"
+#include "agent/task_steps.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 StepProgress TaskRunner::RunCurrentStep() {
   switch (task_.steps[task_.step_index]) {
@@ -147,4 +147,4 @@
   return Succeed("removed");
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/task_steps.cpp
+++ b/src/agent/task_steps.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/task_steps.h"
+#include "agent/task_steps.h"
 
 #include <algorithm>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 std::vector<Step> PlanApply(const Order& order, const std::string& instance) {
@@ -76,4 +76,4 @@
   return kMessages[static_cast<int>(verb)];
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/task_steps.h
+++ b/src/agent/task_steps.h
@@ -2,16 +2,16 @@
 //
 /// \file
 /// The steps of an instance's task: which ones an order takes, and what they mean for its control flow.
-#ifndef BADGERBRIDGE_FLEET_TASK_STEPS_H_
-#define BADGERBRIDGE_FLEET_TASK_STEPS_H_
+#ifndef BADGERBRIDGE_AGENT_TASK_STEPS_H_
+#define BADGERBRIDGE_AGENT_TASK_STEPS_H_
 
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "fleet/order.h"
+#include "agent/order.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 /// Whether a Verb::kApply order removes the instance, having no definition for it.
 bool RemovesInstance(const Order& order, const std::string& instance);
@@ -32,6 +32,6 @@
 /// The message of a task that has succeeded.
 std::string_view SuccessMessage(Verb verb);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_TASK_STEPS_H_
+#endif  // BADGERBRIDGE_AGENT_TASK_STEPS_H_
--- a/src/fleet/wakeup.cpp
+++ b/src/agent/wakeup.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/wakeup.h"
+#include "agent/wakeup.h"
 
 #include <algorithm>
 
-#include "fleet/supervisor.h"
-#include "fleet/task_runner.h"
+#include "agent/supervisor.h"
+#include "agent/task_runner.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 /// The earliest of the times that it is given.
@@ -60,4 +60,4 @@
   return earliest.get();
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/tests/fleet/agent_fixture.h
+++ b/tests/agent/agent_fixture.h
@@ -2,8 +2,8 @@
 //
 /// \file
 /// What the tests of the agent as a process share.
-#ifndef BADGERBRIDGE_TESTS_FLEET_AGENT_FIXTURE_H_
-#define BADGERBRIDGE_TESTS_FLEET_AGENT_FIXTURE_H_
+#ifndef BADGERBRIDGE_TESTS_AGENT_AGENT_FIXTURE_H_
+#define BADGERBRIDGE_TESTS_AGENT_AGENT_FIXTURE_H_
 
 #include <gtest/gtest.h>
 #include <sys/types.h>
@@ -15,12 +15,12 @@
 #include <memory>
 #include <string>
 
-#include "api/client.h"
+#include "http_api/client.h"
 #include "standins/site.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
-/// "result: text" of one instance in the output of `badgerctl ... -o json`.
+/// "result: text" of one instance in the output of `badgerbridge-ctl ... -o json`.
 inline std::string ResultOf(const standins::CommandResult& result, const std::string& instance) {
   boost::system::error_code error;
   const boost::json::value answer = boost::json::parse(result.out, error);
@@ -42,7 +42,7 @@
   void Start(int proxies = 3, const std::string& agent_extra = "") {
     standins::SiteSettings settings;
     settings.proxies = proxies;
-    settings.converters = 3;
+    settings.backends = 3;
     settings.service = std::chrono::milliseconds(10);
     settings.agent_extra = agent_extra;
     site = std::make_unique<standins::Site>(io, settings);
@@ -56,7 +56,7 @@
   /// The pids of all instances, by name.
   std::map<std::string, pid_t> Pids() {
     std::map<std::string, pid_t> pids;
-    const api::Reply reply = site->Call("GET", "/v1/status");
+    const http_api::Reply reply = site->Call("GET", "/v1/status");
     for (const boost::json::value& one : reply.body.at("instances").as_array())
       pids[std::string(one.at("name").as_string())] = one.at("pid").to_number<pid_t>();
     return pids;
@@ -66,6 +66,6 @@
   std::unique_ptr<standins::Site> site;
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_TESTS_FLEET_AGENT_FIXTURE_H_
+#endif  // BADGERBRIDGE_TESTS_AGENT_AGENT_FIXTURE_H_
--- a/tests/fleet/agent_orders_test.cpp
+++ b/tests/agent/agent_orders_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Orders to real processes: badgeragent, badgerctl and badgerbridge against stand-ins on loopback.
+// Orders to real processes: badgerbridge-agent, badgerbridge-ctl and badgerbridge against stand-ins on
+// loopback.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -15,7 +16,7 @@
 
 #include "agent_fixture.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace asio = boost::asio;
@@ -161,8 +162,8 @@
   const pid_t second = fork();
   if (second == 0) {
     if (!std::freopen("/dev/null", "w", stderr)) _exit(9);
-    execl(Binary("badgeragent").c_str(), "badgeragent", "--fleet", (site->folder() + "/fleet.toml").c_str(),
-          static_cast<char*>(nullptr));
+    execl(Binary("badgerbridge-agent").c_str(), "badgerbridge-agent", "--fleet",
+          (site->folder() + "/fleet.toml").c_str(), static_cast<char*>(nullptr));
     _exit(9);
   }
   int status = 0;
@@ -255,4 +256,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/tests/fleet/agent_test.cpp
+++ b/tests/agent/agent_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The agent beside its orders: status, supervision, clocks, logs, disk and bad requests, with badgeragent,
-// badgerctl and badgerbridge as processes, against stand-ins on loopback.
-#include "fleet/agent.h"
+// The agent beside its orders: status, supervision, clocks, logs, disk and bad requests, with
+// badgerbridge-agent, badgerbridge-ctl and badgerbridge as processes, against stand-ins on loopback.
+#include "agent/agent.h"
 
 #include <unistd.h>
 
@@ -15,7 +15,7 @@
 
 #include "agent_fixture.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace asio = boost::asio;
@@ -94,7 +94,7 @@
   EXPECT_EQ(site->Ctl({"check", site->folder() + "/n1.toml"}).code, 0);
   site->Write("bad.toml", "[control]\n");
   EXPECT_EQ(site->Ctl({"check", site->folder() + "/bad.toml"}).code, 1);
-  EXPECT_NE(site->Ctl({"completion", "bash"}).out.find("complete -F _badgerctl badgerctl"),
+  EXPECT_NE(site->Ctl({"completion", "bash"}).out.find("complete -F _badgerctl badgerbridge-ctl"),
             std::string::npos);
   EXPECT_EQ(site->Ctl({"drain", "n1", "--dry-run"}).out.find("done"), std::string::npos);
   EXPECT_EQ(site->StateOf("n1"), "ready");
@@ -126,7 +126,7 @@
     EXPECT_LT(drained.took, seconds(15)) << "by the other clock";
     // The clock did jump, for the agent: it is what the account's dates say.
     ASSERT_EQ(site->Ctl({"undrain", "n1"}).code, 0);
-    const api::Reply orders = site->Call("GET", "/v1/orders");
+    const http_api::Reply orders = site->Call("GET", "/v1/orders");
     const auto at =
         orders.body.at("orders").as_array().back().at("accepted_unix_ms").to_number<std::int64_t>();
     const auto wall =
@@ -160,15 +160,15 @@
 
 TEST_F(AgentTest, FullDiskRejectsNewOrdersAndKeepsInstancesRunning) {
   Start(2);
-  operator_file::Problems problems;
+  operator_config::Problems problems;
   const FleetFile file = LoadFleetFile(site->folder() + "/fleet.toml", problems);
-  ASSERT_EQ(operator_file::Lines(problems), "");
+  ASSERT_EQ(operator_config::Lines(problems), "");
   const auto disk = std::make_shared<BadDisk>();
   const std::unique_ptr<Agent> agent = std::move(Agent::Create(io, file, disk).value());
   ASSERT_TRUE(site->Until([&] { return site->All("ready"); }));
   disk->bad = true;
   const std::string order = R"({"id":"o1","verb":"drain","instances":["n1"]})";
-  api::Reply reply = site->Call("POST", "/v1/orders", order);
+  http_api::Reply reply = site->Call("POST", "/v1/orders", order);
   EXPECT_EQ(reply.status, 507u) << reply.Why();
   EXPECT_NE(reply.Why().find("No space left"), std::string::npos);
   EXPECT_EQ(agent->controller().generation(), 0u);
@@ -199,4 +199,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/tests/fleet/agent_tls_test.cpp
+++ b/tests/agent/agent_tls_test.cpp
@@ -8,11 +8,11 @@
 #include <optional>
 #include <vector>
 
+#include "agent/agent.h"
 #include "agent_fixture.h"
-#include "fleet/agent.h"
 #include "standins/certificates.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace asio = boost::asio;
@@ -42,22 +42,22 @@
                         "/agent.pem\"\nkey = \"" + folder + "/agent.key\"\nclient_ca = \"" + folder +
                         "/ca.pem\"\nroles = { reader = \"reader\", operator = \"operator\" }\n");
     site->Write("fleet.toml", text);
-    operator_file::Problems problems;
+    operator_config::Problems problems;
     const FleetFile file = LoadFleetFile(folder + "/fleet.toml", problems);
-    ASSERT_EQ(operator_file::Lines(problems), "");
+    ASSERT_EQ(operator_config::Lines(problems), "");
     agent = std::move(Agent::Create(io, file).value());
     ASSERT_TRUE(site->Until([&] { return site->All("ready"); }));
   }
   /// The answer to a call with the certificate of `who`.
-  api::Reply As(const std::string& who, const std::string& method, const std::string& path,
-                const std::string& body = "") {
-    api::Target target;
+  http_api::Reply As(const std::string& who, const std::string& method, const std::string& path,
+                     const std::string& body = "") {
+    http_api::Target target;
     target.address = *agent->tls_address();
     const std::string& folder = site->folder();
     target.files = {folder + "/" + who + ".pem", folder + "/" + who + ".key", folder + "/ca.pem"};
-    auto reply = std::make_shared<std::optional<api::Reply>>();
-    asio::co_spawn(io, api::Call(target, method, path, body, milliseconds(8000)),
-                   [reply](std::exception_ptr, api::Reply answer) { *reply = std::move(answer); });
+    auto reply = std::make_shared<std::optional<http_api::Reply>>();
+    asio::co_spawn(io, http_api::Call(target, method, path, body, milliseconds(8000)),
+                   [reply](std::exception_ptr, http_api::Reply answer) { *reply = std::move(answer); });
     EXPECT_TRUE(site->Until([&] { return reply->has_value(); }));
     return **reply;
   }
@@ -71,7 +71,7 @@
 TEST_F(TlsTest, CertificateNameDecidesTheRole) {
   StartTls();
   EXPECT_EQ(As("reader", "GET", "/v1/status").status, 200u);
-  const api::Reply refused = As("reader", "POST", "/v1/orders", kDrain);
+  const http_api::Reply refused = As("reader", "POST", "/v1/orders", kDrain);
   EXPECT_EQ(refused.status, 403u);
   EXPECT_EQ(refused.Why(), "cn reader has the role reader; this takes operator");
   EXPECT_EQ(As("stranger", "GET", "/v1/status").status, 403u);
@@ -87,7 +87,7 @@
 TEST_F(TlsTest, MissingForgedOrExpiredCertificateGetsNoAnswer) {
   StartTls();
   for (const char* who : {"expired", "forged"}) {
-    const api::Reply reply = As(who, "POST", "/v1/orders", kDrain);
+    const http_api::Reply reply = As(who, "POST", "/v1/orders", kDrain);
     EXPECT_EQ(reply.status, 0u) << who;
     EXPECT_FALSE(reply.error.empty());
   }
@@ -162,4 +162,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/tests/fleet/fleet_controller_random_test.cpp
+++ b/tests/agent/fleet_controller_random_test.cpp
@@ -13,10 +13,10 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/fleet_controller.h"
-#include "fleet/order_codec.h"
+#include "agent/fleet_controller.h"
+#include "agent/order_codec.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 /// How often what the schedules are for has happened.
@@ -381,4 +381,4 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, FleetControllerRandom, ::testing::Values(1, 11, 21, 31, 41, 51));
 
 }  // namespace
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/tests/fleet/fleet_controller_test.cpp
+++ b/tests/agent/fleet_controller_test.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/fleet_controller.h"
+#include "agent/fleet_controller.h"
 
 #include <gtest/gtest.h>
 
 #include <csignal>
 #include <fstream>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 using std::chrono::milliseconds;
@@ -139,7 +139,8 @@
   EXPECT_EQ(verdict.code, ValidationResult::Code::kConflict);
   EXPECT_EQ(verdict.conflicting_order, "d");
   EXPECT_EQ(verdict.message,
-            "n2 is held by drain (order d, generation 2) by ana, telling it to drain; wait for it (badgerctl "
+            "n2 is held by drain (order d, generation 2) by ana, telling it to drain; wait for it "
+            "(badgerbridge-ctl "
             "orders "
             "d), or take over with --supersede");
   EXPECT_TRUE(actions.empty());
@@ -493,4 +494,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/tests/fleet/process_test.cpp
+++ b/tests/agent/process_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/process.h"
+#include "agent/process.h"
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -12,9 +12,9 @@
 #include <filesystem>
 #include <fstream>
 
-#include "fleet/instance_log.h"
+#include "agent/instance_log.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 /// Waits for the end of the process; how it ended.
@@ -107,4 +107,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/tests/fleet/store_test.cpp
+++ b/tests/agent/store_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/store.h"
+#include "agent/store.h"
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -11,9 +11,9 @@
 #include <fstream>
 #include <sstream>
 
-#include "fleet/audit_log.h"
+#include "agent/audit_log.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 class StoreTest : public ::testing::Test {
@@ -235,4 +235,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
