--- a/src/agent/task_runner.cpp
+++ b/src/agent/task_runner.cpp
@@ -39,7 +39,6 @@
   ++task_.step_index;
   task_.step_started_at = now_;
   task_.action_sent = false;
-  task_.retry_at = Time(0);
   task_.last_call_error.clear();
   state_.MarkChanged(order_);
 }
@@ -176,6 +175,7 @@
 
 StepProgress TaskRunner::Advance() {
   MoveToNextStep();
+  task_.retry_at = Time(0);
   return StepProgress::kAdvanced;
 }
 
