--- a/tests/compatibility/membership_compatibility_test.cpp
+++ b/tests/compatibility/membership_compatibility_test.cpp
@@ -5,14 +5,14 @@
 
 #include "compatibility/etcd_transaction_text.h"
 #include "compatibility/golden_file.h"
+#include "membership/member_codec.h"
 #include "membership/registration.h"
-#include "membership/value.h"
 
 namespace badgerbridge::compatibility {
 namespace {
 
 /// With a value of its own in each field.
-membership::Member MemberWithEveryField(membership::State state) {
+membership::Member MemberWithEveryField(membership::MemberState state) {
   membership::Member member;
   member.name = "v17";
   member.address = "10.1.2.3:9000";
@@ -21,7 +21,7 @@
   member.group = 4;
   member.state = state;
   member.weight = 1.5;
-  member.since_ms = 1700000000123;
+  member.start_time_ms = 1700000000123;
   return member;
 }
 
@@ -37,39 +37,40 @@
 TEST(MembershipValueCompatibility, MemberOfEachStateIsWrittenAsTheGoldenValue) {
   EXPECT_TRUE(MatchesGoldenFile(
       "membership/values.jsonl",
-      JoinLines({membership::ValueOf(MemberWithEveryField(membership::State::kReady)),
-                 membership::ValueOf(MemberWithEveryField(membership::State::kDraining))})));
+      JoinLines({membership::SerializeMember(MemberWithEveryField(membership::MemberState::kReady)),
+                 membership::SerializeMember(MemberWithEveryField(membership::MemberState::kDraining))})));
 }
 
 TEST(MembershipValueCompatibility, GoldenValueIsReadIntoEveryFieldAndWrittenBack) {
   const std::vector<std::string> values = GoldenLines("membership/values.jsonl");
   ASSERT_EQ(values.size(), 2u);
-  const membership::State states[] = {membership::State::kReady, membership::State::kDraining};
+  const membership::MemberState states[] = {membership::MemberState::kReady,
+                                            membership::MemberState::kDraining};
   for (std::size_t i = 0; i < values.size(); ++i) {
-    membership::Member member;
-    EXPECT_FALSE(membership::ReadMember("v17", values[i], &member));
-    EXPECT_EQ(member, MemberWithEveryField(states[i]));
-    EXPECT_EQ(membership::ValueOf(member), values[i]);
+    const auto member = membership::ParseMember("v17", values[i]);
+    ASSERT_TRUE(member.has_value());
+    EXPECT_EQ(*member, MemberWithEveryField(states[i]));
+    EXPECT_EQ(membership::SerializeMember(*member), values[i]);
   }
 }
 
 TEST(MembershipValueCompatibility, ValueWithoutOptionalFieldsHasTheirDefaults) {
-  membership::Member member;
-  ASSERT_FALSE(membership::ReadMember("v17", GoldenLines("membership/short_value.jsonl").front(), &member));
+  const auto member = membership::ParseMember("v17", GoldenLines("membership/short_value.jsonl").front());
+  ASSERT_TRUE(member.has_value());
   membership::Member expected;
   expected.name = "v17";
   expected.address = "10.1.2.3:9000";
-  EXPECT_EQ(member, expected);
+  EXPECT_EQ(*member, expected);
 }
 
 TEST(MembershipValueCompatibility, ChangeOfStateIsTheGoldenTransactionAndKeepsUnknownFields) {
   std::string text;
   for (const std::string& value : GoldenLines("membership/foreign_values.jsonl")) {
-    for (const membership::State state : {membership::State::kReady, membership::State::kDraining}) {
-      std::string problem;
-      const auto transaction = membership::ChangeOfState(KeyValueOf(value), state, &problem);
-      EXPECT_EQ(problem, "");
-      text += transaction ? TextOf("change", *transaction) : "no change\n";
+    for (const membership::MemberState state :
+         {membership::MemberState::kReady, membership::MemberState::kDraining}) {
+      const auto transaction = membership::MakeStateChange(KeyValueOf(value), state);
+      ASSERT_TRUE(transaction.has_value()) << Message(transaction.error());
+      text += *transaction ? TextOf("change", **transaction) : "no change\n";
     }
   }
   EXPECT_TRUE(MatchesGoldenFile("membership/change_of_state.txt", text));
@@ -78,20 +79,20 @@
 TEST(MembershipRegistrationCompatibility, RegistrationWritesTheGoldenKeyAndValue) {
   using membership::Registration;
   membership::RegistrationSettings settings;
-  settings.member = MemberWithEveryField(membership::State::kReady);
+  settings.member = MemberWithEveryField(membership::MemberState::kReady);
   Registration registration(settings);
   std::string text;
   etcdserverpb::LeaseGrantResponse lease;
   lease.set_id(77);
   lease.set_ttl(10);
   const auto grant = registration.Next(membership::Time(1000));
-  text += "lease of " + std::to_string(std::get<Registration::Grant>(grant).request.ttl()) + " s\n";
-  registration.Granted(membership::Time(1001), etcd::Status{}, lease);
+  text += "lease of " + std::to_string(std::get<Registration::GrantLease>(grant).request.ttl()) + " s\n";
+  registration.OnLeaseGranted(membership::Time(1001), etcd::Status{}, lease);
   const auto read = registration.Next(membership::Time(1002));
-  text += "read " + std::get<Registration::Read>(read).request.key() + "\n";
-  registration.WasRead(membership::Time(1003), etcd::Status{}, {});
+  text += "read " + std::get<Registration::ReadKey>(read).request.key() + "\n";
+  registration.OnKeyRead(membership::Time(1003), etcd::Status{}, {});
   const auto write = registration.Next(membership::Time(1004));
-  text += TextOf("write", std::get<Registration::Write>(write).request);
+  text += TextOf("write", std::get<Registration::WriteKey>(write).request);
   EXPECT_TRUE(MatchesGoldenFile("membership/registration.txt", text));
 }
 
