--- /dev/null
+++ b/tests/docs/runbook_test.cpp
@@ -0,0 +1,197 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// docs/operators/runbook.md has a row for each message that a program prints on standard error, and for each
+// exit code but 0; and none for what no program prints any more.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <map>
+#include <regex>
+#include <set>
+#include <string>
+
+#include "source_text.h"
+
+namespace badgerbridge::docs {
+namespace {
+
+const std::filesystem::path kRoot = SOURCE_DIR;
+
+constexpr std::string_view kLogSection = "## Log lines";
+constexpr std::string_view kExitSection = "## Exit codes";
+
+/// A statement that prints text composed elsewhere, and the row that describes the text; an empty row: the
+/// text is that of other statements that are checked by themselves.
+struct Composed {
+  std::string_view statement_part;
+  std::string_view row;
+};
+constexpr Composed kComposed[] = {
+    {"Lines(", "FILE:LINE:COLUMN: …"},      // faults of a file that an operator wrote
+    {"NameOfSource(source)", "SOURCE: …"},  // why a source of members is not taken whole: etcd or discovery
+    {"std::perror(", "PATH: …"},            // a system call on a file
+    {"action.text", ""},                    // a Log action of the decision module or of the table of requests
+    {"Log{std::move(text)}", ""},           // LogLine itself
+};
+
+std::string Page() { return ReadFile(kRoot / "docs/operators/runbook.md"); }
+
+std::vector<Message> AllMessages() {
+  std::vector<Message> all;
+  for (const std::string& file : SourcesBelow(kRoot, "src")) {
+    for (Message& one : MessagesIn(file, WithoutComments(ReadFile(kRoot / file))))
+      all.push_back(std::move(one));
+  }
+  return all;
+}
+
+/// The row that a message needs; nothing where it needs none.
+std::optional<std::string> RowOf(const Message& message) {
+  // A progress display rewrites its line; a space continues one.
+  if (message.text.empty() || message.text.front() == '\r' || message.text.front() == ' ')
+    return std::nullopt;
+  for (const Composed& composed : kComposed) {
+    // The closing bracket of a call is not part of the statement.
+    if ((message.statement + "}").find(composed.statement_part) == std::string::npos) continue;
+    if (composed.row.empty()) return std::nullopt;
+    return std::string(composed.row);
+  }
+  if (message.text != kPlaceholder) return message.text;
+  ADD_FAILURE() << message.file << ":" << message.line
+                << ": prints text that is composed elsewhere: " << message.statement
+                << "\nName its first words there, or add it to kComposed";
+  return std::nullopt;
+}
+
+/// The numbers N of each "…; N meaning" of a help text that lists exit codes, 0 left out.
+std::set<int> CodesOfHelp(const std::string& help) {
+  std::set<int> codes;
+  const std::regex entry("(?:^|[:;] )(\\d+) ");
+  for (std::sregex_iterator at(help.begin(), help.end(), entry), end; at != end; ++at)
+    codes.insert(std::stoi((*at)[1]));
+  codes.erase(0);
+  return codes;
+}
+
+std::set<int> NumbersOf(const std::string& text, const std::regex& pattern) {
+  std::set<int> numbers;
+  for (std::sregex_iterator at(text.begin(), text.end(), pattern), end; at != end; ++at)
+    numbers.insert(std::stoi((*at)[1]));
+  numbers.erase(0);
+  return numbers;
+}
+
+/// The exit codes of the program whose main stands in `folder`, as the runbook writes them.
+std::set<std::string> ExitCodesOf(const std::filesystem::path& folder) {
+  std::set<std::string> codes;
+  const auto add = [&codes](const std::set<int>& numbers) {
+    for (const int number : numbers) codes.insert(std::to_string(number));
+  };
+  for (const std::string& file : SourcesBelow(folder, "")) {
+    const std::string text = WithoutComments(ReadFile(folder / file));
+    add(NumbersOf(text, std::regex("\\b(?:_exit|std::exit)\\((\\d+)\\)")));
+    const std::regex enumeration("enum (?:class )?Exit\\w*[^{;]*\\{[^}]*\\}");
+    for (std::sregex_iterator at(text.begin(), text.end(), enumeration), end; at != end; ++at)
+      add(NumbersOf(at->str(), std::regex("= (\\d+)")));
+    if (file != "main.cpp") continue;
+    add(NumbersOf(text, std::regex("\\breturn (\\d+);")));
+    if (text.find("CLI11_PARSE(") != std::string::npos) codes.insert("100 to 127");
+    const std::size_t help = text.find("\"Exit codes: ");
+    std::size_t behind = 0;
+    if (help != std::string::npos) add(CodesOfHelp(*LiteralAt(text, help, &behind)));
+  }
+  return codes;
+}
+
+/// Each program, by its build file, with the folder of its main.
+std::map<std::string, std::filesystem::path> Programs() {
+  std::map<std::string, std::filesystem::path> programs;
+  for (const char* below : {"src", "tests/multiprocess"}) {
+    for (const std::string& file : SourcesBelow(kRoot, below)) {
+      const std::filesystem::path path = kRoot / file;
+      if (path.filename() != "main.cpp") continue;
+      const std::string build = ReadFile(path.parent_path() / "CMakeLists.txt");
+      std::smatch name;
+      if (std::regex_search(build, name, std::regex("add_executable\\(\\s*([\\w-]+)\\s[^)]*\\bmain\\.cpp")))
+        programs[name[1]] = path.parent_path();
+      else
+        ADD_FAILURE() << file << ": its build file names no program";
+    }
+  }
+  return programs;
+}
+
+TEST(Runbook, HasARowForEachMessage) {
+  std::set<std::string> rows;
+  for (const Row& row : RowsOf(Page(), kLogSection)) rows.insert(row.key);
+  for (const Message& message : AllMessages()) {
+    const auto row = RowOf(message);
+    EXPECT_TRUE(!row || rows.count(*row))
+        << message.file << ":" << message.line << ": the runbook needs a row that begins with\n| `" << *row
+        << "` |";
+  }
+}
+
+TEST(Runbook, HasNoRowForAMessageThatNoProgramPrints) {
+  std::set<std::string> printed;
+  for (const Message& message : AllMessages()) {
+    if (const auto row = RowOf(message)) printed.insert(*row);
+  }
+  for (const Row& row : RowsOf(Page(), kLogSection))
+    EXPECT_TRUE(printed.count(row.key)) << "no program prints: " << row.key;
+}
+
+TEST(Runbook, HasARowForEachExitCodeAndForNoOther) {
+  std::set<std::pair<std::string, std::string>> rows, exits;
+  for (const Row& row : RowsOf(Page(), kExitSection)) rows.emplace(row.key, row.second);
+  for (const auto& [program, folder] : Programs()) {
+    for (const std::string& code : ExitCodesOf(folder)) exits.emplace(program, code);
+  }
+  for (const auto& [program, code] : exits)
+    EXPECT_TRUE(rows.count({program, code}))
+        << "the runbook needs a row: | `" << program << "` | " << code << " |";
+  for (const auto& [program, code] : rows)
+    EXPECT_TRUE(exits.count({program, code})) << program << " does not exit with " << code;
+}
+
+// Another way to print would go unseen by the checks above.
+TEST(Runbook, SourcesPrintInNoWayThatTheTestDoesNotKnow) {
+  const std::regex other("\\b(std::clog|std::wcerr|spdlog|syslog\\(|fprintf\\(stderr|fputs\\(|std::println)");
+  std::set<std::string> known{"out", "out_", "complaints"};
+  for (const std::string& name : ErrorStreams()) known.insert(name);
+  for (const std::string& file : SourcesBelow(kRoot, "src")) {
+    const std::string text = WithoutComments(ReadFile(kRoot / file));
+    std::smatch found;
+    EXPECT_FALSE(std::regex_search(text, found, other)) << file << ": " << found.str();
+    for (const std::string& name : StreamNamesIn(text))
+      EXPECT_TRUE(known.count(name)) << file << ": is the stream " << name
+                                     << " standard error? See ErrorStreams()";
+  }
+}
+
+TEST(RunbookSourceText, CommentsAreBlankedAndLiteralsStay) {
+  EXPECT_EQ(WithoutComments("a(\"http://x\");  // b\nc /* d */ e"), "a(\"http://x\");      \nc         e");
+}
+
+TEST(RunbookSourceText, AMessageIsItsLiteralsWithPlaceholdersBetween) {
+  const auto messages =
+      MessagesIn("f.cpp", "\nstd::cerr << \"a: \" << x.y(1, \"z\") << \" b\"\n  \"c\" << '\\n';");
+  ASSERT_EQ(messages.size(), 1u);
+  EXPECT_EQ(messages[0].text, "a: … bc");
+  EXPECT_EQ(messages[0].line, 2u);
+}
+
+TEST(RunbookSourceText, AConditionalThatBeginsAMessageIsTwoMessages) {
+  const auto messages =
+      MessagesIn("f.cpp", "LogLine((bad ? \"x: \" : \"y: \") + (c ? \"p\" : \"q\") + \"; z\");");
+  ASSERT_EQ(messages.size(), 2u);
+  EXPECT_EQ(messages[0].text, "x: …; z");
+  EXPECT_EQ(messages[1].text, "y: …; z");
+}
+
+TEST(RunbookSourceText, AnExitCodeOfAHelpTextIsANumberBeforeItsMeaning) {
+  EXPECT_EQ(CodesOfHelp("Exit codes: 0 all did it; 1 some; 12 usage."), (std::set<int>{1, 12}));
+}
+
+}  // namespace
+}  // namespace badgerbridge::docs
