--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -88,7 +88,7 @@
     }
     return {200, Status()};
   }
-  return api::Error(404, "no such call; docs/operators/control.md lists them");
+  return api::Error(404, "no such call; docs/operators/admin_api.md lists them");
 }
 
 api::Response Control::Drain(const api::Request& request) {
--- a/src/fleet/agent_api.cpp
+++ b/src/fleet/agent_api.cpp
@@ -270,7 +270,7 @@
   if (read && !below("/v1/logs/").empty()) co_return GetLog(below("/v1/logs/"), request);
   if (write && request.path == "/v1/orders") co_return PostOrder(request, peer);
   if (write && (request.path == "/v1/apply" || diff)) co_return PostFleet(request, peer, !diff);
-  co_return api::Error(404, "no such call; docs/operators/fleet.md lists them");
+  co_return api::Error(404, "no such call; docs/operators/agent.md lists them");
 }
 
 asio::awaitable<api::Response> Agent::GetInstance(std::string name) {
