--- a/bench/etcd.cpp
+++ b/bench/etcd.cpp
@@ -2,7 +2,7 @@
 //
 // bench/etcd: a proxy that follows a stand-in etcd (three members, in a process of its own). Drains under
 // load with faults from fixed seeds; how long a write takes to be applied; a burst of a thousand changes; ten
-// thousand converters. About two minutes; ends with one line of figures, exit 1 if an invariant broke or a
+// thousand backends. About two minutes; ends with one line of figures, exit 1 if an invariant broke or a
 // figure was missed.
 #include "standins/etcd.h"
 
@@ -38,9 +38,9 @@
 using std::chrono::milliseconds;
 
 const std::string kPrefix = "/badgerbridge/converters/", kBig = "/big/";
-constexpr int kConverters = 12, kAtOnce = 3, kRounds = 70;
+constexpr int kBackends = 12, kAtOnce = 3, kRounds = 70;
 
-// The stand-in in a process of its own, so that what it does costs neither clients nor converters a turn.
+// The stand-in in a process of its own, so that what it does costs neither clients nor backends a turn.
 // Commands are lines; each is answered by one.
 class EtcdProcess {
  public:
@@ -121,7 +121,7 @@
       std::vector<std::pair<std::string, std::string>> pairs;
       for (std::size_t i = from; i < from + n; ++i) {
         membership::Member one;
-        // Many names of few converters: each takes its share of the load. In the long list nobody is asked,
+        // Many names of few backends: each takes its share of the load. In the long list nobody is asked,
         // and names and addresses are as long as an installation's.
         one.name = (key == kBig ? "converter-bay-03-" : "far-") + std::to_string(10000 + i);
         one.address =
@@ -182,7 +182,7 @@
   boost::asio::io_context io(1);
   SiteSettings settings;
   settings.proxies = 2;  // n1 serves; n2 only holds a long list
-  settings.converters = kConverters;
+  settings.backends = kBackends;
   settings.service = milliseconds(10);
   Site site(io, settings);
   Checks checks;
@@ -194,19 +194,19 @@
                                                 "]\nprefix = \"" + prefix + "\"\n");
   const auto put = [&](int i, membership::State state, double weight = 1) -> std::uint64_t {
     membership::Member one;
-    const Converter& converter = *site.converters()[static_cast<std::size_t>(i)];
-    one.name = converter.settings().name;
-    one.address = converter.address();
-    one.zone = converter.settings().zone;
+    const Backend& backend = *site.backends()[static_cast<std::size_t>(i)];
+    one.name = backend.settings().name;
+    one.address = backend.address();
+    one.zone = backend.settings().zone;
     one.kind = "standard";
     one.group = 1;
     one.state = state;
     one.weight = weight;
     return std::stoull(etcd.Say("put " + kPrefix + one.name + " " + ValueOf(one)));
   };
-  for (int i = 0; i < kConverters; ++i) put(i, membership::State::kReady);
+  for (int i = 0; i < kBackends; ++i) put(i, membership::State::kReady);
   std::string where = "where";
-  for (const auto& converter : site.converters()) where += " " + converter->address();
+  for (const auto& backend : site.backends()) where += " " + backend->address();
   etcd.Say(where);
   etcd.Say("put " + kBig + "one {}");  // so that there is something to list, which can't be read
 
@@ -214,10 +214,11 @@
   checks.Expect(site.Until([&] { return site.StateOf("n1") == "ready" && site.PidOf("n2") > 0; }),
                 "the proxies do not get ready");
   const auto list = [&](const std::string& name) {
-    auto reply = std::make_shared<std::optional<api::Reply>>();
+    auto reply = std::make_shared<std::optional<http_api::Reply>>();
     boost::asio::co_spawn(
-        io, api::CallUnix(site.folder() + "/" + name + ".sock", "GET", "/v1/status", "", milliseconds(3000)),
-        [reply](std::exception_ptr, api::Reply answer) { *reply = std::move(answer); });
+        io,
+        http_api::CallUnix(site.folder() + "/" + name + ".sock", "GET", "/v1/status", "", milliseconds(3000)),
+        [reply](std::exception_ptr, http_api::Reply answer) { *reply = std::move(answer); });
     while (!*reply) {
       io.restart();
       io.run_one_for(milliseconds(50));
@@ -257,7 +258,7 @@
   checks.Expect(site.Until([&] { return clients.ready() == 1; }), "the front does not take the proxy in");
   clients.Start();
   checks.Expect(site.Until([&] {
-    return std::all_of(site.converters().begin(), site.converters().end(),
+    return std::all_of(site.backends().begin(), site.backends().end(),
                        [](const auto& c) { return c->taken() > 3; });
   }),
                 "not every converter gets work");
@@ -281,9 +282,9 @@
       Clock::time_point written;
     };
     std::vector<One> ones;
-    const int first = static_cast<int>(random() % kConverters);
+    const int first = static_cast<int>(random() % kBackends);
     for (int i = 0; i < kAtOnce; ++i) {
-      const int which = (first + i * 4) % kConverters;
+      const int which = (first + i * 4) % kBackends;
       ones.push_back({which, Clock::now()});
       put(which, membership::State::kDraining);
     }
@@ -291,15 +292,14 @@
     const auto until = Clock::now() + milliseconds(750);
     site.Until([&] { return Clock::now() > until; });
     for (const One& one : ones) {
-      const Converter& converter = *site.converters()[static_cast<std::size_t>(one.which)];
-      const double ms =
-          std::chrono::duration<double, std::milli>(converter.last_taken() - one.written).count();
+      const Backend& backend = *site.backends()[static_cast<std::size_t>(one.which)];
+      const double ms = std::chrono::duration<double, std::milli>(backend.last_taken() - one.written).count();
       ++drains;
       effect.push_back(std::max(0.0, ms));
       if (ms <= 500) continue;
       ++late;
       std::printf("LATE: round %d (%s): %s got work %.0f ms after its drain was written\n", round,
-                  kFaults[fault], converter.settings().name.c_str(), ms);
+                  kFaults[fault], backend.settings().name.c_str(), ms);
     }
     if (fault == 1 || fault == 4) etcd.Say("speak " + in_use);
     if (fault == 2 || fault == 5) etcd.Say("up " + in_use);
@@ -308,11 +308,11 @@
     std::vector<std::size_t> before;
     for (const One& one : ones) {
       put(one.which, membership::State::kReady);
-      before.push_back(site.converters()[static_cast<std::size_t>(one.which)]->taken());
+      before.push_back(site.backends()[static_cast<std::size_t>(one.which)]->taken());
     }
     checks.Expect(site.Until([&] {
       for (std::size_t i = 0; i < ones.size(); ++i) {
-        if (site.converters()[static_cast<std::size_t>(ones[i].which)]->taken() == before[i]) return false;
+        if (site.backends()[static_cast<std::size_t>(ones[i].which)]->taken() == before[i]) return false;
       }
       return true;
     }),
@@ -359,7 +359,7 @@
   const double empty_mb = ResidentMb(holder);
   std::uint64_t revision = 0;
   int weight = 1;
-  const auto change = [&] {  // CPU of a change of one converter, told by itself
+  const auto change = [&] {  // CPU of a change of one backend, told by itself
     const double idle_before = CpuMs(holder);
     site.For(milliseconds(3000));
     const double idle = CpuMs(holder) - idle_before;
--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -28,7 +28,7 @@
 
 constexpr int kInstances = 20;
 
-// How long each instance took under an order, by badgerctl's own account.
+// How long each instance took under an order, by badgerbridge-ctl's own account.
 std::map<std::string, double> Times(const CommandResult& result,
                                     std::map<std::string, std::string>* results) {
   std::map<std::string, double> times;
@@ -59,7 +59,7 @@
   boost::asio::io_context io(1);
   SiteSettings settings;
   settings.proxies = kInstances;
-  settings.converters = 10;
+  settings.backends = 10;
   settings.service = milliseconds(60);
   Site site(io, settings);
   Checks checks;
@@ -86,7 +86,7 @@
     checks.Expect(site.Call("GET", "/v1/status").ok(), "no status");
     status_ms.push_back(std::chrono::duration<double, std::milli>(Clock::now() - at).count());
     const CommandResult tool = site.Ctl({"status"});
-    checks.Expect(tool.code == 0, "badgerctl status: " + tool.err);
+    checks.Expect(tool.code == 0, "badgerbridge-ctl status: " + tool.err);
     tool_ms.push_back(static_cast<double>(tool.took.count()));
   }
   std::sort(status_ms.begin(), status_ms.end());
@@ -109,8 +109,8 @@
   const double polled_before = CpuMs(polled), alone_before = CpuMs(alone);
   for (int i = 0; i < 20; ++i) {
     boost::asio::co_spawn(
-        io, api::CallUnix(site.folder() + "/n1.sock", "GET", "/v1/status", "", milliseconds(1000)),
-        [](std::exception_ptr, api::Reply) {});
+        io, http_api::CallUnix(site.folder() + "/n1.sock", "GET", "/v1/status", "", milliseconds(1000)),
+        [](std::exception_ptr, http_api::Reply) {});
     site.For(milliseconds(1000));
   }
   const double poll_percent = (CpuMs(polled) - polled_before - (CpuMs(alone) - alone_before)) / 20000 * 100;
@@ -149,7 +149,7 @@
 
   // Totals of the proxies themselves against the clients'.
   std::uint64_t taken = 0;
-  const api::Reply status = site.Call("GET", "/v1/status");
+  const http_api::Reply status = site.Call("GET", "/v1/status");
   for (const auto& one : status.body.at("instances").as_array()) {
     const auto& r = one.at("requests");
     const auto n = [&](const char* key) { return r.at(key).to_number<std::uint64_t>(); };
--- a/bench/list.cpp
+++ b/bench/list.cpp
@@ -19,10 +19,10 @@
 #include <iostream>
 #include <thread>
 
-#include "app/membership_source.h"
 #include "measure.h"
 #include "membership/value.h"
-#include "node/proxy.h"
+#include "proxy/proxy.h"
+#include "proxy_main/membership_source.h"
 #include "standins/etcd.h"
 
 namespace badgerbridge::bench {
@@ -54,7 +54,7 @@
   member.group = static_cast<int>(i % 6500);
   member.state = state;
   member.since_ms = 1e12;
-  return {membership::kConvertersPrefix + member.name, membership::ValueOf(member)};
+  return {membership::kBackendsPrefix + member.name, membership::ValueOf(member)};
 }
 
 // The stand-in in a process of its own; this build's Asio takes one thread a process.
@@ -170,24 +170,24 @@
   Checks checks;
   EtcdProcess etcd(members);
   asio::io_context io(1);
-  const node::Config config = node::ParseConfig(kConfig, [](const char*) { return nullptr; });
-  const node::NodeClock clock;
-  node::Backends backends(io, clock, node::Backends::Limits::From(config));
-  node::Proxy proxy(io, clock, backends, config);
-  operator_file::Etcd table;
+  const proxy::Config config = proxy::ParseConfig(kConfig, [](const char*) { return nullptr; });
+  const proxy::ProxyClock clock;
+  proxy::Backends backends(io, clock, proxy::Backends::Limits::From(config));
+  proxy::Proxy proxy(io, clock, backends, config);
+  operator_config::Etcd table;
   table.endpoints = {etcd.address()};
   bool whole = false;
   std::size_t ready = 0, draining = 0;
   double longest_slice_ms = 0;  // of 32 at most, at the module and the pool
-  app::MembershipSource source(
+  proxy_main::MembershipSource source(
       io, config, table,
-      [&](const node::EndpointList& list) {
-        for (const node::Endpoint& endpoint : list.endpoints) {
-          ready += endpoint.entry.state == fordlb::ServerState::kReady;
-          draining += endpoint.entry.state == fordlb::ServerState::kDraining;
+      [&](const proxy::EndpointList& list) {
+        for (const proxy::Endpoint& endpoint : list.endpoints) {
+          ready += endpoint.entry.state == balancer::BackendState::kReady;
+          draining += endpoint.entry.state == balancer::BackendState::kDraining;
         }
         const double before = ThreadCpuMs();
-        proxy.UpdateList(fordlb::ListKind::kDelta, list);
+        proxy.UpdateList(balancer::EndpointListKind::kDelta, list);
         longest_slice_ms = std::max(longest_slice_ms, ThreadCpuMs() - before);
       },
       [&] { whole = true; });
--- a/bench/scale_rig/experiments.cpp
+++ b/bench/scale_rig/experiments.cpp
@@ -222,7 +222,7 @@
 // The same steps with two tiers of relays between; the endpoint that is cut off is a relay that stands still.
 void RunBehindRelays(TrialSettings settings, Report* report, bench::Checks* checks) {
   if (!RelayProcesses::Available()) {
-    std::printf("no badgerrelay beside this program: the trial with relays is left out\n");
+    std::printf("no badgerbridge-relay beside this program: the trial with relays is left out\n");
     return;
   }
   settings.relays = true;
@@ -277,7 +277,7 @@
 void RunComparison(const TrialSettings& given, Report* report, bench::Checks* checks) {
   for (const bool relays : {false, true}) {
     if (relays && !RelayProcesses::Available()) {
-      std::printf("no badgerrelay beside this program: the trial with relays is left out\n");
+      std::printf("no badgerbridge-relay beside this program: the trial with relays is left out\n");
       return;
     }
     TrialSettings settings = given;
--- a/bench/scale_rig/hollow_process.cpp
+++ b/bench/scale_rig/hollow_process.cpp
@@ -9,9 +9,9 @@
 #include <map>
 #include <stdexcept>
 
-#include "api/address.h"
 #include "etcd/http2.h"
 #include "etcd/key_range.h"
+#include "http_api/address.h"
 #include "membership/value.h"
 #include "scale_rig/control_channel.h"
 #include "scale_rig/hollow_proxy.h"
@@ -34,7 +34,7 @@
 class SlowReader {
  public:
   SlowReader(asio::io_context& io, const tcp::endpoint& endpoint, const std::string& prefix)
-      : socket_(io), http2_(api::ToText(endpoint), {}, false) {
+      : socket_(io), http2_(http_api::ToText(endpoint), {}, false) {
     socket_.open(tcp::v4());
     socket_.set_option(asio::socket_base::receive_buffer_size(4096));  // so that it is slow soon
     socket_.connect(endpoint);
@@ -110,7 +110,7 @@
     size_ = SizeFrom(command.at("size").as_object());
     endpoints_.clear();
     for (const json::value& address : command.at("endpoints").as_array())
-      endpoints_.push_back(*api::ParseAddress(address.as_string()));
+      endpoints_.push_back(*http_api::ParseAddress(address.as_string()));
     for (const std::size_t number : NumbersIn(command, "numbers")) waiting_.push_back(number);
     const double per_second = command.at("per_second").to_number<double>();
     pause_ =
@@ -236,7 +236,7 @@
 
   json::object AddSlowReader(const json::object& command) {
     slow_readers_.push_back(std::make_unique<SlowReader>(
-        io_, *api::ParseAddress(command.at("endpoint").as_string()), TextAt(command, "prefix")));
+        io_, *http_api::ParseAddress(command.at("endpoint").as_string()), TextAt(command, "prefix")));
     return {};
   }
 
--- a/bench/scale_rig/real_proxies.cpp
+++ b/bench/scale_rig/real_proxies.cpp
@@ -5,7 +5,7 @@
 #include <boost/json.hpp>
 #include <stdexcept>
 
-#include "api/client.h"
+#include "http_api/client.h"
 #include "measure.h"
 
 namespace badgerbridge::scale {
@@ -18,7 +18,7 @@
 standins::SiteSettings SettingsOf(std::size_t count) {
   standins::SiteSettings settings;
   settings.proxies = static_cast<int>(count);
-  settings.converters = 2;  // that discovery knows, and etcd does not
+  settings.backends = 2;  // that discovery knows, and etcd does not
   return settings;
 }
 
@@ -40,10 +40,11 @@
 
 bool RealProxies::AwaitList(std::uint64_t revision, std::size_t backends, milliseconds timeout) {
   const auto has_list = [&](const std::string& name) {
-    auto reply = std::make_shared<std::optional<api::Reply>>();
+    auto reply = std::make_shared<std::optional<http_api::Reply>>();
     boost::asio::co_spawn(
-        io_, api::CallUnix(site_.folder() + "/" + name + ".sock", "GET", "/v1/status", "", kStatusTimeout),
-        [reply](std::exception_ptr, api::Reply answer) { *reply = std::move(answer); });
+        io_,
+        http_api::CallUnix(site_.folder() + "/" + name + ".sock", "GET", "/v1/status", "", kStatusTimeout),
+        [reply](std::exception_ptr, http_api::Reply answer) { *reply = std::move(answer); });
     while (!*reply) {
       io_.restart();
       io_.run_one_for(milliseconds(50));
--- a/bench/scale_rig/source_process.cpp
+++ b/bench/scale_rig/source_process.cpp
@@ -8,8 +8,8 @@
 #include <optional>
 #include <stdexcept>
 
-#include "api/address.h"
 #include "etcd/key_range.h"
+#include "http_api/address.h"
 #include "membership/value.h"
 #include "scale_rig/control_channel.h"
 #include "scale_rig/json.h"
@@ -64,7 +64,7 @@
     etcd_->store().PutAll(pairs);
     json::array addresses;
     for (int i = 0; i < settings.members; ++i)
-      addresses.emplace_back(api::ToText(etcd_->address(static_cast<std::size_t>(i))));
+      addresses.emplace_back(http_api::ToText(etcd_->address(static_cast<std::size_t>(i))));
     return {{"addresses", std::move(addresses)}};
   }
 
--- a/bench/scale_rig/trial.h
+++ b/bench/scale_rig/trial.h
@@ -14,8 +14,8 @@
 #include "scale_rig/control_channel.h"
 #include "scale_rig/hollow_proxy.h"
 #include "scale_rig/plan.h"
-#include "scale_rig/relay_processes.h"
 #include "scale_rig/statistics.h"
+#include "scale_rig/watch_cache_processes.h"
 
 namespace badgerbridge::scale {
 
--- a/bench/scale_rig/relay_processes.cpp
+++ b/bench/scale_rig/watch_cache_processes.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "scale_rig/relay_processes.h"
+#include "scale_rig/watch_cache_processes.h"
 
 #include <fcntl.h>
 #include <sys/prctl.h>
@@ -12,7 +12,7 @@
 #include <filesystem>
 #include <stdexcept>
 
-#include "api/address.h"
+#include "http_api/address.h"
 
 namespace badgerbridge::scale {
 namespace {
@@ -24,7 +24,7 @@
 constexpr useconds_t kTryEveryUs = 25000;
 
 std::string Program() {
-  return std::filesystem::read_symlink("/proc/self/exe").parent_path().string() + "/badgerrelay";
+  return std::filesystem::read_symlink("/proc/self/exe").parent_path().string() + "/badgerbridge-relay";
 }
 
 // Ports that were free a moment ago, on an address that hardly any other process uses.
@@ -38,7 +38,7 @@
   std::vector<tcp::acceptor> held;
   for (std::size_t i = 0; i < count; ++i) {
     held.emplace_back(io, tcp::endpoint(host, 0));
-    addresses.push_back(api::ToText(held.back().local_endpoint()));
+    addresses.push_back(http_api::ToText(held.back().local_endpoint()));
   }
   return addresses;
 }
@@ -63,7 +63,7 @@
   asio::io_context io(1);
   tcp::socket socket(io);
   boost::system::error_code error;
-  socket.connect(*api::ParseAddress(address), error);
+  socket.connect(*http_api::ParseAddress(address), error);
   return !error;
 }
 
--- a/bench/scale_rig/relay_processes.h
+++ b/bench/scale_rig/watch_cache_processes.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Two tiers of relays (badgerrelay) between the source and the proxies, each a process.
-#ifndef BADGERBRIDGE_BENCH_SCALE_RIG_RELAY_PROCESSES_H_
-#define BADGERBRIDGE_BENCH_SCALE_RIG_RELAY_PROCESSES_H_
+// Two tiers of relays (badgerbridge-relay) between the source and the proxies, each a process.
+#ifndef BADGERBRIDGE_BENCH_SCALE_RIG_WATCH_CACHE_PROCESSES_H_
+#define BADGERBRIDGE_BENCH_SCALE_RIG_WATCH_CACHE_PROCESSES_H_
 
 #include <sys/types.h>
 
@@ -38,4 +38,4 @@
 
 }  // namespace badgerbridge::scale
 
-#endif  // BADGERBRIDGE_BENCH_SCALE_RIG_RELAY_PROCESSES_H_
+#endif  // BADGERBRIDGE_BENCH_SCALE_RIG_WATCH_CACHE_PROCESSES_H_
--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -72,15 +72,15 @@
 };
 
 // ---- the parts; each adds to the report what it measures
-void MeasureModule(Report& report);         // fordlb::Balancer
+void MeasureModule(Report& report);         // balancer::Balancer
 void MeasureLedger(Report& report);         // membership::Ledger
 void MeasureFeed(Report& report);           // etcd's messages, membership::Feed
 void MeasureProxy(Report& report);          // all that a proxy holds of its backends
-void MeasureConfiguration(Report& report);  // node::ParseConfig
-void MeasureRegions(Report& report);        // regions::Member, regions::Decider
-void MeasureAgent(Report& report);          // badgeragent and badgerctl, as processes
-void MeasureTool(Report& report);           // badgerctl members
-void MeasureRelay(Report& report);          // relay::Relay
+void MeasureConfiguration(Report& report);  // proxy::ParseConfig
+void MeasureRegions(Report& report);        // zone_failover::Member, zone_failover::Decider
+void MeasureAgent(Report& report);          // badgerbridge-agent and badgerbridge-ctl, as processes
+void MeasureTool(Report& report);           // badgerbridge-ctl members
+void MeasureRelay(Report& report);          // watch_cache::Relay
 void MeasureWire(Report& report);           // etcd::Http2Client, etcd::Http2Server
 
 }  // namespace badgerbridge::bench
--- a/bench/slopes_agent.cpp
+++ b/bench/slopes_agent.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgeragent with 1 to 20 instances, as processes: its memory and its CPU when nothing happens, its status,
-// and what badgerctl needs to show it. Two backends; no load.
+// badgerbridge-agent with 1 to 20 instances, as processes: its memory and its CPU when nothing happens, its
+// status, and what badgerbridge-ctl needs to show it. Two backends; no load.
 #include <sys/resource.h>
 
 #include <boost/asio/io_context.hpp>
@@ -45,14 +45,14 @@
   Series cpu("agent: CPU when nothing happens, share of a core", "%", "instances");
   Series descriptors("agent: descriptors", "descriptors", "instances");
   Series status("agent: its status, JSON", "bytes", "instances");
-  Series tool("badgerctl status: CPU of the tool", "ms", "instances");
+  Series tool("badgerbridge-ctl status: CPU of the tool", "ms", "instances");
   Series proxy("proxy: resident memory with two backends", "MB", "instances of the agent");
   Series proxy_descriptors("proxy: descriptors with two backends", "descriptors", "instances of the agent");
   for (const int instances : kSizes) {
     boost::asio::io_context io(1);
     standins::SiteSettings settings;
     settings.proxies = instances;
-    settings.converters = 2;
+    settings.backends = 2;
     standins::Site site(io, settings);
     site.StartAgent();
     report.checks.Expect(site.Until([&] { return site.All("ready"); }),
@@ -66,11 +66,11 @@
     proxy.Add(instances, ResidentMb(site.PidOf(site.Name(0))));
     proxy_descriptors.Add(instances, Descriptors(site.PidOf(site.Name(0))));
     for (int call = 0; call < kCalls; ++call) {
-      const api::Reply reply = site.Call("GET", "/v1/status");
+      const http_api::Reply reply = site.Call("GET", "/v1/status");
       report.checks.Expect(reply.ok(), "agent: no status");
       status.Add(instances, static_cast<double>(boost::json::serialize(reply.body).size()));
       const double used = ChildrenCpuMs();
-      report.checks.Expect(site.Ctl({"status"}).code == 0, "badgerctl status fails");
+      report.checks.Expect(site.Ctl({"status"}).code == 0, "badgerbridge-ctl status fails");
       tool.Add(instances, ChildrenCpuMs() - used);
     }
   }
--- a/bench/slopes_module.cpp
+++ b/bench/slopes_balancer.cpp
@@ -7,13 +7,13 @@
 #include <random>
 
 #include "allocations.h"
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 #include "slopes.h"
 
 namespace badgerbridge::bench {
 namespace {
 
-using namespace fordlb;
+using namespace balancer;
 
 constexpr int kSizes[] = {10, 100, 1000, 10000, 30000, 110000};
 constexpr int kRepetitions = 5;
@@ -24,39 +24,40 @@
 
 Settings SettingsOf() {
   Settings settings;
-  settings.balancers = kProxies;
+  settings.balancer_count = kProxies;
   ClassSettings safe;
-  safe.effect = Effect::kSafe;
-  safe.aim = Duration(300);
+  safe.effect = Idempotency::kIdempotent;
+  safe.latency_objective = Duration(300);
   safe.deadline = Duration(1200);
   ClassSettings keyed = safe;
-  keyed.effect = Effect::kKeyed;
-  keyed.group = Group::kCell;
+  keyed.effect = Idempotency::kIdempotencyKey;
+  keyed.group = DeduplicationScope::kCell;
   keyed.window = Duration(750);
   ClassSettings unsafe = safe;
-  unsafe.effect = Effect::kUnsafe;
+  unsafe.effect = Idempotency::kNotIdempotent;
   settings.classes = {safe, keyed, unsafe};
   settings.max_attempts = 4;
   settings.max_retry_after = Duration(600);
   settings.tick = Duration(5);
-  settings.cold_from = 0.35;
-  settings.warm_up = Duration(8800);
-  settings.fall_multiple = 3;
-  settings.overload_for = Duration(1500);
+  settings.slow_start_floor = 0.35;
+  settings.slow_start_window = Duration(8800);
+  settings.overload_factor = 3;
+  settings.overload_duration = Duration(1500);
   return settings;
 }
 
-ServerEntry EntryOf(int index) {
-  ServerEntry entry;
-  entry.server = static_cast<ServerId>(index) * 2654435761u;  // ids are hashes of names: spread, and distinct
+BackendEntry EntryOf(int index) {
+  BackendEntry entry;
+  entry.server =
+      static_cast<BackendId>(index) * 2654435761u;  // ids are hashes of names: spread, and distinct
   entry.zone = index % kZones;
   entry.cell = index / 16;
   return entry;
 }
 
-ListUpdate WholeList(int servers) {
-  ListUpdate list;
-  list.kind = ListKind::kFull;
+EndpointListUpdate WholeList(int servers) {
+  EndpointListUpdate list;
+  list.kind = EndpointListKind::kFull;
   for (int i = 0; i < servers; ++i) list.entries.push_back(EntryOf(i));
   return list;
 }
@@ -67,7 +68,7 @@
   explicit Rig(int servers) : balancer_(SettingsOf(), 7), servers_(servers) {}
 
   // CPU in ms.
-  double Take(const ListUpdate& list) {
+  double Take(const EndpointListUpdate& list) {
     actions_.clear();
     const double before = ThreadCpuMs();
     balancer_.Handle(Now(), list, &actions_);
@@ -113,11 +114,11 @@
     std::uniform_int_distribution<int> any(0, servers_ - 1);
     double took = 0;
     for (int i = 0; i < kChanges; ++i) {
-      ListUpdate change;
+      EndpointListUpdate change;
       change.entries = {EntryOf(any(random_))};
-      change.entries[0].state = ServerState::kDraining;
+      change.entries[0].state = BackendState::kDraining;
       took += Take(change);
-      change.entries[0].state = ServerState::kReady;
+      change.entries[0].state = BackendState::kReady;
       took += Take(change);
       now_ += 1;
     }
@@ -183,7 +184,7 @@
   Series back("module: and back in one event, CPU", "ms", "servers in all");
   for (int repetition = 0; repetition < kRepetitions; ++repetition) {
     for (const int size : kSizes) {
-      const ListUpdate list = WholeList(size);
+      const EndpointListUpdate list = WholeList(size);
       const std::size_t before = LiveBytes();
       Rig rig(size);
       whole.Add(size, rig.Take(list));
@@ -196,12 +197,12 @@
       change.Add(size, rig.ChangeUs());
       report.checks.Expect(rig.served() >= kBatch * kBatches, "module: half of the requests went nowhere");
       if (size < 1000) continue;
-      ListUpdate leaves;
-      for (const ServerEntry& entry : list.entries) {
+      EndpointListUpdate leaves;
+      for (const BackendEntry& entry : list.entries) {
         if (entry.zone == 5) leaves.entries.push_back(entry);
       }
-      ListUpdate returns = leaves;
-      for (ServerEntry& entry : leaves.entries) entry.state = ServerState::kGone;
+      EndpointListUpdate returns = leaves;
+      for (BackendEntry& entry : leaves.entries) entry.state = BackendState::kGone;
       gone.Add(size, rig.Take(leaves));
       back.Add(size, rig.Take(returns));
     }
--- a/bench/slopes_tool.cpp
+++ b/bench/slopes_cli.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgerctl members against an agent (played by a process of its own) whose one instance has many backends:
-// bytes and CPU of the tool.
+// badgerbridge-ctl members against an agent (played by a process of its own) whose one instance has many
+// backends: bytes and CPU of the tool.
 #include <signal.h>
 #include <sys/prctl.h>
 #include <sys/wait.h>
@@ -14,8 +14,8 @@
 #include <stdexcept>
 
 #include "allocations.h"
-#include "api/server.h"
-#include "ctl/commands.h"
+#include "cli/commands.h"
+#include "http_api/server.h"
 #include "slopes.h"
 #include "slopes_proxy.h"
 
@@ -61,13 +61,14 @@
  private:
   void Serve(const json::value& members, int ready) const {
     boost::asio::io_context io(1);
-    const auto answer = [&members](api::Request request, api::Peer) -> boost::asio::awaitable<api::Response> {
-      if (request.path != "/v1/status") co_return api::Response{200, members};
-      co_return api::Response{
+    const auto answer = [&members](http_api::Request request,
+                                   http_api::Peer) -> boost::asio::awaitable<http_api::Response> {
+      if (request.path != "/v1/status") co_return http_api::Response{200, members};
+      co_return http_api::Response{
           200, json::object{{"generation", 1},
                             {"instances", json::array{json::object{{"name", "n1"}, {"state", "ready"}}}}}};
     };
-    const api::UnixServer server(io, socket(), {}, {}, answer);
+    const http_api::UnixServer server(io, socket(), {}, {}, answer);
     if (write(ready, "x", 1) == 1) io.run();
   }
 
@@ -81,17 +82,17 @@
 };
 
 Told AskMembers(const ScriptedAgent& agent) {
-  ctl::Settings settings;
-  ctl::AgentTarget target;
+  cli::Settings settings;
+  cli::AgentTarget target;
   target.name = "agent";
   target.target.unix_path = agent.socket();
   settings.agents = {target};
   settings.timeout = std::chrono::seconds(60);
   std::ostringstream out;
   std::ostringstream err;
-  ctl::Selection all;
+  cli::Selection all;
   all.all = true;
-  ctl::Commands commands(settings, out, err);
+  cli::Commands commands(settings, out, err);
   const std::size_t live = LiveBytes();
   ResetPeak();
   const double before = ThreadCpuMs();
@@ -106,14 +107,14 @@
 }  // namespace
 
 void MeasureTool(Report& report) {
-  Series cpu("badgerctl members: CPU", "ms", "backends");
-  Series peak("badgerctl members: memory at its peak", "bytes", "backends");
-  Series text("badgerctl members: text", "bytes", "backends");
+  Series cpu("badgerbridge-ctl members: CPU", "ms", "backends");
+  Series peak("badgerbridge-ctl members: memory at its peak", "bytes", "backends");
+  Series text("badgerbridge-ctl members: text", "bytes", "backends");
   for (const int size : kSizes) {
     const ScriptedAgent agent(DescribedMembers(size));
     for (int repetition = 0; repetition < 3; ++repetition) {
       const Told told = AskMembers(agent);
-      report.checks.Expect(told.code == ctl::kAllDid, "badgerctl members fails");
+      report.checks.Expect(told.code == cli::kAllDid, "badgerbridge-ctl members fails");
       cpu.Add(size, told.cpu_ms);
       peak.Add(size, told.peak_bytes);
       text.Add(size, told.text_bytes);
@@ -123,8 +124,8 @@
   report.Fit(peak, "tool_members_peak_bytes_per_backend");
   report.Fit(text, "tool_members_text_bytes_per_backend");
   const ScriptedAgent agent(DescribedMembers(100000));
-  report.Figure("tool_members_100000", AskMembers(agent).code == ctl::kAllDid ? 1 : 0,
-                "badgerctl members: shows 100,000 backends of one proxy (1) or fails (0)");
+  report.Figure("tool_members_100000", AskMembers(agent).code == cli::kAllDid ? 1 : 0,
+                "badgerbridge-ctl members: shows 100,000 backends of one proxy (1) or fails (0)");
 }
 
 }  // namespace badgerbridge::bench
--- a/bench/slopes_configuration.cpp
+++ b/bench/slopes_configuration.cpp
@@ -5,7 +5,7 @@
 #include "slopes_configuration.h"
 
 #include "allocations.h"
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 #include "slopes.h"
 #include "slopes_names.h"
 
@@ -26,7 +26,7 @@
   try {
     ConfigurationOf(tenants);
     return false;
-  } catch (const node::BadConfig&) {
+  } catch (const proxy::BadConfig&) {
     return true;
   }
 }
@@ -50,8 +50,8 @@
          R"("overloadForMs":3000.0,"drainGraceMs":500.0}}})";
 }
 
-node::Config ConfigurationOf(int tenants) {
-  return node::ParseConfig(ConfigurationText(tenants), NoEnvironment);
+proxy::Config ConfigurationOf(int tenants) {
+  return proxy::ParseConfig(ConfigurationText(tenants), NoEnvironment);
 }
 
 void MeasureConfiguration(Report& report) {
@@ -67,14 +67,14 @@
       const std::size_t live = LiveBytes();
       ResetPeak();
       const double before = ThreadCpuMs();
-      const node::Config config = node::ParseConfig(text, NoEnvironment);
+      const proxy::Config config = proxy::ParseConfig(text, NoEnvironment);
       time.Add(tenants, ThreadCpuMs() - before);
       memory.Add(tenants, static_cast<double>(LiveBytes() - live));
       peak.Add(tenants, static_cast<double>(PeakBytes() - live));
       report.checks.Expect(config.settings.tenants.size() == static_cast<std::size_t>(tenants),
                            "configuration: tenants are missing");
       const std::size_t without = LiveBytes();
-      const fordlb::Balancer balancer(config.settings, 1);
+      const balancer::Balancer balancer(config.settings, 1);
       module.Add(tenants, static_cast<double>(LiveBytes() - without));
     }
   }
--- a/bench/slopes_configuration.h
+++ b/bench/slopes_configuration.h
@@ -6,12 +6,12 @@
 
 #include <string>
 
-#include "node/config.h"
+#include "proxy/config.h"
 
 namespace badgerbridge::bench {
 
 std::string ConfigurationText(int tenants);
-node::Config ConfigurationOf(int tenants);
+proxy::Config ConfigurationOf(int tenants);
 
 }  // namespace badgerbridge::bench
 
--- a/bench/slopes_membership.cpp
+++ b/bench/slopes_membership.cpp
@@ -124,13 +124,13 @@
 // A follower with what turns its output into the ledger's reports.
 struct Rig {
   etcd::Follower follower;
-  Feed feed{membership::kConvertersPrefix};
+  Feed feed{membership::kBackendsPrefix};
 };
 
 // One that has asked for its snapshot.
 Rig Listing() {
   etcd::FollowerSettings settings;
-  settings.prefix = membership::kConvertersPrefix;
+  settings.prefix = membership::kBackendsPrefix;
   settings.page_size = kPageSize;
   Rig rig{etcd::Follower(settings, 1)};
   etcd::Follower::Actions actions;
@@ -242,7 +242,7 @@
 }
 
 void MeasureFeed(Report& report) {
-  const std::string prefix = membership::kConvertersPrefix;
+  const std::string prefix = membership::kBackendsPrefix;
   Series bytes("feed: a whole list on the wire (messages with gRPC's prefix)", "bytes", "members");
   Series pages_sent("feed: calls for a whole list", "calls", "members");
   Series parse("feed: a whole list read, CPU", "ms", "members");
--- a/bench/slopes_proxy.cpp
+++ b/bench/slopes_proxy.cpp
@@ -11,12 +11,12 @@
 #include <thread>
 
 #include "allocations.h"
-#include "app/membership_source.h"
-#include "app/regions_source.h"
-#include "node/backend.h"
-#include "node/clock.h"
-#include "node/discovery.h"
-#include "node/proxy.h"
+#include "proxy/backend.h"
+#include "proxy/clock.h"
+#include "proxy/discovery.h"
+#include "proxy/proxy.h"
+#include "proxy_main/membership_source.h"
+#include "proxy_main/zone_failover_source.h"
 #include "slopes.h"
 #include "slopes_configuration.h"
 #include "slopes_names.h"
@@ -32,19 +32,19 @@
 constexpr std::chrono::seconds kMostWait{30};
 constexpr std::chrono::milliseconds kOneWait{100};
 
-node::Listed ListedOf(int index) {
-  node::Listed listed;
+proxy::Listed ListedOf(int index) {
+  proxy::Listed listed;
   listed.name = BackendName(index);
   listed.zone = ZoneName(index % kZones);
   listed.kind = "standard";
-  listed.address = api::ParseAddress(BackendAddress(index));
+  listed.address = http_api::ParseAddress(BackendAddress(index));
   listed.group = index / 16;
   listed.since_ms = 1.79e12 + index * 1000.0;
   return listed;
 }
 
-std::vector<node::Listed> ListedUpTo(int count) {
-  std::vector<node::Listed> listed;
+std::vector<proxy::Listed> ListedUpTo(int count) {
+  std::vector<proxy::Listed> listed;
   for (int i = 0; i < count; ++i) listed.push_back(ListedOf(i));
   return listed;
 }
@@ -55,23 +55,24 @@
  public:
   explicit ProxyRig(bool with_ledger, bool with_regions)
       : config_(ConfigurationOf(0)),
-        backends_(io_, clock_, node::Backends::Limits::From(config_)),
+        backends_(io_, clock_, proxy::Backends::Limits::From(config_)),
         proxy_(io_, clock_, backends_, config_),
         reader_(config_) {
     if (with_regions) {
-      operator_file::Regions settings;
+      operator_config::Regions settings;
       settings.together = false;
       settings.zones = config_.zones;
       regions_.emplace(io_, clock_, config_, settings, [](std::vector<double>) {});
       proxy_.Watch(&*regions_);
     }
     if (!with_ledger) return;
-    operator_file::Etcd settings;
+    operator_config::Etcd settings;
     settings.endpoints = {"127.0.0.1:1"};
     settings.authority = false;
     membership_.emplace(
         io_, config_, settings,
-        [this](const node::EndpointList& list) { proxy_.UpdateList(node::ListKind::kDelta, list); }, [] {});
+        [this](const proxy::EndpointList& list) { proxy_.UpdateList(proxy::EndpointListKind::kDelta, list); },
+        [] {});
   }
 
   struct Cost {
@@ -80,14 +81,14 @@
   };
 
   // Until the pool holds `pooled` backends: what is put off, to leave the loop to others, is waited for.
-  Cost Take(bool whole, const std::vector<node::Listed>& listed, std::size_t pooled) {
+  Cost Take(bool whole, const std::vector<proxy::Listed>& listed, std::size_t pooled) {
     Cost cost;
     Measure(&cost, [&] {
-      const node::EndpointList list = reader_.Take(whole, ++index_, listed);
+      const proxy::EndpointList list = reader_.Take(whole, ++index_, listed);
       if (membership_) {
         membership_->Discovered(list);
       } else {
-        proxy_.UpdateList(whole ? node::ListKind::kFull : node::ListKind::kDelta, list);
+        proxy_.UpdateList(whole ? proxy::EndpointListKind::kFull : proxy::EndpointListKind::kDelta, list);
       }
     });
     const auto give_up = std::chrono::steady_clock::now() + kMostWait;
@@ -97,7 +98,7 @@
   }
 
   std::size_t pooled() const { return backends_.known(); }
-  app::MembershipSource* membership() { return membership_ ? &*membership_ : nullptr; }
+  proxy_main::MembershipSource* membership() { return membership_ ? &*membership_ : nullptr; }
 
  private:
   template <typename Work>
@@ -121,29 +122,29 @@
   }
 
   boost::asio::io_context io_{1};
-  node::NodeClock clock_;
-  node::Config config_;
-  node::Backends backends_;
-  node::Proxy proxy_;
-  node::ListReader reader_;
-  std::optional<app::RegionsSource> regions_;
-  std::optional<app::MembershipSource> membership_;
+  proxy::ProxyClock clock_;
+  proxy::Config config_;
+  proxy::Backends backends_;
+  proxy::Proxy proxy_;
+  proxy::ListReader reader_;
+  std::optional<proxy_main::RegionsSource> regions_;
+  std::optional<proxy_main::MembershipSource> membership_;
   std::uint64_t index_ = 0;
 };
 
-double ReaderBytes(const node::Config& config, const std::vector<node::Listed>& listed) {
+double ReaderBytes(const proxy::Config& config, const std::vector<proxy::Listed>& listed) {
   const std::size_t before = LiveBytes();
-  node::ListReader reader(config);
+  proxy::ListReader reader(config);
   reader.Take(true, 1, listed);
   return static_cast<double>(LiveBytes() - before);
 }
 
-double PoolBytes(const node::Config& config, const std::vector<node::Listed>& listed) {
+double PoolBytes(const proxy::Config& config, const std::vector<proxy::Listed>& listed) {
   boost::asio::io_context io(1);
-  node::NodeClock clock;
-  node::ListReader reader(config);
-  const node::EndpointList list = reader.Take(true, 1, listed);
-  node::Backends backends(io, clock, node::Backends::Limits::From(config));
+  proxy::ProxyClock clock;
+  proxy::ListReader reader(config);
+  const proxy::EndpointList list = reader.Take(true, 1, listed);
+  proxy::Backends backends(io, clock, proxy::Backends::Limits::From(config));
   const std::size_t before = LiveBytes();
   backends.Update(list);
   return static_cast<double>(LiveBytes() - before);
@@ -153,8 +154,8 @@
   double took = 0;
   std::this_thread::sleep_for(kRest);
   for (int i = 0; i < kChanges; ++i) {
-    node::Listed one = ListedOf(i * 97 % size);
-    one.state = i % 2 ? node::ServerState::kReady : node::ServerState::kDraining;
+    proxy::Listed one = ListedOf(i * 97 % size);
+    one.state = i % 2 ? proxy::BackendState::kReady : proxy::BackendState::kDraining;
     const double ms = rig.Take(false, {one}, static_cast<std::size_t>(size)).cpu_ms;
     took += ms;
     std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(1 + 10 * ms));
@@ -181,10 +182,10 @@
   Series change("proxy: one change from source to module, CPU", "us", "backends");
   Series described("proxy: the ledger described for people, JSON", "bytes", "backends");
   Series describing("proxy: the ledger described for people, CPU", "ms", "backends");
-  const node::Config config = ConfigurationOf(0);
+  const proxy::Config config = ConfigurationOf(0);
   for (int repetition = 0; repetition < kRepetitions; ++repetition) {
     for (const int size : kSizes) {
-      const std::vector<node::Listed> listed = ListedUpTo(size);
+      const std::vector<proxy::Listed> listed = ListedUpTo(size);
       reader.Add(size, ReaderBytes(config, listed));
       pool.Add(size, PoolBytes(config, listed));
       {
--- a/bench/slopes_relay.cpp
+++ b/bench/slopes_watch_cache.cpp
@@ -9,16 +9,16 @@
 #include "allocations.h"
 #include "etcd/key_range.h"
 #include "membership/value.h"
-#include "relay/relay.h"
 #include "slopes.h"
 #include "slopes_names.h"
+#include "watch_cache/relay.h"
 
 namespace badgerbridge::bench {
 namespace {
 
 namespace pb = etcdserverpb;
-using relay::Relay;
-using relay::Time;
+using watch_cache::Relay;
+using watch_cache::Time;
 
 constexpr int kKeySizes[] = {1000, 3000, 10000, 30000, kBackends};
 constexpr int kSubscriberSizes[] = {100, 300, 1000, kProxies, 10000};
@@ -31,8 +31,8 @@
 constexpr std::int64_t kFirstRevision = 5000000;
 const std::string kPrefix = "/badgerbridge/converters/";
 
-relay::Settings SettingsOf() {
-  relay::Settings settings;
+watch_cache::Settings SettingsOf() {
+  watch_cache::Settings settings;
   settings.prefix = kPrefix;
   settings.member_id = 1;
   return settings;
@@ -100,7 +100,7 @@
   Delivered TakeAll() {
     Delivered delivered;
     const double before = ThreadCpuMs();
-    for (relay::SubscriberId subscriber = 1; subscriber <= subscribers_; ++subscriber) {
+    for (watch_cache::SubscriberId subscriber = 1; subscriber <= subscribers_; ++subscriber) {
       for (;;) {
         pb::WatchResponse response;
         if (!relay_.Take(Time(4), subscriber, kMostMessageBytes, &response)) break;
@@ -147,8 +147,8 @@
   Relay relay_;
   Relay::Actions actions_;
   std::int64_t revision_ = kFirstRevision;
-  relay::SubscriberId subscribers_ = 0;
-  relay::ReadId reads_ = 0;
+  watch_cache::SubscriberId subscribers_ = 0;
+  watch_cache::ReadId reads_ = 0;
 };
 
 void MeasureState(Report& report) {
--- a/bench/slopes_regions.cpp
+++ b/bench/slopes_zone_failover.cpp
@@ -7,20 +7,20 @@
 #include <memory>
 #include <optional>
 
-#include "app/regions_calls.h"
-#include "lab/etcd.h"
-#include "regions/member.h"
+#include "proxy_main/zone_failover_calls.h"
+#include "simulator/etcd.h"
 #include "slopes.h"
 #include "slopes_names.h"
+#include "zone_failover/member.h"
 
 namespace badgerbridge::bench {
 namespace {
 
 namespace pb = etcdserverpb;
-using fordlb::Duration;
-using fordlb::TimePoint;
-using regions::Member;
-using regions::Meter;
+using balancer::Duration;
+using balancer::TimePoint;
+using zone_failover::Member;
+using zone_failover::Meter;
 
 const std::string kPrefix = "/badgerbridge/regions/";
 constexpr int kZonesInRegion = 8;
@@ -30,11 +30,11 @@
 
 TimePoint At(double ms) { return TimePoint(Duration(1e6 + ms)); }
 
-regions::Rules RulesOf(int zones) {
-  regions::Rules rules;
+zone_failover::Rules RulesOf(int zones) {
+  zone_failover::Rules rules;
   rules.zones = static_cast<std::size_t>(zones);
-  rules.round_trip = regions::Matrix(rules.zones, 1);
-  rules.price = regions::Matrix(rules.zones, 0.1);
+  rules.round_trip = zone_failover::Matrix(rules.zones, 1);
+  rules.price = zone_failover::Matrix(rules.zones, 0.1);
   for (std::size_t a = 0; a < rules.zones; ++a) {
     for (std::size_t b = 0; b < rules.zones; ++b) {
       if (a / kZonesInRegion != b / kZonesInRegion) rules.round_trip.at(a, b) = 40;
@@ -54,7 +54,7 @@
   response.set_succeeded(reply.held);
   if (!std::holds_alternative<Member::Heartbeat>(call)) return response;
   response.add_responses()->mutable_response_put()->mutable_header()->set_revision(reply.revision);
-  for (const regions::Kv& kv : reply.kvs) {
+  for (const zone_failover::Kv& kv : reply.kvs) {
     auto* range = response.add_responses()->mutable_response_range();
     range->mutable_header()->set_revision(reply.revision);
     range->set_count(1);
@@ -78,18 +78,18 @@
   std::size_t out = 0;
   std::size_t in = 0;
   if (const auto* grant = std::get_if<Member::Grant>(&call)) {
-    out = app::ToEtcd(*grant).ByteSizeLong();
+    out = proxy_main::ToEtcd(*grant).ByteSizeLong();
     in = 40;  // id, ttl and a header
   } else if (const auto* keep = std::get_if<Member::KeepAlive>(&call)) {
-    out = app::ToEtcd(*keep).ByteSizeLong();
+    out = proxy_main::ToEtcd(*keep).ByteSizeLong();
     in = 40;
   } else {
     if (const auto* heartbeat = std::get_if<Member::Heartbeat>(&call))
-      out = app::ToEtcd(*heartbeat, kPrefix, name).ByteSizeLong();
+      out = proxy_main::ToEtcd(*heartbeat, kPrefix, name).ByteSizeLong();
     if (const auto* campaign = std::get_if<Member::Campaign>(&call))
-      out = app::ToEtcd(*campaign, kPrefix, name).ByteSizeLong();
+      out = proxy_main::ToEtcd(*campaign, kPrefix, name).ByteSizeLong();
     if (const auto* propose = std::get_if<Member::Propose>(&call))
-      out = app::ToEtcd(*propose, kPrefix).ByteSizeLong();
+      out = proxy_main::ToEtcd(*propose, kPrefix).ByteSizeLong();
     in = ResponseOf(call, reply).ByteSizeLong();
     ++traffic->writes;
   }
@@ -102,7 +102,7 @@
  public:
   Installation(int zones, int members) : zones_(zones), failed_(static_cast<std::size_t>(zones), false) {
     for (int i = 0; i < members; ++i) {
-      regions::MemberSettings settings;
+      zone_failover::MemberSettings settings;
       settings.name = "proxy-" + ZoneName(i % zones) + "-" + std::to_string(1000 + i);
       settings.zone = i % zones;
       settings.rules = RulesOf(zones);
@@ -168,7 +168,7 @@
     const std::vector<double> shares = member.Shares(At(now_));
     member.Arrived(At(now_), 50);
     for (std::size_t zone = 0; zone < shares.size(); ++zone) {
-      const double work = shares[zone] == regions::kFree ? 50 : shares[zone] * 50;
+      const double work = shares[zone] == zone_failover::kFree ? 50 : shares[zone] * 50;
       if (work <= 0 || (zone != home && !failed_[home])) continue;
       member.Sent(At(now_), ++attempts_, zone);
       member.Ended(At(now_ + 20), attempts_, 0, failed_[zone] ? Meter::End::kFailed : Meter::End::kServed,
@@ -198,7 +198,7 @@
   std::vector<bool> failed_;
   std::vector<std::string> names_;
   std::vector<std::unique_ptr<Member>> members_;
-  lab::EtcdModel etcd_;
+  simulator::EtcdModel etcd_;
   std::uint64_t attempts_ = 0;
   double now_ = 0;
 };
--- a/examples/minimal.cpp
+++ b/examples/minimal.cpp
@@ -5,16 +5,16 @@
 #include <variant>
 #include <vector>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
 int main() {
-  using namespace fordlb;
+  using namespace badgerbridge::balancer;
   using std::chrono::milliseconds;
 
   Settings settings;
   ClassSettings reads;
-  reads.effect = Effect::kSafe;
-  reads.aim = milliseconds(100);
+  reads.effect = Idempotency::kIdempotent;
+  reads.latency_objective = milliseconds(100);
   reads.deadline = milliseconds(400);
   settings.classes = {reads};
   settings.max_attempts = 3;
@@ -23,9 +23,9 @@
   // The caller owns the clock and the network: events in, actions out.
   TimePoint now{milliseconds(1000)};
   std::vector<Action> actions;
-  ListUpdate list{ListKind::kFull, {}};
-  for (ServerId id : {7u, 9u}) {
-    ServerEntry entry;
+  EndpointListUpdate list{EndpointListKind::kFull, {}};
+  for (BackendId id : {7u, 9u}) {
+    BackendEntry entry;
     entry.server = id;
     list.entries.push_back(entry);
   }
--- a/include/fordlb/balancer.h
+++ b/include/badgerbridge/balancer.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The whole interface of fordlb: settings, events, actions and the Balancer that maps one to the other.
+// The whole interface of balancer: settings, events, actions and the Balancer that maps one to the other.
 //
 // A Balancer is pure and deterministic. It has no clock, I/O, threads or globals: time comes in with each
 // event and randomness derives from the seed alone. Classes, tenants, zones and kinds are indices into the
 // lists of the settings, so names cannot decide anything.
-#ifndef FORDLB_BALANCER_H_
-#define FORDLB_BALANCER_H_
+#ifndef BADGERBRIDGE_BALANCER_H_
+#define BADGERBRIDGE_BALANCER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -15,7 +15,7 @@
 #include <variant>
 #include <vector>
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 
 // The clock is the caller's; its origin is arbitrary and it only advances.
 struct Clock {
@@ -30,19 +30,20 @@
 using TimePoint = Clock::time_point;
 
 using RequestId = std::uint64_t;
-using ServerId = std::uint32_t;
+using BackendId = std::uint32_t;
 
-enum class Effect { kSafe, kKeyed, kUnsafe };
-enum class Group { kAll, kZone, kCell };
+enum class Idempotency { kIdempotent, kIdempotencyKey, kNotIdempotent };
+enum class DeduplicationScope { kAll, kZone, kCell };
 
 struct ClassSettings {
-  Effect effect = Effect::kUnsafe;
-  Group group = Group::kAll;  // keyed classes: the servers that drop each other's repeats
-  Duration window{0};         // keyed classes: how long they remember
-  Duration aim{0};
+  Idempotency effect = Idempotency::kNotIdempotent;
+  DeduplicationScope group =
+      DeduplicationScope::kAll;  // keyed classes: the servers that drop each other's repeats
+  Duration window{0};            // keyed classes: how long they remember
+  Duration latency_objective{0};
   Duration deadline{0};
-  double worth = 1;
-  double late_worth = 0;  // share of the worth that an answer after the aim still earns
+  double priority_weight = 1;
+  double late_weight = 0;  // share of the worth that an answer after the aim still earns
 };
 
 struct TenantSettings {
@@ -51,46 +52,56 @@
 
 // Defaults are the documented meaning of an absent optional setting; none of them steers a decision.
 struct Settings {
-  int balancers = 1;
-  int me = 0;  // the number of this proxy among them
+  int balancer_count = 1;
+  int balancer_index = 0;  // the number of this proxy among them
   int zone = 0;
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
-  double over_share_worth = 1;
-  double price_cross_zone = 0;
-  bool warm_keys = false;  // a server that served a key lately serves it again with less work
-  bool must_ask_for_list = false;
+  double over_quota_weight = 1;
+  double cross_zone_cost = 0;
+  bool key_affinity = false;  // a server that served a key lately serves it again with less work
+  bool polls_endpoint_list = false;
   int max_attempts = 1;
   Duration max_retry_after{0};  // the longest that refused clients stay away when told; 0: they are not told
   Duration tick{1};
-  Duration must_ask_within{0};  // where the list must be asked for
-  double cold_from = 1;         // a starting server has at least this share of its capacity
-  Duration warm_up{0};          // and all of it no later than this
-  double fall_multiple = 1;     // it falls over when sent more than this multiple of its capacity
-  Duration overload_for{0};     // for this long
+  Duration max_poll_interval{0};  // where the list must be asked for
+  double slow_start_floor = 1;    // a starting server has at least this share of its capacity
+  Duration slow_start_window{0};  // and all of it no later than this
+  double overload_factor = 1;     // it falls over when sent more than this multiple of its capacity
+  Duration overload_duration{0};  // for this long
 };
 
-enum class ServerState { kGone, kReady, kDraining };
-enum class ListKind { kDelta, kFull, kCached, kFailed };
+enum class BackendState { kGone, kReady, kDraining };
+enum class EndpointListKind { kDelta, kFull, kCached, kFailed };
 
-struct ServerEntry {
-  ServerId server = 0;
+struct BackendEntry {
+  BackendId server = 0;
   int zone = 0;
   int kind = 0;
   int cell = 0;
-  ServerState state = ServerState::kReady;
+  BackendState state = BackendState::kReady;
   double weight = 1;
   TimePoint up_since{};  // zero: long ago
 };
 
 // How an attempt ended. Full, connect failed and moot prove that it never ran; moot, that it was never sent,
 // through no fault of the server.
-enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kMoot, kUnknown };
+enum class Outcome {
+  kOk,
+  kError,
+  kRejected,
+  kTimeout,
+  kConnectFailed,
+  kReset,
+  kCancelled,
+  kNotSent,
+  kUnknown
+};
 
 // ---- events -------------------------------------------------------------------------------------------
-struct ListUpdate {
-  ListKind kind = ListKind::kDelta;
-  std::vector<ServerEntry> entries;
+struct EndpointListUpdate {
+  EndpointListKind kind = EndpointListKind::kDelta;
+  std::vector<BackendEntry> entries;
 };
 struct Submit {
   RequestId request = 0;
@@ -109,39 +120,40 @@
 struct AttemptEnded {
   RequestId request = 0;
   int attempt = 0;
-  ServerId server = 0;
+  BackendId server = 0;
   bool settled = false;  // the request has its final answer
   Outcome outcome = Outcome::kUnknown;
   Duration took{0};
 };
-struct ClientGone {
+struct ClientDisconnected {
   RequestId request = 0;
 };
 struct TimerFired {
   std::uint64_t token = 0;  // of its SetTimer
 };
-struct ZoneShares {  // how much this proxy may send to each zone from here on; until the first: all it likes
+struct ZoneQuotas {  // how much this proxy may send to each zone from here on; until the first: all it likes
   std::vector<double> work_per_ms;  // by zone, hinted work; below 0: without limit
 };
-using Event =
-    std::variant<ListUpdate, Submit, StreamStarted, AttemptEnded, ClientGone, TimerFired, ZoneShares>;
+using Event = std::variant<EndpointListUpdate, Submit, StreamStarted, AttemptEnded, ClientDisconnected,
+                           TimerFired, ZoneQuotas>;
 
 // ---- actions ------------------------------------------------------------------------------------------
 struct Dispatch {
   RequestId request = 0;
-  ServerId server = 0;
+  BackendId server = 0;
   Duration timeout{0};                        // 0: until the client gives up
   TimePoint begin_before = TimePoint::max();  // a repeat whose connection is not up by then must not be sent
 };
-struct Abandon {  // stops waiting for an attempt that is out; it ends as cancelled, or as it already has
+struct CancelAttempt {  // stops waiting for an attempt that is out; it ends as cancelled, or as it already
+                        // has
   RequestId request = 0;
   int attempt = 0;
 };
-struct Refuse {  // final; tells the client that another try is harmless
+struct Reject {  // final; tells the client that another try is harmless
   RequestId request = 0;
   Duration retry_after{0};  // 0: no advice
 };
-struct Fail {  // final; promises nothing
+struct FailRequest {  // final; promises nothing
   RequestId request = 0;
 };
 struct SetTimer {
@@ -152,11 +164,11 @@
 struct Log {
   std::string text;
 };
-using Action = std::variant<Dispatch, Abandon, Refuse, Fail, SetTimer, Subscribe, Log>;
+using Action = std::variant<Dispatch, CancelAttempt, Reject, FailRequest, SetTimer, Subscribe, Log>;
 
 // What the module holds of a server, as of the last event; for people and tools, never for a decision.
-struct ServerView {
-  ServerEntry entry;
+struct BackendView {
+  BackendEntry entry;
   bool ejected = false;
   TimePoint ejected_until{};  // while ejected
   bool silent = false;        // the last that it owed ran out of time
@@ -180,13 +192,13 @@
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions);
 
   // Every server that is not forgotten, by id.
-  std::vector<ServerView> Inspect() const;
+  std::vector<BackendView> Inspect() const;
 
  private:
   class Impl;
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
 
-#endif  // FORDLB_BALANCER_H_
+#endif  // BADGERBRIDGE_BALANCER_H_
--- a/src/control/control.cpp
+++ b/src/admin_api/admin_api.cpp
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "control/control.h"
+#include "admin_api/admin_api.h"
 
 #include <unistd.h>
 
 #include <boost/json.hpp>
 #include <cmath>
 
-namespace badgerbridge::control {
+namespace badgerbridge::admin_api {
 namespace {
 
 namespace json = boost::json;
-using fordlb::Duration;
-using fordlb::TimePoint;
-using node::Tally;
+using balancer::Duration;
+using balancer::TimePoint;
+using proxy::Tally;
 
 constexpr std::size_t kMostBody = 4096;
 
@@ -32,13 +32,13 @@
                                                                       : std::string();
 }
 
-std::string_view Name(fordlb::ServerState state) {
+std::string_view Name(balancer::BackendState state) {
   switch (state) {
-    case fordlb::ServerState::kReady:
+    case balancer::BackendState::kReady:
       return "ready";
-    case fordlb::ServerState::kDraining:
+    case balancer::BackendState::kDraining:
       return "draining";
-    case fordlb::ServerState::kGone:
+    case balancer::BackendState::kGone:
       return "gone";
   }
   return "gone";
@@ -46,16 +46,17 @@
 
 }  // namespace
 
-Control::Control(boost::asio::io_context& io, const operator_file::Control& settings, Subject subject)
+Control::Control(boost::asio::io_context& io, const operator_config::Control& settings, Subject subject)
     : subject_(std::move(subject)),
       started_(subject_.clock.Now()),
-      server_(io, settings.socket, settings.allow_uids,
-              {settings.max_connections, 8 << 10, kMostBody, settings.request_timeout, settings.idle_timeout},
-              [this](api::Request request, api::Peer) -> boost::asio::awaitable<api::Response> {
-                co_return Handle(request);
-              }) {}
-
-api::Response Control::Handle(const api::Request& request) {
+      server_(
+          io, settings.socket, settings.allow_uids,
+          {settings.max_connections, 8 << 10, kMostBody, settings.request_timeout, settings.idle_timeout},
+          [this](http_api::Request request, http_api::Peer) -> boost::asio::awaitable<http_api::Response> {
+            co_return Handle(request);
+          }) {}
+
+http_api::Response Control::Handle(const http_api::Request& request) {
   struct Call {
     std::string_view path, method;
   };
@@ -64,22 +65,23 @@
                              {"/v1/stop", "POST"},  {"/v1/members/release", "POST"}};
   for (const Call& call : kCalls) {
     if (request.path != call.path) continue;
-    if (request.method != call.method) return api::Error(405, "this path takes " + std::string(call.method));
+    if (request.method != call.method)
+      return http_api::Error(405, "this path takes " + std::string(call.method));
     if (call.path == "/v1/status") return {200, Status()};
-    if (call.path == "/v1/converters") return {200, Converters()};
+    if (call.path == "/v1/converters") return {200, Backends()};
     if (call.path == "/v1/zones") {
       if (!subject_.zones)
-        return api::Error(404, "no regions here: the operator's file has no [regions] table");
+        return http_api::Error(404, "no regions here: the operator's file has no [regions] table");
       return {200, subject_.zones()};
     }
     if (call.path == "/v1/members" || call.path == "/v1/members/release") {
       if (!subject_.members)
-        return api::Error(404, "no ledger here: the operator's file has no [etcd] table");
+        return http_api::Error(404, "no ledger here: the operator's file has no [etcd] table");
       if (call.path == "/v1/members") return {200, subject_.members()};
       return {200, json::object{{"released", subject_.release()}}};
     }
     if (call.path == "/v1/drain") return Drain(request);
-    if (subject_.listener.stopping()) return api::Error(409, "this proxy is stopping");
+    if (subject_.listener.stopping()) return http_api::Error(409, "this proxy is stopping");
     if (call.path == "/v1/undrain") {
       subject_.listener.Undrain();
       drain_began_.reset(), drain_due_.reset();
@@ -88,25 +90,26 @@
     }
     return {200, Status()};
   }
-  return api::Error(404, "no such call; docs/operators/admin_api.md lists them");
+  return http_api::Error(404, "no such call; docs/operators/admin_api.md lists them");
 }
 
-api::Response Control::Drain(const api::Request& request) {
+http_api::Response Control::Drain(const http_api::Request& request) {
   std::optional<Duration> deadline;
   if (!request.body.empty()) {
     std::string why;
-    const auto body = api::ReadObject(request, &why);
-    if (!body) return api::Error(400, why);
+    const auto body = http_api::ReadObject(request, &why);
+    if (!body) return http_api::Error(400, why);
     for (const auto& [key, value] : *body) {
       const double ms = value.is_number() ? value.to_number<double>() : -1;
       if (key != "deadline_ms")
-        return api::Error(400, "unknown member " + std::string(key) + "; deadline_ms is known");
+        return http_api::Error(400, "unknown member " + std::string(key) + "; deadline_ms is known");
       if (!(ms >= 0 && ms <= static_cast<double>(kMostDeadline.count())))
-        return api::Error(400, "deadline_ms is no number from 0 to " + std::to_string(kMostDeadline.count()));
+        return http_api::Error(400,
+                               "deadline_ms is no number from 0 to " + std::to_string(kMostDeadline.count()));
       deadline = Duration(ms);
     }
   }
-  if (subject_.listener.stopping()) return api::Error(409, "this proxy is stopping");
+  if (subject_.listener.stopping()) return http_api::Error(409, "this proxy is stopping");
   const TimePoint now = subject_.clock.Now();
   if (!drain_began_) drain_began_ = now;
   drain_due_.reset();
@@ -118,7 +121,7 @@
 std::string_view Control::State() const {
   const auto& listener = subject_.listener;
   if (listener.stopping()) return "stopping";
-  if (listener.draining()) return listener.Quiet() ? "drained" : "draining";
+  if (listener.draining()) return listener.IsIdle() ? "drained" : "draining";
   return subject_.proxy.CanServe() ? "ready" : "starting";
 }
 
@@ -163,10 +166,10 @@
   return status;
 }
 
-json::object Control::Converters() const {
+json::object Control::Backends() const {
   const TimePoint now = subject_.clock.Now();
   json::array all;
-  for (const fordlb::ServerView& view : subject_.proxy.Inspect()) {
+  for (const balancer::BackendView& view : subject_.proxy.Inspect()) {
     const std::string name = subject_.list.NameOf(view.entry.server);
     if (name.empty()) continue;  // it has left the list; the module forgets it after a while
     json::object one{{"name", name},
@@ -190,4 +193,4 @@
   return {{"converters", std::move(all)}};
 }
 
-}  // namespace badgerbridge::control
+}  // namespace badgerbridge::admin_api
--- a/src/control/control.h
+++ b/src/admin_api/admin_api.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A proxy's control API; docs/operators/control.md lists the calls. It only reads what the proxy holds, and
+// A proxy's control API; docs/operators/admin_api.md lists the calls. It only reads what the proxy holds, and
 // asks the listener to drain or the program to stop: no decision on a request is made here.
-#ifndef BADGERBRIDGE_CONTROL_CONTROL_H_
-#define BADGERBRIDGE_CONTROL_CONTROL_H_
+#ifndef BADGERBRIDGE_ADMIN_API_ADMIN_API_H_
+#define BADGERBRIDGE_ADMIN_API_ADMIN_API_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/json/object.hpp>
@@ -11,14 +11,14 @@
 #include <optional>
 #include <string>
 
-#include "api/server.h"
-#include "node/client.h"
-#include "node/config.h"
-#include "node/discovery.h"
-#include "node/proxy.h"
-#include "operator/operator_file.h"
+#include "http_api/server.h"
+#include "operator_config/operator_file.h"
+#include "proxy/client.h"
+#include "proxy/config.h"
+#include "proxy/discovery.h"
+#include "proxy/proxy.h"
 
-namespace badgerbridge::control {
+namespace badgerbridge::admin_api {
 
 constexpr std::chrono::milliseconds kMostDeadline{3600000};
 
@@ -31,11 +31,11 @@
  public:
   // What it reports on; all must outlive it.
   struct Subject {
-    const node::Config& config;
-    const node::NodeClock& clock;
-    node::Proxy& proxy;
-    node::Listener& listener;
-    const node::ListReader& list;
+    const proxy::Config& config;
+    const proxy::ProxyClock& clock;
+    proxy::Proxy& proxy;
+    proxy::Listener& listener;
+    const proxy::ListReader& list;
     const Reloads& reloads;
     std::function<void()> stop;
     std::function<boost::json::value()> members = nullptr;  // the ledger, where there is one
@@ -44,22 +44,22 @@
   };
 
   // Throws std::runtime_error if it can't listen.
-  Control(boost::asio::io_context& io, const operator_file::Control& settings, Subject subject);
+  Control(boost::asio::io_context& io, const operator_config::Control& settings, Subject subject);
 
-  api::Response Handle(const api::Request& request);
+  http_api::Response Handle(const http_api::Request& request);
 
  private:
   boost::json::object Status() const;
-  boost::json::object Converters() const;
+  boost::json::object Backends() const;
   std::string_view State() const;
-  api::Response Drain(const api::Request& request);
+  http_api::Response Drain(const http_api::Request& request);
 
   Subject subject_;
-  fordlb::TimePoint started_;
-  std::optional<fordlb::TimePoint> drain_began_, drain_due_;
-  api::UnixServer server_;
+  balancer::TimePoint started_;
+  std::optional<balancer::TimePoint> drain_began_, drain_due_;
+  http_api::UnixServer server_;
 };
 
-}  // namespace badgerbridge::control
+}  // namespace badgerbridge::admin_api
 
-#endif  // BADGERBRIDGE_CONTROL_CONTROL_H_
+#endif  // BADGERBRIDGE_ADMIN_API_ADMIN_API_H_
--- a/src/fleet/agent.cpp
+++ b/src/agent/agent.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/agent.h"
+#include "agent/agent.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -16,11 +16,11 @@
 #include <fstream>
 #include <iostream>
 
-#include "api/address.h"
-#include "api/client.h"
-#include "fleet/agent_parts.h"
+#include "agent/agent_parts.h"
+#include "http_api/address.h"
+#include "http_api/client.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace asio = boost::asio;
@@ -96,7 +96,7 @@
       pulse_(io),
       changed_(io) {
   if (store_.dropped() > 0)
-    std::cerr << "badgeragent: the last " << store_.dropped()
+    std::cerr << "badgerbridge-agent: the last " << store_.dropped()
               << " bytes of the state were torn and are dropped\n";
   std::string boot;
   const std::vector<std::string> records = store_.TakeRecords();
@@ -134,19 +134,21 @@
     for (const Definition& one : file.instances) after[one.name] = ToText(one);
     const auto changes = Diff(before, after);
     if (!changes.empty())
-      std::cerr << "badgeragent: the fleet file differs from what was last applied in " << changes.size()
-                << " instances, which stay as they are; see badgerctl diff, and apply\n";
+      std::cerr << "badgerbridge-agent: the fleet file differs from what was last applied in "
+                << changes.size()
+                << " instances, which stay as they are; see badgerbridge-ctl diff, and apply\n";
   }
-  const api::Handler handler = [this](api::Request request, api::Peer peer) {
+  const http_api::Handler handler = [this](http_api::Request request, http_api::Peer peer) {
     return Handle(std::move(request), std::move(peer));
   };
-  const api::ServerLimits limits{settings_.max_connections, 16 << 10, kMostBody, milliseconds(5000),
-                                 milliseconds(60000)};
-  unix_ = std::make_unique<api::UnixServer>(io_, settings_.socket, settings_.allow_uids, limits, handler);
+  const http_api::ServerLimits limits{settings_.max_connections, 16 << 10, kMostBody, milliseconds(5000),
+                                      milliseconds(60000)};
+  unix_ =
+      std::make_unique<http_api::UnixServer>(io_, settings_.socket, settings_.allow_uids, limits, handler);
   if (settings_.tls) {
-    tls_ = std::make_unique<api::TlsServer>(
-        io_, *api::ParseAddress(settings_.tls->listen),  // checked when the file was read
-        api::TlsFiles{settings_.tls->certificate, settings_.tls->key, settings_.tls->client_ca},
+    tls_ = std::make_unique<http_api::TlsServer>(
+        io_, *http_api::ParseAddress(settings_.tls->listen),  // checked when the file was read
+        http_api::TlsFiles{settings_.tls->certificate, settings_.tls->key, settings_.tls->client_ca},
         settings_.tls->roles, limits, handler);
   }
   Raise(Tick{});
@@ -205,7 +207,8 @@
   if (!store_.Append(changes)) {
     unsaved_ = true;
     save_again_ = Now() + kSaveAgain;
-    std::cerr << "badgeragent: " << store_.error() << "; new orders are refused until that works again\n";
+    std::cerr << "badgerbridge-agent: " << store_.error()
+              << "; new orders are refused until that works again\n";
     return;
   }
   if (store_.WantsCompaction()) {
@@ -276,7 +279,7 @@
   const auto found = running_.find(instance);
   if (found == running_.end() || found->second.process.pid != pid) return;
   const std::optional<std::string> end = ReapProcess(found->second.process);
-  if (!end) return AwaitEnd(instance, pid);  // woken for nothing; docs/fleet.md
+  if (!end) return AwaitEnd(instance, pid);  // woken for nothing; docs/agent.md
   std::string how = *end;
   running_.erase(found);
   seen_.erase(instance);
@@ -295,8 +298,8 @@
   const auto alive = alive_;
   std::string body = "{}";
   if (drain && deadline > Time(0)) body = json::serialize(json::object{{"deadline_ms", deadline.count()}});
-  const api::Reply reply =
-      co_await api::CallUnix(socket, "POST", drain ? "/v1/drain" : "/v1/undrain", body, kCallTimeout);
+  const http_api::Reply reply =
+      co_await http_api::CallUnix(socket, "POST", drain ? "/v1/drain" : "/v1/undrain", body, kCallTimeout);
   if (*alive) Raise(CallEnded{instance, reply.ok() ? "" : reply.Why()});
 }
 
@@ -313,7 +316,7 @@
   } catch (const std::exception&) {
   }
   const Time asked = Now();
-  const api::Reply reply = co_await api::CallUnix(socket, "GET", "/v1/status", "", kCallTimeout);
+  const http_api::Reply reply = co_await http_api::CallUnix(socket, "GET", "/v1/status", "", kCallTimeout);
   if (!*alive) co_return;
   polling_.erase(instance);
   const auto now_runs = running_.find(instance);
@@ -355,7 +358,7 @@
   if (unsaved_ && now >= save_again_) {
     unsaved_ = !store_.Compact(WholeState());
     save_again_ = now + kSaveAgain;
-    if (!unsaved_) std::cerr << "badgeragent: the state is on disk again\n";
+    if (!unsaved_) std::cerr << "badgerbridge-agent: the state is on disk again\n";
   }
   Raise(Tick{});
 }
@@ -390,4 +393,4 @@
   co_await changed_.async_wait(token);
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/agent.h
+++ b/src/agent/agent.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgeragent's shell: carries out what Fleet decides with processes, sockets, files and the clock, and
-// serves the agent's API (docs/operators/fleet.md). All on one io_context.
-#ifndef BADGERBRIDGE_FLEET_AGENT_H_
-#define BADGERBRIDGE_FLEET_AGENT_H_
+// badgerbridge-agent's shell: carries out what Fleet decides with processes, sockets, files and the clock,
+// and serves the agent's API (docs/operators/agent.md). All on one io_context.
+#ifndef BADGERBRIDGE_AGENT_AGENT_H_
+#define BADGERBRIDGE_AGENT_AGENT_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/posix/stream_descriptor.hpp>
@@ -16,15 +16,15 @@
 #include <set>
 #include <string>
 
-#include "api/server.h"
-#include "api/tls.h"
-#include "fleet/fleet_file.h"
-#include "fleet/orders.h"
-#include "fleet/process.h"
-#include "fleet/store.h"
+#include "agent/fleet_file.h"
+#include "agent/orders.h"
+#include "agent/process.h"
+#include "agent/store.h"
+#include "http_api/server.h"
+#include "http_api/tls.h"
 #include "net/one_shot_timer.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 class Agent {
  public:
@@ -35,7 +35,7 @@
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
 
-  boost::asio::awaitable<api::Response> Handle(api::Request request, api::Peer peer);
+  boost::asio::awaitable<http_api::Response> Handle(http_api::Request request, http_api::Peer peer);
   const Fleet& fleet() const { return fleet_; }
   std::optional<boost::asio::ip::tcp::endpoint> tls_address() const;
 
@@ -76,13 +76,14 @@
   boost::json::object Status() const;
   boost::json::object Describe(const Instance& instance) const;
   boost::json::object Describe(const OrderState& order, bool whole) const;
-  boost::asio::awaitable<api::Response> GetInstance(std::string name);
-  boost::asio::awaitable<api::Response> Pass(std::string name, std::string path, api::Peer peer, bool write);
-  boost::asio::awaitable<api::Response> GetOrder(std::string id, api::Request request);
-  api::Response GetLog(const std::string& name, const api::Request& request) const;
-  api::Response PostOrder(const api::Request& request, const api::Peer& peer);
-  api::Response PostFleet(const api::Request& request, const api::Peer& peer, bool apply);
-  api::Response Take(const Order& order, bool dry_run);
+  boost::asio::awaitable<http_api::Response> GetInstance(std::string name);
+  boost::asio::awaitable<http_api::Response> Pass(std::string name, std::string path, http_api::Peer peer,
+                                                  bool write);
+  boost::asio::awaitable<http_api::Response> GetOrder(std::string id, http_api::Request request);
+  http_api::Response GetLog(const std::string& name, const http_api::Request& request) const;
+  http_api::Response PostOrder(const http_api::Request& request, const http_api::Peer& peer);
+  http_api::Response PostFleet(const http_api::Request& request, const http_api::Peer& peer, bool apply);
+  http_api::Response Take(const Order& order, bool dry_run);
 
   boost::asio::io_context& io_;
   AgentSettings settings_;
@@ -103,10 +104,10 @@
   std::uint64_t changes_ = 0;
   net::OneShotTimer pulse_;
   boost::asio::steady_timer changed_;  // a pause of those that wait for a change; each looks again
-  std::unique_ptr<api::UnixServer> unix_;
-  std::unique_ptr<api::TlsServer> tls_;
+  std::unique_ptr<http_api::UnixServer> unix_;
+  std::unique_ptr<http_api::TlsServer> tls_;
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_AGENT_H_
+#endif  // BADGERBRIDGE_AGENT_AGENT_H_
--- a/src/fleet/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -8,11 +8,11 @@
 #include <boost/json.hpp>
 #include <fstream>
 
-#include "api/client.h"
-#include "fleet/agent.h"
-#include "fleet/agent_parts.h"
+#include "agent/agent.h"
+#include "agent/agent_parts.h"
+#include "http_api/client.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace asio = boost::asio;
@@ -76,7 +76,7 @@
 };
 
 // What orders of every kind share.
-Order CommonOrder(Members& members, const api::Peer& peer) {
+Order CommonOrder(Members& members, const http_api::Peer& peer) {
   Order order;
   order.id = members.Text("id").value_or("");
   order.who = peer.who;
@@ -226,32 +226,32 @@
           {"open_orders", std::move(open)}};
 }
 
-asio::awaitable<api::Response> Agent::Handle(api::Request request, api::Peer peer) {
+asio::awaitable<http_api::Response> Agent::Handle(http_api::Request request, http_api::Peer peer) {
   const bool read = request.method == "GET", write = request.method == "POST";
   const bool diff = request.path == "/v1/diff";
-  const api::Role needed = read || diff                  ? api::Role::kReader
-                           : request.path == "/v1/apply" ? api::Role::kAdmin
-                                                         : api::Role::kOperator;
+  const http_api::Role needed = read || diff                  ? http_api::Role::kReader
+                                : request.path == "/v1/apply" ? http_api::Role::kAdmin
+                                                              : http_api::Role::kOperator;
   if (peer.role < needed) {
     if (write && !diff) Audit(peer.who, "not allowed", {{"path", request.path}});
-    co_return api::Error(403, peer.who + " has the role " + std::string(api::Name(peer.role)) +
-                                  "; this takes " + std::string(api::Name(needed)));
+    co_return http_api::Error(403, peer.who + " has the role " + std::string(http_api::Name(peer.role)) +
+                                       "; this takes " + std::string(http_api::Name(needed)));
   }
   const auto below = [&](std::string_view folder) {
     return request.path.rfind(folder, 0) == 0 ? request.path.substr(folder.size()) : std::string();
   };
   if (read && request.path == "/v1/status") {
     co_await Refresh();
-    co_return api::Response{200, Status()};
+    co_return http_api::Response{200, Status()};
   }
   if (read && request.path == "/v1/orders") {
     json::array orders;
     for (const OrderState& order : fleet_.orders()) orders.push_back(Describe(order, false));
-    co_return api::Response{200,
-                            json::object{{"generation", fleet_.generation()}, {"orders", std::move(orders)}}};
+    co_return http_api::Response{
+        200, json::object{{"generation", fleet_.generation()}, {"orders", std::move(orders)}}};
   }
   if (read && !below("/v1/orders/").empty()) {
-    api::Response response = co_await GetOrder(below("/v1/orders/"), request);
+    http_api::Response response = co_await GetOrder(below("/v1/orders/"), request);
     co_return response;
   }
   if (const std::string rest = below("/v1/instances/"); !rest.empty()) {
@@ -259,71 +259,73 @@
     const std::string name = rest.substr(0, slash),
                       what = slash == std::string::npos ? "" : rest.substr(slash);
     if (read && what.empty()) {
-      api::Response response = co_await GetInstance(name);
+      http_api::Response response = co_await GetInstance(name);
       co_return response;
     }
     if ((read && what == "/members") || (write && what == "/members/release")) {
-      api::Response response = co_await Pass(name, "/v1" + what, peer, write);
+      http_api::Response response = co_await Pass(name, "/v1" + what, peer, write);
       co_return response;
     }
   }
   if (read && !below("/v1/logs/").empty()) co_return GetLog(below("/v1/logs/"), request);
   if (write && request.path == "/v1/orders") co_return PostOrder(request, peer);
   if (write && (request.path == "/v1/apply" || diff)) co_return PostFleet(request, peer, !diff);
-  co_return api::Error(404, "no such call; docs/operators/agent.md lists them");
+  co_return http_api::Error(404, "no such call; docs/operators/agent.md lists them");
 }
 
-asio::awaitable<api::Response> Agent::GetInstance(std::string name) {
+asio::awaitable<http_api::Response> Agent::GetInstance(std::string name) {
   const auto found = fleet_.instances().find(name);
-  if (found == fleet_.instances().end()) co_return api::Error(404, "there is no instance " + name);
+  if (found == fleet_.instances().end()) co_return http_api::Error(404, "there is no instance " + name);
   json::object one = Describe(found->second);
   one["definition"] = json::parse(found->second.definition);
   const auto seen = seen_.find(name);
   if (seen != seen_.end()) one["status"] = seen->second.status;
   if (found->second.pid != 0) {
     const std::string socket = DefinitionOf(found->second.definition).control_socket;
-    const api::Reply reply = co_await api::CallUnix(socket, "GET", "/v1/converters", "", kCallTimeout);
+    const http_api::Reply reply =
+        co_await http_api::CallUnix(socket, "GET", "/v1/converters", "", kCallTimeout);
     if (reply.ok() && reply.body.is_object() && reply.body.get_object().contains("converters")) {
       one["converters"] = reply.body.get_object().at("converters");
     } else {
       one["converters_error"] = reply.Why();
     }
   }
-  co_return api::Response{200, std::move(one)};
+  co_return http_api::Response{200, std::move(one)};
 }
 
 // On to the instance's own control API, and its answer back. What changes something is in the audit log
 // first.
-asio::awaitable<api::Response> Agent::Pass(std::string name, std::string path, api::Peer peer, bool write) {
+asio::awaitable<http_api::Response> Agent::Pass(std::string name, std::string path, http_api::Peer peer,
+                                                bool write) {
   const auto found = fleet_.instances().find(name);
-  if (found == fleet_.instances().end()) co_return api::Error(404, "there is no instance " + name);
-  if (found->second.pid == 0) co_return api::Error(409, "the instance " + name + " does not run");
+  if (found == fleet_.instances().end()) co_return http_api::Error(404, "there is no instance " + name);
+  if (found->second.pid == 0) co_return http_api::Error(409, "the instance " + name + " does not run");
   if (write && !Audit(peer.who, "asked", {{"instance", name}, {"path", path}}))
-    co_return api::Error(507, "the agent cannot write its audit log, and asks nothing without it");
+    co_return http_api::Error(507, "the agent cannot write its audit log, and asks nothing without it");
   const std::string socket = DefinitionOf(found->second.definition).control_socket;
-  const api::Reply reply =
-      co_await api::CallUnix(socket, write ? "POST" : "GET", path, write ? "{}" : "", kCallTimeout);
+  const http_api::Reply reply =
+      co_await http_api::CallUnix(socket, write ? "POST" : "GET", path, write ? "{}" : "", kCallTimeout);
   if (write) Audit(peer.who, "answered", {{"instance", name}, {"path", path}, {"status", reply.status}});
-  if (reply.status == 0) co_return api::Error(504, "the instance does not answer: " + reply.Why());
-  co_return api::Response{reply.status, reply.body};
+  if (reply.status == 0) co_return http_api::Error(504, "the instance does not answer: " + reply.Why());
+  co_return http_api::Response{reply.status, reply.body};
 }
 
 // With wait_ms, answers once something has changed since `seen`, or the order has ended.
-asio::awaitable<api::Response> Agent::GetOrder(std::string id, api::Request request) {
-  const auto wait = milliseconds(api::QueryNumber(request, "wait_ms", 0, kMostWait.count()));
+asio::awaitable<http_api::Response> Agent::GetOrder(std::string id, http_api::Request request) {
+  const auto wait = milliseconds(http_api::QueryNumber(request, "wait_ms", 0, kMostWait.count()));
   const auto due = std::chrono::steady_clock::now() + wait;
   for (;;) {
     const OrderState* order = fleet_.FindOrder(id);
-    if (!order) co_return api::Error(404, "there is no order " + id + ", or it ended long ago");
+    if (!order) co_return http_api::Error(404, "there is no order " + id + ", or it ended long ago");
     const auto left = std::chrono::duration_cast<milliseconds>(due - std::chrono::steady_clock::now());
-    if (order->ended || left <= milliseconds(0)) co_return api::Response{200, Describe(*order, true)};
+    if (order->ended || left <= milliseconds(0)) co_return http_api::Response{200, Describe(*order, true)};
     co_await WaitForChange(left);
   }
 }
 
-api::Response Agent::GetLog(const std::string& name, const api::Request& request) const {
-  if (!fleet_.instances().count(name)) return api::Error(404, "there is no instance " + name);
-  const auto most = static_cast<std::size_t>(api::QueryNumber(request, "lines", 50, 10000));
+http_api::Response Agent::GetLog(const std::string& name, const http_api::Request& request) const {
+  if (!fleet_.instances().count(name)) return http_api::Error(404, "there is no instance " + name);
+  const auto most = static_cast<std::size_t>(http_api::QueryNumber(request, "lines", 50, 10000));
   std::string text;
   const std::string path = PathsOf(name).log;
   for (const std::string& part : {path + ".1", path}) {
@@ -356,7 +358,7 @@
 }
 
 // Accepted only once it is in the audit log and on disk; else nothing of it has happened.
-api::Response Agent::Take(const Order& order, bool dry_run) {
+http_api::Response Agent::Take(const Order& order, bool dry_run) {
   Verdict verdict = fleet_.Judge(order);
   json::object asked{{"order", order.id},
                      {"verb", Name(order.verb)},
@@ -378,13 +380,13 @@
     } else if (const OrderState* state = fleet_.FindOrder(order.id)) {
       body = Describe(*state, true);
     }
-    return api::Response{status, std::move(body)};
+    return http_api::Response{status, std::move(body)};
   };
   if (dry_run || verdict.kind == Verdict::Kind::kKnown)
     return answer(dry_run && verdict.kind == Verdict::Kind::kAccepted ? 200 : StatusOf(verdict.kind));
-  if (unsaved_) return api::Error(507, "the agent cannot store orders: " + store_.error());
+  if (unsaved_) return http_api::Error(507, "the agent cannot store orders: " + store_.error());
   if (!Audit(order.who, "order", std::move(asked)))
-    return api::Error(507, "the agent cannot write its audit log, and takes no order without it");
+    return http_api::Error(507, "the agent cannot write its audit log, and takes no order without it");
   if (verdict.kind != Verdict::Kind::kAccepted) return answer(StatusOf(verdict.kind));
 
   const Fleet before = fleet_;
@@ -393,43 +395,44 @@
   if (!store_.Append(fleet_.TakeChanges())) {
     fleet_ = before;
     Audit("agent", "not taken after all", {{"order", order.id}, {"why", store_.error()}});
-    return api::Error(507, "the agent cannot store the order: " + store_.error());
+    return http_api::Error(507, "the agent cannot store the order: " + store_.error());
   }
   handling_ = true;
   Perform(actions);
   handling_ = false;
-  api::Response response = answer(202);
+  http_api::Response response = answer(202);
   asio::post(io_, [this, alive = alive_] {
     if (*alive) Raise(Tick{});
   });
   return response;
 }
 
-api::Response Agent::PostOrder(const api::Request& request, const api::Peer& peer) {
+http_api::Response Agent::PostOrder(const http_api::Request& request, const http_api::Peer& peer) {
   try {
     std::string why;
-    const auto body = api::ReadObject(request, &why);
-    if (!body) return api::Error(400, why);
+    const auto body = http_api::ReadObject(request, &why);
+    if (!body) return http_api::Error(400, why);
     Members members(*body);
     Order order = CommonOrder(members, peer);
     const auto verb = ParseVerb(members.Text("verb").value_or(""));
     if (!verb || *verb == Verb::kApply)
-      return api::Error(400, "verb is none of start, stop, drain, undrain, reload, restart");
+      return http_api::Error(400, "verb is none of start, stop, drain, undrain, reload, restart");
     order.verb = *verb;
     order.instances = members.Texts("instances");
     const bool dry_run = members.Flag("dry_run");
     members.Finish();
     return Take(order, dry_run);
   } catch (const std::exception& bad) {
-    return api::Error(400, bad.what());
+    return http_api::Error(400, bad.what());
   }
 }
 
-api::Response Agent::PostFleet(const api::Request& request, const api::Peer& peer, bool apply) {
+http_api::Response Agent::PostFleet(const http_api::Request& request, const http_api::Peer& peer,
+                                    bool apply) {
   try {
     std::string why;
-    const auto body = api::ReadObject(request, &why);
-    if (!body) return api::Error(400, why);
+    const auto body = http_api::ReadObject(request, &why);
+    if (!body) return http_api::Error(400, why);
     Members members(*body);
     Order order = CommonOrder(members, peer);
     order.verb = Verb::kApply;
@@ -437,11 +440,12 @@
     const std::string name = members.Text("file").value_or("fleet.toml");
     const bool dry_run = members.Flag("dry_run");
     members.Finish();
-    operator_file::Problems problems;
+    operator_config::Problems problems;
     const FleetFile fleet = ParseFleet(text, name, problems);
-    if (!problems.empty()) return api::Error(400, operator_file::Lines(problems));
+    if (!problems.empty()) return http_api::Error(400, operator_config::Lines(problems));
     if (fleet.agent.name != settings_.name)
-      return api::Error(400, "the file is for agent " + fleet.agent.name + ", and this is " + settings_.name);
+      return http_api::Error(400,
+                             "the file is for agent " + fleet.agent.name + ", and this is " + settings_.name);
     std::map<std::string, std::string> before, after;
     for (const auto& [instance, known] : fleet_.instances()) before[instance] = known.definition;
     for (const Definition& one : fleet.instances) after[one.name] = ToText(one);
@@ -457,12 +461,12 @@
     }
     if (!apply || changes.empty())
       return {200, json::object{{"generation", fleet_.generation()}, {"changes", std::move(changes)}}};
-    api::Response response = Take(order, dry_run);
+    http_api::Response response = Take(order, dry_run);
     if (json::object* object = response.body.if_object()) (*object)["changes"] = std::move(changes);
     return response;
   } catch (const std::exception& bad) {
-    return api::Error(400, bad.what());
+    return http_api::Error(400, bad.what());
   }
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/agent_audit.cpp
+++ b/src/agent/agent_audit.cpp
@@ -3,9 +3,9 @@
 #include <ctime>
 #include <iostream>
 
-#include "fleet/agent.h"
+#include "agent/agent.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace json = boost::json;
@@ -30,7 +30,7 @@
 bool Agent::WriteAudit(const std::vector<std::string>& lines) {
   if (audit_.Add(lines)) return true;
   for (const std::string& line : lines)
-    std::cerr << "badgeragent: the audit log cannot be written: " << line << '\n';
+    std::cerr << "badgerbridge-agent: the audit log cannot be written: " << line << '\n';
   return false;
 }
 
@@ -56,4 +56,4 @@
   }
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/agent_parts.h
+++ b/src/agent/agent_parts.h
@@ -2,13 +2,13 @@
 //
 // What the files of the agent's shell share: agent.cpp supervises, agent_audit.cpp keeps the audit log,
 // agent_api.cpp answers calls.
-#ifndef BADGERBRIDGE_FLEET_AGENT_PARTS_H_
-#define BADGERBRIDGE_FLEET_AGENT_PARTS_H_
+#ifndef BADGERBRIDGE_AGENT_AGENT_PARTS_H_
+#define BADGERBRIDGE_AGENT_AGENT_PARTS_H_
 
 #include <chrono>
 #include <cstdint>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 constexpr std::chrono::milliseconds kCallTimeout{1000};  // of one call to an instance
 
@@ -18,6 +18,6 @@
       .count();
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_AGENT_PARTS_H_
+#endif  // BADGERBRIDGE_AGENT_AGENT_PARTS_H_
--- a/src/fleet/fleet_file.cpp
+++ b/src/agent/fleet_file.cpp
@@ -1,20 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/fleet_file.h"
+#include "agent/fleet_file.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
 #include <set>
 
-#include "api/address.h"
-#include "operator/operator_file.h"
-#include "operator/table_reader.h"
+#include "http_api/address.h"
+#include "operator_config/operator_file.h"
+#include "operator_config/table_reader.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace json = boost::json;
-using operator_file::Problems;
-using operator_file::TableReader;
+using operator_config::Problems;
+using operator_config::TableReader;
 using std::chrono::milliseconds;
 
 constexpr std::size_t kMostInstances = 256;
@@ -39,7 +39,7 @@
   TlsSettings tls;
   table.Require("listen", "an address and port, as in listen = \"127.0.0.1:7443\"");
   tls.listen = table.Text("listen");
-  if (table.Has("listen") && !api::ParseAddress(tls.listen))
+  if (table.Has("listen") && !http_api::ParseAddress(tls.listen))
     table.Report("listen", "is no address and port; \"127.0.0.1:7443\" would be right");
   for (auto [key, field] : {std::pair("certificate", &tls.certificate), std::pair("key", &tls.key),
                             std::pair("client_ca", &tls.client_ca)}) {
@@ -48,7 +48,7 @@
   }
   table.Require("roles", "a table of common names and their roles, as in roles = { \"ana\" = \"operator\" }");
   for (const auto& [name, text] : table.TextMap("roles")) {
-    const auto role = api::ParseRole(text);
+    const auto role = http_api::ParseRole(text);
     if (role) {
       tls.roles[name] = *role;
     } else {
@@ -84,9 +84,10 @@
       table.Duration("most_backoff", agent.most_backoff, milliseconds(10), milliseconds(600000));
   if (agent.most_backoff < agent.first_backoff)
     table.Report(table.Has("most_backoff") ? "most_backoff" : "first_backoff",
-                 "contradicts the other: most_backoff (" + operator_file::FormatDuration(agent.most_backoff) +
+                 "contradicts the other: most_backoff (" +
+                     operator_config::FormatDuration(agent.most_backoff) +
                      ") must not be shorter than first_backoff (" +
-                     operator_file::FormatDuration(agent.first_backoff) + ")");
+                     operator_config::FormatDuration(agent.first_backoff) + ")");
   agent.short_life = table.Duration("short_life", agent.short_life, milliseconds(100), milliseconds(3600000));
   agent.most_deaths = static_cast<int>(table.Whole("most_deaths", 5, 1, 100));
   if (const auto tls = table.Table("tls")) agent.tls = ReadTls(*tls);
@@ -110,13 +111,13 @@
       table.Report("environment", "has a variable that cannot be one: " + key);
   }
   one.listen = table.Text("listen");
-  if (table.Has("listen") && !api::ParseAddress(one.listen))
+  if (table.Has("listen") && !http_api::ParseAddress(one.listen))
     table.Report("listen", "is no address and port; \"127.0.0.1:8080\" would be right");
   table.Require("operator_file",
                 "the operator's file of this instance, whose [control] table the agent needs");
   one.operator_file = table.Text("operator_file");
   if (!one.operator_file.empty()) {
-    const auto file = operator_file::Load(one.operator_file, problems);
+    const auto file = operator_config::Load(one.operator_file, problems);
     if (file.control) {
       one.control_socket = file.control->socket;
     } else {
@@ -153,7 +154,7 @@
 
 FleetFile ParseFleet(std::string_view text, const std::string& file, Problems& problems) {
   FleetFile fleet;
-  const auto root = operator_file::ParseToml(text, file, problems);
+  const auto root = operator_config::ParseToml(text, file, problems);
   if (!root) return fleet;
   TableReader reader(*root, "", file, problems);
   reader.Require("agent", "an [agent] table");
@@ -179,7 +180,7 @@
 }
 
 FleetFile LoadFleet(const std::string& path, Problems& problems) {
-  const auto text = operator_file::ReadFile(path, kMostFleetBytes, problems);
+  const auto text = operator_config::ReadFile(path, kMostFleetBytes, problems);
   return text ? ParseFleet(*text, path, problems) : FleetFile{};
 }
 
@@ -243,4 +244,4 @@
   return changes;
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/fleet_file.h
+++ b/src/agent/fleet_file.h
@@ -2,8 +2,8 @@
 //
 // The fleet file: what an agent keeps on its machine, and how it is reached. deploy/fleet.toml lists every
 // key.
-#ifndef BADGERBRIDGE_FLEET_FLEET_FILE_H_
-#define BADGERBRIDGE_FLEET_FLEET_FILE_H_
+#ifndef BADGERBRIDGE_AGENT_FLEET_FILE_H_
+#define BADGERBRIDGE_AGENT_FLEET_FILE_H_
 
 #include <sys/types.h>
 
@@ -15,15 +15,15 @@
 #include <string_view>
 #include <vector>
 
-#include "api/message.h"
-#include "operator/problem.h"
+#include "http_api/message.h"
+#include "operator_config/problem.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 struct TlsSettings {
-  std::string listen;                       // address:port
-  std::string certificate, key, client_ca;  // PEM files
-  std::map<std::string, api::Role> roles;   // by a client certificate's common name
+  std::string listen;                           // address:port
+  std::string certificate, key, client_ca;      // PEM files
+  std::map<std::string, http_api::Role> roles;  // by a client certificate's common name
 };
 
 struct AgentSettings {
@@ -61,8 +61,8 @@
 
 // Checks the whole text, and the operator's files that it names. What it gives counts only if no problem was
 // added.
-FleetFile ParseFleet(std::string_view text, const std::string& file, operator_file::Problems& problems);
-FleetFile LoadFleet(const std::string& path, operator_file::Problems& problems);
+FleetFile ParseFleet(std::string_view text, const std::string& file, operator_config::Problems& problems);
+FleetFile LoadFleet(const std::string& path, operator_config::Problems& problems);
 
 std::string ToText(const Definition& definition);  // JSON, members in a fixed order
 Definition DefinitionOf(std::string_view text);    // throws std::exception if it is none
@@ -76,6 +76,6 @@
 std::vector<Change> Diff(const std::map<std::string, std::string>& from,
                          const std::map<std::string, std::string>& to);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_FLEET_FILE_H_
+#endif  // BADGERBRIDGE_AGENT_FLEET_FILE_H_
--- a/src/fleet/orders.cpp
+++ b/src/agent/orders.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/orders.h"
+#include "agent/orders.h"
 
 #include <algorithm>
 #include <csignal>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 constexpr Time kCallRetry{250};
@@ -163,7 +163,8 @@
                 open.order.id};
       return {Kind::kConflict,
               part.instance + " is held by " + holder + ", " + Doing(open, part) +
-                  "; wait for it (badgerctl orders " + open.order.id + "), or take over with --supersede",
+                  "; wait for it (badgerbridge-ctl orders " + open.order.id +
+                  "), or take over with --supersede",
               open.order.id};
     }
   }
@@ -184,7 +185,7 @@
             " by " + std::string(Name(by->order.verb)) + " (order " + by->order.id + ") of " + by->order.who;
       return {Kind::kStale,
               text + "; the order was written against generation " + std::to_string(order.against) +
-                  ": look at it again (badgerctl status), then repeat the order",
+                  ": look at it again (badgerbridge-ctl status), then repeat the order",
               found->second.changed_by};
     }
   }
@@ -709,4 +710,4 @@
   return first;
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/orders.h
+++ b/src/agent/orders.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Orders to a fleet of instances: the pure core of badgeragent. Events and the time go in, actions come out;
-// there is no socket, clock, file or process here, and a Fleet is a value that can be copied, stored and read
-// back.
+// Orders to a fleet of instances: the pure core of badgerbridge-agent. Events and the time go in, actions
+// come out; there is no socket, clock, file or process here, and a Fleet is a value that can be copied,
+// stored and read back.
 //
-// What holds at every moment (tests/fleet/orders_random_test.cpp checks it at each step):
+// What holds at every moment (tests/agent/orders_random_test.cpp checks it at each step):
 // - An instance is worked on by one order at most. An order that would touch what an open order holds is a
 // conflict,
 //   unless it supersedes: then the other hands the instance over between two steps, and begins no further
@@ -15,8 +15,8 @@
 // - An instance is started only while it is known not to run; SIGKILL comes only by an order's force_after,
 // and
 //   kAnswerTime after the process's SIGTERM at the earliest.
-#ifndef BADGERBRIDGE_FLEET_ORDERS_H_
-#define BADGERBRIDGE_FLEET_ORDERS_H_
+#ifndef BADGERBRIDGE_AGENT_ORDERS_H_
+#define BADGERBRIDGE_AGENT_ORDERS_H_
 
 #include <sys/types.h>
 
@@ -31,7 +31,7 @@
 #include <variant>
 #include <vector>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 // Since some moment that all agents of one boot of the machine agree on (CLOCK_MONOTONIC); only advances.
 using Time = std::chrono::milliseconds;
@@ -265,6 +265,6 @@
   std::set<std::string> changed_instances_, changed_orders_;
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_ORDERS_H_
+#endif  // BADGERBRIDGE_AGENT_ORDERS_H_
--- a/src/fleet/orders_json.cpp
+++ b/src/agent/orders_json.cpp
@@ -5,9 +5,9 @@
 #include <boost/json.hpp>
 #include <stdexcept>
 
-#include "fleet/orders.h"
+#include "agent/orders.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace json = boost::json;
@@ -202,4 +202,4 @@
   changed_orders_.clear();
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/process.cpp
+++ b/src/agent/process.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/process.h"
+#include "agent/process.h"
 
 #include <fcntl.h>
 #include <poll.h>
@@ -20,7 +20,7 @@
 #include <utility>
 #include <vector>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 constexpr int kLockDescriptor = 3;  // of the instance; all others are closed
@@ -260,4 +260,4 @@
   if (truncate(path.c_str(), 0) != 0) std::perror(path.c_str());
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/process.h
+++ b/src/agent/process.h
@@ -4,8 +4,8 @@
 // let go at its end, however it ends): no instance is started while it runs, whatever the agent remembers.
 // Its process is meant by a pidfd (pidfd_open(2)), checked against the start time in /proc/PID/stat: never a
 // recycled pid.
-#ifndef BADGERBRIDGE_FLEET_PROCESS_H_
-#define BADGERBRIDGE_FLEET_PROCESS_H_
+#ifndef BADGERBRIDGE_AGENT_PROCESS_H_
+#define BADGERBRIDGE_AGENT_PROCESS_H_
 
 #include <sys/types.h>
 
@@ -13,9 +13,9 @@
 #include <optional>
 #include <string>
 
-#include "fleet/fleet_file.h"
+#include "agent/fleet_file.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 struct Paths {
   std::string lock, log;
@@ -66,6 +66,6 @@
 // appends and notices nothing; what it writes in between is lost.
 void BoundLog(const std::string& path, std::uint64_t most);
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_PROCESS_H_
+#endif  // BADGERBRIDGE_AGENT_PROCESS_H_
--- a/src/fleet/store.cpp
+++ b/src/agent/store.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/store.h"
+#include "agent/store.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -13,7 +13,7 @@
 #include <cstdio>
 #include <cstring>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace json = boost::json;
@@ -212,4 +212,4 @@
   return ok_;
 }
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/src/fleet/store.h
+++ b/src/agent/store.h
@@ -3,8 +3,8 @@
 // The agent's state on disk: a journal of batches, each written whole or not at all. One line a batch,
 // "crc32 length json\n", the JSON an array of records; the checksum is CRC-32 (IEEE 802.3) of the JSON. A
 // batch counts once it is fsynced. Compaction writes all records to a new file and renames it over the old.
-#ifndef BADGERBRIDGE_FLEET_STORE_H_
-#define BADGERBRIDGE_FLEET_STORE_H_
+#ifndef BADGERBRIDGE_AGENT_STORE_H_
+#define BADGERBRIDGE_AGENT_STORE_H_
 
 #include <cstdint>
 #include <functional>
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 
 // What a store does to the disk; a test puts one in that fails.
 class Disk {
@@ -94,6 +94,6 @@
   bool ok_ = true;
 };
 
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
 
-#endif  // BADGERBRIDGE_FLEET_STORE_H_
+#endif  // BADGERBRIDGE_AGENT_STORE_H_
--- a/src/logic.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,10 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Every decision of fordlb. The types, events and actions are in include/fordlb/balancer.h.
+// Every decision of balancer. The types, events and actions are in include/badgerbridge/balancer.h.
 //
 // The ordinary path is gRFC A50 outlier detection (failure percentage) and, among the servers in service, a
 // pick of the one with the least hinted work of this proxy's own in flight. Whatever departs from that is
 // marked "Exception" with the condition under which it acts; docs/design.md lists them all.
+#include "badgerbridge/balancer.h"
+
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -14,9 +16,7 @@
 #include <set>
 #include <utility>
 
-#include "fordlb/balancer.h"
-
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 // ---- 1. Constants -------------------------------------------------------------------------------------
@@ -210,7 +210,7 @@
 };
 
 struct Server {
-  ServerEntry entry;
+  BackendEntry entry;
   TimePoint gone_since{};
   double own_work = 0;  // hinted, of this proxy, in flight
   int own_count = 0;
@@ -248,7 +248,7 @@
 };
 
 struct Attempt {
-  ServerId server = 0;
+  BackendId server = 0;
   TimePoint sent_at{}, sent_before{};  // this one; the last before it at the same server
   double earned_before = 0;            // towards its turn there
   bool outstanding = true;
@@ -303,7 +303,7 @@
  public:
   Impl(Settings settings, std::uint64_t seed) : settings_(std::move(settings)), random_(seed) {
     classes_.resize(settings_.classes.size());
-    for (const ClassSettings& c : settings_.classes) most_worth_ = std::max(most_worth_, c.worth);
+    for (const ClassSettings& c : settings_.classes) most_worth_ = std::max(most_worth_, c.priority_weight);
     tenant_tokens_.resize(settings_.tenants.size(), 1);
   }
 
@@ -319,19 +319,19 @@
     out_ = nullptr;
   }
 
-  std::vector<ServerView> Inspect() const {
-    std::vector<ServerView> views;
+  std::vector<BackendView> Inspect() const {
+    std::vector<BackendView> views;
     views.reserve(servers_.size());
     for (const auto& [id, s] : servers_) {
-      ServerView v{.entry = s.entry, .ejected = s.health.ejected, .silent = s.silent};
+      BackendView v{.entry = s.entry, .ejected = s.health.ejected, .silent = s.silent};
       if (v.ejected) v.ejected_until = s.health.return_at;
       v.in_flight = s.own_count;
       v.work_in_flight = s.own_work;
       v.slowness = s.slowness;
       v.warm_share = WarmShare(s);
       if (v.warm_share < 1) {
-        v.cold_budget = ColdRate(s, v.warm_share) * settings_.overload_for.count();
-        v.cold_sent = s.sent.Peek(now_, settings_.overload_for * kWindowSlack);
+        v.cold_budget = ColdRate(s, v.warm_share) * settings_.overload_duration.count();
+        v.cold_sent = s.sent.Peek(now_, settings_.overload_duration * kWindowSlack);
       }
       views.push_back(v);
     }
@@ -347,9 +347,9 @@
   // many apertures, and those who share one server share no other. Servers that are ejected or cold are made
   // up for by the next.
   std::uint64_t GroupSize() const {
-    return static_cast<std::uint64_t>(std::ceil(std::sqrt(static_cast<double>(settings_.balancers))));
+    return static_cast<std::uint64_t>(std::ceil(std::sqrt(static_cast<double>(settings_.balancer_count))));
   }
-  std::uint64_t Me() const { return static_cast<std::uint64_t>(settings_.me); }
+  std::uint64_t Me() const { return static_cast<std::uint64_t>(settings_.balancer_index); }
   std::size_t RingStart() const { return (Me() % GroupSize()) * ring_.size() / GroupSize(); }
 
   static bool Before(const Server* a, const Server* b) {
@@ -378,7 +378,7 @@
     return std::clamp(Duration(needed), kInterval, kMaxEjectionTime / 2);
   }
 
-  bool Usable(const Server& s) const { return s.entry.state == ServerState::kReady; }
+  bool Usable(const Server& s) const { return s.entry.state == BackendState::kReady; }
 
   static bool Tried(const Request& r, const Server& s) {
     return std::any_of(r.attempts.begin(), r.attempts.end(),
@@ -387,11 +387,11 @@
 
   bool InGroup(const Request& r, const Server& anchor, const Server& s) const {
     switch (settings_.classes[r.cls].group) {
-      case Group::kAll:
+      case DeduplicationScope::kAll:
         return true;
-      case Group::kZone:
+      case DeduplicationScope::kZone:
         return s.entry.zone == anchor.entry.zone;
-      case Group::kCell:
+      case DeduplicationScope::kCell:
         return s.entry.cell == anchor.entry.cell && s.entry.zone == anchor.entry.zone;
     }
     return false;
@@ -427,9 +427,9 @@
     return choice.rank >= 2 && choice.in_service ? nullptr : choice.best;
   }
 
-  // Exception, where somebody decides how much goes to each zone (src/regions): a zone whose share is used up
-  // is passed over. Each share is a bucket of a second's worth; what is worth least leaves most of it to
-  // others.
+  // Exception, where somebody decides how much goes to each zone (src/zone_failover): a zone whose share is
+  // used up is passed over. Each share is a bucket of a second's worth; what is worth least leaves most of it
+  // to others.
   ZoneBucket* BucketOf(const Server& s) {
     const bool known = s.entry.zone >= 0 && static_cast<std::size_t>(s.entry.zone) < zones_.size();
     return known ? &zones_[static_cast<std::size_t>(s.entry.zone)] : nullptr;
@@ -443,7 +443,7 @@
     ZoneBucket* const zone = BucketOf(s);
     if (!zone || zone->rate < 0) return true;
     Fill(*zone);
-    const double kept = kShareKept * (1 - settings_.classes[r.cls].worth / most_worth_);
+    const double kept = kShareKept * (1 - settings_.classes[r.cls].priority_weight / most_worth_);
     return zone->left > kept * zone->rate * kShareBurst.count();
   }
 
@@ -458,7 +458,7 @@
   // in time. Cut off from some, a proxy lost two requests a second at each: too few to fill the volume floor
   // for an ejection, each waiting to the end of the client's time.
   bool Unheard(const Request& r, const Server& s) const {
-    return s.silent && (settings_.classes[r.cls].effect == Effect::kUnsafe || s.own_count > 0 ||
+    return s.silent && (settings_.classes[r.cls].effect == Idempotency::kNotIdempotent || s.own_count > 0 ||
                         now_ - s.last_sent < kSilentPause);
   }
 
@@ -467,7 +467,7 @@
     const bool crosses = s.entry.zone != settings_.zone;
     const double score = s.own_work + kSlownessWeight * r.work * (s.slowness - 1) -
                          (Warm(s, r.key) ? kWarmWeight * r.work : 0) +
-                         (crosses ? kCrossingWeight * settings_.price_cross_zone * request_work_.mean : 0);
+                         (crosses ? kCrossingWeight * settings_.cross_zone_cost * request_work_.mean : 0);
     if (choice->best && (rank > choice->rank || (rank == choice->rank && score > choice->score))) return;
     const bool tie = choice->best && rank == choice->rank && score == choice->score;
     choice->ties = tie ? choice->ties + 1 : 1;
@@ -482,9 +482,10 @@
   double WarmShare(const Server& s) const {
     if (s.entry.up_since.time_since_epoch().count() <= 0) return 1;
     const double age = (now_ - s.entry.up_since).count();
-    const double warm_up = settings_.warm_up.count();
-    if (warm_up <= 0 || age >= warm_up) return 1;
-    return settings_.cold_from + (1 - settings_.cold_from) * std::max(0.0, age) / warm_up;
+    const double slow_start_window = settings_.slow_start_window.count();
+    if (slow_start_window <= 0 || age >= slow_start_window) return 1;
+    return settings_.slow_start_floor +
+           (1 - settings_.slow_start_floor) * std::max(0.0, age) / slow_start_window;
   }
 
   // A cold server gets, over the rule's window, its share of what a warm one serves for this proxy. All
@@ -493,12 +494,12 @@
   // while is always allowed, or a fleet that is cold throughout would never come back.
   bool FitsColdBudget(Server& s, double work) {
     const double share = WarmShare(s);
-    const Duration window = settings_.overload_for * kWindowSlack;
+    const Duration window = settings_.overload_duration * kWindowSlack;
     const double sent = s.sent.Within(now_, window);
-    if (share >= 1 || settings_.fall_multiple <= 0) return true;
+    if (share >= 1 || settings_.overload_factor <= 0) return true;
     const double rate = ColdRate(s, share);
     EarnTurn(s, std::max(rate, LeastColdRate(share)), window);
-    if (sent + work <= rate * settings_.overload_for.count()) return true;
+    if (sent + work <= rate * settings_.overload_duration.count()) return true;
     return now_ - s.last_sent >= window && s.earned >= std::max(1.0, work / request_work_.mean);
   }
 
@@ -518,14 +519,14 @@
   }
 
   double ColdRate(const Server& s, double share) const {  // work a ms
-    return kColdCaution * settings_.fall_multiple * share * WarmRate(s);
+    return kColdCaution * settings_.overload_factor * share * WarmRate(s);
   }
 
   // Where no request tells its work, each counts as 1, and is about as long as one takes uncrowded; until
   // that is known, as one may take.
   double LeastColdRate(double share) const {
     const double unit = hinted_ ? 1 : stretch_ > 0 ? stretch_ : kQueueShare * mean_aim_.mean;
-    return kColdLeast * settings_.fall_multiple * share / settings_.balancers / std::max(unit, 1e-3);
+    return kColdLeast * settings_.overload_factor * share / settings_.balancer_count / std::max(unit, 1e-3);
   }
 
   // Work a ms that a warm server of the same kind serves for this proxy; of any kind if there is none.
@@ -557,10 +558,10 @@
     may.dispatch =
         now_ < r.due && static_cast<int>(r.attempts.size()) < settings_.max_attempts && outstanding == 0;
     may.refuse = true;
-    if (!first_run || c.effect == Effect::kSafe) return may;
-    may.refuse = c.effect == Effect::kKeyed && c.group == Group::kAll;
+    if (!first_run || c.effect == Idempotency::kIdempotent) return may;
+    may.refuse = c.effect == Idempotency::kIdempotencyKey && c.group == DeduplicationScope::kAll;
     may.until = first_run->sent_at + c.window * kWindowMargin;
-    if (c.effect == Effect::kUnsafe || now_ >= may.until) may.dispatch = false;
+    if (c.effect == Idempotency::kNotIdempotent || now_ >= may.until) may.dispatch = false;
     const auto anchor = servers_.find(first_run->server);
     if (anchor == servers_.end()) may.dispatch = false;
     if (may.dispatch) may.group_of = &anchor->second;
@@ -575,9 +576,9 @@
                                   : "last at server " + std::to_string(r.attempts.back().server)) +
               "; " + std::to_string(in_flight_) + " in flight, " + std::to_string(held_.size()) + " held");
     if (may.refuse) {
-      out_->push_back(Refuse{r.id, retry_after});
+      out_->push_back(Reject{r.id, retry_after});
     } else {
-      out_->push_back(Fail{r.id});
+      out_->push_back(FailRequest{r.id});
     }
     r.finished = true;
   }
@@ -588,7 +589,7 @@
   Duration TimeoutFor(const Request& r, const Server& s) const {
     const ClassSettings& c = settings_.classes[r.cls];
     const Spread& seen = classes_[r.cls].latency;
-    if (c.effect == Effect::kUnsafe || seen.samples < kFewSamples || retry_tokens_ < 1 ||
+    if (c.effect == Idempotency::kNotIdempotent || seen.samples < kFewSamples || retry_tokens_ < 1 ||
         (s.own_count == 0 && !s.silent))
       return Duration(0);
     if (static_cast<int>(r.attempts.size()) + 1 >= settings_.max_attempts) return Duration(0);
@@ -620,7 +621,7 @@
     grow(r.attempts);
     grow(*out_);
     s.sent.MakeRoom();
-    if (settings_.warm_keys && r.key != 0) s.met[r.key] = now_;
+    if (settings_.key_affinity && r.key != 0) s.met[r.key] = now_;
     if (classes_[r.cls].latency.samples >= kFewSamples) wakeups_.emplace(now_ + CountedFor(r), r.id);
   }
 
@@ -661,14 +662,14 @@
     Attempt& a = r.attempts[e.attempt];
     if (!a.outstanding) return;
     a.outstanding = false;
-    a.may_have_run =
-        !(e.outcome == Outcome::kFull || e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kMoot);
+    a.may_have_run = !(e.outcome == Outcome::kRejected || e.outcome == Outcome::kConnectFailed ||
+                       e.outcome == Outcome::kNotSent);
     const auto at = servers_.find(a.server);
     if (at != servers_.end()) Learn(r, e, at->second);
     room_ = true;
     if (e.settled) r.finished = true;
     if (!r.finished && r.outstanding() == 0 && !r.held)
-      Again(r, a.may_have_run || e.outcome == Outcome::kFull);
+      Again(r, a.may_have_run || e.outcome == Outcome::kRejected);
     Forget(found);
   }
 
@@ -682,16 +683,16 @@
   void Learn(const Request& r, const AttemptEnded& e, Server& s) {
     if (!r.attempts[e.attempt].overdue) --in_flight_, --s.counted;
     s.own_work -= r.work;
-    if (e.outcome != Outcome::kTimeout && e.outcome != Outcome::kMoot) s.quiet_since = now_;
+    if (e.outcome != Outcome::kTimeout && e.outcome != Outcome::kNotSent) s.quiet_since = now_;
     if (--s.own_count == 0) s.own_work = 0;
     const bool ok = e.outcome == Outcome::kOk;
     const Attempt& a = r.attempts[e.attempt];
-    if (e.outcome == Outcome::kMoot) {  // its place in the budgets is free again
+    if (e.outcome == Outcome::kNotSent) {  // its place in the budgets is free again
       s.sent.TakeBack(a.sent_at, r.work);
       if (s.last_sent == a.sent_at) s.last_sent = a.sent_before, s.earned += a.earned_before;
       if (ZoneBucket* const zone = BucketOf(s)) zone->left += r.work;
     }
-    if (ok || e.outcome == Outcome::kError || e.outcome == Outcome::kFull) {
+    if (ok || e.outcome == Outcome::kError || e.outcome == Outcome::kRejected) {
       s.NoteAnswered(a.sent_at);
       s.silent = false;
     }
@@ -699,7 +700,7 @@
     // Its connection is silent, not the server slow: that is a failure, and no sign of crowding.
     const bool silent = e.outcome == Outcome::kTimeout && s.Overtaken(a.sent_at);
     const bool given_up = e.outcome == Outcome::kCancelled && a.abandoned;
-    if ((e.outcome == Outcome::kCancelled && !given_up) || e.outcome == Outcome::kMoot ||
+    if ((e.outcome == Outcome::kCancelled && !given_up) || e.outcome == Outcome::kNotSent ||
         e.outcome == Outcome::kUnknown)
       return;
     if (ok) s.served_since_sample += r.work, ++answered_;
@@ -713,9 +714,10 @@
       const double most = usual.samples < kFewSamples ? took / WorkScale(r) : Unlikely(usual);
       usual.Add(std::min(took / WorkScale(r), most));
       // A heavy tail is late whatever is done, and does not count; nor does a server slower than most.
-      const Duration aim = settings_.classes[r.cls].aim;
-      if (r.work * stretch_ < 0.5 * aim.count() && !(e.took > aim && IsOutlier(s)))
-        late_share_ += kLateGain * ((e.took > aim) - late_share_);
+      const Duration latency_objective = settings_.classes[r.cls].latency_objective;
+      if (r.work * stretch_ < 0.5 * latency_objective.count() &&
+          !(e.took > latency_objective && IsOutlier(s)))
+        late_share_ += kLateGain * ((e.took > latency_objective) - late_share_);
       const double like = std::max(Cold() ? seen.mean : usual.mean, 1e-9);
       const double relative = std::min(kMostSlowness, took / WorkScale(r) / like);
       // The rarer its answers, the more each tells.
@@ -749,7 +751,7 @@
 
   // One huge request, out for seconds, must not keep a small proxy from sending either.
   Duration CountedFor(const Request& r) const {
-    const Duration unlikely = std::min(Unlikely(r), settings_.classes[r.cls].aim);
+    const Duration unlikely = std::min(Unlikely(r), settings_.classes[r.cls].latency_objective);
     return Cold() ? unlikely : std::min(unlikely, Duration(Unlikely(classes_[r.cls].usual) * WorkScale(r)));
   }
 
@@ -779,12 +781,12 @@
     const auto at = servers_.find(a.server);
     const Spread& seen = classes_[r.cls].latency;
     const Duration repeat((seen.mean + seen.deviation) * WorkScale(r));
-    if (a.abandoned || r.finished || settings_.classes[r.cls].effect == Effect::kUnsafe ||
+    if (a.abandoned || r.finished || settings_.classes[r.cls].effect == Idempotency::kNotIdempotent ||
         static_cast<int>(r.attempts.size()) >= settings_.max_attempts || now_ + repeat > r.due)
       return;
     if (at != servers_.end() && at->second.Overtaken(a.sent_at) && retry_tokens_ >= 1) {
       a.abandoned = true;
-      out_->push_back(Abandon{r.id, static_cast<int>(&a - r.attempts.data())});
+      out_->push_back(CancelAttempt{r.id, static_cast<int>(&a - r.attempts.data())});
     } else {
       wakeups_.emplace(now_ + std::max(settings_.tick, CountedFor(r) / 2), r.id);
     }
@@ -820,8 +822,8 @@
     const double in_time = std::max(0.0, 1 - late_share_ / kFewLate);
     const double useful = std::min(kQueueShare * mean_aim_.mean, kCrowding * uncrowded);
     const double served = served_rate_ * useful;
-    const double mean = std::max(kLeastPerServer * warm_servers_ / settings_.balancers,
-                                 served + kChance * std::sqrt(served / settings_.balancers));
+    const double mean = std::max(kLeastPerServer * warm_servers_ / settings_.balancer_count,
+                                 served + kChance * std::sqrt(served / settings_.balancer_count));
     const double room = std::clamp(4 * (1 - mean_in_flight_ / mean), in_time, 1.0);
     return InFlight(mean) + last_place_ < mean + (kChance * std::sqrt(mean) + kSpare) * room;
   }
@@ -861,12 +863,12 @@
     r.key = e.key;
     if (e.request_class < 0 || e.request_class >= static_cast<int>(settings_.classes.size())) {
       // Nothing is known of what it may do twice, and it never ran: the client may try again.
-      out_->push_back(Refuse{r.id, Duration(0)});
+      out_->push_back(Reject{r.id, Duration(0)});
       return;
     }
     r.cls = e.request_class;
     const ClassSettings& c = settings_.classes[r.cls];
-    const Duration aim = c.aim - Elapsed(e);
+    const Duration latency_objective = c.latency_objective - Elapsed(e);
     const bool hinted = e.has_hint && std::isfinite(e.work_ms) && e.work_ms > 0;
     hinted_ |= hinted;
     r.work = hinted ? std::min(e.work_ms, kMostWork) : request_work_.samples > 0 ? request_work_.mean : 1;
@@ -874,17 +876,18 @@
       request_work_.Add(r.work);
       classes_[r.cls].work.Add(r.work);
     }
-    mean_aim_.Add(c.aim.count());
+    mean_aim_.Add(c.latency_objective.count());
     ++arrived_;
-    r.value = c.worth * (WithinShare(e.tenant) ? 1 : settings_.over_share_worth);
+    r.value = c.priority_weight * (WithinShare(e.tenant) ? 1 : settings_.over_quota_weight);
     // What is too large to be in time is worth little, or nothing: it must not take the place of others. Each
     // such finding weakens the next: a slow spell must not shut a class out for good.
     const Duration alone(r.work * stretch_);
-    if (alone > aim) r.value *= now_ + alone > r.due ? 0 : c.late_worth;
-    if (alone > c.aim) stretch_ *= 1 - 5 * kStretchGain;
+    if (alone > latency_objective) r.value *= now_ + alone > r.due ? 0 : c.late_weight;
+    if (alone > c.latency_objective) stretch_ *= 1 - 5 * kStretchGain;
     if (r.value <= 0) return Finish(r, StayAway(r));
-    const Duration useful = aim - Duration(classes_[r.cls].latency.mean + classes_[r.cls].latency.deviation);
-    r.refuse_at = std::min(r.due - settings_.tick * 2, now_ + std::max(useful, c.aim / 4));
+    const Duration useful =
+        latency_objective - Duration(classes_[r.cls].latency.mean + classes_[r.cls].latency.deviation);
+    r.refuse_at = std::min(r.due - settings_.tick * 2, now_ + std::max(useful, c.latency_objective / 4));
     r.refuse_at = std::min(r.refuse_at, now_ + (e.due - now_) * kRefuseShare);
     Request& kept = requests_.emplace(r.id, std::move(r)).first->second;
     Place(kept);
@@ -933,14 +936,14 @@
     }
   }
 
-  void On(const ClientGone& e) {
+  void On(const ClientDisconnected& e) {
     const auto found = requests_.find(e.request);
     if (found == requests_.end()) return;
     found->second.finished = true;
     Forget(found);
   }
 
-  void On(const ZoneShares& e) {
+  void On(const ZoneQuotas& e) {
     zones_.resize(e.work_per_ms.size());
     for (std::size_t z = 0; z < zones_.size(); ++z) {
       ZoneBucket& zone = zones_[z];
@@ -966,23 +969,23 @@
   }
 
   // ---- 7. Discovery -----------------------------------------------------------------------------------
-  void On(const ListUpdate& e) {
-    if (settings_.must_ask_for_list) FollowUp(e.kind);
-    if (e.kind == ListKind::kFailed) return;
+  void On(const EndpointListUpdate& e) {
+    if (settings_.polls_endpoint_list) FollowUp(e.kind);
+    if (e.kind == EndpointListKind::kFailed) return;
     const bool many = e.entries.size() > kFewEntries;
     if (many) ring_.clear();
-    if (e.kind != ListKind::kDelta) {
-      std::set<ServerId> listed;
-      for (const ServerEntry& entry : e.entries) listed.insert(entry.server);
+    if (e.kind != EndpointListKind::kDelta) {
+      std::set<BackendId> listed;
+      for (const BackendEntry& entry : e.entries) listed.insert(entry.server);
       for (auto& [id, s] : servers_) {
-        if (!listed.count(id)) SetState(s, ServerState::kGone, !many);
+        if (!listed.count(id)) SetState(s, BackendState::kGone, !many);
       }
     }
-    for (const ServerEntry& entry : e.entries) {
+    for (const BackendEntry& entry : e.entries) {
       const auto [it, added] = servers_.try_emplace(entry.server);
       Server& s = it->second;
       if (added) s.place = Mix(entry.server ^ Mix(Me() / GroupSize() + 1));
-      const ServerState before = s.entry.state;
+      const BackendState before = s.entry.state;
       s.entry = entry;
       s.entry.state = before;
       SetState(s, entry.state, !many);
@@ -1000,8 +1003,8 @@
     room_ = true;
   }
 
-  void SetState(Server& s, ServerState state, bool place) {
-    if (state == ServerState::kGone && s.entry.state != state) {
+  void SetState(Server& s, BackendState state, bool place) {
+    if (state == BackendState::kGone && s.entry.state != state) {
       s.gone_since = now_;
       gone_.push_back(s.entry.server);
     }
@@ -1013,9 +1016,9 @@
   // next.
   void ForgetGone() {
     for (std::size_t left = gone_.size(); left > 0; --left) {
-      const ServerId id = gone_.front();
+      const BackendId id = gone_.front();
       const auto found = servers_.find(id);
-      const bool gone = found != servers_.end() && found->second.entry.state == ServerState::kGone;
+      const bool gone = found != servers_.end() && found->second.entry.state == BackendState::kGone;
       if (gone && now_ - found->second.gone_since <= kForgetAfter) break;
       gone_.pop_front();
       if (gone && found->second.active) gone_.push_back(id);
@@ -1023,13 +1026,13 @@
     }
   }
 
-  void FollowUp(ListKind kind) {
-    if (kind == ListKind::kCached) {
+  void FollowUp(EndpointListKind kind) {
+    if (kind == EndpointListKind::kCached) {
       ask_at_ = now_;  // a new life: nothing is subscribed yet
-    } else if (kind == ListKind::kFailed) {
+    } else if (kind == EndpointListKind::kFailed) {
       // Jittered backoff, from a twentieth to a quarter of the time within which the rules want a call.
-      ask_backoff_ = std::min({settings_.must_ask_within / 4, kMostAskPause,
-                               std::max(settings_.must_ask_within / 20, ask_backoff_ * 2)});
+      ask_backoff_ = std::min({settings_.max_poll_interval / 4, kMostAskPause,
+                               std::max(settings_.max_poll_interval / 20, ask_backoff_ * 2)});
       ask_at_ = now_ + ask_backoff_ * (0.5 + 0.5 * random_.Unit());
     } else {
       ask_backoff_ = Duration(0);
@@ -1048,7 +1051,7 @@
     if (now_ >= sample_at_) Sample();
     if (now_ >= ask_at_) {
       out_->push_back(Subscribe{});
-      ask_at_ = now_ + settings_.must_ask_within / 2;  // an answer may never come
+      ask_at_ = now_ + settings_.max_poll_interval / 2;  // an answer may never come
     }
     while (!wakeups_.empty() && wakeups_.begin()->first <= now_) {
       const auto found = requests_.find(wakeups_.begin()->second);
@@ -1078,7 +1081,7 @@
   void CountWarmth() {
     usable_ = ring_.size();
     double shares = 0;
-    std::erase_if(warming_, [&](ServerId id) {
+    std::erase_if(warming_, [&](BackendId id) {
       const auto found = servers_.find(id);
       const double share = found == servers_.end() || !Usable(found->second) ? 1 : WarmShare(found->second);
       if (share < 1) shares += share;
@@ -1125,7 +1128,7 @@
       answered_ = arrived_ = 0;
     }
     for (std::size_t t = 0; t < tenant_tokens_.size(); ++t) {
-      const double rate = settings_.tenants[t].quota_per_s / settings_.balancers / 1000;
+      const double rate = settings_.tenants[t].quota_per_s / settings_.balancer_count / 1000;
       tenant_tokens_[t] = std::min(std::max(1.0, rate * 2000), tenant_tokens_[t] + rate * elapsed);
     }
     sampled_at_ = now_;
@@ -1154,10 +1157,10 @@
   Random random_;
   TimePoint now_{};
   std::vector<Action>* out_ = nullptr;
-  std::map<ServerId, Server> servers_;
+  std::map<BackendId, Server> servers_;
   std::vector<Server*> ring_;           // those that take work, by place
-  std::set<ServerId> warming_;          // those of them that are cold
-  std::deque<ServerId> gone_;           // in the order in which they went
+  std::set<BackendId> warming_;         // those of them that are cold
+  std::deque<BackendId> gone_;          // in the order in which they went
   double arrived_ = 0, send_rate_ = 0;  // requests since the last sample; a ms
   std::vector<Server*> active_;    // those this proxy has dealt with lately; work per event is theirs alone
   double most_worth_ = 1e-9;       // of the classes
@@ -1198,6 +1201,6 @@
 void Balancer::Handle(TimePoint now, const Event& event, std::vector<Action>* actions) {
   impl_->Handle(now, event, actions);
 }
-std::vector<ServerView> Balancer::Inspect() const { return impl_->Inspect(); }
+std::vector<BackendView> Balancer::Inspect() const { return impl_->Inspect(); }
 
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/src/ctl/commands.cpp
+++ b/src/cli/commands.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "ctl/commands.h"
+#include "cli/commands.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -11,11 +11,11 @@
 #include <set>
 #include <thread>
 
-#include "ctl/fields.h"
-#include "ctl/render.h"
-#include "operator/table_reader.h"
+#include "cli/fields.h"
+#include "cli/render.h"
+#include "operator_config/table_reader.h"
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 namespace {
 
 namespace json = boost::json;
@@ -33,12 +33,12 @@
   return settings_.timeout > milliseconds(0) ? settings_.timeout : usual;
 }
 
-api::Reply Commands::One(const AgentTarget& agent, std::string method, std::string target, std::string body,
-                         milliseconds timeout) {
-  api::Reply reply;
+http_api::Reply Commands::One(const AgentTarget& agent, std::string method, std::string target,
+                              std::string body, milliseconds timeout) {
+  http_api::Reply reply;
   boost::asio::co_spawn(
-      io_, api::Call(agent.target, std::move(method), std::move(target), std::move(body), timeout),
-      [&](std::exception_ptr failure, api::Reply answer) {
+      io_, http_api::Call(agent.target, std::move(method), std::move(target), std::move(body), timeout),
+      [&](std::exception_ptr failure, http_api::Reply answer) {
         reply = std::move(answer);
         if (failure) reply = {0, {}, "the call could not be made"};
       });
@@ -47,12 +47,12 @@
   return reply;
 }
 
-std::vector<api::Reply> Commands::Each(const std::vector<AgentTarget>& agents, const std::string& target,
-                                       milliseconds timeout) {
-  std::vector<api::Reply> replies(agents.size());
+std::vector<http_api::Reply> Commands::Each(const std::vector<AgentTarget>& agents, const std::string& target,
+                                            milliseconds timeout) {
+  std::vector<http_api::Reply> replies(agents.size());
   for (std::size_t i = 0; i < agents.size(); ++i) {
-    boost::asio::co_spawn(io_, api::Call(agents[i].target, "GET", target, "", timeout),
-                          [&replies, i](std::exception_ptr failure, api::Reply answer) {
+    boost::asio::co_spawn(io_, http_api::Call(agents[i].target, "GET", target, "", timeout),
+                          [&replies, i](std::exception_ptr failure, http_api::Reply answer) {
                             replies[i] = std::move(answer);
                             if (failure) replies[i] = {0, {}, "the call could not be made"};
                           });
@@ -62,8 +62,8 @@
   return replies;
 }
 
-int Commands::Complain(const std::string& agent, const api::Reply& reply) {
-  err_ << "badgerctl: " << agent << ": " << reply.Why() << '\n';
+int Commands::Complain(const std::string& agent, const http_api::Reply& reply) {
+  err_ << "badgerbridge-ctl: " << agent << ": " << reply.Why() << '\n';
   if (reply.status == 0) return kOutOfReach;
   if (reply.status == 403) return kNotAllowed;
   if (reply.status == 409) return kConflict;
@@ -80,7 +80,7 @@
   }
   for (const std::string& name : selection.agents) {
     if (std::none_of(asked.begin(), asked.end(), [&](const auto& agent) { return agent.name == name; })) {
-      err_ << "badgerctl: the context names no agent " << name << '\n';
+      err_ << "badgerbridge-ctl: the context names no agent " << name << '\n';
       view.code = kUsage;
     }
   }
@@ -120,7 +120,7 @@
   }
   for (const std::string& wanted : selection.names) {
     if (met.count(wanted) || view.code == kOutOfReach) continue;
-    err_ << "badgerctl: there is no instance " << wanted << '\n';
+    err_ << "badgerbridge-ctl: there is no instance " << wanted << '\n';
     view.code = Worse(view.code, kUsage);
   }
   return view;
@@ -133,14 +133,14 @@
 
 int Commands::Logs(const Selection& selection, int lines) {
   if (selection.empty()) {
-    err_ << "badgerctl: say which instances: names, --label, --agent, --state or --all\n";
+    err_ << "badgerbridge-ctl: say which instances: names, --label, --agent, --state or --all\n";
     return kUsage;
   }
   const View view = Look(selection);
   int code = view.code;
   json::array all;
   for (const View::Line& line : view.lines) {
-    const api::Reply reply =
+    const http_api::Reply reply =
         One(AgentOf(line), "GET", "/v1/logs/" + line.name + "?lines=" + std::to_string(lines), "",
             Timeout(kUsualTimeout));
     if (!reply.ok() || !Body(reply)) {
@@ -160,4 +160,4 @@
   return code;
 }
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
--- a/src/ctl/commands.h
+++ b/src/cli/commands.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What badgerctl does once its arguments are read.
-#ifndef BADGERBRIDGE_CTL_COMMANDS_H_
-#define BADGERBRIDGE_CTL_COMMANDS_H_
+// What badgerbridge-ctl does once its arguments are read.
+#ifndef BADGERBRIDGE_CLI_COMMANDS_H_
+#define BADGERBRIDGE_CLI_COMMANDS_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/json/object.hpp>
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "ctl/context.h"
+#include "cli/context.h"
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 
 // Exit codes; where several hold, the one that stands last here.
 enum Exit { kAllDid = 0, kSomeDidNot = 1, kUsage = 2, kConflict = 3, kNotAllowed = 4, kOutOfReach = 5 };
@@ -59,7 +59,7 @@
   int Diff(const std::string& path);
   int Orders(const std::string& id);
   int Logs(const Selection& selection, int lines);
-  // Who the converters are, as the chosen proxies believe.
+  // Who the backends are, as the chosen proxies believe.
   int Members(const Selection& selection);
   // Departures that the chosen proxies hold back have really happened.
   int Release(const Selection& selection);
@@ -82,17 +82,17 @@
   };
   struct Submitted;
 
-  api::Reply One(const AgentTarget& agent, std::string method, std::string target, std::string body,
-                 std::chrono::milliseconds timeout);
-  std::vector<api::Reply> Each(const std::vector<AgentTarget>& agents, const std::string& target,
-                               std::chrono::milliseconds timeout);
+  http_api::Reply One(const AgentTarget& agent, std::string method, std::string target, std::string body,
+                      std::chrono::milliseconds timeout);
+  std::vector<http_api::Reply> Each(const std::vector<AgentTarget>& agents, const std::string& target,
+                                    std::chrono::milliseconds timeout);
   View Look(const Selection& selection);
   const AgentTarget& AgentOf(const View::Line& line) const;
   std::string TableOf(const View& view) const;
   int Carry(std::vector<Submitted> orders, const OrderOptions& options, const std::string& path);
   int Report(const std::vector<Submitted>& orders, const OrderOptions& options);
   // The code for an agent that did not do as asked; says so.
-  int Complain(const std::string& agent, const api::Reply& reply);
+  int Complain(const std::string& agent, const http_api::Reply& reply);
   std::chrono::milliseconds Timeout(std::chrono::milliseconds usual) const;
 
   Settings settings_;
@@ -106,6 +106,6 @@
 
 extern const char kBashCompletion[];
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
 
-#endif  // BADGERBRIDGE_CTL_COMMANDS_H_
+#endif  // BADGERBRIDGE_CLI_COMMANDS_H_
--- a/src/ctl/completion.cpp
+++ b/src/cli/completion.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "ctl/commands.h"
+#include "cli/commands.h"
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 
 // clang-format off
 const char kBashCompletion[] =
-    R"bash(# bash completion for badgerctl; source it, or put it where bash-completion looks
+    R"bash(# bash completion for badgerbridge-ctl; source it, or put it where bash-completion looks
 _badgerctl() {
   local cur="${COMP_WORDS[COMP_CWORD]}" command="" word
   for word in "${COMP_WORDS[@]:1:COMP_CWORD-1}"; do
@@ -26,11 +26,11 @@
     zones) COMPREPLY=($(compgen -W "evacuate return history" -- "$cur")) ;;
     apply|diff|check|relays) COMPREPLY=($(compgen -f -- "$cur")) ;;
     completion) COMPREPLY=($(compgen -W "bash" -- "$cur")) ;;
-    *) COMPREPLY=($(compgen -W "$(badgerctl status -o names --timeout 1s 2>/dev/null)" -- "$cur")) ;;
+    *) COMPREPLY=($(compgen -W "$(badgerbridge-ctl status -o names --timeout 1s 2>/dev/null)" -- "$cur")) ;;
   esac
 }
-complete -F _badgerctl badgerctl
+complete -F _badgerctl badgerbridge-ctl
 )bash";
 // clang-format on
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
--- a/src/ctl/context.cpp
+++ b/src/cli/context.cpp
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "ctl/context.h"
+#include "cli/context.h"
 
 #include <set>
 
-#include "api/address.h"
-#include "operator/table_reader.h"
+#include "http_api/address.h"
+#include "operator_config/table_reader.h"
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 namespace {
 
-using operator_file::TableReader;
+using operator_config::TableReader;
 
 AgentTarget ReadAgent(TableReader& table) {
   AgentTarget agent;
@@ -21,7 +21,7 @@
     table.Report("socket", "and address: give one of them, the path of a Unix socket or an address and port");
   if (table.Has("socket") && (agent.target.unix_path.empty() || agent.target.unix_path.front() != '/'))
     table.Report("socket", "is no absolute path; one that begins with / would be right");
-  const auto endpoint = api::ParseAddress(address);
+  const auto endpoint = http_api::ParseAddress(address);
   if (endpoint) agent.target.address = *endpoint;
   if (table.Has("address") && (!endpoint || endpoint->port() == 0))
     table.Report("address", "is no address and port; \"127.0.0.1:7443\" would be right");
@@ -39,9 +39,9 @@
 }  // namespace
 
 std::vector<AgentTarget> ParseContext(std::string_view text, const std::string& file,
-                                      operator_file::Problems& problems) {
+                                      operator_config::Problems& problems) {
   std::vector<AgentTarget> agents;
-  const auto root = operator_file::ParseToml(text, file, problems);
+  const auto root = operator_config::ParseToml(text, file, problems);
   if (!root) return agents;
   TableReader reader(*root, "", file, problems);
   reader.Require("agent", "at least one [[agent]] table");
@@ -55,16 +55,16 @@
   return agents;
 }
 
-std::vector<AgentTarget> LoadContext(const std::string& path, operator_file::Problems& problems) {
-  const auto text = operator_file::ReadFile(path, 1 << 20, problems);
+std::vector<AgentTarget> LoadContext(const std::string& path, operator_config::Problems& problems) {
+  const auto text = operator_config::ReadFile(path, 1 << 20, problems);
   return text ? ParseContext(*text, path, problems) : std::vector<AgentTarget>{};
 }
 
 std::string AgentNameIn(const std::string& fleet_text, const std::string& file,
-                        operator_file::Problems& problems) {
-  const auto root = operator_file::ParseToml(fleet_text, file, problems);
+                        operator_config::Problems& problems) {
+  const auto root = operator_config::ParseToml(fleet_text, file, problems);
   if (!root) return "";
   return (*root)["agent"]["name"].value_or(std::string());
 }
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
--- a/src/ctl/etcd_commands.cpp
+++ b/src/cli/etcd_commands.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "ctl/etcd_commands.h"
+#include "cli/etcd_commands.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -7,13 +7,13 @@
 #include <ostream>
 #include <random>
 
-#include "ctl/commands.h"
-#include "ctl/render.h"
+#include "cli/commands.h"
+#include "cli/render.h"
 #include "membership/etcd_settings.h"
 #include "membership/registrar.h"
 #include "membership/value.h"
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 namespace {
 
 namespace asio = boost::asio;
@@ -25,7 +25,7 @@
 constexpr int kMostSwaps = 20;  // where others write the same key all the time
 
 // What stands before a member's name in its key; with services, the name is SERVICE/NAME.
-const std::string& KeysPrefix(const operator_file::Etcd& etcd) {
+const std::string& KeysPrefix(const operator_config::Etcd& etcd) {
   return etcd.services.empty() ? etcd.prefix : etcd.services_prefix;
 }
 
@@ -112,7 +112,7 @@
                                  {"took_ms", took}});
     }
   } catch (const std::exception& bad) {
-    err << "badgerctl: " << bad.what() << '\n';
+    err << "badgerbridge-ctl: " << bad.what() << '\n';
     return kUsage;
   }
   out << (command.json ? json::serialize(all) + "\n" : table.Text());
@@ -126,7 +126,7 @@
     const std::string named = settings.member.name;
     const std::size_t slash = named.find('/');
     if (slash == std::string::npos || slash == 0 || slash + 1 == named.size()) {
-      err << "badgerctl: the operator's file names services; SERVICE/" << named << " would be right\n";
+      err << "badgerbridge-ctl: the operator's file names services; SERVICE/" << named << " would be right\n";
       return kUsage;
     }
     settings.prefix += named.substr(0, slash + 1);
@@ -140,11 +140,11 @@
                                     [&](const membership::Registration& now) {
                                       if (now.registered() && !registered) {
                                         registered = true;
-                                        err << "badgerctl: " << settings.member.name
+                                        err << "badgerbridge-ctl: " << settings.member.name
                                             << " is registered, lease " << now.lease() << std::endl;
                                       } else if (now.why() != said && !now.registered()) {
                                         said = now.why();
-                                        err << "badgerctl: " << said << std::endl;
+                                        err << "badgerbridge-ctl: " << said << std::endl;
                                       }
                                       registered = registered && now.lease() != 0;
                                     });
@@ -159,9 +159,9 @@
     io.run();
     return asked ? kAllDid : kSomeDidNot;
   } catch (const std::exception& bad) {
-    err << "badgerctl: " << bad.what() << '\n';
+    err << "badgerbridge-ctl: " << bad.what() << '\n';
     return kUsage;
   }
 }
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
--- a/src/ctl/etcd_commands.h
+++ b/src/cli/etcd_commands.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgerctl members drain, undrain and register: what is written in etcd, straight to its members. In builds
-// with the etcd client.
-#ifndef BADGERBRIDGE_CTL_ETCD_COMMANDS_H_
-#define BADGERBRIDGE_CTL_ETCD_COMMANDS_H_
+// badgerbridge-ctl members drain, undrain and register: what is written in etcd, straight to its members. In
+// builds with the etcd client.
+#ifndef BADGERBRIDGE_CLI_ETCD_COMMANDS_H_
+#define BADGERBRIDGE_CLI_ETCD_COMMANDS_H_
 
 #include <chrono>
 #include <iosfwd>
@@ -13,15 +13,15 @@
 #include "etcd/grpc.h"
 #include "membership/ledger.h"
 #include "membership/registration.h"
-#include "operator/operator_file.h"
+#include "operator_config/operator_file.h"
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 
 // The exit code (commands.h) of a call of etcd's that has failed.
 int CodeOf(const etcd::Status& status);
 
 struct EtcdCommand {
-  operator_file::Etcd etcd;  // where it is, and how it is reached
+  operator_config::Etcd etcd;  // where it is, and how it is reached
   bool json = false, color = false, dry_run = false;
   std::chrono::milliseconds timeout{0};  // for each name; 0: usual
 };
@@ -31,10 +31,10 @@
 int ChangeMembers(const EtcdCommand& command, const std::vector<std::string>& names, membership::State state,
                   std::ostream& out, std::ostream& err);
 
-// Keeps a converter's key and its lease until SIGINT or SIGTERM, then says that it drains, and takes it away.
+// Keeps a backend's key and its lease until SIGINT or SIGTERM, then says that it drains, and takes it away.
 // An exit code; kSomeDidNot if it ended for another reason, which is said.
 int RegisterMember(const EtcdCommand& command, membership::RegistrationSettings settings, std::ostream& err);
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
 
-#endif  // BADGERBRIDGE_CTL_ETCD_COMMANDS_H_
+#endif  // BADGERBRIDGE_CLI_ETCD_COMMANDS_H_
--- a/src/ctl/fields.h
+++ b/src/cli/fields.h
@@ -2,17 +2,17 @@
 //
 // Members of an agent's or a proxy's answer, each with a default: an answer that lacks one, or has it of
 // another type, must not break the tool.
-#ifndef BADGERBRIDGE_CTL_FIELDS_H_
-#define BADGERBRIDGE_CTL_FIELDS_H_
+#ifndef BADGERBRIDGE_CLI_FIELDS_H_
+#define BADGERBRIDGE_CLI_FIELDS_H_
 
 #include <boost/json.hpp>
 #include <cstdint>
 #include <string>
 #include <string_view>
 
-#include "api/client.h"
+#include "http_api/client.h"
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 
 inline std::string Text(const boost::json::object& object, std::string_view key) {
   const boost::json::value* value = object.if_contains(key);
@@ -39,8 +39,8 @@
   return value && value->is_array() ? value->get_array() : kNone;
 }
 
-inline const boost::json::object* Body(const api::Reply& reply) { return reply.body.if_object(); }
+inline const boost::json::object* Body(const http_api::Reply& reply) { return reply.body.if_object(); }
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
 
-#endif  // BADGERBRIDGE_CTL_FIELDS_H_
+#endif  // BADGERBRIDGE_CLI_FIELDS_H_
--- a/src/ctl/main.cpp
+++ b/src/cli/main.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgerctl: commands the instances of one or several agents.
+// badgerbridge-ctl: commands the instances of one or several agents.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -8,17 +8,17 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "ctl/commands.h"
-#include "ctl/relays.h"
+#include "cli/commands.h"
+#include "cli/relays.h"
 #ifdef BADGERBRIDGE_HAS_ETCD
-#include "ctl/etcd_commands.h"
-#include "ctl/zones.h"
+#include "cli/etcd_commands.h"
+#include "cli/zones.h"
 #endif
-#include "api/address.h"
-#include "api/version.h"
-#include "fleet/fleet_file.h"
-#include "operator/operator_file.h"
-#include "operator/table_reader.h"
+#include "agent/fleet_file.h"
+#include "http_api/address.h"
+#include "http_api/version.h"
+#include "operator_config/operator_file.h"
+#include "operator_config/table_reader.h"
 
 namespace {
 
@@ -32,33 +32,33 @@
 
 // A fleet file or an operator's file, by what stands in it.
 int Check(const std::string& path) {
-  operator_file::Problems problems;
-  if (const auto text = operator_file::ReadFile(path, fleet::kMostFleetBytes, problems)) {
-    operator_file::Problems ignored;
-    const auto root = operator_file::ParseToml(*text, path, ignored);
+  operator_config::Problems problems;
+  if (const auto text = operator_config::ReadFile(path, agent::kMostFleetBytes, problems)) {
+    operator_config::Problems ignored;
+    const auto root = operator_config::ParseToml(*text, path, ignored);
     if (root && (root->contains("agent") || root->contains("instance"))) {
-      root->at("agent").is_array_of_tables() ? void(ctl::ParseContext(*text, path, problems))
-                                             : void(fleet::ParseFleet(*text, path, problems));
+      root->at("agent").is_array_of_tables() ? void(cli::ParseContext(*text, path, problems))
+                                             : void(agent::ParseFleet(*text, path, problems));
     } else {
-      std::cerr << operator_file::Lines(operator_file::Parse(*text, path, problems).warnings);
+      std::cerr << operator_config::Lines(operator_config::Parse(*text, path, problems).warnings);
     }
   }
-  std::cerr << operator_file::Lines(problems);
-  return problems.empty() ? ctl::kAllDid : ctl::kSomeDidNot;
+  std::cerr << operator_config::Lines(problems);
+  return problems.empty() ? cli::kAllDid : cli::kSomeDidNot;
 }
 
 struct Arguments {
   std::string context, socket, output = "table", timeout, file, order, shell;
   std::string deadline = "30s", force_after, every = "1s";
   std::string operators;  // the operator's file that says where etcd is
-  std::vector<std::string> etcd, converters, relays;
+  std::vector<std::string> etcd, backends, relays;
   std::string address, zone, kind, ttl = "10s", drain_for = "2s";
   int group = 0;
   double weight = 1, since_ms = 0;
   std::string lasts;
   bool force = false;
-  ctl::Selection selection;
-  ctl::OrderOptions options;
+  cli::Selection selection;
+  cli::OrderOptions options;
   int lines = 50, count = 0;
 };
 
@@ -84,9 +84,9 @@
 }
 
 std::optional<milliseconds> Parse(const std::string& text, const char* option) {
-  const auto parsed = operator_file::ParseDuration(text);
+  const auto parsed = operator_config::ParseDuration(text);
   if (!parsed)
-    std::cerr << "badgerctl: " << option << " " << text
+    std::cerr << "badgerbridge-ctl: " << option << " " << text
               << " is no duration; \"250ms\", \"10s\" or \"2m\" would be "
               << "right\n";
   return parsed;
@@ -112,43 +112,43 @@
 
 // members drain, undrain and register.
 int RunEtcd(const std::string& command, Arguments& a) {
-  ctl::EtcdCommand how;
+  cli::EtcdCommand how;
   if (a.etcd.empty()) FindOperators(a);
   if (a.operators.empty() && a.etcd.empty()) {
-    std::cerr
-        << "badgerctl: say where etcd is: --operator FILE, whose [etcd] table tells, or --etcd ADDRESS\n";
-    return ctl::kUsage;
+    std::cerr << "badgerbridge-ctl: say where etcd is: --operator FILE, whose [etcd] table tells, or --etcd "
+                 "ADDRESS\n";
+    return cli::kUsage;
   }
-  operator_file::Problems problems;
+  operator_config::Problems problems;
   if (!a.operators.empty()) {
-    const auto file = operator_file::Load(a.operators, problems);
+    const auto file = operator_config::Load(a.operators, problems);
     if (problems.empty() && !file.etcd) problems.push_back({a.operators, 0, 0, "has no [etcd] table"});
     if (file.etcd) how.etcd = *file.etcd;
   }
-  std::cerr << operator_file::Lines(problems);
-  if (!problems.empty()) return ctl::kUsage;
+  std::cerr << operator_config::Lines(problems);
+  if (!problems.empty()) return cli::kUsage;
   if (!a.etcd.empty()) how.etcd.endpoints = a.etcd;
   for (const std::string& endpoint : how.etcd.endpoints) {
-    const auto parsed = api::ParseAddress(endpoint);
+    const auto parsed = http_api::ParseAddress(endpoint);
     if (parsed && parsed->port() != 0) continue;
-    std::cerr << "badgerctl: --etcd " << endpoint
+    std::cerr << "badgerbridge-ctl: --etcd " << endpoint
               << " is no address and port; 127.0.0.1:2379 would be right\n";
-    return ctl::kUsage;
+    return cli::kUsage;
   }
-  if (!ReadCommon(a, &how)) return ctl::kUsage;
+  if (!ReadCommon(a, &how)) return cli::kUsage;
   if (command == "drain" || command == "undrain") {
     const auto state = command == "drain" ? membership::State::kDraining : membership::State::kReady;
-    return ctl::ChangeMembers(how, a.converters, state, std::cout, std::cerr);
+    return cli::ChangeMembers(how, a.backends, state, std::cout, std::cerr);
   }
   const auto ttl = Parse(a.ttl, "--ttl"), drain_for = Parse(a.drain_for, "--drain-for");
-  if (!ttl || !drain_for) return ctl::kUsage;
-  const auto address = api::ParseAddress(a.address);
+  if (!ttl || !drain_for) return cli::kUsage;
+  const auto address = http_api::ParseAddress(a.address);
   if (!address || address->port() == 0 || *ttl < milliseconds(1000)) {
-    std::cerr << "badgerctl: register takes --address ADDRESS:PORT and a --ttl of at least 1s\n";
-    return ctl::kUsage;
+    std::cerr << "badgerbridge-ctl: register takes --address ADDRESS:PORT and a --ttl of at least 1s\n";
+    return cli::kUsage;
   }
   membership::RegistrationSettings settings;
-  settings.member.name = a.converters.front();
+  settings.member.name = a.backends.front();
   settings.member.address = a.address;
   settings.member.zone = a.zone;
   settings.member.kind = a.kind;
@@ -161,65 +161,66 @@
             .count());
   settings.ttl_s = ttl->count() / 1000;
   settings.drain_for = *drain_for;
-  return ctl::RegisterMember(how, settings, std::cerr);
+  return cli::RegisterMember(how, settings, std::cerr);
 }
 // zones and its commands; `command` is empty for the table.
 int RunZones(const std::string& command, Arguments& a) {
-  ctl::ZonesCommand how;
+  cli::ZonesCommand how;
   FindOperators(a);
   if (a.operators.empty()) {
-    std::cerr << "badgerctl: say where the [regions] table is: --operator FILE, or BADGERBRIDGE_OPERATOR\n";
-    return ctl::kUsage;
+    std::cerr
+        << "badgerbridge-ctl: say where the [regions] table is: --operator FILE, or BADGERBRIDGE_OPERATOR\n";
+    return cli::kUsage;
   }
-  operator_file::Problems problems;
-  const auto file = operator_file::Load(a.operators, problems);
+  operator_config::Problems problems;
+  const auto file = operator_config::Load(a.operators, problems);
   if (problems.empty() && !file.regions) problems.push_back({a.operators, 0, 0, "has no [regions] table"});
   if (problems.empty() && !file.regions->together)
     problems.push_back(
         {a.operators, 0, 0, "has each proxy decide alone: there is nothing in common to show"});
-  std::cerr << operator_file::Lines(problems);
-  if (!problems.empty()) return ctl::kUsage;
+  std::cerr << operator_config::Lines(problems);
+  if (!problems.empty()) return cli::kUsage;
   how.regions = *file.regions;
   how.force = a.force;
   how.who = a.options.as.empty() ? "uid " + std::to_string(getuid()) : a.options.as;
-  if (!ReadCommon(a, &how)) return ctl::kUsage;
+  if (!ReadCommon(a, &how)) return cli::kUsage;
   if (command == "evacuate") {
     const auto lasts = Parse(a.lasts, "--for");
-    if (!lasts) return ctl::kUsage;
+    if (!lasts) return cli::kUsage;
     if (*lasts < milliseconds(1000) || *lasts > milliseconds(7 * 24 * 3600 * 1000LL)) {
-      std::cerr << "badgerctl: --for " << a.lasts << " is not from 1s to 168h\n";
-      return ctl::kUsage;
+      std::cerr << "badgerbridge-ctl: --for " << a.lasts << " is not from 1s to 168h\n";
+      return cli::kUsage;
     }
-    return ctl::Evacuate(how, a.zone, std::chrono::duration_cast<std::chrono::seconds>(*lasts), std::cout,
+    return cli::Evacuate(how, a.zone, std::chrono::duration_cast<std::chrono::seconds>(*lasts), std::cout,
                          std::cerr);
   }
-  if (command == "return") return ctl::ReturnZone(how, a.zone, std::cout, std::cerr);
-  if (command == "history") return ctl::ZonesHistory(how, a.lines, std::cout, std::cerr);
-  return ctl::ShowZones(how, std::cout, std::cerr);
+  if (command == "return") return cli::ReturnZone(how, a.zone, std::cout, std::cerr);
+  if (command == "history") return cli::ZonesHistory(how, a.lines, std::cout, std::cerr);
+  return cli::ShowZones(how, std::cout, std::cerr);
 }
 #else
 int RunZones(const std::string&, Arguments&) {
-  std::cerr << "badgerctl: this build is without etcd; build with -DBADGERBRIDGE_ETCD=ON\n";
-  return ctl::kUsage;
+  std::cerr << "badgerbridge-ctl: this build is without etcd; build with -DBADGERBRIDGE_ETCD=ON\n";
+  return cli::kUsage;
 }
 int RunEtcd(const std::string&, Arguments&) {
-  std::cerr << "badgerctl: this build is without etcd; build with -DBADGERBRIDGE_ETCD=ON\n";
-  return ctl::kUsage;
+  std::cerr << "badgerbridge-ctl: this build is without etcd; build with -DBADGERBRIDGE_ETCD=ON\n";
+  return cli::kUsage;
 }
 #endif
 
 int RunRelays(const Arguments& a) {
-  ctl::RelaysCommand how;
+  cli::RelaysCommand how;
   how.sockets = a.relays;
   how.json = a.output == "json";
   const char* no_color = std::getenv("NO_COLOR");
   how.color = isatty(STDOUT_FILENO) && !(no_color && *no_color);
   if (!a.timeout.empty()) {
     const auto timeout = Parse(a.timeout, "--timeout");
-    if (!timeout) return ctl::kUsage;
+    if (!timeout) return cli::kUsage;
     how.timeout = std::max(*timeout, milliseconds(1));
   }
-  return ctl::ShowRelays(how, std::cout, std::cerr);
+  return cli::ShowRelays(how, std::cout, std::cerr);
 }
 
 int Run(const CLI::App& app, Arguments& a) {
@@ -235,21 +236,21 @@
   if (command == "relays") return RunRelays(a);
   if (command == "check") return Check(a.file);
   if (command == "completion") {
-    std::cout << ctl::kBashCompletion;
-    return ctl::kAllDid;
+    std::cout << cli::kBashCompletion;
+    return cli::kAllDid;
   }
-  ctl::Settings settings;
+  cli::Settings settings;
   if (!a.timeout.empty()) {
     const auto timeout = Parse(a.timeout, "--timeout");
-    if (!timeout) return ctl::kUsage;
+    if (!timeout) return cli::kUsage;
     settings.timeout = std::max(*timeout, milliseconds(1));
   }
   const auto deadline = Parse(a.deadline, "--deadline"), every = Parse(a.every, "--every");
-  if (!deadline || !every) return ctl::kUsage;
+  if (!deadline || !every) return cli::kUsage;
   a.options.deadline = *deadline;
   if (!a.force_after.empty()) {
     a.options.force_after = Parse(a.force_after, "--force-after");
-    if (!a.options.force_after) return ctl::kUsage;
+    if (!a.options.force_after) return cli::kUsage;
   }
   settings.json = a.output == "json";
   settings.names = a.output == "names";
@@ -257,7 +258,7 @@
   settings.color = isatty(STDOUT_FILENO) && !(no_color && *no_color);
   settings.progress = isatty(command == "watch" ? STDOUT_FILENO : STDERR_FILENO) && !settings.json;
   if (!a.socket.empty()) {
-    ctl::AgentTarget agent;
+    cli::AgentTarget agent;
     agent.target.unix_path = a.socket;
     settings.agents.push_back(std::move(agent));
   } else {
@@ -267,16 +268,16 @@
       const char* home = std::getenv("HOME");
       path = named && *named ? named : std::string(home ? home : "") + "/.config/badgerctl/context.toml";
     }
-    operator_file::Problems problems;
-    settings.agents = ctl::LoadContext(path, problems);
+    operator_config::Problems problems;
+    settings.agents = cli::LoadContext(path, problems);
     if (!problems.empty()) {
-      std::cerr << operator_file::Lines(problems);
-      std::cerr
-          << "badgerctl: name the agents by --context FILE or BADGERCTL_CONTEXT, or one by --socket PATH\n";
-      return ctl::kUsage;
+      std::cerr << operator_config::Lines(problems);
+      std::cerr << "badgerbridge-ctl: name the agents by --context FILE or BADGERCTL_CONTEXT, or one by "
+                   "--socket PATH\n";
+      return cli::kUsage;
     }
   }
-  ctl::Commands commands(settings, std::cout, std::cerr);
+  cli::Commands commands(settings, std::cout, std::cerr);
   if (command == "status") return commands.Status(a.selection);
   if (command == "get") return commands.Get(a.selection);
   if (command == "watch") return commands.Watch(a.selection, *every, a.count);
@@ -294,12 +295,12 @@
 int main(int count, char** arguments) {
   std::signal(SIGPIPE, SIG_IGN);
   Arguments a;
-  CLI::App app("badgerctl: commands the proxies that badgeragent keeps");
+  CLI::App app("badgerbridge-ctl: commands the proxies that badgerbridge-agent keeps");
   app.footer(kExits);
 #ifdef BADGERBRIDGE_HAS_ETCD
-  app.set_version_flag("--version", api::VersionText("badgerctl", {"TLS", "etcd"}));
+  app.set_version_flag("--version", http_api::VersionText("badgerbridge-ctl", {"TLS", "etcd"}));
 #else
-  app.set_version_flag("--version", api::VersionText("badgerctl", {"TLS"}));
+  app.set_version_flag("--version", http_api::VersionText("badgerbridge-ctl", {"TLS"}));
 #endif
   app.set_help_all_flag("--help-all", "the same with each command's own options");
   app.require_subcommand(1);
@@ -355,11 +356,11 @@
   for (const char* name : {"drain", "undrain"}) {
     auto* sub = etcd_member(
         name, name == std::string("drain") ? "write that converters drain" : "and that they don't");
-    sub->add_option("converters", a.converters, "their names")->required();
+    sub->add_option("converters", a.backends, "their names")->required();
     sub->add_flag("--dry-run", a.options.dry_run, "say what would be written, and write nothing");
   }
   auto* member = etcd_member("register", "keep a converter's key and its lease until this is ended");
-  member->add_option("converter", a.converters, "its name")->required()->expected(1);
+  member->add_option("converter", a.backends, "its name")->required()->expected(1);
   member->add_option("--address", a.address, "where it takes requests, ADDRESS:PORT")->required();
   member->add_option("--zone", a.zone, "its zone");
   member->add_option("--kind", a.kind, "its kind");
@@ -372,7 +373,7 @@
   AddSelection(members->add_subcommand("release", "departures that proxies hold back have really happened"),
                a);
   app.add_subcommand("relays", "what relays hold, and how far behind each is")
-      ->add_option("sockets", a.relays, "their status sockets (badgerrelay --status-socket)")
+      ->add_option("sockets", a.relays, "their status sockets (badgerbridge-relay --status-socket)")
       ->required();
   auto* zones = app.add_subcommand("zones", "how much goes to each zone, as all proxies have decided");
   const auto with_file = [&](CLI::App* sub) {
@@ -403,7 +404,7 @@
   try {
     app.parse(count, arguments);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? ctl::kAllDid : ctl::kUsage;
+    return app.exit(error) == 0 ? cli::kAllDid : cli::kUsage;
   }
   return Run(app, a);
 }
--- a/src/ctl/members.cpp
+++ b/src/cli/members.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgerctl members: what proxies believe of the converters, by way of their agents.
+// badgerbridge-ctl members: what proxies believe of the backends, by way of their agents.
 #include <ostream>
 
-#include "ctl/commands.h"
-#include "ctl/fields.h"
-#include "ctl/render.h"
+#include "cli/commands.h"
+#include "cli/fields.h"
+#include "cli/render.h"
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 namespace {
 
 namespace json = boost::json;
@@ -41,10 +41,10 @@
   const bool several = settings_.agents.size() > 1;
   for (const View::Line& line : view.lines) {
     const std::string name = several ? line.agent + "/" + line.name : line.name;
-    const api::Reply reply =
+    const http_api::Reply reply =
         One(AgentOf(line), "GET", "/v1/instances/" + line.name + "/members", "", Timeout(kUsualTimeout));
     if (!reply.ok() || !Body(reply)) {
-      err_ << "badgerctl: " << name << ": " << reply.Why() << '\n';
+      err_ << "badgerbridge-ctl: " << name << ": " << reply.Why() << '\n';
       code = Worse(code, reply.status == 0 ? kOutOfReach : kSomeDidNot);
       continue;
     }
@@ -65,7 +65,8 @@
     below += name + ": " + Sources(body) + "\n";
     if (const std::int64_t held = Whole(body, "held"); held > 0)
       below += name + ": " + std::to_string(held) +
-               " converters left at once and are HELD; if they have really left: badgerctl members release " +
+               " converters left at once and are HELD; if they have really left: badgerbridge-ctl members "
+               "release " +
                name + "\n";
     for (const json::value& item : Array(body, "sources")) {
       if (!item.is_object()) continue;
@@ -89,7 +90,7 @@
 
 int Commands::Release(const Selection& selection) {
   if (selection.empty()) {
-    err_ << "badgerctl: say which instances: names, --label, --agent, --state or --all\n";
+    err_ << "badgerbridge-ctl: say which instances: names, --label, --agent, --state or --all\n";
     return kUsage;
   }
   const View view = Look(selection);
@@ -98,8 +99,9 @@
   json::array all;
   Table table({"INSTANCE", "ASKED", "RESULT", "WHAT HAPPENED"}, settings_.color);
   for (const View::Line& line : view.lines) {
-    const api::Reply reply = One(AgentOf(line), "POST", "/v1/instances/" + line.name + "/members/release",
-                                 "{}", Timeout(kUsualTimeout));
+    const http_api::Reply reply =
+        One(AgentOf(line), "POST", "/v1/instances/" + line.name + "/members/release", "{}",
+            Timeout(kUsualTimeout));
     const bool done = reply.ok() && Body(reply);
     const std::string text =
         done ? std::to_string(Whole(*Body(reply), "released")) + " converters let go" : reply.Why();
@@ -117,4 +119,4 @@
   return code;
 }
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
--- a/src/ctl/orders.cpp
+++ b/src/cli/orders.cpp
@@ -9,12 +9,12 @@
 #include <random>
 #include <thread>
 
-#include "ctl/commands.h"
-#include "ctl/fields.h"
-#include "ctl/render.h"
-#include "operator/table_reader.h"
+#include "cli/commands.h"
+#include "cli/fields.h"
+#include "cli/render.h"
+#include "operator_config/table_reader.h"
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 namespace {
 
 namespace json = boost::json;
@@ -45,7 +45,7 @@
 
 int Commands::Give(const std::string& verb, const Selection& selection, const OrderOptions& options) {
   if (selection.empty()) {
-    err_ << "badgerctl: say which instances: names, --label, --agent, --state or --all\n";
+    err_ << "badgerbridge-ctl: say which instances: names, --label, --agent, --state or --all\n";
     return kUsage;
   }
   const View view = Look(selection);
@@ -71,7 +71,7 @@
     orders.push_back(std::move(order));
   }
   if (orders.empty()) {
-    err_ << "badgerctl: no instance fits the selection\n";
+    err_ << "badgerbridge-ctl: no instance fits the selection\n";
     return Worse(code, kUsage);
   }
   if (verb != "roll") return Worse(code, Carry(std::move(orders), options, "/v1/orders"));
@@ -81,7 +81,7 @@
     code = Worse(code, one);
     if (one == kAllDid) continue;
     for (std::size_t j = i + 1; j < orders.size(); ++j) {
-      err_ << "badgerctl: " << orders[j].agent.name << ": not begun: the roll halted at "
+      err_ << "badgerbridge-ctl: " << orders[j].agent.name << ": not begun: the roll halted at "
            << orders[i].agent.name << '\n';
     }
     break;
@@ -102,19 +102,19 @@
     if (!options.as.empty()) order.body["as"] = options.as;
     if (options.dry_run) order.body["dry_run"] = true;
   }
-  std::vector<api::Reply> replies(orders.size());
+  std::vector<http_api::Reply> replies(orders.size());
   for (std::size_t i = 0; i < orders.size(); ++i) {
     boost::asio::co_spawn(
         io_,
-        api::Call(orders[i].agent.target, "POST", path, json::serialize(orders[i].body),
-                  std::min(kUsualTimeout, std::max(left(), milliseconds(1)))),
-        [&replies, i](std::exception_ptr, api::Reply answer) { replies[i] = std::move(answer); });
+        http_api::Call(orders[i].agent.target, "POST", path, json::serialize(orders[i].body),
+                       std::min(kUsualTimeout, std::max(left(), milliseconds(1)))),
+        [&replies, i](std::exception_ptr, http_api::Reply answer) { replies[i] = std::move(answer); });
   }
   io_.restart();
   io_.run();
   for (std::size_t i = 0; i < orders.size(); ++i) {
     Submitted& order = orders[i];
-    api::Reply& reply = replies[i];
+    http_api::Reply& reply = replies[i];
     while (reply.status == 0 && left() > kTryAgain) {
       std::this_thread::sleep_for(kTryAgain);
       reply = One(order.agent, "POST", path, json::serialize(order.body),
@@ -134,7 +134,7 @@
   while (!options.no_wait && left() > milliseconds(0)) {
     std::vector<AgentTarget> asked;
     std::vector<std::size_t> which;
-    std::vector<api::Reply> answers;
+    std::vector<http_api::Reply> answers;
     for (std::size_t i = 0; i < orders.size(); ++i) {
       if (!orders[i].ended) which.push_back(i);
     }
@@ -145,10 +145,10 @@
       const auto wait = std::max(milliseconds(1), std::min(kLongPoll, left()));
       boost::asio::co_spawn(
           io_,
-          api::Call(order.agent.target, "GET",
-                    "/v1/orders/" + order.id + "?wait_ms=" + std::to_string(wait.count()), "",
-                    wait + kUsualTimeout),
-          [&answers, k](std::exception_ptr, api::Reply answer) { answers[k] = std::move(answer); });
+          http_api::Call(order.agent.target, "GET",
+                         "/v1/orders/" + order.id + "?wait_ms=" + std::to_string(wait.count()), "",
+                         wait + kUsualTimeout),
+          [&answers, k](std::exception_ptr, http_api::Reply answer) { answers[k] = std::move(answer); });
     }
     io_.restart();
     io_.run();
@@ -219,12 +219,12 @@
     }
     if (!order.ended) {
       if (order.out_of_reach) {
-        err_ << "badgerctl: " << order.agent.name << " is out of reach; order " << order.id
-             << " goes on there once it is back (badgerctl orders " << order.id << ")\n";
+        err_ << "badgerbridge-ctl: " << order.agent.name << " is out of reach; order " << order.id
+             << " goes on there once it is back (badgerbridge-ctl orders " << order.id << ")\n";
         code = Worse(code, kOutOfReach);
       } else {
-        err_ << "badgerctl: order " << order.id << " goes on at " << order.agent.name << " (badgerctl orders "
-             << order.id << ")\n";
+        err_ << "badgerbridge-ctl: order " << order.id << " goes on at " << order.agent.name
+             << " (badgerbridge-ctl orders " << order.id << ")\n";
         if (!options.no_wait) code = Worse(code, kSomeDidNot);
       }
     }
@@ -242,8 +242,8 @@
 // Finds the agent that the fleet file is for. An exit code, or nothing.
 std::optional<int> ReadFleet(const std::string& path, const std::vector<AgentTarget>& agents,
                              std::ostream& err, std::string* text, AgentTarget* agent) {
-  operator_file::Problems problems;
-  const auto read = operator_file::ReadFile(path, 1 << 20, problems);
+  operator_config::Problems problems;
+  const auto read = operator_config::ReadFile(path, 1 << 20, problems);
   if (read) {
     *text = *read;
     const std::string name = AgentNameIn(*text, path, problems);
@@ -258,7 +258,7 @@
     }
   }
   if (problems.empty()) return std::nullopt;
-  err << operator_file::Lines(problems);
+  err << operator_config::Lines(problems);
   return kUsage;
 }
 
@@ -268,7 +268,7 @@
   std::string text;
   AgentTarget agent;
   if (const auto code = ReadFleet(path, settings_.agents, err_, &text, &agent)) return *code;
-  const api::Reply reply =
+  const http_api::Reply reply =
       One(agent, "POST", "/v1/diff", json::serialize(json::object{{"fleet", text}, {"file", path}}),
           Timeout(kUsualTimeout));
   if (!reply.ok() || !Body(reply)) return Complain(agent.name, reply);
@@ -349,7 +349,7 @@
     }
   }
   if (!id.empty() && !found && code == kAllDid) {
-    err_ << "badgerctl: no agent knows order " << id << '\n';
+    err_ << "badgerbridge-ctl: no agent knows order " << id << '\n';
     return kUsage;
   }
   if (settings_.json) {
@@ -360,4 +360,4 @@
   return code;
 }
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
--- a/src/ctl/relays.cpp
+++ b/src/cli/relays.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "ctl/relays.h"
+#include "cli/relays.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -7,19 +7,19 @@
 #include <map>
 #include <ostream>
 
-#include "api/client.h"
-#include "ctl/commands.h"
-#include "ctl/fields.h"
-#include "ctl/render.h"
+#include "cli/commands.h"
+#include "cli/fields.h"
+#include "cli/render.h"
+#include "http_api/client.h"
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 namespace {
 
 namespace json = boost::json;
 
 struct RelayAnswer {
   std::string socket;
-  api::Reply reply;
+  http_api::Reply reply;
 };
 
 std::vector<RelayAnswer> AskAll(const RelaysCommand& how) {
@@ -28,8 +28,8 @@
   answers.reserve(how.sockets.size());
   for (const std::string& socket : how.sockets) {
     RelayAnswer& answer = answers.emplace_back(RelayAnswer{socket, {}});
-    boost::asio::co_spawn(io, api::CallUnix(socket, "GET", "/v1/status", "", how.timeout),
-                          [&answer](std::exception_ptr failure, api::Reply reply) {
+    boost::asio::co_spawn(io, http_api::CallUnix(socket, "GET", "/v1/status", "", how.timeout),
+                          [&answer](std::exception_ptr failure, http_api::Reply reply) {
                             if (!failure) answer.reply = std::move(reply);
                           });
   }
@@ -67,7 +67,7 @@
   for (const RelayAnswer& answer : answers) {
     const json::object* status = answer.reply.ok() ? Body(answer.reply) : nullptr;
     if (!status) {
-      err << "badgerctl: " << answer.socket << ": " << answer.reply.Why() << '\n';
+      err << "badgerbridge-ctl: " << answer.socket << ": " << answer.reply.Why() << '\n';
       code = Worse(code, kOutOfReach);
       continue;
     }
@@ -93,4 +93,4 @@
   return code;
 }
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
--- a/src/ctl/relays.h
+++ b/src/cli/relays.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgerctl relays: what relays hold, and how far behind each is, by their status sockets.
-#ifndef BADGERBRIDGE_CTL_RELAYS_H_
-#define BADGERBRIDGE_CTL_RELAYS_H_
+// badgerbridge-ctl relays: what relays hold, and how far behind each is, by their status sockets.
+#ifndef BADGERBRIDGE_CLI_RELAYS_H_
+#define BADGERBRIDGE_CLI_RELAYS_H_
 
 #include <chrono>
 #include <iosfwd>
 #include <string>
 #include <vector>
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 
 struct RelaysCommand {
   std::vector<std::string> sockets;  // paths
@@ -20,6 +20,6 @@
 // Exit: all did; some are not connected to their source; one did not answer.
 int ShowRelays(const RelaysCommand& how, std::ostream& out, std::ostream& err);
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
 
-#endif  // BADGERBRIDGE_CTL_RELAYS_H_
+#endif  // BADGERBRIDGE_CLI_RELAYS_H_
--- a/src/ctl/render.cpp
+++ b/src/cli/render.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "ctl/render.h"
+#include "cli/render.h"
 
 #include <algorithm>
 #include <map>
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 namespace {
 
 const char* ColorOf(const std::string& word) {
@@ -44,4 +44,4 @@
   return std::to_string(s / 3600) + " h " + std::to_string(s % 3600 / 60) + " m";
 }
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
--- a/src/ctl/render.h
+++ b/src/cli/render.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Tables for people.
-#ifndef BADGERBRIDGE_CTL_RENDER_H_
-#define BADGERBRIDGE_CTL_RENDER_H_
+#ifndef BADGERBRIDGE_CLI_RENDER_H_
+#define BADGERBRIDGE_CLI_RENDER_H_
 
 #include <chrono>
 #include <cstdint>
 #include <string>
 #include <vector>
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 
 class Table {
  public:
@@ -27,6 +27,6 @@
 // "850 ms", "1.2 s", "3 m 20 s", "2 h 5 m".
 std::string Age(std::int64_t ms);
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
 
-#endif  // BADGERBRIDGE_CTL_RENDER_H_
+#endif  // BADGERBRIDGE_CLI_RENDER_H_
--- a/src/ctl/status.cpp
+++ b/src/cli/status.cpp
@@ -5,11 +5,11 @@
 #include <ostream>
 #include <thread>
 
-#include "ctl/commands.h"
-#include "ctl/fields.h"
-#include "ctl/render.h"
+#include "cli/commands.h"
+#include "cli/fields.h"
+#include "cli/render.h"
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 
 namespace json = boost::json;
 using std::chrono::milliseconds;
@@ -104,7 +104,7 @@
   int code = view.code;
   json::array all;
   for (const View::Line& line : view.lines) {
-    const api::Reply reply =
+    const http_api::Reply reply =
         One(AgentOf(line), "GET", "/v1/instances/" + line.name, "", Timeout(kUsualTimeout));
     if (!reply.ok() || !Body(reply)) {
       code = Worse(code, Complain(line.agent, reply));
@@ -129,9 +129,9 @@
       classes.Add(std::move(row));
     }
     if (!classes.empty()) out_ << classes.Text();
-    Table converters({"CONVERTER", "ZONE", "STATUS", "HEALTH", "EJECTED FOR", "IN FLIGHT", "SLOWNESS", "WARM",
-                      "COLD BUDGET"},
-                     settings_.color);
+    Table backends({"CONVERTER", "ZONE", "STATUS", "HEALTH", "EJECTED FOR", "IN FLIGHT", "SLOWNESS", "WARM",
+                    "COLD BUDGET"},
+                   settings_.color);
     for (const json::value& item : Array(one, "converters")) {
       if (!item.is_object()) continue;
       const json::object& c = item.get_object();
@@ -148,11 +148,11 @@
         budget =
             std::to_string(Whole(cold, "sent_ms")) + " of " + std::to_string(Whole(cold, "work_ms")) + " ms";
       }
-      converters.Add({Text(c, "name"), Text(c, "zone"), Text(c, "status"), Text(c, "health"),
-                      c.contains("ejected_for_ms") ? Age(Whole(c, "ejected_for_ms")) : "-",
-                      number("in_flight"), number("slowness"), number("warm_share"), budget});
+      backends.Add({Text(c, "name"), Text(c, "zone"), Text(c, "status"), Text(c, "health"),
+                    c.contains("ejected_for_ms") ? Age(Whole(c, "ejected_for_ms")) : "-", number("in_flight"),
+                    number("slowness"), number("warm_share"), budget});
     }
-    if (!converters.empty()) out_ << converters.Text();
+    if (!backends.empty()) out_ << backends.Text();
     if (!Text(one, "converters_error").empty())
       out_ << "  converters: " << Text(one, "converters_error") << '\n';
   }
@@ -160,4 +160,4 @@
   return code;
 }
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
--- a/src/ctl/zones.cpp
+++ b/src/cli/zones.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "ctl/zones.h"
+#include "cli/zones.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -10,25 +10,25 @@
 #include <ostream>
 #include <random>
 
-#include "ctl/commands.h"
-#include "ctl/etcd_commands.h"
-#include "ctl/render.h"
+#include "cli/commands.h"
+#include "cli/etcd_commands.h"
+#include "cli/render.h"
 #include "etcd.pb.h"
 #include "etcd/client.h"
 #include "etcd/key_range.h"
 #include "membership/etcd_settings.h"
-#include "regions/evacuation.h"
-#include "regions/keys.h"
-#include "regions/links.h"
+#include "zone_failover/evacuation.h"
+#include "zone_failover/keys.h"
+#include "zone_failover/links.h"
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 namespace {
 
 namespace asio = boost::asio;
 namespace json = boost::json;
 namespace pb = etcdserverpb;
-using regions::Decision;
 using std::chrono::milliseconds;
+using zone_failover::Decision;
 
 constexpr milliseconds kUsual{5000};
 constexpr double kUsualAim = 500;  // ms; the tool does not know the classes
@@ -74,17 +74,17 @@
   for (const pb::KeyValue& kv : found.kvs()) {
     const std::string key = kv.key().substr(command.regions.prefix.size());
     std::string why;
-    if (key == regions::kDecisionKey) {
-      common->decision = regions::DecodeDecision(kv.value(), zones, &why);
+    if (key == zone_failover::kDecisionKey) {
+      common->decision = zone_failover::DecodeDecision(kv.value(), zones, &why);
       common->decided_at = kv.mod_revision();
       if (!common->decision) co_return Failure{kSomeDidNot, "the decision can't be read: " + why};
-    } else if (key == regions::kDeciderKey) {
+    } else if (key == zone_failover::kDeciderKey) {
       common->decider = kv.value();
-    } else if (key.rfind(regions::kMembersKey, 0) == 0) {
+    } else if (key.rfind(zone_failover::kMembersKey, 0) == 0) {
       ++common->members;
     }
     for (std::size_t z = 0; z < zones; ++z) {
-      if (key == regions::OrderKey(z)) common->orders[z] = kv.value().empty() ? "nobody" : kv.value();
+      if (key == zone_failover::OrderKey(z)) common->orders[z] = kv.value().empty() ? "nobody" : kv.value();
     }
   }
   co_return Failure{};
@@ -107,7 +107,7 @@
   } catch (const std::exception& bad) {
     failure = {kUsage, bad.what()};
   }
-  if (!failure.text.empty()) err << "badgerctl: " << failure.text << '\n';
+  if (!failure.text.empty()) err << "badgerbridge-ctl: " << failure.text << '\n';
   return failure.code;
 }
 
@@ -115,7 +115,7 @@
   const auto& zones = command.regions.zones;
   const auto found = std::find(zones.begin(), zones.end(), name);
   if (found != zones.end()) return static_cast<std::size_t>(found - zones.begin());
-  err << "badgerctl: there is no zone " << name << "; [regions] names";
+  err << "badgerbridge-ctl: there is no zone " << name << "; [regions] names";
   for (const std::string& zone : zones) err << ' ' << zone;
   err << '\n';
   return std::nullopt;
@@ -139,7 +139,7 @@
   });
   if (code != kAllDid) return code;
   if (!common.decision) {
-    err << "badgerctl: no proxy has decided anything yet; " << common.members
+    err << "badgerbridge-ctl: no proxy has decided anything yet; " << common.members
         << " take part. Does their operator's file have a [regions] table?\n";
     return kSomeDidNot;
   }
@@ -152,10 +152,10 @@
     const std::string why = common.orders[z].empty() ? one.why : "ordered by " + common.orders[z];
     const std::string members =
         std::to_string(one.members) + (one.lost > 0 ? " and " + std::to_string(one.lost) + " lost" : "");
-    table.Add({command.regions.zones[z], std::string(regions::Name(one.state)), Number(one.carried),
+    table.Add({command.regions.zones[z], std::string(zone_failover::Name(one.state)), Number(one.carried),
                Number(one.limit), Number(one.demand), Number(Spill(d, z)), members, why});
     zones.push_back(json::object{{"zone", command.regions.zones[z]},
-                                 {"state", regions::Name(one.state)},
+                                 {"state", zone_failover::Name(one.state)},
                                  {"carried", one.carried},
                                  {"limit", one.limit},
                                  {"shown", one.shown},
@@ -189,18 +189,18 @@
   Common common;
   std::int64_t written = 0;
   bool done = false, no_room = false;
-  regions::Evacuation plan;
+  zone_failover::Evacuation plan;
   const auto talk = [&](etcd::Client& client, milliseconds timeout) -> asio::awaitable<Failure> {
     Failure failure = co_await Read(client, command, timeout, &common);
     if (failure.code != kAllDid) co_return failure;
     if (!common.decision)
       co_return Failure{kSomeDidNot, "no proxy has decided anything yet, so nobody would follow the order"};
-    const regions::Links links = regions::LinksOf(command.regions);
-    plan = regions::PlanEvacuation(*common.decision, links.round_trip, links.price, kUsualAim, *zone);
+    const zone_failover::Links links = zone_failover::LinksOf(command.regions);
+    plan = zone_failover::PlanEvacuation(*common.decision, links.round_trip, links.price, kUsualAim, *zone);
     no_room = plan.unplaced > 1e-9;
     if (!common.orders[*zone].empty())
       co_return Failure{kConflict, "there is an order for " + name + " already, by " + common.orders[*zone] +
-                                       "; badgerctl zones return " + name + " ends it"};
+                                       "; badgerbridge-ctl zones return " + name + " ends it"};
     if (command.dry_run || (no_room && !command.force)) co_return Failure{};
     pb::LeaseGrantRequest grant;
     grant.set_ttl(lasts.count());
@@ -209,7 +209,7 @@
     if (!status.ok()) co_return Of(status);
     pb::TxnRequest txn;
     pb::Compare* compare = txn.add_compare();
-    compare->set_key(KeyOf(command, regions::OrderKey(*zone)));
+    compare->set_key(KeyOf(command, zone_failover::OrderKey(*zone)));
     compare->set_result(pb::Compare::EQUAL);
     compare->set_target(pb::Compare::CREATE);
     compare->set_create_revision(0);
@@ -261,7 +261,7 @@
   }
   if (done || (command.dry_run && !no_room)) return kAllDid;
   if (!command.dry_run)
-    err << "badgerctl: the others have no room for all of it; --force orders it all the same\n";
+    err << "badgerbridge-ctl: the others have no room for all of it; --force orders it all the same\n";
   return kSomeDidNot;
 }
 
@@ -272,7 +272,7 @@
   const int code =
       Converse(command, err, [&](etcd::Client& client, milliseconds timeout) -> asio::awaitable<Failure> {
         pb::DeleteRangeRequest request;
-        request.set_key(KeyOf(command, regions::OrderKey(*zone)));
+        request.set_key(KeyOf(command, zone_failover::OrderKey(*zone)));
         pb::DeleteRangeResponse response;
         const etcd::Status status =
             co_await client.Call("/etcdserverpb.KV/DeleteRange", request, &response, timeout);
@@ -301,7 +301,7 @@
     std::int64_t at = 0;  // the newest
     while (static_cast<int>(past.size()) < most) {
       pb::RangeRequest range;
-      range.set_key(KeyOf(command, regions::kDecisionKey));
+      range.set_key(KeyOf(command, zone_failover::kDecisionKey));
       range.set_revision(at);
       pb::RangeResponse found;
       const etcd::Status status = co_await client.Call("/etcdserverpb.KV/Range", range, &found, timeout);
@@ -312,7 +312,7 @@
       if (!status.ok()) co_return Of(status);
       if (found.kvs_size() == 0) co_return Failure{};
       std::string why;
-      auto decision = regions::DecodeDecision(found.kvs(0).value(), command.regions.zones.size(), &why);
+      auto decision = zone_failover::DecodeDecision(found.kvs(0).value(), command.regions.zones.size(), &why);
       if (!decision) co_return Failure{kSomeDidNot, "a decision can't be read: " + why};
       past.push_back({found.kvs(0).mod_revision(), std::move(*decision)});
       at = past.back().revision - 1;
@@ -330,9 +330,9 @@
     for (std::size_t z = 0; z < d.zones.size(); ++z) {
       const bool known = i + 1 < past.size();
       if (known && past[i + 1].decision.zones[z].state == d.zones[z].state) continue;
-      if (!known && d.zones[z].state == regions::ZoneState::kSound) continue;
+      if (!known && d.zones[z].state == zone_failover::ZoneState::kSound) continue;
       changed += (changed.empty() ? "" : "; ") + command.regions.zones[z] + " " +
-                 std::string(regions::Name(d.zones[z].state)) +
+                 std::string(zone_failover::Name(d.zones[z].state)) +
                  (d.zones[z].why.empty() ? "" : ": " + d.zones[z].why);
     }
     table.Add({std::to_string(d.epoch), std::to_string(past[i].revision), d.decider,
@@ -349,4 +349,4 @@
   return kAllDid;
 }
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
--- a/src/ctl/zones.h
+++ b/src/cli/zones.h
@@ -1,20 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgerctl zones: what all proxies have decided in common, and operators' orders to leave a zone; straight
-// to etcd. In builds with the etcd client.
-#ifndef BADGERBRIDGE_CTL_ZONES_H_
-#define BADGERBRIDGE_CTL_ZONES_H_
+// badgerbridge-ctl zones: what all proxies have decided in common, and operators' orders to leave a zone;
+// straight to etcd. In builds with the etcd client.
+#ifndef BADGERBRIDGE_CLI_ZONES_H_
+#define BADGERBRIDGE_CLI_ZONES_H_
 
 #include <chrono>
 #include <iosfwd>
 #include <string>
 
-#include "operator/operator_file.h"
+#include "operator_config/operator_file.h"
 
-namespace badgerbridge::ctl {
+namespace badgerbridge::cli {
 
 struct ZonesCommand {
-  operator_file::Regions regions;  // where etcd is, the zones' names and the links between them
+  operator_config::Regions regions;  // where etcd is, the zones' names and the links between them
   bool json = false, color = false, dry_run = false, force = false;
   std::chrono::milliseconds timeout{0};  // 0: usual
   std::string who;                       // for the order
@@ -30,6 +30,6 @@
 // The newest `most` decisions, as far back as etcd has them.
 int ZonesHistory(const ZonesCommand& command, int most, std::ostream& out, std::ostream& err);
 
-}  // namespace badgerbridge::ctl
+}  // namespace badgerbridge::cli
 
-#endif  // BADGERBRIDGE_CTL_ZONES_H_
+#endif  // BADGERBRIDGE_CLI_ZONES_H_
--- a/src/etcd/channel.cpp
+++ b/src/etcd/channel.cpp
@@ -11,7 +11,7 @@
 #include <boost/asio/use_awaitable.hpp>
 #include <boost/asio/write.hpp>
 
-#include "api/tls_context.h"
+#include "http_api/tls_context.h"
 
 namespace badgerbridge::etcd {
 
@@ -35,7 +35,7 @@
                  : options_.server_name,
              options_.limits, options_.tls.has_value()) {
   if (!options_.tls) return;
-  context_.emplace(api::TlsContext(*options_.tls, false));
+  context_.emplace(http_api::TlsContext(*options_.tls, false));
   tls_.emplace(io, *context_);
   tls_->set_verify_callback(asio::ssl::host_name_verification(
       options_.server_name.empty() ? address.address().to_string() : options_.server_name));
--- a/src/etcd/channel.h
+++ b/src/etcd/channel.h
@@ -17,8 +17,8 @@
 #include <memory>
 #include <string>
 
-#include "api/tls.h"
 #include "etcd/http2.h"
+#include "http_api/tls.h"
 #include "net/one_shot_timer.h"
 #include "net/read_grace.h"
 
@@ -29,7 +29,7 @@
   // A link on which nothing came for ping_every is asked; one that does not answer within ping_timeout is
   // silent, and ended. Together they bound how long a silent link can go unnoticed.
   std::chrono::milliseconds ping_every{150}, ping_timeout{100};
-  std::optional<api::TlsFiles> tls;
+  std::optional<http_api::TlsFiles> tls;
   std::string server_name;  // that the certificate must be for; empty: the address
   Http2Limits limits;
 };
--- a/src/etcd/server.cpp
+++ b/src/etcd/server.cpp
@@ -11,9 +11,9 @@
 #include <set>
 #include <stdexcept>
 
-#include "api/acceptor.h"
-#include "api/address.h"
-#include "api/tls_context.h"
+#include "http_api/acceptor.h"
+#include "http_api/address.h"
+#include "http_api/tls_context.h"
 #include "net/read_grace.h"
 
 namespace badgerbridge::etcd {
@@ -209,7 +209,7 @@
   ServerOptions options;
   OnConnection on_connection;
   std::optional<asio::ssl::context> tls;
-  std::shared_ptr<api::detail::Acceptor<tcp>> acceptor;
+  std::shared_ptr<http_api::detail::Acceptor<tcp>> acceptor;
   std::set<std::shared_ptr<ServerConnection>> connections;
   bool accepting = true;
 };
@@ -220,10 +220,10 @@
   state_->options = std::move(options);
   state_->on_connection = std::move(on_connection);
   if (state_->options.tls) {
-    state_->tls.emplace(api::TlsContext(*state_->options.tls, true));
+    state_->tls.emplace(http_api::TlsContext(*state_->options.tls, true));
     SSL_CTX_set_alpn_select_cb(state_->tls->native_handle(), SelectH2, nullptr);
   }
-  using Slot = std::shared_ptr<api::detail::Connection>;
+  using Slot = std::shared_ptr<http_api::detail::Connection>;
   const auto run = [&io, weak = std::weak_ptr<State>(state_)](tcp::socket socket,
                                                               Slot slot) -> asio::awaitable<void> {
     const auto state = weak.lock();
@@ -241,15 +241,16 @@
     co_await connection->Run();
     state->connections.erase(connection);
   };
-  state_->acceptor =
-      std::make_shared<api::detail::Acceptor<tcp>>(io, state_->options.connections, milliseconds(0), run);
+  state_->acceptor = std::make_shared<http_api::detail::Acceptor<tcp>>(io, state_->options.connections,
+                                                                       milliseconds(0), run);
   auto& acceptor = state_->acceptor->socket();
   ErrorCode error;
   acceptor.open(address.protocol(), error);
   if (!error) acceptor.set_option(tcp::acceptor::reuse_address(true), error);
   if (!error) acceptor.bind(address, error);
   if (!error) acceptor.listen(kBacklog, error);
-  if (error) throw std::runtime_error("cannot listen on " + api::ToText(address) + ": " + error.message());
+  if (error)
+    throw std::runtime_error("cannot listen on " + http_api::ToText(address) + ": " + error.message());
   state_->acceptor->Start();
 }
 
--- a/src/etcd/server.h
+++ b/src/etcd/server.h
@@ -17,8 +17,8 @@
 #include <optional>
 #include <string>
 
-#include "api/tls.h"
 #include "etcd/http2_server.h"
+#include "http_api/tls.h"
 #include "net/one_shot_timer.h"
 
 namespace badgerbridge::etcd {
@@ -29,7 +29,7 @@
 struct ServerOptions {
   Http2ServerLimits limits;
   std::size_t connections = 4096;
-  std::optional<api::TlsFiles> tls;
+  std::optional<http_api::TlsFiles> tls;
   std::chrono::milliseconds handshake_timeout{2000};  // of TLS
   // A client from which nothing came for ping_every is asked; one that does not answer within ping_timeout
   // is gone.
--- a/src/api/acceptor.h
+++ b/src/http_api/acceptor.h
@@ -2,8 +2,8 @@
 //
 // The accept loop and the table of connections of every server here, control API and gRPC alike: bounded, and
 // paused while descriptors are short.
-#ifndef BADGERBRIDGE_API_ACCEPTOR_H_
-#define BADGERBRIDGE_API_ACCEPTOR_H_
+#ifndef BADGERBRIDGE_HTTP_API_ACCEPTOR_H_
+#define BADGERBRIDGE_HTTP_API_ACCEPTOR_H_
 
 #include <algorithm>
 #include <boost/asio/awaitable.hpp>
@@ -19,7 +19,7 @@
 
 #include "net/one_shot_timer.h"
 
-namespace badgerbridge::api::detail {
+namespace badgerbridge::http_api::detail {
 
 namespace asio = boost::asio;
 
@@ -124,6 +124,6 @@
   bool closed_ = false;
 };
 
-}  // namespace badgerbridge::api::detail
+}  // namespace badgerbridge::http_api::detail
 
-#endif  // BADGERBRIDGE_API_ACCEPTOR_H_
+#endif  // BADGERBRIDGE_HTTP_API_ACCEPTOR_H_
--- a/src/api/address.cpp
+++ b/src/http_api/address.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "api/address.h"
+#include "http_api/address.h"
 
 #include <charconv>
 
-namespace badgerbridge::api {
+namespace badgerbridge::http_api {
 
 std::optional<boost::asio::ip::tcp::endpoint> ParseAddress(std::string_view text) {
   const std::size_t colon = text.rfind(':');
@@ -25,4 +25,4 @@
   return (endpoint.address().is_v6() ? "[" + host + "]" : host) + ":" + std::to_string(endpoint.port());
 }
 
-}  // namespace badgerbridge::api
+}  // namespace badgerbridge::http_api
--- a/src/api/client.h
+++ b/src/http_api/client.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // One call of a control API, on a connection of its own.
-#ifndef BADGERBRIDGE_API_CLIENT_H_
-#define BADGERBRIDGE_API_CLIENT_H_
+#ifndef BADGERBRIDGE_HTTP_API_CLIENT_H_
+#define BADGERBRIDGE_HTTP_API_CLIENT_H_
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/json/value.hpp>
 #include <chrono>
 #include <string>
 
-#include "api/tls.h"
+#include "http_api/tls.h"
 
-namespace badgerbridge::api {
+namespace badgerbridge::http_api {
 
 struct Target {
   std::string unix_path;                   // if not empty; else
@@ -36,6 +36,6 @@
 boost::asio::awaitable<Reply> Call(Target where, std::string method, std::string target, std::string body,
                                    std::chrono::milliseconds timeout);
 
-}  // namespace badgerbridge::api
+}  // namespace badgerbridge::http_api
 
-#endif  // BADGERBRIDGE_API_CLIENT_H_
+#endif  // BADGERBRIDGE_HTTP_API_CLIENT_H_
--- a/src/api/exchange.h
+++ b/src/http_api/exchange.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What calls over either transport share.
-#ifndef BADGERBRIDGE_API_EXCHANGE_H_
-#define BADGERBRIDGE_API_EXCHANGE_H_
+#ifndef BADGERBRIDGE_HTTP_API_EXCHANGE_H_
+#define BADGERBRIDGE_HTTP_API_EXCHANGE_H_
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
@@ -10,9 +10,9 @@
 #include <boost/beast/http.hpp>
 #include <boost/json.hpp>
 
-#include "api/client.h"
+#include "http_api/client.h"
 
-namespace badgerbridge::api::detail {
+namespace badgerbridge::http_api::detail {
 
 constexpr std::size_t kMostAnswer = 16 << 20;
 
@@ -58,6 +58,6 @@
   co_return reply;
 }
 
-}  // namespace badgerbridge::api::detail
+}  // namespace badgerbridge::http_api::detail
 
-#endif  // BADGERBRIDGE_API_EXCHANGE_H_
+#endif  // BADGERBRIDGE_HTTP_API_EXCHANGE_H_
