--- a/src/api/message.cpp
+++ b/src/http_api/message.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "api/message.h"
+#include "http_api/message.h"
 
 #include <boost/json.hpp>
 #include <charconv>
 
-namespace badgerbridge::api {
+namespace badgerbridge::http_api {
 
 std::string_view Name(Role role) {
   constexpr std::string_view kNames[] = {"none", "reader", "operator", "admin"};
@@ -53,4 +53,4 @@
   return std::move(value.get_object());
 }
 
-}  // namespace badgerbridge::api
+}  // namespace badgerbridge::http_api
--- a/src/api/message.h
+++ b/src/http_api/message.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The messages of the control APIs, of a proxy's and of an agent's: HTTP/1.1 (RFC 9112) with JSON bodies.
-#ifndef BADGERBRIDGE_API_MESSAGE_H_
-#define BADGERBRIDGE_API_MESSAGE_H_
+#ifndef BADGERBRIDGE_HTTP_API_MESSAGE_H_
+#define BADGERBRIDGE_HTTP_API_MESSAGE_H_
 
 #include <boost/json/object.hpp>
 #include <boost/json/value.hpp>
@@ -13,7 +13,7 @@
 #include <string>
 #include <string_view>
 
-namespace badgerbridge::api {
+namespace badgerbridge::http_api {
 
 // What a peer may do; each may what those before it may.
 enum class Role { kNone, kReader, kOperator, kAdmin };
@@ -47,6 +47,6 @@
 std::int64_t QueryNumber(const Request& request, const std::string& name, std::int64_t otherwise,
                          std::int64_t most);
 
-}  // namespace badgerbridge::api
+}  // namespace badgerbridge::http_api
 
-#endif  // BADGERBRIDGE_API_MESSAGE_H_
+#endif  // BADGERBRIDGE_HTTP_API_MESSAGE_H_
--- a/src/api/serve.h
+++ b/src/http_api/serve.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What servers over Unix sockets and over TLS share: the loop of one connection.
-#ifndef BADGERBRIDGE_API_SERVE_H_
-#define BADGERBRIDGE_API_SERVE_H_
+#ifndef BADGERBRIDGE_HTTP_API_SERVE_H_
+#define BADGERBRIDGE_HTTP_API_SERVE_H_
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
@@ -13,10 +13,10 @@
 #include <boost/url/url_view.hpp>
 #include <iostream>
 
-#include "api/acceptor.h"
-#include "api/server.h"
+#include "http_api/acceptor.h"
+#include "http_api/server.h"
 
-namespace badgerbridge::api::detail {
+namespace badgerbridge::http_api::detail {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
@@ -94,6 +94,6 @@
   }
 }
 
-}  // namespace badgerbridge::api::detail
+}  // namespace badgerbridge::http_api::detail
 
-#endif  // BADGERBRIDGE_API_SERVE_H_
+#endif  // BADGERBRIDGE_HTTP_API_SERVE_H_
--- a/src/api/server.h
+++ b/src/http_api/server.h
@@ -3,8 +3,8 @@
 // A small HTTP/1.1 server for control APIs, on the caller's io_context. Everything that a peer can make it
 // hold is bounded: connections, header, body, and the time for each. At the limit of connections, one that
 // has sent no whole request yet, else one that is idle, makes room for the next.
-#ifndef BADGERBRIDGE_API_SERVER_H_
-#define BADGERBRIDGE_API_SERVER_H_
+#ifndef BADGERBRIDGE_HTTP_API_SERVER_H_
+#define BADGERBRIDGE_HTTP_API_SERVER_H_
 
 #include <sys/types.h>
 
@@ -16,9 +16,9 @@
 #include <string>
 #include <vector>
 
-#include "api/message.h"
+#include "http_api/message.h"
 
-namespace badgerbridge::api {
+namespace badgerbridge::http_api {
 
 // Called on the io_context, by several connections in turn; what it throws is answered 500.
 using Handler = std::function<boost::asio::awaitable<Response>(Request, Peer)>;
@@ -52,6 +52,6 @@
   std::shared_ptr<State> state_;
 };
 
-}  // namespace badgerbridge::api
+}  // namespace badgerbridge::http_api
 
-#endif  // BADGERBRIDGE_API_SERVER_H_
+#endif  // BADGERBRIDGE_HTTP_API_SERVER_H_
--- a/src/api/tls.h
+++ b/src/http_api/tls.h
@@ -2,17 +2,17 @@
 //
 // The control API over TCP: TLS 1.3 (RFC 8446) alone, with certificates on both sides. What a client may do
 // follows from the common name of its certificate.
-#ifndef BADGERBRIDGE_API_TLS_H_
-#define BADGERBRIDGE_API_TLS_H_
+#ifndef BADGERBRIDGE_HTTP_API_TLS_H_
+#define BADGERBRIDGE_HTTP_API_TLS_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <map>
 #include <memory>
 #include <string>
 
-#include "api/server.h"
+#include "http_api/server.h"
 
-namespace badgerbridge::api {
+namespace badgerbridge::http_api {
 
 struct TlsFiles {
   std::string certificate, key;  // PEM; the chain in the certificate's file
@@ -35,6 +35,6 @@
   std::shared_ptr<State> state_;
 };
 
-}  // namespace badgerbridge::api
+}  // namespace badgerbridge::http_api
 
-#endif  // BADGERBRIDGE_API_TLS_H_
+#endif  // BADGERBRIDGE_HTTP_API_TLS_H_
--- a/src/api/tls_client.cpp
+++ b/src/http_api/tls_client.cpp
@@ -4,11 +4,11 @@
 #include <boost/asio/this_coro.hpp>
 #include <boost/beast/ssl.hpp>
 
-#include "api/client.h"
-#include "api/exchange.h"
-#include "api/tls_context.h"
+#include "http_api/client.h"
+#include "http_api/exchange.h"
+#include "http_api/tls_context.h"
 
-namespace badgerbridge::api {
+namespace badgerbridge::http_api {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
@@ -41,4 +41,4 @@
                                       timeout);
 }
 
-}  // namespace badgerbridge::api
+}  // namespace badgerbridge::http_api
--- a/src/api/tls_context.h
+++ b/src/http_api/tls_context.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef BADGERBRIDGE_API_TLS_CONTEXT_H_
-#define BADGERBRIDGE_API_TLS_CONTEXT_H_
+#ifndef BADGERBRIDGE_HTTP_API_TLS_CONTEXT_H_
+#define BADGERBRIDGE_HTTP_API_TLS_CONTEXT_H_
 
 #include <boost/asio/ssl/context.hpp>
 #include <stdexcept>
 #include <string>
 
-#include "api/tls.h"
+#include "http_api/tls.h"
 
-namespace badgerbridge::api {
+namespace badgerbridge::http_api {
 
 // TLS 1.3 alone, the other side's certificate required. Throws std::runtime_error that names the file.
 inline boost::asio::ssl::context TlsContext(const TlsFiles& files, bool server) {
@@ -31,6 +31,6 @@
   return context;
 }
 
-}  // namespace badgerbridge::api
+}  // namespace badgerbridge::http_api
 
-#endif  // BADGERBRIDGE_API_TLS_CONTEXT_H_
+#endif  // BADGERBRIDGE_HTTP_API_TLS_CONTEXT_H_
--- a/src/api/tls_server.cpp
+++ b/src/http_api/tls_server.cpp
@@ -4,12 +4,12 @@
 #include <boost/asio/ssl.hpp>
 #include <boost/beast/ssl.hpp>
 
-#include "api/address.h"
-#include "api/serve.h"
-#include "api/tls.h"
-#include "api/tls_context.h"
+#include "http_api/address.h"
+#include "http_api/serve.h"
+#include "http_api/tls.h"
+#include "http_api/tls_context.h"
 
-namespace badgerbridge::api {
+namespace badgerbridge::http_api {
 namespace {
 
 namespace asio = boost::asio;
@@ -75,4 +75,4 @@
 
 tcp::endpoint TlsServer::address() const { return state_->acceptor->socket().local_endpoint(); }
 
-}  // namespace badgerbridge::api
+}  // namespace badgerbridge::http_api
--- a/src/api/unix_client.cpp
+++ b/src/http_api/unix_client.cpp
@@ -6,10 +6,10 @@
 #include <boost/asio/this_coro.hpp>
 #include <cerrno>
 
-#include "api/client.h"
-#include "api/exchange.h"
+#include "http_api/client.h"
+#include "http_api/exchange.h"
 
-namespace badgerbridge::api {
+namespace badgerbridge::http_api {
 
 namespace asio = boost::asio;
 
@@ -61,4 +61,4 @@
                                       timeout);
 }
 
-}  // namespace badgerbridge::api
+}  // namespace badgerbridge::http_api
--- a/src/api/unix_server.cpp
+++ b/src/http_api/unix_server.cpp
@@ -7,10 +7,10 @@
 #include <boost/asio/local/stream_protocol.hpp>
 #include <optional>
 
-#include "api/serve.h"
-#include "api/server.h"
+#include "http_api/serve.h"
+#include "http_api/server.h"
 
-namespace badgerbridge::api {
+namespace badgerbridge::http_api {
 namespace {
 
 namespace asio = boost::asio;
@@ -93,4 +93,4 @@
 
 std::size_t UnixServer::connections() const { return state_->acceptor->connections(); }
 
-}  // namespace badgerbridge::api
+}  // namespace badgerbridge::http_api
--- a/src/api/version.cpp
+++ b/src/http_api/version.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "api/version.h"
+#include "http_api/version.h"
 
 #include <boost/version.hpp>
 
-namespace badgerbridge::api {
+namespace badgerbridge::http_api {
 
 std::string VersionText(std::string_view program, std::initializer_list<std::string_view> built_in) {
   std::string text = std::string(program) + " " BADGERBRIDGE_VERSION "\nbuilt in:";
@@ -17,4 +17,4 @@
   return text + "; Boost " BOOST_LIB_VERSION "\n";
 }
 
-}  // namespace badgerbridge::api
+}  // namespace badgerbridge::http_api
--- a/src/api/version.h
+++ b/src/http_api/version.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef BADGERBRIDGE_API_VERSION_H_
-#define BADGERBRIDGE_API_VERSION_H_
+#ifndef BADGERBRIDGE_HTTP_API_VERSION_H_
+#define BADGERBRIDGE_HTTP_API_VERSION_H_
 
 #include <initializer_list>
 #include <string>
 #include <string_view>
 
-namespace badgerbridge::api {
+namespace badgerbridge::http_api {
 
 // What --version prints: the program with its version, then a line with what this build of it can do beyond
 // the rest.
 std::string VersionText(std::string_view program, std::initializer_list<std::string_view> built_in);
 
-}  // namespace badgerbridge::api
+}  // namespace badgerbridge::http_api
 
-#endif  // BADGERBRIDGE_API_VERSION_H_
+#endif  // BADGERBRIDGE_HTTP_API_VERSION_H_
--- a/src/membership/etcd_settings.cpp
+++ b/src/membership/etcd_settings.cpp
@@ -4,30 +4,30 @@
 #include <fstream>
 #include <stdexcept>
 
-#include "api/address.h"
+#include "http_api/address.h"
 
 namespace badgerbridge::membership {
 namespace {
 
-std::vector<boost::asio::ip::tcp::endpoint> Endpoints(const operator_file::EtcdLink& table) {
+std::vector<boost::asio::ip::tcp::endpoint> Endpoints(const operator_config::EtcdLink& table) {
   std::vector<boost::asio::ip::tcp::endpoint> endpoints;
   for (const std::string& text : table.endpoints) {
-    if (const auto endpoint = api::ParseAddress(text)) endpoints.push_back(*endpoint);
+    if (const auto endpoint = http_api::ParseAddress(text)) endpoints.push_back(*endpoint);
   }
   return endpoints;
 }
 
-etcd::ChannelOptions Channel(const operator_file::EtcdLink& table) {
+etcd::ChannelOptions Channel(const operator_config::EtcdLink& table) {
   etcd::ChannelOptions channel;
   channel.ping_every = table.ping_every;
   channel.ping_timeout = table.ping_timeout;
   channel.server_name = table.server_name;
   if (!table.certificate.empty())
-    channel.tls = api::TlsFiles{table.certificate, table.key, table.client_authority};
+    channel.tls = http_api::TlsFiles{table.certificate, table.key, table.client_authority};
   return channel;
 }
 
-std::string Password(const operator_file::EtcdLink& table) {
+std::string Password(const operator_config::EtcdLink& table) {
   std::string password;
   std::ifstream file(table.password_file);
   if (!std::getline(file, password))
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-EtcdSourceSettings SourceSettingsOf(const operator_file::Etcd& table) {
+EtcdSourceSettings SourceSettingsOf(const operator_config::Etcd& table) {
   EtcdSourceSettings settings;
   settings.endpoints = Endpoints(table);
   settings.follower.prefix = table.prefix;
@@ -49,7 +49,7 @@
   return settings;
 }
 
-etcd::ClientSettings ClientSettingsOf(const operator_file::EtcdLink& table) {
+etcd::ClientSettings ClientSettingsOf(const operator_config::EtcdLink& table) {
   etcd::ClientSettings settings;
   settings.endpoints = Endpoints(table);
   settings.channel = Channel(table);
--- a/src/membership/etcd_settings.h
+++ b/src/membership/etcd_settings.h
@@ -7,12 +7,12 @@
 
 #include "etcd/client.h"
 #include "membership/etcd_source.h"
-#include "operator/operator_file.h"
+#include "operator_config/operator_file.h"
 
 namespace badgerbridge::membership {
 
-EtcdSourceSettings SourceSettingsOf(const operator_file::Etcd& table);
-etcd::ClientSettings ClientSettingsOf(const operator_file::EtcdLink& table);
+EtcdSourceSettings SourceSettingsOf(const operator_config::Etcd& table);
+etcd::ClientSettings ClientSettingsOf(const operator_config::EtcdLink& table);
 
 }  // namespace badgerbridge::membership
 
--- a/src/membership/etcd_source.h
+++ b/src/membership/etcd_source.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Follows the converters' prefix in etcd; what it learns goes to the ledger, as reports.
+// Follows the backends' prefix in etcd; what it learns goes to the ledger, as reports.
 #ifndef BADGERBRIDGE_MEMBERSHIP_ETCD_SOURCE_H_
 #define BADGERBRIDGE_MEMBERSHIP_ETCD_SOURCE_H_
 
@@ -15,7 +15,7 @@
 namespace badgerbridge::membership {
 
 struct EtcdSourceSettings : etcd::FollowerLinkSettings {
-  EtcdSourceSettings() { follower.prefix = kConvertersPrefix; }
+  EtcdSourceSettings() { follower.prefix = kBackendsPrefix; }
 
   // Follows these services alone, whose keys are prefix + service + "/" + name.
   void FollowServices(const std::string& prefix, const std::vector<std::string>& names) {
--- a/src/membership/feed.h
+++ b/src/membership/feed.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Turns what an etcd::Follower learns of the converters' prefix into reports for the ledger. Pure.
+// Turns what an etcd::Follower learns of the backends' prefix into reports for the ledger. Pure.
 #ifndef BADGERBRIDGE_MEMBERSHIP_FEED_H_
 #define BADGERBRIDGE_MEMBERSHIP_FEED_H_
 
@@ -14,7 +14,7 @@
 
 namespace badgerbridge::membership {
 
-constexpr char kConvertersPrefix[] = "/badgerbridge/converters/";  // unless the operator's file has another
+constexpr char kBackendsPrefix[] = "/badgerbridge/converters/";  // unless the operator's file has another
 
 class Feed {
  public:
--- a/src/membership/ledger.h
+++ b/src/membership/ledger.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Who the converters are: what each source reports, what this proxy believes and why. Pure: reports and the
-// time go in, changes come out. docs/etcd.md has the rules in words; in short, for a converter of one name
+// Who the backends are: what each source reports, what this proxy believes and why. Pure: reports and the
+// time go in, changes come out. docs/etcd.md has the rules in words; in short, for a backend of one name
 // and start time:
 //
 // - It is ready only if the authority says so. Others cannot bring one in, nor bring one back.
@@ -34,7 +34,7 @@
 enum class State { kGone, kReady, kDraining };
 std::string_view Name(State state);
 
-// A converter, in discovery's terms.
+// A backend, in discovery's terms.
 struct Member {
   std::string name, address, zone, kind;
   std::string service;  // empty: the source has no services
--- a/src/membership/registration.h
+++ b/src/membership/registration.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Keeps one converter's key in etcd for as long as it is wanted: a lease, the key bound to it, the lease kept
+// Keeps one backend's key in etcd for as long as it is wanted: a lease, the key bound to it, the lease kept
 // alive. The decisions alone: Next says what to ask, one thing at a time, and what came of it is told; no
 // socket, no clock.
 //
-// - A drain that somebody writes into the value outlives the lease: a converter that was draining when its
+// - A drain that somebody writes into the value outlives the lease: a backend that was draining when its
 // lease was
 //   lost is written again as draining. Only a newer start takes work again.
 // - A key of a newer start of the same name is left alone, and the registration ends.
--- a/src/membership/value.h
+++ b/src/membership/value.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What is written in etcd: one key a converter under a prefix, its value in discovery's endpoint form. Pure.
+// What is written in etcd: one key a backend under a prefix, its value in discovery's endpoint form. Pure.
 #ifndef BADGERBRIDGE_MEMBERSHIP_VALUE_H_
 #define BADGERBRIDGE_MEMBERSHIP_VALUE_H_
 
@@ -13,7 +13,7 @@
 
 namespace badgerbridge::membership {
 
-// A value under its key. The reason if it can't be read, or names another converter than its key.
+// A value under its key. The reason if it can't be read, or names another backend than its key.
 std::optional<std::string> ReadMember(std::string_view name, std::string_view value, Member* member);
 
 // What ReadMember reads; a member that is gone has no value.
--- a/src/operator/operator_file.cpp
+++ b/src/operator_config/operator_file.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "operator/operator_file.h"
+#include "operator_config/operator_file.h"
 
 #include <algorithm>
 #include <set>
 
-#include "api/address.h"
-#include "operator/table_reader.h"
+#include "http_api/address.h"
+#include "operator_config/table_reader.h"
 
-namespace badgerbridge::operator_file {
+namespace badgerbridge::operator_config {
 namespace {
 
 using std::chrono::milliseconds;
@@ -40,7 +40,7 @@
 }
 
 bool GoodAddress(const std::string& text) {
-  const auto endpoint = api::ParseAddress(text);
+  const auto endpoint = http_api::ParseAddress(text);
   return endpoint && endpoint->port() > 0;
 }
 
@@ -213,4 +213,4 @@
   return text ? Parse(*text, path, problems) : OperatorFile{};
 }
 
-}  // namespace badgerbridge::operator_file
+}  // namespace badgerbridge::operator_config
--- a/src/operator/operator_file.h
+++ b/src/operator_config/operator_file.h
@@ -3,8 +3,8 @@
 // The operator's own file: what this installation switches on beyond what the platform tells a proxy. One
 // table a subsystem; a subsystem whose table is absent is off and costs nothing. deploy/operator.toml lists
 // every key.
-#ifndef BADGERBRIDGE_OPERATOR_OPERATOR_FILE_H_
-#define BADGERBRIDGE_OPERATOR_OPERATOR_FILE_H_
+#ifndef BADGERBRIDGE_OPERATOR_CONFIG_OPERATOR_FILE_H_
+#define BADGERBRIDGE_OPERATOR_CONFIG_OPERATOR_FILE_H_
 
 #include <sys/types.h>
 
@@ -14,9 +14,9 @@
 #include <string_view>
 #include <vector>
 
-#include "operator/problem.h"
+#include "operator_config/problem.h"
 
-namespace badgerbridge::operator_file {
+namespace badgerbridge::operator_config {
 
 struct Control {
   std::string socket;               // path of the Unix domain socket; at most 107 bytes
@@ -46,7 +46,7 @@
   int most_departures_percent = 50;
 };
 
-// How much goes to each zone, decided in common by all proxies (docs/regions.md).
+// How much goes to each zone, decided in common by all proxies (docs/zone_failover.md).
 struct Regions : EtcdLink {  // without endpoints of its own: those of [etcd]
   struct Link {              // there and back alike
     std::string from, to;
@@ -79,6 +79,6 @@
 class TableReader;
 void ReadEtcdLink(TableReader& table, EtcdLink& link);
 
-}  // namespace badgerbridge::operator_file
+}  // namespace badgerbridge::operator_config
 
-#endif  // BADGERBRIDGE_OPERATOR_OPERATOR_FILE_H_
+#endif  // BADGERBRIDGE_OPERATOR_CONFIG_OPERATOR_FILE_H_
--- a/src/operator/problem.h
+++ b/src/operator_config/problem.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef BADGERBRIDGE_OPERATOR_PROBLEM_H_
-#define BADGERBRIDGE_OPERATOR_PROBLEM_H_
+#ifndef BADGERBRIDGE_OPERATOR_CONFIG_PROBLEM_H_
+#define BADGERBRIDGE_OPERATOR_CONFIG_PROBLEM_H_
 
 #include <string>
 #include <vector>
 
-namespace badgerbridge::operator_file {
+namespace badgerbridge::operator_config {
 
 // One thing that is wrong with a file, and what would be right.
 struct Problem {
@@ -20,6 +20,6 @@
 // In the order of the file, one line each, every line ended.
 std::string Lines(Problems problems);
 
-}  // namespace badgerbridge::operator_file
+}  // namespace badgerbridge::operator_config
 
-#endif  // BADGERBRIDGE_OPERATOR_PROBLEM_H_
+#endif  // BADGERBRIDGE_OPERATOR_CONFIG_PROBLEM_H_
--- a/src/operator/table_reader.cpp
+++ b/src/operator_config/table_reader.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "operator/table_reader.h"
+#include "operator_config/table_reader.h"
 
 #include <algorithm>
 #include <charconv>
@@ -7,7 +7,7 @@
 #include <numeric>
 #include <sstream>
 
-namespace badgerbridge::operator_file {
+namespace badgerbridge::operator_config {
 namespace {
 
 using std::chrono::milliseconds;
@@ -379,4 +379,4 @@
   return text;
 }
 
-}  // namespace badgerbridge::operator_file
+}  // namespace badgerbridge::operator_config
--- a/src/operator/table_reader.h
+++ b/src/operator_config/table_reader.h
@@ -2,8 +2,8 @@
 //
 // Reads one table of a TOML file (toml.io, v1.0.0) key by key and collects every problem with the place where
 // it stands, so that a file is checked whole before anything of it takes effect.
-#ifndef BADGERBRIDGE_OPERATOR_TABLE_READER_H_
-#define BADGERBRIDGE_OPERATOR_TABLE_READER_H_
+#ifndef BADGERBRIDGE_OPERATOR_CONFIG_TABLE_READER_H_
+#define BADGERBRIDGE_OPERATOR_CONFIG_TABLE_READER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -29,9 +29,9 @@
 #include <toml++/toml.h>
 #pragma GCC diagnostic pop
 
-#include "operator/problem.h"
+#include "operator_config/problem.h"
 
-namespace badgerbridge::operator_file {
+namespace badgerbridge::operator_config {
 
 // "250ms", "10s", "2m", "1h": a whole number and its unit. Nothing for all else.
 std::optional<std::chrono::milliseconds> ParseDuration(std::string_view text);
@@ -91,6 +91,6 @@
 // The whole file, at most `most` bytes; reports what prevents it at line 0.
 std::optional<std::string> ReadFile(const std::string& path, std::size_t most, Problems& problems);
 
-}  // namespace badgerbridge::operator_file
+}  // namespace badgerbridge::operator_config
 
-#endif  // BADGERBRIDGE_OPERATOR_TABLE_READER_H_
+#endif  // BADGERBRIDGE_OPERATOR_CONFIG_TABLE_READER_H_
--- a/src/node/arrival_times.h
+++ b/src/proxy/arrival_times.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // When the bytes of a buffer came.
-#ifndef BADGERBRIDGE_NODE_ARRIVAL_TIMES_H_
-#define BADGERBRIDGE_NODE_ARRIVAL_TIMES_H_
+#ifndef BADGERBRIDGE_PROXY_ARRIVAL_TIMES_H_
+#define BADGERBRIDGE_PROXY_ARRIVAL_TIMES_H_
 
 #include <algorithm>
 #include <cstddef>
 #include <vector>
 
-#include "node/module.h"
+#include "proxy/module.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 /// Tells when the oldest byte of a first-in, first-out buffer came. Pure: the caller tells what is put in and
 /// taken out. Where many small pieces stand in the buffer, some of them count as older than they are; none
@@ -49,6 +49,6 @@
   std::vector<Piece> pieces_;  // the oldest first
 };
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
 
-#endif  // BADGERBRIDGE_NODE_ARRIVAL_TIMES_H_
+#endif  // BADGERBRIDGE_PROXY_ARRIVAL_TIMES_H_
--- a/src/node/backend.cpp
+++ b/src/proxy/backend.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "node/backend.h"
+#include "proxy/backend.h"
 
 #include <algorithm>
 #include <boost/asio/bind_allocator.hpp>
@@ -9,9 +9,9 @@
 #include <utility>
 
 #include "net/handler_memory.h"
-#include "node/backend_connection.h"
+#include "proxy/backend_connection.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 namespace {
 
 constexpr Duration kUnaskedMemory{60000};  // what one backend does, others of its make may do too
@@ -34,7 +34,7 @@
   return limits;
 }
 
-Backends::Backends(asio::io_context& io, const NodeClock& clock, Limits limits)
+Backends::Backends(asio::io_context& io, const ProxyClock& clock, Limits limits)
     : io_(io), clock_(clock), limits_(limits) {
   dial_ = [](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
     socket.async_connect(address, std::move(ended));
@@ -49,7 +49,7 @@
   // One that is gone is sent nothing more, and nothing of it is needed: attempts that are still out carry
   // what they need.
   if (list.snapshot) {
-    std::unordered_set<ServerId> listed;
+    std::unordered_set<BackendId> listed;
     for (const Endpoint& endpoint : list.endpoints) listed.insert(endpoint.entry.server);
     for (auto at = backends_.begin(); at != backends_.end();) {
       if (listed.count(at->first)) {
@@ -62,14 +62,14 @@
   }
   for (const Endpoint& endpoint : list.endpoints) {
     const auto found = backends_.find(endpoint.entry.server);
-    if (endpoint.entry.state == ServerState::kGone) {
+    if (endpoint.entry.state == BackendState::kGone) {
       if (found == backends_.end()) continue;
       CloseIdle(found->second);
       backends_.erase(found);
       continue;
     }
     Backend& backend = backends_[endpoint.entry.server];
-    if (endpoint.address != backend.address || endpoint.entry.state != ServerState::kReady)
+    if (endpoint.address != backend.address || endpoint.entry.state != BackendState::kReady)
       CloseIdle(backend);
     backend.address = endpoint.address;
     backend.state = endpoint.entry.state;
@@ -78,7 +78,7 @@
 
 bool Backends::AnyReady() const {
   return std::any_of(backends_.begin(), backends_.end(),
-                     [](const auto& entry) { return entry.second.state == ServerState::kReady; });
+                     [](const auto& entry) { return entry.second.state == BackendState::kReady; });
 }
 
 void Backends::CloseIdle(Backend& backend) {
@@ -86,7 +86,7 @@
 }
 
 // Those that have been idle since before that: nothing has been heard on them.
-void Backends::CloseUntested(ServerId server, TimePoint since) {
+void Backends::CloseUntested(BackendId server, TimePoint since) {
   const auto found = backends_.find(server);
   if (found == backends_.end()) return;
   const auto idle = found->second.idle;  // a copy: each takes itself out
@@ -97,10 +97,10 @@
 
 // Nothing of the grace after a drain is used: the word may have been long on its way, and what has not begun
 // can be sent elsewhere.
-bool Backends::Takes(ServerId server, const tcp::endpoint& address) const {
+bool Backends::Takes(BackendId server, const tcp::endpoint& address) const {
   const auto found = backends_.find(server);
   return found != backends_.end() && found->second.address == address &&
-         found->second.state == ServerState::kReady;
+         found->second.state == BackendState::kReady;
 }
 
 // The newest that has rested.
@@ -118,7 +118,7 @@
 }
 
 // At the limit, the connection that has been idle the longest makes room.
-bool Backends::MakeRoom() {
+bool Backends::EvictConnection() {
   if (open_ < limits_.connections) return true;
   std::shared_ptr<Connection> oldest;
   for (const auto& [id, backend] : backends_) {
@@ -130,7 +130,7 @@
   return true;
 }
 
-Backends::Ticket Backends::Send(ServerId server, std::shared_ptr<const Forwarded> request, Duration timeout,
+Backends::Ticket Backends::Send(BackendId server, std::shared_ptr<const Forwarded> request, Duration timeout,
                                 TimePoint begin_before, Done done, std::shared_ptr<Requester> requester) {
   const TimePoint deadline = clock_.Now() + timeout;
   // Through the queue of the io_context also where it ends at once: the caller is in the midst of its
@@ -152,7 +152,7 @@
   std::shared_ptr<Connection> connection = TakeIdle(found->second);
   if (connection) {
     connection->Reuse(std::move(attempt));
-  } else if (MakeRoom()) {
+  } else if (EvictConnection()) {
     connection = std::make_shared<Connection>(*this, server, found->second.address);
     connection->Connect(std::move(attempt));
   } else {
@@ -172,7 +172,7 @@
 
 void Backends::Park(std::shared_ptr<Connection> connection) {
   const auto found = backends_.find(connection->server_);
-  const bool wanted = found != backends_.end() && found->second.state == ServerState::kReady &&
+  const bool wanted = found != backends_.end() && found->second.state == BackendState::kReady &&
                       found->second.address == connection->address_;
   if (!wanted) return connection->Close();
   std::vector<std::shared_ptr<Connection>>& idle = found->second.idle;
@@ -191,4 +191,4 @@
   std::erase_if(found->second.idle, [&](const auto& other) { return other.get() == connection; });
 }
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
--- a/src/node/backend.h
+++ b/src/proxy/backend.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Connections to backends: a pool for each, and one attempt at a time on a connection.
-#ifndef BADGERBRIDGE_NODE_BACKEND_H_
-#define BADGERBRIDGE_NODE_BACKEND_H_
+#ifndef BADGERBRIDGE_PROXY_BACKEND_H_
+#define BADGERBRIDGE_PROXY_BACKEND_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -13,11 +13,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "node/clock.h"
-#include "node/discovery.h"
-#include "node/requester.h"
+#include "proxy/clock.h"
+#include "proxy/discovery.h"
+#include "proxy/requester.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 // What goes on to a backend unchanged.
 struct Forwarded {
@@ -51,7 +51,7 @@
   using Dial = std::function<void(boost::asio::ip::tcp::socket&, const boost::asio::ip::tcp::endpoint&,
                                   std::function<void(boost::system::error_code)>)>;
 
-  Backends(boost::asio::io_context& io, const NodeClock& clock, Limits limits);
+  Backends(boost::asio::io_context& io, const ProxyClock& clock, Limits limits);
   ~Backends();
   Backends(const Backends&) = delete;
   Backends& operator=(const Backends&) = delete;
@@ -67,7 +67,7 @@
   // event loop.
   void PostponeWhile(std::function<bool()> list_is_unread) { list_is_unread_ = std::move(list_is_unread); }
   // Called where the first byte of an attempt is about to be written.
-  void OnBegin(std::function<void(ServerId, const Forwarded&)> look_on) { on_begin_ = std::move(look_on); }
+  void OnBegin(std::function<void(BackendId, const Forwarded&)> look_on) { on_begin_ = std::move(look_on); }
 
   class Connection;
   struct Ticket {  // an attempt
@@ -78,7 +78,7 @@
   // Makes one attempt; `done` is called exactly once, never from within this call. Its first byte is written
   // before `begin_before`, and only to a backend that is ready by then; else it ends as could not connect. It
   // is not written either for a requester, if one is given, that has left by then: the attempt ends as moot.
-  Ticket Send(ServerId server, std::shared_ptr<const Forwarded> request, Duration timeout,
+  Ticket Send(BackendId server, std::shared_ptr<const Forwarded> request, Duration timeout,
               TimePoint begin_before, Done done, std::shared_ptr<Requester> requester = nullptr);
 
   // Stops waiting for it; it ends as cancelled, unless it has ended already or is known not to have run.
@@ -92,32 +92,32 @@
  private:
   struct Backend {
     boost::asio::ip::tcp::endpoint address;
-    ServerState state = ServerState::kGone;
+    BackendState state = BackendState::kGone;
     std::vector<std::shared_ptr<Connection>> idle;  // the newest last
   };
 
   void CloseIdle(Backend& backend);
-  void CloseUntested(ServerId server, TimePoint since);
+  void CloseUntested(BackendId server, TimePoint since);
   std::shared_ptr<Connection> TakeIdle(Backend& backend);
-  bool MakeRoom();
+  bool EvictConnection();
   // For a connection: whether its backend takes requests; and its changes of state.
-  bool Takes(ServerId server, const boost::asio::ip::tcp::endpoint& address) const;
+  bool Takes(BackendId server, const boost::asio::ip::tcp::endpoint& address) const;
   void Park(std::shared_ptr<Connection> connection);
   void Unpark(const Connection* connection);
 
   boost::asio::io_context& io_;
-  const NodeClock& clock_;
+  const ProxyClock& clock_;
   Limits limits_;
-  std::unordered_map<ServerId, Backend> backends_;
+  std::unordered_map<BackendId, Backend> backends_;
   TimePoint unasked_at_{};  // when one last said something that nobody had asked for
   std::size_t open_ = 0;
   bool keep_loads_ = false;
   Dial dial_;
   std::function<bool()> list_is_unread_;
-  std::function<void(ServerId, const Forwarded&)> on_begin_;
+  std::function<void(BackendId, const Forwarded&)> on_begin_;
   std::uint64_t attempts_ = 0;
 };
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
 
-#endif  // BADGERBRIDGE_NODE_BACKEND_H_
+#endif  // BADGERBRIDGE_PROXY_BACKEND_H_
--- a/src/node/backend_connection.h
+++ b/src/proxy/backend_connection.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A connection to a backend and the attempt on it. Only node/backend.cpp, the pool, uses it.
-#ifndef BADGERBRIDGE_NODE_BACKEND_CONNECTION_H_
-#define BADGERBRIDGE_NODE_BACKEND_CONNECTION_H_
+#ifndef BADGERBRIDGE_PROXY_BACKEND_CONNECTION_H_
+#define BADGERBRIDGE_PROXY_BACKEND_CONNECTION_H_
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -19,9 +19,9 @@
 
 #include "net/one_shot_timer.h"
 #include "net/read_grace.h"
-#include "node/backend.h"
+#include "proxy/backend.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
@@ -51,12 +51,12 @@
     Done done;
   };
 
-  Connection(Backends& pool, ServerId server, tcp::endpoint address)
+  Connection(Backends& pool, BackendId server, tcp::endpoint address)
       : pool_(&pool), server_(server), address_(std::move(address)), socket_(pool.io_), timer_(pool.io_) {
     ++pool.open_;
   }
 
-  ServerId server() const { return server_; }
+  BackendId server() const { return server_; }
   TimePoint idle_since() const { return idle_since_; }
 
   void Connect(Attempt attempt) {
@@ -76,7 +76,7 @@
   void OnConnected(beast::error_code error) {
     if (state_ != State::kConnecting) return;  // given up meanwhile
     // Without a descriptor of its own it was never sent, through no fault of the backend.
-    if (error == asio::error::no_descriptors) return End(Outcome::kMoot);
+    if (error == asio::error::no_descriptors) return End(Outcome::kNotSent);
     if (error) return End(Outcome::kConnectFailed);
     socket_.set_option(tcp::no_delay(true), error);
     socket_.non_blocking(true, error);
@@ -129,9 +129,9 @@
   // backend does not begin.
   void Withdraw(std::uint64_t number) {
     if (number != number_) return;
-    if (state_ == State::kConnecting) return End(Outcome::kMoot);
+    if (state_ == State::kConnecting) return End(Outcome::kNotSent);
     if (state_ != State::kWriting) return;
-    unwritten_ = Outcome::kMoot;
+    unwritten_ = Outcome::kNotSent;
     GiveUp(Outcome::kCancelled);
   }
 
@@ -188,11 +188,11 @@
   void Fail() noexcept {
     switch (state_) {
       case State::kConnecting:
-        return End(Outcome::kMoot);
+        return End(Outcome::kNotSent);
       case State::kWriting:
       case State::kWaiting:
         // Where no write was begun, nothing has been sent.
-        return GiveUp(write_begun_ ? Outcome::kReset : Outcome::kMoot);
+        return GiveUp(write_begun_ ? Outcome::kReset : Outcome::kNotSent);
       case State::kIdle:
         return Close();
       case State::kClosing:
@@ -238,7 +238,7 @@
   std::optional<Outcome> WhyNotBegin(TimePoint now) const {
     if (!pool_->Takes(server_, address_) || now >= deadline_ || now >= begin_before_)
       return Outcome::kConnectFailed;
-    if (requester_ && requester_->HasLeft()) return Outcome::kMoot;
+    if (requester_ && requester_->HasLeft()) return Outcome::kNotSent;
     return std::nullopt;
   }
 
@@ -351,7 +351,7 @@
         break;
       case 503:
       case 504:
-        result.outcome = unprocessed ? Outcome::kFull : Outcome::kError;
+        result.outcome = unprocessed ? Outcome::kRejected : Outcome::kError;
         break;
       default:
         result.outcome = Outcome::kError;
@@ -437,7 +437,7 @@
   static constexpr double kConnectShare = 0.25;  // of an attempt's time, for its connection to come up
 
   Backends* pool_;
-  const ServerId server_;
+  const BackendId server_;
   const tcp::endpoint address_;
   tcp::socket socket_;
   net::OneShotTimer timer_;
@@ -463,6 +463,6 @@
   friend class Backends;
 };
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
 
-#endif  // BADGERBRIDGE_NODE_BACKEND_CONNECTION_H_
+#endif  // BADGERBRIDGE_PROXY_BACKEND_CONNECTION_H_
--- a/src/node/client.cpp
+++ b/src/proxy/client.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "node/client.h"
+#include "proxy/client.h"
 
 #include <sys/socket.h>
 #include <unistd.h>
@@ -12,9 +12,9 @@
 #include <utility>
 
 #include "net/socket_state.h"
-#include "node/session.h"
+#include "proxy/session.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-Listener::Listener(asio::io_context& io, const NodeClock& clock, Proxy& proxy, const Config& config,
+Listener::Listener(asio::io_context& io, const ProxyClock& clock, Proxy& proxy, const Config& config,
                    ListenerLimits limits)
     : io_(io),
       clock_(clock),
@@ -82,7 +82,7 @@
 
 void Listener::AwaitConnection() {
   // At the limit the next waits in the kernel's queue until there is room.
-  if (sessions_.size() - ending_ >= max_clients_ && !MakeRoom()) return AcceptAfter(kRoomPause);
+  if (sessions_.size() - ending_ >= max_clients_ && !EvictConnection()) return AcceptAfter(kRoomPause);
   if (sessions_.size() >= max_clients_ + kMostEnding) CloseOneThatHasEnded();
   if (unadmitted_ != kNoDescriptor) return OnConnection();
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](beast::error_code error) {
@@ -96,7 +96,7 @@
 
 void Listener::OnConnection() {
   if (AcceptOne() != AcceptResult::kFailed) return Accept();
-  MakeRoom();
+  EvictConnection();
   AcceptAfter(kAcceptPause);
 }
 
@@ -152,16 +152,16 @@
 
 // Its descriptor is free when the client closes its side, or has had its time for that. None of them has sent
 // a request that nobody has read; those that have sent half of one are answered.
-bool Listener::MakeRoom() {
-  const auto settled = [](const Session& session) { return session.AtRest(kSettled); };
+bool Listener::EvictConnection() {
+  const auto settled = [](const Session& session) { return session.HasBeenIdleFor(kSettled); };
   const auto never_asked = [](const Session& session) { return session.NeverAsked(); };
-  const auto at_rest = [](const Session& session) { return session.AtRest(Duration(0)); };
+  const auto at_rest = [](const Session& session) { return session.HasBeenIdleFor(Duration(0)); };
   const auto slow_to_send = [](const Session& session) { return session.SlowToSend(); };
   const auto slow_to_read = [](const Session& session) { return session.SlowToRead(); };
-  if (const auto session = FirstOf(settled)) return session->EndAtRest(), true;
-  if (const auto session = FirstOf(never_asked)) return session->EndAtRest(), true;
-  if (const auto session = FirstOf(slow_to_send)) return session->RefuseHalfRequest(), true;
-  if (const auto session = FirstOf(at_rest)) return session->EndAtRest(), true;
+  if (const auto session = FirstOf(settled)) return session->ShutdownIfIdle(), true;
+  if (const auto session = FirstOf(never_asked)) return session->ShutdownIfIdle(), true;
+  if (const auto session = FirstOf(slow_to_send)) return session->RejectPartialRequest(), true;
+  if (const auto session = FirstOf(at_rest)) return session->ShutdownIfIdle(), true;
   if (const auto session = FirstOf(slow_to_read)) return session->Close(), true;
   return false;
 }
@@ -213,7 +213,7 @@
   stopping_ = true;
   stopped_ = std::move(stopped);
   stop_began_ = clock_.Now();
-  stop_timer_.ArmAfter(limits_.door_open, [this] { EndHandshakes(); });
+  stop_timer_.ArmAfter(limits_.accept_grace, [this] { EndHandshakes(); });
 }
 
 bool Listener::PastLastAnswer() const { return stopping_ && clock_.Now() >= LastAnswer(); }
@@ -233,11 +233,11 @@
 // and those that have begun are waited for.
 void Listener::EndHandshakes() {
   net::StopNewHandshakes(acceptor_);  // where the system can't, that gap remains
-  CloseDoorAfter(limits_.handshake);
+  CloseListenerAfter(limits_.handshake);
 }
 
-void Listener::CloseDoorAfter(std::chrono::milliseconds wait) {
-  stop_timer_.ArmAfter(wait, [this] { CloseDoor(); });
+void Listener::CloseListenerAfter(std::chrono::milliseconds wait) {
+  stop_timer_.ArmAfter(wait, [this] { CloseListener(); });
 }
 
 void Listener::Drain() {
@@ -254,12 +254,12 @@
 void Listener::SweepWhileDraining() {
   if (!draining_ || door_closed_) return;
   drain_sweep_.ArmAfter(kDrainSweep, [this] { SweepWhileDraining(); });
-  for (const auto& session : Snapshot()) session->EndIfIdle();
+  for (const auto& session : Snapshot()) session->EndIfDrained();
 }
 
-bool Listener::Quiet() const {
-  return proxy_.open() == 0 && clock_.Now() - last_busy_ >= kDrainQuiet &&
-         std::all_of(sessions_.begin(), sessions_.end(), [](const auto& s) { return s->Quiet(); });
+bool Listener::IsIdle() const {
+  return proxy_.open() == 0 && clock_.Now() - last_busy_ >= kDrainIdleTime &&
+         std::all_of(sessions_.begin(), sessions_.end(), [](const auto& s) { return s->IsIdle(); });
 }
 
 // What stands in the kernel's queue has been accepted as far as its client can tell. False if one waits that
@@ -270,10 +270,10 @@
   return result == AcceptResult::kNoneWaits;
 }
 
-void Listener::CloseDoor() {
-  if (!AcceptAllThatWait() && clock_.Now() < stop_began_ + 2 * Duration(limits_.door_open)) {
-    CloseDoorAfter(kAcceptPause);
-    MakeRoom();
+void Listener::CloseListener() {
+  if (!AcceptAllThatWait() && clock_.Now() < stop_began_ + 2 * Duration(limits_.accept_grace)) {
+    CloseListenerAfter(kAcceptPause);
+    EvictConnection();
     return;
   }
   door_closed_ = true;
@@ -281,8 +281,8 @@
   beast::error_code ignored;
   acceptor_.close(ignored);
   CloseUnadmitted();
-  for (const auto& session : Snapshot()) session->WindDown();
+  for (const auto& session : Snapshot()) session->BeginDrain();
   StopIfDone();
 }
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
--- a/src/node/client.h
+++ b/src/proxy/client.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The side of the clients: the listener, and a session for each connection.
-#ifndef BADGERBRIDGE_NODE_CLIENT_H_
-#define BADGERBRIDGE_NODE_CLIENT_H_
+#ifndef BADGERBRIDGE_PROXY_CLIENT_H_
+#define BADGERBRIDGE_PROXY_CLIENT_H_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -21,17 +21,17 @@
 #include <vector>
 
 #include "net/one_shot_timer.h"
-#include "node/config.h"
-#include "node/proxy.h"
+#include "proxy/config.h"
+#include "proxy/proxy.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 struct ListenerLimits {
   // From the stop: until no new connection is accepted (clients' front goes on for up to 0.4 s), until
   // requests on open connections are not waited for any more, and, beyond the longest deadline, until all is
   // answered (the process may be killed 0.7 s after that deadline, counted from a signal that it may have
   // handled 0.4 s late).
-  std::chrono::milliseconds door_open{500};
+  std::chrono::milliseconds accept_grace{500};
   std::chrono::milliseconds serving{700};
   std::chrono::milliseconds last_answer{300};
   std::chrono::milliseconds handshake{20};  // of connections that have begun to come up when no more may
@@ -42,7 +42,7 @@
 class Listener {
  public:
   // Binds and listens; throws boost::system::system_error if it can't.
-  Listener(boost::asio::io_context& io, const NodeClock& clock, Proxy& proxy, const Config& config,
+  Listener(boost::asio::io_context& io, const ProxyClock& clock, Proxy& proxy, const Config& config,
            ListenerLimits limits = {});
   ~Listener();
   Listener(const Listener&) = delete;
@@ -63,8 +63,8 @@
   std::uint64_t rejected() const { return rejected_; }  // malformed: never taken
   std::size_t remembered() const { return ids_.size(); }
   // Drained: no request is open or on its way in, and none has come for kDrainQuiet.
-  bool Quiet() const;
-  static constexpr Duration kDrainQuiet{1000};
+  bool IsIdle() const;
+  static constexpr Duration kDrainIdleTime{1000};
 
  private:
   class Session;
@@ -84,14 +84,14 @@
   void AcceptAfter(std::chrono::milliseconds wait) noexcept;
   void Admit(int descriptor);
   void CloseUnadmitted();
-  bool MakeRoom();
+  bool EvictConnection();
   std::shared_ptr<Session> FirstOf(const std::function<bool(const Session&)>& which) const;
   void CloseOneThatHasEnded();
   std::vector<std::shared_ptr<Session>> Snapshot() const { return {sessions_.begin(), sessions_.end()}; }
   bool NoteId(std::string_view id);
   void EndHandshakes();
-  void CloseDoorAfter(std::chrono::milliseconds wait);
-  void CloseDoor();
+  void CloseListenerAfter(std::chrono::milliseconds wait);
+  void CloseListener();
   bool AcceptAllThatWait();
   void StopIfDone() noexcept;
   // The stop's times; far away while there is none.
@@ -103,7 +103,7 @@
   void Remove(Sessions::iterator at) noexcept;
 
   boost::asio::io_context& io_;
-  const NodeClock& clock_;
+  const ProxyClock& clock_;
   Proxy& proxy_;
   std::vector<ClassSettings> class_settings_;
   std::unordered_map<std::string, int> classes_, tenants_;
@@ -126,6 +126,6 @@
   std::function<void()> stopped_;
 };
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
 
-#endif  // BADGERBRIDGE_NODE_CLIENT_H_
+#endif  // BADGERBRIDGE_PROXY_CLIENT_H_
--- a/src/node/clock.h
+++ b/src/proxy/clock.h
@@ -2,16 +2,16 @@
 //
 // The one clock of a node: it reads as Unix time in milliseconds, so that discovery's start times need no
 // more than a cast, but is driven by the steady clock, so that module time never jumps.
-#ifndef BADGERBRIDGE_NODE_CLOCK_H_
-#define BADGERBRIDGE_NODE_CLOCK_H_
+#ifndef BADGERBRIDGE_PROXY_CLOCK_H_
+#define BADGERBRIDGE_PROXY_CLOCK_H_
 
 #include <chrono>
 
-#include "node/module.h"
+#include "proxy/module.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
-class NodeClock {
+class ProxyClock {
  public:
   using Steady = std::chrono::steady_clock;
 
@@ -28,6 +28,6 @@
   Steady::time_point steady_ = Steady::now();
 };
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
 
-#endif  // BADGERBRIDGE_NODE_CLOCK_H_
+#endif  // BADGERBRIDGE_PROXY_CLOCK_H_
--- a/src/node/config.cpp
+++ b/src/proxy/config.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "node/config.h"
+#include "proxy/config.h"
 
 #include <algorithm>
 #include <boost/asio/ip/address.hpp>
@@ -11,7 +11,7 @@
 
 #include "settings/settings.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 namespace json = boost::json;
 namespace {
 
@@ -163,4 +163,4 @@
   });
 }
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
--- a/src/node/config.h
+++ b/src/proxy/config.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a node is told at its start: environment and JSON into settings.
-#ifndef BADGERBRIDGE_NODE_CONFIG_H_
-#define BADGERBRIDGE_NODE_CONFIG_H_
+#ifndef BADGERBRIDGE_PROXY_CONFIG_H_
+#define BADGERBRIDGE_PROXY_CONFIG_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/json/value.hpp>
@@ -14,10 +14,10 @@
 #include <string_view>
 #include <vector>
 
-#include "api/address.h"
-#include "node/module.h"
+#include "http_api/address.h"
+#include "proxy/module.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 // what() is one line that names the fault.
 class BadConfig : public std::runtime_error {
@@ -49,8 +49,8 @@
 // Nested JSON as the path=value lines that ParseSettings reads.
 std::string Flatten(const boost::json::value& settings);
 
-using api::ParseAddress;
+using http_api::ParseAddress;
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
 
-#endif  // BADGERBRIDGE_NODE_CONFIG_H_
+#endif  // BADGERBRIDGE_PROXY_CONFIG_H_
--- a/src/node/discovery.cpp
+++ b/src/proxy/discovery.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "node/discovery.h"
+#include "proxy/discovery.h"
 
 #include <algorithm>
 #include <array>
@@ -16,9 +16,9 @@
 #include <unordered_set>
 
 #include "net/socket_state.h"
-#include "node/clock.h"
+#include "proxy/clock.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 namespace asio = boost::asio;
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
@@ -33,10 +33,10 @@
 }
 
 // A status that this build does not know is no leave to send.
-ServerState StateOf(std::string_view status) {
-  if (status == "Ready") return ServerState::kReady;
-  if (status == "Gone") return ServerState::kGone;
-  return ServerState::kDraining;
+BackendState StateOf(std::string_view status) {
+  if (status == "Ready") return BackendState::kReady;
+  if (status == "Gone") return BackendState::kGone;
+  return BackendState::kDraining;
 }
 
 std::string_view TextAt(const json::object& object, std::string_view key) {
@@ -75,10 +75,10 @@
 
 // Derived from the name, so that an id is the same at every proxy and after each restart: the module places
 // servers on its ring by id, and proxies that number them differently crowd on the same few.
-ServerId ListReader::IdOf(const std::string& name) {
+BackendId ListReader::IdOf(const std::string& name) {
   const auto known = ids_.find(name);
   if (known != ids_.end()) return known->second;
-  ServerId id = 2166136261u;  // FNV-1a
+  BackendId id = 2166136261u;  // FNV-1a
   for (const char c : name) id = (id ^ static_cast<unsigned char>(c)) * 16777619u;
   auto [at, added] = names_.emplace(id, name);
   while (!added)
@@ -87,7 +87,7 @@
   return id;
 }
 
-std::string ListReader::NameOf(ServerId id) const {
+std::string ListReader::NameOf(BackendId id) const {
   const auto found = names_.find(id);
   return found == names_.end() ? std::string() : found->second;
 }
@@ -107,7 +107,7 @@
     one.name = std::string(TextAt(fields, "name"));
     one.state = StateOf(TextAt(fields, "status"));
     one.address = ParseAddress(text("address"));
-    if (!one.address && one.state != ServerState::kGone)
+    if (!one.address && one.state != BackendState::kGone)
       throw std::runtime_error("an endpoint without an address");
     one.zone = std::string(text("zone"));
     one.kind = std::string(text("type"));
@@ -142,11 +142,11 @@
 
 // Backends are replaced by new ones, under new names, for as long as this node lives.
 void ListReader::Forget(const EndpointList& list) {
-  std::unordered_set<ServerId> listed;
+  std::unordered_set<BackendId> listed;
   for (const Endpoint& endpoint : list.endpoints) {
-    if (endpoint.entry.state != ServerState::kGone) listed.insert(endpoint.entry.server);
+    if (endpoint.entry.state != BackendState::kGone) listed.insert(endpoint.entry.server);
   }
-  const auto drop = [this](ServerId id) {
+  const auto drop = [this](BackendId id) {
     const auto found = names_.find(id);
     if (found == names_.end()) return;
     ids_.erase(found->second);
@@ -158,11 +158,11 @@
     }
     return;
   }
-  std::vector<ServerId> gone;
+  std::vector<BackendId> gone;
   for (const auto& [id, name] : names_) {
     if (!listed.count(id)) gone.push_back(id);
   }
-  for (const ServerId id : gone) drop(id);
+  for (const BackendId id : gone) drop(id);
 }
 
 Discovery::Discovery(asio::io_context& io, asio::ip::tcp::endpoint address, ListReader reader, bool ask,
@@ -328,4 +328,4 @@
   return word;
 }
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
--- a/src/node/discovery.h
+++ b/src/proxy/discovery.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The list of backends: watches discovery, reconnects, and turns names into ids.
-#ifndef BADGERBRIDGE_NODE_DISCOVERY_H_
-#define BADGERBRIDGE_NODE_DISCOVERY_H_
+#ifndef BADGERBRIDGE_PROXY_DISCOVERY_H_
+#define BADGERBRIDGE_PROXY_DISCOVERY_H_
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -19,14 +19,14 @@
 
 #include "net/one_shot_timer.h"
 #include "net/read_grace.h"
-#include "node/config.h"
-#include "node/json_values.h"
+#include "proxy/config.h"
+#include "proxy/json_values.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 struct Endpoint {
   std::string name;
-  ServerEntry entry;
+  BackendEntry entry;
   boost::asio::ip::tcp::endpoint address;
 };
 struct EndpointList {
@@ -38,7 +38,7 @@
 struct Listed {
   std::string name, zone, kind;
   std::optional<boost::asio::ip::tcp::endpoint> address;  // none: only of one that is gone
-  ServerState state = ServerState::kReady;
+  BackendState state = BackendState::kReady;
   int group = 0;
   double weight = 1;
   double since_ms = 0;  // when it last started, Unix time
@@ -57,15 +57,15 @@
   void NoChangeUpTo(std::uint64_t index) { index_ = index; }
   void Restart() { index_ = 0; }  // ask for everything again
   std::size_t known() const { return ids_.size(); }
-  std::string NameOf(ServerId id) const;  // empty: it has left the list
+  std::string NameOf(BackendId id) const;  // empty: it has left the list
 
  private:
-  ServerId IdOf(const std::string& name);
+  BackendId IdOf(const std::string& name);
   void Forget(const EndpointList& list);
 
   std::vector<std::string> zones_, kinds_;
-  std::unordered_map<ServerId, std::string> names_;
-  std::unordered_map<std::string_view, ServerId> ids_;  // keyed by the names in names_
+  std::unordered_map<BackendId, std::string> names_;
+  std::unordered_map<std::string_view, BackendId> ids_;  // keyed by the names in names_
   std::uint64_t index_ = 0;
 };
 
@@ -133,6 +133,6 @@
   net::OneShotTimer move_, watchdog_;
 };
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
 
-#endif  // BADGERBRIDGE_NODE_DISCOVERY_H_
+#endif  // BADGERBRIDGE_PROXY_DISCOVERY_H_
--- a/src/node/json_values.cpp
+++ b/src/proxy/json_values.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "node/json_values.h"
+#include "proxy/json_values.h"
 
 #include <boost/json.hpp>
 #include <stdexcept>
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 JsonValues::Found JsonValues::Next(std::string_view* bytes) {
   while (taken_ == 0) {
@@ -37,4 +37,4 @@
   return value;
 }
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
--- a/src/node/json_values.h
+++ b/src/proxy/json_values.h
@@ -2,15 +2,15 @@
 //
 // JSON values one after the other, as a watch on the list brings them: in any pieces, each on one line or
 // indented over several, with empty lines between. No I/O.
-#ifndef BADGERBRIDGE_NODE_JSON_VALUES_H_
-#define BADGERBRIDGE_NODE_JSON_VALUES_H_
+#ifndef BADGERBRIDGE_PROXY_JSON_VALUES_H_
+#define BADGERBRIDGE_PROXY_JSON_VALUES_H_
 
 #include <boost/json/stream_parser.hpp>
 #include <boost/json/value.hpp>
 #include <cstddef>
 #include <string_view>
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 class JsonValues {
  public:
@@ -32,6 +32,6 @@
   bool line_empty_ = true;
 };
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
 
-#endif  // BADGERBRIDGE_NODE_JSON_VALUES_H_
+#endif  // BADGERBRIDGE_PROXY_JSON_VALUES_H_
--- a/src/node/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -1,23 +1,23 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "node/proxy.h"
+#include "proxy/proxy.h"
 
 #include <iostream>
 #include <utility>
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 namespace {
 
 constexpr TimePoint kNever{Duration(1e300)};
 
-unsigned StatusOf(exchange::Ending ending) {
+unsigned StatusOf(request_table::Ending ending) {
   switch (ending) {
-    case exchange::Ending::kServed:
+    case request_table::Ending::kServed:
       return 200;
-    case exchange::Ending::kRefused:
+    case request_table::Ending::kRefused:
       return 503;
-    case exchange::Ending::kFailed:
+    case request_table::Ending::kFailed:
       return 502;
-    case exchange::Ending::kLastResort:
+    case request_table::Ending::kLastResort:
       return 504;
   }
   return 502;
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-Proxy::Proxy(boost::asio::io_context& io, const NodeClock& clock, Backends& backends, const Config& config)
+Proxy::Proxy(boost::asio::io_context& io, const ProxyClock& clock, Backends& backends, const Config& config)
     : clock_(clock), backends_(backends), table_(config.settings, config.seed), timer_(io) {}
 
 RequestId Proxy::Take(Submit submit, std::shared_ptr<const Forwarded> forwarded,
@@ -59,11 +59,11 @@
   Turn();
 }
 
-void Proxy::UpdateList(ListKind kind, const EndpointList& list) {
-  if (kind != ListKind::kCached) list_at_ = clock_.Now();
+void Proxy::UpdateList(EndpointListKind kind, const EndpointList& list) {
+  if (kind != EndpointListKind::kCached) list_at_ = clock_.Now();
   backends_.Update(list);  // first: what the module does about it needs the addresses
   if (watcher_) watcher_->Listed(clock_.Now(), list);
-  ListUpdate update;
+  EndpointListUpdate update;
   update.kind = kind;
   for (const Endpoint& endpoint : list.endpoints) update.entries.push_back(endpoint.entry);
   table_.List(clock_.Now(), std::move(update), &actions_);
@@ -71,11 +71,11 @@
 }
 
 void Proxy::ListFailed() {
-  table_.List(clock_.Now(), {ListKind::kFailed, {}}, &actions_);
+  table_.List(clock_.Now(), {EndpointListKind::kFailed, {}}, &actions_);
   Turn();
 }
 
-void Proxy::Shares(fordlb::ZoneShares shares) {
+void Proxy::Shares(balancer::ZoneQuotas shares) {
   table_.Shares(clock_.Now(), std::move(shares), &actions_);
   Turn();
 }
@@ -86,7 +86,7 @@
   performing_ = true;
   TellEnds();
   while (!actions_.empty()) {
-    for (const exchange::Action& action : std::exchange(actions_, {})) {
+    for (const request_table::Action& action : std::exchange(actions_, {})) {
       try {
         std::visit([this](const auto& a) { Perform(a); }, action);
       } catch (const std::exception& error) {
@@ -116,17 +116,17 @@
   });
 }
 
-void Proxy::Perform(const exchange::Send& action) {
+void Proxy::Perform(const request_table::Send& action) {
   const auto found = entries_.find(action.request);
   Attempts::iterator out;
   try {
     out = out_.insert_or_assign(action.request, Outstanding{action, {}, std::nullopt}).first;
   } catch (const std::exception&) {
-    table_.Ended(clock_.Now(), action, Outcome::kMoot, &actions_);
+    table_.Ended(clock_.Now(), action, Outcome::kNotSent, &actions_);
     throw;
   }
   // Its client has left since the table said so: it never runs.
-  if (found == entries_.end()) return TellEnd(out, Outcome::kMoot);
+  if (found == entries_.end()) return TellEnd(out, Outcome::kNotSent);
   try {
     if (watcher_) watcher_->Sent(clock_.Now(), action, found->second.submit);
     out->second.ticket = backends_.Send(
@@ -135,21 +135,21 @@
         found->second.requester);
   } catch (const std::exception& error) {
     std::cerr << "an attempt could not be begun: " << error.what() << '\n';
-    TellEnd(out, Outcome::kMoot);
+    TellEnd(out, Outcome::kNotSent);
   }
 }
 
-void Proxy::Perform(const exchange::Cancel& action) {
+void Proxy::Perform(const request_table::Cancel& action) {
   const auto found = out_.find(action.request);
   if (found != out_.end()) backends_.Cancel(found->second.ticket);
 }
 
-void Proxy::Perform(const exchange::Withdraw& action) {
+void Proxy::Perform(const request_table::Withdraw& action) {
   const auto found = out_.find(action.request);
   if (found != out_.end()) backends_.Withdraw(found->second.ticket);
 }
 
-void Proxy::OnAttemptEnd(const exchange::Send& attempt, AttemptResult result) {
+void Proxy::OnAttemptEnd(const request_table::Send& attempt, AttemptResult result) {
   if (watcher_) watcher_->Ended(clock_.Now(), attempt, result.outcome, result.load);
   const auto found = entries_.find(attempt.request);
   if (found != entries_.end() && result.outcome == Outcome::kOk) {
@@ -181,7 +181,7 @@
 }
 
 // The one place where a client is answered.
-void Proxy::Perform(const exchange::Answer& action) {
+void Proxy::Perform(const request_table::Answer& action) {
   const auto found = entries_.find(action.request);
   if (found == entries_.end()) return;  // it has left since
   Entry entry = std::move(found->second);
@@ -191,9 +191,9 @@
   entry.requester->OnAnswer(std::move(entry.brought));
 }
 
-void Proxy::Perform(const fordlb::Subscribe&) {
+void Proxy::Perform(const balancer::Subscribe&) {
   if (subscribe_) subscribe_();
 }
-void Proxy::Perform(const fordlb::Log& action) { std::cerr << action.text << '\n'; }
+void Proxy::Perform(const balancer::Log& action) { std::cerr << action.text << '\n'; }
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
--- a/src/node/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Between the sockets and the table of requests (src/exchange): tells it what happens, carries out what it
-// says, and keeps what it has no need of: bodies, and whom to answer.
-#ifndef BADGERBRIDGE_NODE_PROXY_H_
-#define BADGERBRIDGE_NODE_PROXY_H_
+// Between the sockets and the table of requests (src/request_table): tells it what happens, carries out what
+// it says, and keeps what it has no need of: bodies, and whom to answer.
+#ifndef BADGERBRIDGE_PROXY_PROXY_H_
+#define BADGERBRIDGE_PROXY_PROXY_H_
 
 #include <boost/asio/io_context.hpp>
 #include <deque>
@@ -16,33 +16,34 @@
 #include <utility>
 #include <vector>
 
-#include "exchange/exchange.h"
 #include "net/one_shot_timer.h"
-#include "node/backend.h"
-#include "node/clock.h"
-#include "node/config.h"
-#include "node/discovery.h"
-#include "node/requester.h"
+#include "proxy/backend.h"
+#include "proxy/clock.h"
+#include "proxy/config.h"
+#include "proxy/discovery.h"
+#include "proxy/requester.h"
+#include "request_table/request_table.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
-using exchange::Tally;
+using request_table::Tally;
 
-// Looks on at what goes where (src/regions); it changes nothing.
+// Looks on at what goes where (src/zone_failover); it changes nothing.
 class TrafficWatcher {
  public:
   virtual ~TrafficWatcher() = default;
   virtual void Listed(TimePoint now, const EndpointList& list) = 0;
   virtual void Taken(TimePoint now, const Submit& submit) = 0;
   // An attempt of a request that was taken as `submit`; its end is told exactly once.
-  virtual void Sent(TimePoint now, const exchange::Send& send, const Submit& submit) = 0;
+  virtual void Sent(TimePoint now, const request_table::Send& send, const Submit& submit) = 0;
   // `load`: what its answer said in X-Backend-Load; empty: nothing.
-  virtual void Ended(TimePoint now, const exchange::Send& send, Outcome outcome, std::string_view load) = 0;
+  virtual void Ended(TimePoint now, const request_table::Send& send, Outcome outcome,
+                     std::string_view load) = 0;
 };
 
 class Proxy {
  public:
-  Proxy(boost::asio::io_context& io, const NodeClock& clock, Backends& backends, const Config& config);
+  Proxy(boost::asio::io_context& io, const ProxyClock& clock, Backends& backends, const Config& config);
 
   // Where the module asks for the list.
   void OnSubscribe(std::function<void()> subscribe) { subscribe_ = std::move(subscribe); }
@@ -52,10 +53,10 @@
   RequestId Take(Submit submit, std::shared_ptr<const Forwarded> forwarded,
                  std::shared_ptr<Requester> requester);
   void Gone(RequestId request);
-  void UpdateList(ListKind kind, const EndpointList& list);
+  void UpdateList(EndpointListKind kind, const EndpointList& list);
   void ListFailed();
   // How much may go to each zone from here on.
-  void Shares(fordlb::ZoneShares shares);
+  void Shares(balancer::ZoneQuotas shares);
   // From here on; it must outlive this. None: nothing is told, and nothing kept for it.
   void Watch(TrafficWatcher* watcher) {
     watcher_ = watcher;
@@ -67,7 +68,7 @@
   std::size_t open() const { return table_.open(); }
   const std::vector<Tally>& tallies() const { return table_.tallies(); }  // by class
   TimePoint list_at() const { return list_at_; }  // when discovery last told something
-  std::vector<ServerView> Inspect() const { return table_.Inspect(); }
+  std::vector<BackendView> Inspect() const { return table_.Inspect(); }
 
  private:
   struct Entry {
@@ -79,7 +80,7 @@
 
   // An attempt that is out, and how it ended if the table could not be told yet.
   struct Outstanding {
-    exchange::Send action;
+    request_table::Send action;
     Backends::Ticket ticket;
     std::optional<Outcome> ended;
   };
@@ -90,18 +91,18 @@
   void Turn();
   void TellEnd(Attempts::iterator attempt, Outcome outcome);
   void TellEnds();
-  void Perform(const exchange::Send& action);
-  void Perform(const exchange::Cancel& action);
-  void Perform(const exchange::Withdraw& action);
-  void Perform(const exchange::Answer& action);
-  void Perform(const fordlb::Subscribe& action);
-  void Perform(const fordlb::Log& action);
-  void OnAttemptEnd(const exchange::Send& attempt, AttemptResult result);
+  void Perform(const request_table::Send& action);
+  void Perform(const request_table::Cancel& action);
+  void Perform(const request_table::Withdraw& action);
+  void Perform(const request_table::Answer& action);
+  void Perform(const balancer::Subscribe& action);
+  void Perform(const balancer::Log& action);
+  void OnAttemptEnd(const request_table::Send& attempt, AttemptResult result);
   void Arm();
 
-  const NodeClock& clock_;
+  const ProxyClock& clock_;
   Backends& backends_;
-  exchange::Exchange table_;
+  request_table::Exchange table_;
   std::function<void()> subscribe_;
   TrafficWatcher* watcher_ = nullptr;
   std::unordered_map<RequestId, Entry> entries_;  // of those that are open
@@ -109,13 +110,13 @@
   Attempts out_;
   bool ends_untold_ = false;
   TimePoint list_at_{};
-  exchange::Exchange::Actions actions_;  // said by the table, and not begun yet
+  request_table::Exchange::Actions actions_;  // said by the table, and not begun yet
   bool performing_ = false;
   bool list_complete_ = true;
   net::OneShotTimer timer_;
   TimePoint armed_{Duration(1e300)};
 };
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
 
-#endif  // BADGERBRIDGE_NODE_PROXY_H_
+#endif  // BADGERBRIDGE_PROXY_PROXY_H_
--- a/src/node/requester.h
+++ b/src/proxy/requester.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Whoever a request is served for, as the proxy sees it: a client's connection.
-#ifndef BADGERBRIDGE_NODE_REQUESTER_H_
-#define BADGERBRIDGE_NODE_REQUESTER_H_
+#ifndef BADGERBRIDGE_PROXY_REQUESTER_H_
+#define BADGERBRIDGE_PROXY_REQUESTER_H_
 
 #include <string>
 
-#include "node/module.h"
+#include "proxy/module.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 /// The final answer to a request.
 struct Answer {
@@ -29,6 +29,6 @@
   virtual bool HasLeft() noexcept = 0;
 };
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
 
-#endif  // BADGERBRIDGE_NODE_REQUESTER_H_
+#endif  // BADGERBRIDGE_PROXY_REQUESTER_H_
--- a/src/node/session.cpp
+++ b/src/proxy/session.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A session's start and its end: time limits, the place that it gives up, and the close.
-#include "node/session.h"
+#include "proxy/session.h"
 
 #include <algorithm>
 #include <boost/asio/ip/tcp.hpp>
@@ -13,7 +13,7 @@
 
 #include "net/socket_state.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
@@ -72,7 +72,7 @@
   });
 }
 
-bool Listener::Session::AtRest(Duration silent) const {
+bool Listener::Session::HasBeenIdleFor(Duration silent) const {
   return state_ == State::kReceiving && asked_ && !begun_ && listener_.clock_.Now() - since_ >= silent &&
          net::UnreadBytes(socket_) == 0;
 }
@@ -106,13 +106,14 @@
   listener_.Remove(at_);
 }
 
-void Listener::Session::EndAtRest() noexcept {
+void Listener::Session::ShutdownIfIdle() noexcept {
   Guarded([this] {
-    if (state_ == State::kReceiving && !begun_ && net::UnreadBytes(socket_) == 0) Shut(Input::kLeftUnread);
+    if (state_ == State::kReceiving && !begun_ && net::UnreadBytes(socket_) == 0)
+      ShutdownSend(Input::kLeftUnread);
   });
 }
 
-void Listener::Session::RefuseHalfRequest() noexcept {
+void Listener::Session::RejectPartialRequest() noexcept {
   Guarded([this] {
     if (state_ != State::kReceiving) return;
     ReadAllUnread();
@@ -120,20 +121,20 @@
   });
 }
 
-void Listener::Session::EndIfIdle() noexcept {
-  if (asked_) EndAtRest();
+void Listener::Session::EndIfDrained() noexcept {
+  if (asked_) ShutdownIfIdle();
 }
 
-void Listener::Session::WindDown() noexcept {
+void Listener::Session::BeginDrain() noexcept {
   Guarded([this] {
     if (state_ != State::kReceiving) return;
-    if (asked_) EndAtRest();
+    if (asked_) ShutdownIfIdle();
     if (state_ == State::kReceiving) ArmReceiveTimeout();
   });
 }
 
 // From here on nothing is read that could be a request.
-void Listener::Session::Shut(Input what_still_comes) {
+void Listener::Session::ShutdownSend(Input what_still_comes) {
   state_ = State::kEnding;
   input_ = what_still_comes;
   ++listener_.ending_;
@@ -179,7 +180,7 @@
   ReadAllUnread();
   if (state_ != State::kReceiving || timer_.armed()) return;
   if (begun_) return Reject({408, "the request is not whole\n"});
-  Shut(Input::kLeftUnread);
+  ShutdownSend(Input::kLeftUnread);
 }
 
 // A close over unread bytes is a reset, which would take away what the client has not got yet.
@@ -194,4 +195,4 @@
                   [self = shared_from_this()] { self->Guarded([&session = *self] { session.OnTimer(); }); });
 }
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
--- a/src/node/session.h
+++ b/src/proxy/session.h
@@ -2,8 +2,8 @@
 //
 // A session of the listener: one client's connection. Only node/client.cpp and the session's own files use
 // it.
-#ifndef BADGERBRIDGE_NODE_SESSION_H_
-#define BADGERBRIDGE_NODE_SESSION_H_
+#ifndef BADGERBRIDGE_PROXY_SESSION_H_
+#define BADGERBRIDGE_PROXY_SESSION_H_
 
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
@@ -16,10 +16,10 @@
 #include <string_view>
 
 #include "net/one_shot_timer.h"
-#include "node/arrival_times.h"
-#include "node/client.h"
+#include "proxy/arrival_times.h"
+#include "proxy/client.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 using ClientRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
@@ -49,7 +49,7 @@
 
   /// Between requests, silent for that long, and nothing unread: a close that crosses its next request has
   /// the client send that once more, on a new connection.
-  bool AtRest(Duration silent) const;
+  bool HasBeenIdleFor(Duration silent) const;
   /// Has never sent a byte, for longer than a usual client needs.
   bool NeverAsked() const;
   /// Sends its request more slowly than a usual client.
@@ -58,22 +58,22 @@
   bool SlowToRead() const;
 
   /// Between requests: shuts the connection down. Has no effect once a request has begun to come.
-  void EndAtRest() noexcept;
+  void ShutdownIfIdle() noexcept;
   /// At the limit of clients: answers a request that is not whole, and ends the connection.
-  void RefuseHalfRequest() noexcept;
+  void RejectPartialRequest() noexcept;
   /// Without any delay, whatever it is owed.
   void Close() noexcept;
 
   /// Nothing of it is owed an answer; one that has its last answer and only stays open is quiet, too.
-  bool Quiet() const { return state_ == State::kEnding || (state_ == State::kReceiving && !begun_); }
+  bool IsIdle() const { return state_ == State::kEnding || (state_ == State::kReceiving && !begun_); }
 
   /// While this proxy drains: ends a connection between requests, unless its next one has come already. One
   /// that has not asked yet has its own time-out.
-  void EndIfIdle() noexcept;
+  void EndIfDrained() noexcept;
 
   /// Once the listener has closed: ends a connection between requests. Unread bytes are a request that was
   /// taken. A new connection, and a request that is not whole, have a bounded time left.
-  void WindDown() noexcept;
+  void BeginDrain() noexcept;
 
   bool ending() const { return state_ == State::kEnding; }
   /// Shut down, and a close now would take nothing away from the client.
@@ -124,7 +124,7 @@
     }
   }
   void Recover(const std::exception& cause) noexcept;
-  void Shut(Input what_still_comes);
+  void ShutdownSend(Input what_still_comes);
   void OnTimer();
   void OnReceiveTimeout();
   void OnLingerTimeout();
@@ -191,6 +191,6 @@
   bool overflowed_ = false;  // some of what came behind the buffer was dropped
 };
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
 
-#endif  // BADGERBRIDGE_NODE_SESSION_H_
+#endif  // BADGERBRIDGE_PROXY_SESSION_H_
--- a/src/node/session_read.cpp
+++ b/src/proxy/session_read.cpp
@@ -8,9 +8,9 @@
 #include <utility>
 
 #include "net/socket_state.h"
-#include "node/session.h"
+#include "proxy/session.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
@@ -200,4 +200,4 @@
   if (keep_alive_ && state_ != State::kClosed) ParseBuffered();
 }
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
--- a/src/node/session_request.cpp
+++ b/src/proxy/session_request.cpp
@@ -7,9 +7,9 @@
 #include <cmath>
 #include <utility>
 
-#include "node/session.h"
+#include "proxy/session.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
@@ -117,12 +117,12 @@
                                                                        Checked* checked) const {
   const ClassSettings& settings =
       listener_.class_settings_[static_cast<std::size_t>(checked->submit.request_class)];
-  const bool safe = settings.effect == Effect::kSafe;
+  const bool safe = settings.effect == Idempotency::kIdempotent;
   if (request.method() != (safe ? http::verb::get : http::verb::post))
     return Fault{405, "this class does not take this method\n"};
   // Without its key a repeat would not be dropped, and the module counts on that.
   const auto key = request["Idempotency-Key"];
-  if ((settings.effect == Effect::kKeyed) == key.empty() || key.size() > kMostId)
+  if ((settings.effect == Idempotency::kIdempotencyKey) == key.empty() || key.size() > kMostId)
     return Fault{400, "Idempotency-Key does not fit the class\n"};
   checked->left = settings.deadline.count();
   if (request.count("X-Time-Left-Ms")) {
@@ -161,4 +161,4 @@
   if (state_ == State::kServing) request_ = number;  // else it has been answered
 }
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
--- a/src/node/session_write.cpp
+++ b/src/proxy/session_write.cpp
@@ -10,9 +10,9 @@
 #include <utility>
 
 #include "net/socket_state.h"
-#include "node/session.h"
+#include "proxy/session.h"
 
-namespace badgerbridge::node {
+namespace badgerbridge::proxy {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
@@ -125,15 +125,15 @@
   timer_.Disarm();
   output_ = {};  // a connection that stands idle holds no answer
   since_ = listener_.clock_.Now();
-  if (!keep_after_answer_) return Shut(input_ == Input::kDiscarded ? input_ : Input::kLeftUnread);
+  if (!keep_after_answer_) return ShutdownSend(input_ == Input::kDiscarded ? input_ : Input::kLeftUnread);
   state_ = State::kReceiving;
   listener_.sessions_.splice(listener_.sessions_.end(), listener_.sessions_, at_);
   Advance();
   if (state_ == State::kReceiving) {
     ArmReceiveTimeout();
-    if (listener_.door_closed_) WindDown();
+    if (listener_.door_closed_) BeginDrain();
   }
   AwaitInput();
 }
 
-}  // namespace badgerbridge::node
+}  // namespace badgerbridge::proxy
--- a/src/app/main.cpp
+++ b/src/proxy_main/main.cpp
@@ -13,28 +13,28 @@
 #include <string>
 #include <string_view>
 
-#include "api/version.h"
-#include "control/control.h"
-#include "node/backend.h"
-#include "node/client.h"
-#include "node/clock.h"
-#include "node/config.h"
-#include "node/discovery.h"
+#include "admin_api/admin_api.h"
+#include "http_api/version.h"
+#include "proxy/backend.h"
+#include "proxy/client.h"
+#include "proxy/clock.h"
+#include "proxy/config.h"
+#include "proxy/discovery.h"
 #ifdef BADGERBRIDGE_HAS_ETCD
-#include "app/membership_source.h"
-#include "app/regions_source.h"
+#include "proxy_main/membership_source.h"
+#include "proxy_main/zone_failover_source.h"
 #endif
-#include "node/proxy.h"
-#include "operator/operator_file.h"
+#include "operator_config/operator_file.h"
+#include "proxy/proxy.h"
 
-namespace badgerbridge::app {
+namespace badgerbridge::proxy_main {
 namespace {
 
-using namespace node;
+using namespace proxy;
 
 // SIGHUP: the file may name another discovery. All else of it, and all that is under way, stays; of a file
 // that is no good nothing is taken.
-void Reload(Discovery& discovery, const Environment& environment, control::Reloads* reloads) {
+void Reload(Discovery& discovery, const Environment& environment, admin_api::Reloads* reloads) {
   try {
     discovery.MoveTo(RereadConfig(environment).discovery);
     ++reloads->applied;
@@ -46,11 +46,11 @@
   }
 }
 
-void Run(Config config, const operator_file::OperatorFile& operators, const Environment& environment) {
+void Run(Config config, const operator_config::OperatorFile& operators, const Environment& environment) {
   boost::asio::io_context io(1);
   // First: they must not end the program at any moment, with connections in the listener's queue say.
   boost::asio::signal_set hangups(io, SIGHUP), signals(io, SIGTERM, SIGINT);
-  const NodeClock clock;
+  const ProxyClock clock;
   if (operators.control)  // its descriptors come out of the clients' share
     config.max_clients -= std::min(config.max_clients - 1, operators.control->max_connections + 1);
   Backends backends(io, clock, Backends::Limits::From(config));
@@ -75,7 +75,7 @@
   if (operators.etcd) {
     membership.emplace(
         io, config, *operators.etcd,
-        [&proxy](const EndpointList& list) { proxy.UpdateList(ListKind::kDelta, list); },
+        [&proxy](const EndpointList& list) { proxy.UpdateList(EndpointListKind::kDelta, list); },
         [&proxy] { proxy.SetListComplete(true); });
     if (known.endpoints.empty()) proxy.SetListComplete(false);
     membership->Known(known);
@@ -85,17 +85,17 @@
 #ifdef BADGERBRIDGE_HAS_ETCD
     if (membership) return membership->Discovered(list);
 #endif
-    proxy.UpdateList(list.snapshot ? ListKind::kFull : ListKind::kDelta, list);
+    proxy.UpdateList(list.snapshot ? EndpointListKind::kFull : EndpointListKind::kDelta, list);
   };
   Discovery discovery(
-      io, config.discovery, std::move(reader), config.settings.must_ask_for_list, config.seed, told,
-      [&proxy] { proxy.ListFailed(); }, Discovery::Timing::For(config.settings.must_ask_for_list));
+      io, config.discovery, std::move(reader), config.settings.polls_endpoint_list, config.seed, told,
+      [&proxy] { proxy.ListFailed(); }, Discovery::Timing::For(config.settings.polls_endpoint_list));
   proxy.OnSubscribe([&discovery] { discovery.Watch(); });
   backends.PostponeWhile([&discovery] { return discovery.HasUnread(); });
-  proxy.UpdateList(ListKind::kCached, known);
-  if (!config.settings.must_ask_for_list) discovery.Watch();
+  proxy.UpdateList(EndpointListKind::kCached, known);
+  if (!config.settings.polls_endpoint_list) discovery.Watch();
 
-  control::Reloads reloads;
+  admin_api::Reloads reloads;
   std::function<void()> await_hangup = [&] {
     hangups.async_wait([&](const boost::system::error_code& error, int) {
       if (error) return;
@@ -110,7 +110,7 @@
   signals.async_wait([&](const boost::system::error_code& error, int) {
     if (!error) stop();
   });
-  std::optional<control::Control> controls;
+  std::optional<admin_api::Control> controls;
   if (operators.control) {
     std::function<boost::json::value()> members;
     std::function<std::size_t()> release;
@@ -125,8 +125,8 @@
     if (regions) zones = [&regions] { return regions->Describe(); };
 #endif
     controls.emplace(io, *operators.control,
-                     control::Control::Subject{config, clock, proxy, listener, *list, reloads, stop, members,
-                                               release, zones});
+                     admin_api::Control::Subject{config, clock, proxy, listener, *list, reloads, stop,
+                                                 members, release, zones});
   }
 
   while (!io.stopped()) {
@@ -157,9 +157,9 @@
       *path = argument.substr(11);
     } else if (argument == "--version") {
 #ifdef BADGERBRIDGE_HAS_ETCD
-      std::cout << api::VersionText("badgerbridge", {"control", "etcd", "regions"});
+      std::cout << http_api::VersionText("badgerbridge", {"control", "etcd", "regions"});
 #else
-      std::cout << api::VersionText("badgerbridge", {"control"});
+      std::cout << http_api::VersionText("badgerbridge", {"control"});
 #endif
       return 0;
     } else if (argument == "--help") {
@@ -174,23 +174,23 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::app
+}  // namespace badgerbridge::proxy_main
 
 int main(int count, char** arguments) {
   std::signal(SIGPIPE, SIG_IGN);
   std::string path;
-  if (const auto done = badgerbridge::app::ReadArguments(count, arguments, &path)) return *done;
+  if (const auto done = badgerbridge::proxy_main::ReadArguments(count, arguments, &path)) return *done;
   try {
-    badgerbridge::operator_file::OperatorFile operators;
+    badgerbridge::operator_config::OperatorFile operators;
     if (!path.empty()) {
-      badgerbridge::operator_file::Problems problems;
-      operators = badgerbridge::operator_file::Load(path, problems);
-      std::cerr << badgerbridge::operator_file::Lines(problems);
+      badgerbridge::operator_config::Problems problems;
+      operators = badgerbridge::operator_config::Load(path, problems);
+      std::cerr << badgerbridge::operator_config::Lines(problems);
       if (!problems.empty()) return 1;
-      std::cerr << badgerbridge::operator_file::Lines(operators.warnings);
+      std::cerr << badgerbridge::operator_config::Lines(operators.warnings);
     }
-    const badgerbridge::node::Environment environment = [](const char* name) { return std::getenv(name); };
-    badgerbridge::app::Run(badgerbridge::node::ReadConfig(environment), operators, environment);
+    const badgerbridge::proxy::Environment environment = [](const char* name) { return std::getenv(name); };
+    badgerbridge::proxy_main::Run(badgerbridge::proxy::ReadConfig(environment), operators, environment);
   } catch (const std::exception& error) {
     std::cerr << "badgerbridge: " << error.what() << '\n';
     return 1;
--- a/src/app/membership_source.cpp
+++ b/src/proxy_main/membership_source.cpp
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "app/membership_source.h"
+#include "proxy_main/membership_source.h"
 
 #include <boost/json.hpp>
 #include <iostream>
 #include <utility>
 
-#include "api/address.h"
+#include "http_api/address.h"
 #include "membership/etcd_settings.h"
 
-namespace badgerbridge::app {
+namespace badgerbridge::proxy_main {
 namespace {
 
 namespace json = boost::json;
-using namespace node;
+using namespace proxy;
 using membership::EtcdSource;
 using membership::Member;
 using membership::Time;
@@ -22,7 +22,7 @@
 constexpr int kUrgentRestFor = 1;  // while drains or departures wait, or the first list: half of the loop
 constexpr std::chrono::milliseconds kMostRest{50};  // what a drain may wait for it
 
-membership::Settings LedgerSettings(const operator_file::Etcd& etcd, std::size_t max_members) {
+membership::Settings LedgerSettings(const operator_config::Etcd& etcd, std::size_t max_members) {
   membership::Settings settings;
   settings.sources = {{"etcd", etcd.authority, Time(5000), Time(60000)},
                       {"discovery", !etcd.authority, Time(10000), Time(60000)}};
@@ -39,7 +39,7 @@
 }  // namespace
 
 MembershipSource::MembershipSource(boost::asio::io_context& io, const Config& config,
-                                   const operator_file::Etcd& settings, OnChange on_change,
+                                   const operator_config::Etcd& settings, OnChange on_change,
                                    OnComplete on_complete, std::size_t max_members)
     : zones_(config.zones),
       kinds_(config.kinds),
@@ -66,7 +66,7 @@
 void MembershipSource::Known(const EndpointList& list) {
   std::vector<Listed> listed;
   for (const Endpoint& endpoint : list.endpoints) {
-    if (endpoint.entry.state == ServerState::kGone) continue;
+    if (endpoint.entry.state == BackendState::kGone) continue;
     known_.push_back(endpoint.name);
     listed.push_back({endpoint.name, "", "", endpoint.address});
   }
@@ -81,15 +81,15 @@
   for (const Endpoint& endpoint : list.endpoints) {
     Member member;
     member.name = endpoint.name;
-    member.address = api::ToText(endpoint.address);
+    member.address = http_api::ToText(endpoint.address);
     member.zone = NameAt(zones_, endpoint.entry.zone);
     member.kind = NameAt(kinds_, endpoint.entry.kind);
     member.group = endpoint.entry.cell;
     member.weight = endpoint.entry.weight;
     member.since_ms = endpoint.entry.up_since.time_since_epoch().count();
-    member.state = endpoint.entry.state == ServerState::kReady      ? membership::State::kReady
-                   : endpoint.entry.state == ServerState::kDraining ? membership::State::kDraining
-                                                                    : membership::State::kGone;
+    member.state = endpoint.entry.state == BackendState::kReady      ? membership::State::kReady
+                   : endpoint.entry.state == BackendState::kDraining ? membership::State::kDraining
+                                                                     : membership::State::kGone;
     report.members.push_back(std::move(member));
   }
   Take(std::move(report));
@@ -125,7 +125,7 @@
   if (ledger_.held() > 0 && !held_said_)
     std::cerr << "etcd: " << ledger_.held()
               << " converters left at once; they are HELD in the list until they come "
-              << "back, discovery confirms it, or a person lets them go (badgerctl members release)\n";
+              << "back, discovery confirms it, or a person lets them go (badgerbridge-ctl members release)\n";
   held_said_ = ledger_.held() > 0;
 }
 
@@ -161,10 +161,10 @@
   std::vector<Listed> listed;
   for (const Member& member : pending_.TakeSlice(kSliceMembers)) {
     Listed one{member.name, member.zone, member.kind, ParseAddress(member.address)};
-    one.state = member.state == membership::State::kReady      ? ServerState::kReady
-                : member.state == membership::State::kDraining ? ServerState::kDraining
-                                                               : ServerState::kGone;
-    if (!one.address && one.state != ServerState::kGone) {
+    one.state = member.state == membership::State::kReady      ? BackendState::kReady
+                : member.state == membership::State::kDraining ? BackendState::kDraining
+                                                               : BackendState::kGone;
+    if (!one.address && one.state != BackendState::kGone) {
       std::cerr << "etcd: " << member.name << " has no address that can be used: " << member.address << '\n';
       continue;
     }
@@ -246,4 +246,4 @@
                                             {"last_trouble", source_->follower().last_error()}}}};
 }
 
-}  // namespace badgerbridge::app
+}  // namespace badgerbridge::proxy_main
--- a/src/app/membership_source.h
+++ b/src/proxy_main/membership_source.h
@@ -2,8 +2,8 @@
 //
 // Puts the ledger between its sources and the proxy: discovery's lists and etcd's watch go in, what is
 // believed comes out as changes of the list. Only where the operator's file has an [etcd] table.
-#ifndef BADGERBRIDGE_APP_MEMBERSHIP_SOURCE_H_
-#define BADGERBRIDGE_APP_MEMBERSHIP_SOURCE_H_
+#ifndef BADGERBRIDGE_PROXY_MAIN_MEMBERSHIP_SOURCE_H_
+#define BADGERBRIDGE_PROXY_MAIN_MEMBERSHIP_SOURCE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/json/value.hpp>
@@ -16,33 +16,33 @@
 #include "membership/ledger.h"
 #include "membership/pending_changes.h"
 #include "net/one_shot_timer.h"
-#include "node/config.h"
-#include "node/discovery.h"
-#include "operator/operator_file.h"
+#include "operator_config/operator_file.h"
+#include "proxy/config.h"
+#include "proxy/discovery.h"
 
-namespace badgerbridge::app {
+namespace badgerbridge::proxy_main {
 
 class MembershipSource {
  public:
   // The most that the module puts in its place one by one; 110,000 members make 3,438 slices.
   static constexpr std::size_t kSliceMembers = 32;
 
-  using OnChange = std::function<void(const node::EndpointList&)>;
+  using OnChange = std::function<void(const proxy::EndpointList&)>;
   using OnComplete = std::function<void()>;
 
   // Throws std::runtime_error, one line, for a password that can't be read. Neither function is
   // called from within. `on_change` gets the list in slices of at most kSliceMembers. `on_complete`: the
   // authority's first whole list has been passed on; called once. `max_members`: of each source's list.
-  MembershipSource(boost::asio::io_context& io, const node::Config& config,
-                   const operator_file::Etcd& settings, OnChange on_change, OnComplete on_complete = nullptr,
-                   std::size_t max_members = membership::kMaxMembers);
+  MembershipSource(boost::asio::io_context& io, const proxy::Config& config,
+                   const operator_config::Etcd& settings, OnChange on_change,
+                   OnComplete on_complete = nullptr, std::size_t max_members = membership::kMaxMembers);
 
   // The list that the configuration gave: what the proxy works with until the authority has spoken.
-  void Known(const node::EndpointList& list);
-  void Discovered(const node::EndpointList& list);
+  void Known(const proxy::EndpointList& list);
+  void Discovered(const proxy::EndpointList& list);
 
   // The list as it is believed: what the proxy works with.
-  const node::ListReader& list() const { return names_; }
+  const proxy::ListReader& list() const { return names_; }
 
   // What is held back has really left: lets it go; how many there were.
   std::size_t Release();
@@ -65,8 +65,8 @@
 
   std::vector<std::string> zones_, kinds_;
   OnChange on_change_;
-  OnComplete on_complete_;  // empty once it was called
-  node::ListReader names_;  // of all that is believed, with the ids that discovery's reader gives
+  OnComplete on_complete_;   // empty once it was called
+  proxy::ListReader names_;  // of all that is believed, with the ids that discovery's reader gives
   membership::Ledger ledger_;
   std::size_t etcd_ = 0, discovery_ = 1;
   std::vector<std::string> known_;  // of the configuration, and not spoken of by the authority yet
@@ -81,6 +81,6 @@
   std::optional<membership::EtcdSource> source_;
 };
 
-}  // namespace badgerbridge::app
+}  // namespace badgerbridge::proxy_main
 
-#endif  // BADGERBRIDGE_APP_MEMBERSHIP_SOURCE_H_
+#endif  // BADGERBRIDGE_PROXY_MAIN_MEMBERSHIP_SOURCE_H_
--- a/src/app/regions_calls.cpp
+++ b/src/proxy_main/zone_failover_calls.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "app/regions_calls.h"
+#include "proxy_main/zone_failover_calls.h"
 
 #include <algorithm>
 #include <charconv>
 
 #include "etcd/key_range.h"
-#include "regions/keys.h"
+#include "zone_failover/keys.h"
 
-namespace badgerbridge::app {
+namespace badgerbridge::proxy_main {
 
 namespace pb = etcdserverpb;
 
@@ -88,15 +88,16 @@
   // Both branches do the same, but for the decision's value: only a comparison for equality tells an older
   // one too, as an etcd that was restored from a backup has it.
   pb::TxnRequest txn;
-  Require(&txn, prefix + regions::kDecisionKey, pb::Compare::MOD, call.known);
-  pb::RequestOp decision = Get(prefix + regions::kDecisionKey);
+  Require(&txn, prefix + zone_failover::kDecisionKey, pb::Compare::MOD, call.known);
+  pb::RequestOp decision = Get(prefix + zone_failover::kDecisionKey);
   const auto branch = [&](auto* ops) {
-    *ops->Add() = Put(prefix + regions::MemberKey(name), call.value, call.lease);
+    *ops->Add() = Put(prefix + zone_failover::MemberKey(name), call.value, call.lease);
     *ops->Add() = decision;
-    *ops->Add() = Get(prefix + regions::kDeciderKey);
-    *ops->Add() = GetBelow(prefix + regions::kOrdersKey);
-    *ops->Add() = call.all ? GetBelow(prefix + regions::kMembersKey) : Get(prefix + regions::MemberKey(name));
-    if (call.all) *ops->Add() = Get(prefix + regions::kRosterKey);
+    *ops->Add() = Get(prefix + zone_failover::kDeciderKey);
+    *ops->Add() = GetBelow(prefix + zone_failover::kOrdersKey);
+    *ops->Add() = call.all ? GetBelow(prefix + zone_failover::kMembersKey)
+                           : Get(prefix + zone_failover::MemberKey(name));
+    if (call.all) *ops->Add() = Get(prefix + zone_failover::kRosterKey);
   };
   branch(txn.mutable_failure());
   decision.mutable_request_range()->set_keys_only(true);
@@ -106,17 +107,17 @@
 
 pb::TxnRequest ToEtcd(const Member::Campaign& call, const std::string& prefix, const std::string& name) {
   pb::TxnRequest txn;
-  Require(&txn, prefix + regions::kDeciderKey, pb::Compare::CREATE, 0);
-  *txn.add_success() = Put(prefix + regions::kDeciderKey, name, call.lease);
+  Require(&txn, prefix + zone_failover::kDeciderKey, pb::Compare::CREATE, 0);
+  *txn.add_success() = Put(prefix + zone_failover::kDeciderKey, name, call.lease);
   return txn;
 }
 
 pb::TxnRequest ToEtcd(const Member::Propose& call, const std::string& prefix) {
   pb::TxnRequest txn;
-  Require(&txn, prefix + regions::kDeciderKey, pb::Compare::CREATE, call.decider_created);
-  Require(&txn, prefix + regions::kDecisionKey, pb::Compare::MOD, call.decision_modified);
-  *txn.add_success() = Put(prefix + regions::kDecisionKey, call.value, 0);
-  *txn.add_success() = Put(prefix + regions::kRosterKey, call.roster, 0);
+  Require(&txn, prefix + zone_failover::kDeciderKey, pb::Compare::CREATE, call.decider_created);
+  Require(&txn, prefix + zone_failover::kDecisionKey, pb::Compare::MOD, call.decision_modified);
+  *txn.add_success() = Put(prefix + zone_failover::kDecisionKey, call.value, 0);
+  *txn.add_success() = Put(prefix + zone_failover::kRosterKey, call.roster, 0);
   return txn;
 }
 
@@ -153,4 +154,4 @@
   return reply;
 }
 
-}  // namespace badgerbridge::app
+}  // namespace badgerbridge::proxy_main
--- a/src/app/regions_calls.h
+++ b/src/proxy_main/zone_failover_calls.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A regions::Member's calls as etcd's v3 API has them (etcd.io/docs, "API reference": KV.Txn,
+// A zone_failover::Member's calls as etcd's v3 API has them (etcd.io/docs, "API reference": KV.Txn,
 // Lease.LeaseGrant, Lease.LeaseKeepAlive), and what comes back as its replies. No I/O.
-#ifndef BADGERBRIDGE_APP_REGIONS_CALLS_H_
-#define BADGERBRIDGE_APP_REGIONS_CALLS_H_
+#ifndef BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_CALLS_H_
+#define BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_CALLS_H_
 
 #include <optional>
 #include <string>
@@ -11,11 +11,11 @@
 
 #include "etcd.pb.h"
 #include "etcd/grpc.h"
-#include "regions/member.h"
+#include "zone_failover/member.h"
 
-namespace badgerbridge::app {
+namespace badgerbridge::proxy_main {
 
-using regions::Member;
+using zone_failover::Member;
 
 // Keys have `prefix` before them; `name` is the member's.
 etcdserverpb::LeaseGrantRequest ToEtcd(const Member::Grant& call);
@@ -36,6 +36,6 @@
 // is absent, or no number from 0 to 1.
 std::optional<double> UtilIn(std::string_view report);
 
-}  // namespace badgerbridge::app
+}  // namespace badgerbridge::proxy_main
 
-#endif  // BADGERBRIDGE_APP_REGIONS_CALLS_H_
+#endif  // BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_CALLS_H_
--- a/src/app/regions_source.cpp
+++ b/src/proxy_main/zone_failover_source.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "app/regions_source.h"
+#include "proxy_main/zone_failover_source.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -8,33 +8,33 @@
 #include <cmath>
 #include <stdexcept>
 
-#include "app/regions_calls.h"
 #include "membership/etcd_settings.h"
-#include "regions/links.h"
+#include "proxy_main/zone_failover_calls.h"
+#include "zone_failover/links.h"
 
-namespace badgerbridge::app {
+namespace badgerbridge::proxy_main {
 namespace {
 
 namespace asio = boost::asio;
 namespace json = boost::json;
 namespace pb = etcdserverpb;
-using fordlb::Duration;
-using fordlb::Outcome;
-using fordlb::TimePoint;
-using regions::Member;
-using regions::Meter;
+using balancer::Duration;
+using balancer::Outcome;
+using balancer::TimePoint;
 using std::chrono::milliseconds;
+using zone_failover::Member;
+using zone_failover::Meter;
 
 constexpr double kMeanGain = 0.02;
 constexpr milliseconds kLongestRest{250};  // between two looks: grants run out by time alone
 
-regions::MemberSettings SettingsOf(const node::Config& config, const operator_file::Regions& table) {
+zone_failover::MemberSettings SettingsOf(const proxy::Config& config, const operator_config::Regions& table) {
   if (table.zones != config.zones) {
     std::string theirs;
     for (const std::string& zone : config.zones) theirs += (theirs.empty() ? "" : ", ") + zone;
     throw std::runtime_error("[regions] zones are not those of the configuration, in its order: " + theirs);
   }
-  regions::MemberSettings settings;
+  zone_failover::MemberSettings settings;
   settings.name = config.name;
   settings.zone = config.settings.zone;
   settings.classes = config.classes.size();
@@ -44,11 +44,12 @@
   settings.rules.zones = table.zones.size();
   settings.rules.hold = table.hold;
   settings.rules.step = table.step;
-  regions::Links links = regions::LinksOf(table);
+  zone_failover::Links links = zone_failover::LinksOf(table);
   settings.rules.round_trip = std::move(links.round_trip);
   settings.rules.price = std::move(links.price);
-  for (const fordlb::ClassSettings& c : config.settings.classes)
-    settings.rules.aim = std::min(settings.rules.aim, c.aim.count());
+  for (const balancer::ClassSettings& c : config.settings.classes)
+    settings.rules.latency_objective =
+        std::min(settings.rules.latency_objective, c.latency_objective.count());
   return settings;
 }
 
@@ -56,10 +57,10 @@
   switch (outcome) {
     case Outcome::kOk:
       return Meter::End::kServed;
-    case Outcome::kFull:
+    case Outcome::kRejected:
       return Meter::End::kFull;
     case Outcome::kCancelled:
-    case Outcome::kMoot:
+    case Outcome::kNotSent:
       return Meter::End::kNothing;
     default:
       return Meter::End::kFailed;
@@ -70,8 +71,9 @@
 
 }  // namespace
 
-RegionsSource::RegionsSource(asio::io_context& io, const node::NodeClock& clock, const node::Config& config,
-                             const operator_file::Regions& settings, OnShares on_shares)
+RegionsSource::RegionsSource(asio::io_context& io, const proxy::ProxyClock& clock,
+                             const proxy::Config& config, const operator_config::Regions& settings,
+                             OnShares on_shares)
     : io_(io),
       clock_(clock),
       prefix_(settings.prefix),
@@ -80,8 +82,8 @@
       zone_(config.settings.zone),
       together_(settings.together),
       call_timeout_(std::max<milliseconds>(settings.heartbeat * 2, milliseconds(500))),
-      cold_from_(config.settings.cold_from),
-      warm_up_(config.settings.warm_up),
+      slow_start_floor_(config.settings.slow_start_floor),
+      slow_start_window_(config.settings.slow_start_window),
       on_shares_(std::move(on_shares)),
       member_(SettingsOf(config, settings), config.seed ^ 0x7265676fu),
       timer_(io) {
@@ -98,10 +100,10 @@
 
 RegionsSource::~RegionsSource() { *alive_ = false; }
 
-void RegionsSource::Listed(TimePoint, const node::EndpointList& list) {
+void RegionsSource::Listed(TimePoint, const proxy::EndpointList& list) {
   if (list.snapshot) servers_.clear();
-  for (const node::Endpoint& endpoint : list.endpoints) {
-    if (endpoint.entry.state == fordlb::ServerState::kReady) {
+  for (const proxy::Endpoint& endpoint : list.endpoints) {
+    if (endpoint.entry.state == balancer::BackendState::kReady) {
       servers_[endpoint.entry.server] = {endpoint.entry.zone, endpoint.entry.weight, endpoint.entry.up_since};
     } else {
       servers_.erase(endpoint.entry.server);
@@ -114,22 +116,24 @@
   for (const auto& [id, server] : servers_) {
     if (server.zone < 0 || static_cast<std::size_t>(server.zone) >= warm.size()) continue;
     const double age = server.up_since == TimePoint{} ? 1e300 : (now - server.up_since).count();
-    const double grown = warm_up_.count() > 0 ? std::clamp(age / warm_up_.count(), 0.0, 1.0) : 1;
-    warm[static_cast<std::size_t>(server.zone)] += server.weight * (cold_from_ + (1 - cold_from_) * grown);
+    const double grown =
+        slow_start_window_.count() > 0 ? std::clamp(age / slow_start_window_.count(), 0.0, 1.0) : 1;
+    warm[static_cast<std::size_t>(server.zone)] +=
+        server.weight * (slow_start_floor_ + (1 - slow_start_floor_) * grown);
   }
   return warm;
 }
 
-void RegionsSource::Taken(TimePoint now, const fordlb::Submit& submit) {
+void RegionsSource::Taken(TimePoint now, const balancer::Submit& submit) {
   if (submit.has_hint) mean_work_ += (mean_work_ > 0 ? kMeanGain : 1) * (submit.work_ms - mean_work_);
   member_.Arrived(now, WorkOf(submit));
 }
 
-double RegionsSource::WorkOf(const fordlb::Submit& submit) const {
+double RegionsSource::WorkOf(const balancer::Submit& submit) const {
   return submit.has_hint ? submit.work_ms : mean_work_ > 0 ? mean_work_ : 1;
 }
 
-void RegionsSource::Sent(TimePoint now, const exchange::Send& send, const fordlb::Submit& submit) {
+void RegionsSource::Sent(TimePoint now, const request_table::Send& send, const balancer::Submit& submit) {
   const auto server = servers_.find(send.server);
   if (server == servers_.end() || server->second.zone < 0) return;  // drains, and is used as a last resort
   const Out out{++attempts_, static_cast<std::size_t>(submit.request_class), WorkOf(submit)};
@@ -137,7 +141,8 @@
   member_.Sent(now, out.number, static_cast<std::size_t>(server->second.zone));
 }
 
-void RegionsSource::Ended(TimePoint now, const exchange::Send& send, Outcome outcome, std::string_view load) {
+void RegionsSource::Ended(TimePoint now, const request_table::Send& send, Outcome outcome,
+                          std::string_view load) {
   const auto found = out_.find({send.request, send.attempt});
   if (found == out_.end()) return;
   const Out out = found->second;
@@ -206,8 +211,8 @@
   for (std::size_t z = 0; z < zones_.size(); ++z) {
     json::object one{{"name", zones_[z]}, {"share", number(shares[z])}};  // null: without limit
     if (decision) {
-      const regions::Decision::Zone& d = decision->zones[z];
-      one["state"] = regions::Name(d.state);
+      const zone_failover::Decision::Zone& d = decision->zones[z];
+      one["state"] = zone_failover::Name(d.state);
       one["why"] = d.why;
       one["shown"] = Rounded(d.shown);
       one["limit"] = Rounded(d.limit);
@@ -231,4 +236,4 @@
                       {"zones", std::move(zones)}};
 }
 
-}  // namespace badgerbridge::app
+}  // namespace badgerbridge::proxy_main
--- a/src/app/regions_source.h
+++ b/src/proxy_main/zone_failover_source.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Has the proxy take part in the common decision on how much goes to each zone: what the proxy sees goes into
-// a regions::Member, the Member's calls go to etcd, and the shares that it gives go to the proxy. Only where
-// the operator's file has a [regions] table.
-#ifndef BADGERBRIDGE_APP_REGIONS_SOURCE_H_
-#define BADGERBRIDGE_APP_REGIONS_SOURCE_H_
+// a zone_failover::Member, the Member's calls go to etcd, and the shares that it gives go to the proxy. Only
+// where the operator's file has a [regions] table.
+#ifndef BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_SOURCE_H_
+#define BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_SOURCE_H_
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -18,30 +18,31 @@
 
 #include "etcd/client.h"
 #include "net/one_shot_timer.h"
-#include "node/clock.h"
-#include "node/config.h"
-#include "node/proxy.h"
-#include "operator/operator_file.h"
-#include "regions/member.h"
+#include "operator_config/operator_file.h"
+#include "proxy/clock.h"
+#include "proxy/config.h"
+#include "proxy/proxy.h"
+#include "zone_failover/member.h"
 
-namespace badgerbridge::app {
+namespace badgerbridge::proxy_main {
 
-class RegionsSource : public node::TrafficWatcher {
+class RegionsSource : public proxy::TrafficWatcher {
  public:
   using OnShares = std::function<void(std::vector<double>)>;
 
   // Throws std::runtime_error, one line, where the zones are not those of the configuration, or a password
   // can't be read. `on_shares` is called when the shares are others than before, never from within this one.
-  RegionsSource(boost::asio::io_context& io, const node::NodeClock& clock, const node::Config& config,
-                const operator_file::Regions& settings, OnShares on_shares);
+  RegionsSource(boost::asio::io_context& io, const proxy::ProxyClock& clock, const proxy::Config& config,
+                const operator_config::Regions& settings, OnShares on_shares);
   ~RegionsSource() override;
   RegionsSource(const RegionsSource&) = delete;
   RegionsSource& operator=(const RegionsSource&) = delete;
 
-  void Listed(fordlb::TimePoint now, const node::EndpointList& list) override;
-  void Taken(fordlb::TimePoint now, const fordlb::Submit& submit) override;
-  void Sent(fordlb::TimePoint now, const exchange::Send& send, const fordlb::Submit& submit) override;
-  void Ended(fordlb::TimePoint now, const exchange::Send& send, fordlb::Outcome outcome,
+  void Listed(balancer::TimePoint now, const proxy::EndpointList& list) override;
+  void Taken(balancer::TimePoint now, const balancer::Submit& submit) override;
+  void Sent(balancer::TimePoint now, const request_table::Send& send,
+            const balancer::Submit& submit) override;
+  void Ended(balancer::TimePoint now, const request_table::Send& send, balancer::Outcome outcome,
              std::string_view load) override;
 
   // For people: this proxy's part, and the decision as it has read it.
@@ -51,7 +52,7 @@
   struct Server {
     int zone = 0;
     double weight = 1;
-    fordlb::TimePoint up_since{};
+    balancer::TimePoint up_since{};
   };
   struct Out {
     std::uint64_t number = 0;
@@ -60,24 +61,24 @@
   };
 
   void Step();
-  boost::asio::awaitable<void> Carry(regions::Member::Call call);
-  double WorkOf(const fordlb::Submit& submit) const;
-  std::vector<double> Warm(fordlb::TimePoint now) const;
+  boost::asio::awaitable<void> Carry(zone_failover::Member::Call call);
+  double WorkOf(const balancer::Submit& submit) const;
+  std::vector<double> Warm(balancer::TimePoint now) const;
 
   boost::asio::io_context& io_;
-  const node::NodeClock& clock_;
+  const proxy::ProxyClock& clock_;
   const std::string prefix_, name_;
   const std::vector<std::string> zones_;
   const int zone_;
   const bool together_;
   const std::chrono::milliseconds call_timeout_;
-  const double cold_from_;
-  const fordlb::Duration warm_up_;
+  const double slow_start_floor_;
+  const balancer::Duration slow_start_window_;
   OnShares on_shares_;
-  regions::Member member_;
+  zone_failover::Member member_;
   std::optional<etcd::Client> client_;
-  std::unordered_map<fordlb::ServerId, Server> servers_;  // that are ready
-  std::map<std::pair<fordlb::RequestId, int>, Out> out_;  // attempts
+  std::unordered_map<balancer::BackendId, Server> servers_;  // that are ready
+  std::map<std::pair<balancer::RequestId, int>, Out> out_;   // attempts
   std::uint64_t attempts_ = 0;
   double mean_work_ = 0;  // of those that say it: what the others count as
   std::vector<double> told_;
@@ -86,6 +87,6 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace badgerbridge::app
+}  // namespace badgerbridge::proxy_main
 
-#endif  // BADGERBRIDGE_APP_REGIONS_SOURCE_H_
+#endif  // BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_SOURCE_H_
--- a/src/exchange/exchange.cpp
+++ b/src/request_table/request_table.cpp
@@ -1,31 +1,31 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "exchange/exchange.h"
+#include "request_table/request_table.h"
 
 #include <algorithm>
 #include <exception>
 
-namespace badgerbridge::exchange {
+namespace badgerbridge::request_table {
 
-using fordlb::Duration;
-using fordlb::Outcome;
-using fordlb::RequestId;
-using fordlb::TimePoint;
+using balancer::Duration;
+using balancer::Outcome;
+using balancer::RequestId;
+using balancer::TimePoint;
 
 namespace {
 
-fordlb::Settings Bounded(fordlb::Settings settings) {
+balancer::Settings Bounded(balancer::Settings settings) {
   settings.max_attempts = std::min(settings.max_attempts, kMostAttempts);
   return settings;
 }
 
 }  // namespace
 
-Exchange::Exchange(const fordlb::Settings& settings, std::uint64_t seed)
+Exchange::Exchange(const balancer::Settings& settings, std::uint64_t seed)
     : max_attempts_(std::min(settings.max_attempts, kMostAttempts)),
       balancer_(Bounded(settings), seed),
       tallies_(settings.classes.size()) {}
 
-RequestId Exchange::Take(TimePoint now, fordlb::Submit submit, Actions* out) {
+RequestId Exchange::Take(TimePoint now, balancer::Submit submit, Actions* out) {
   submit.request = ++last_request_;
   Entry entry;
   entry.request_class = submit.request_class;
@@ -46,7 +46,7 @@
 }
 
 // All of it, or nothing.
-void Exchange::Enter(const fordlb::Submit& submit, const Entry& entry, bool tell_module) {
+void Exchange::Enter(const balancer::Submit& submit, const Entry& entry, bool tell_module) {
   const auto in_table = table_.emplace(submit.request, entry).first;
   try {
     last_resorts_.emplace(entry.last_resort, submit.request);
@@ -62,7 +62,7 @@
   const auto found = table_.find(request);
   if (found == table_.end()) return;
   MakeRoom(out);
-  queue_.push_back(fordlb::ClientGone{request});
+  queue_.push_back(balancer::ClientDisconnected{request});
   Tally& tally = Leave(found, out);
   ++tally.failed, ++tally.client_left;
   Turn(now, out);
@@ -70,7 +70,7 @@
 
 void Exchange::Ended(TimePoint now, const Send& attempt, Outcome outcome, Actions* out) {
   const auto found = table_.find(attempt.request);
-  fordlb::AttemptEnded end;
+  balancer::AttemptEnded end;
   end.request = attempt.request;
   end.attempt = attempt.attempt;
   end.server = attempt.server;
@@ -84,11 +84,11 @@
   Turn(now, out);
 }
 
-void Exchange::List(TimePoint now, fordlb::ListUpdate update, Actions* out) {
+void Exchange::List(TimePoint now, balancer::EndpointListUpdate update, Actions* out) {
   Post(now, std::move(update), out);
 }
 
-void Exchange::Shares(TimePoint now, fordlb::ZoneShares shares, Actions* out) {
+void Exchange::Shares(TimePoint now, balancer::ZoneQuotas shares, Actions* out) {
   Post(now, std::move(shares), out);
 }
 
@@ -101,7 +101,7 @@
   return std::min(timers_.begin()->first, last_resorts_.begin()->first);
 }
 
-void Exchange::Post(TimePoint now, fordlb::Event event, Actions* out) {
+void Exchange::Post(TimePoint now, balancer::Event event, Actions* out) {
   queue_.push_back(std::move(event));
   Turn(now, out);
 }
@@ -127,7 +127,7 @@
   for (;;) {
     FireDue(now, out);  // due before what comes now
     if (queue_.empty()) return;
-    const fordlb::Event next = std::move(queue_.front());
+    const balancer::Event next = std::move(queue_.front());
     queue_.pop_front();
     Handle(now, next, out);
   }
@@ -136,12 +136,12 @@
 // Also where there is no memory for the text.
 void Exchange::LogFailure(const char* what, Actions* out) noexcept {
   try {
-    out->push_back(fordlb::Log{std::string("an event could not be handled: ") + what});
+    out->push_back(balancer::Log{std::string("an event could not be handled: ") + what});
   } catch (const std::exception&) {
   }
 }
 
-void Exchange::Handle(TimePoint now, const fordlb::Event& event, Actions* out) {
+void Exchange::Handle(TimePoint now, const balancer::Event& event, Actions* out) {
   balancer_.Handle(now, event, &decided_);
   PerformDecided(now, out);
 }
@@ -161,19 +161,19 @@
   for (; due > 0; --due) {
     const std::uint64_t token = timers_.begin()->second;
     timers_.erase(timers_.begin());
-    Handle(now, fordlb::TimerFired{token}, out);
+    Handle(now, balancer::TimerFired{token}, out);
   }
 
   while (!last_resorts_.empty() && last_resorts_.begin()->first <= now) {
     const RequestId request = last_resorts_.begin()->second;
     MakeRoom(out);
-    queue_.push_back(fordlb::ClientGone{request});
+    queue_.push_back(balancer::ClientDisconnected{request});
     // A failure: that it never ran is not the table's to say.
     Settle(request, Ending::kLastResort, Duration(0), out);
   }
 }
 
-void Exchange::Perform(TimePoint now, const fordlb::Dispatch& action, Actions* out) {
+void Exchange::Perform(TimePoint now, const balancer::Dispatch& action, Actions* out) {
   MakeRoom(out);
   Send send{action.request, 0, action.server, Duration(0), now, action.begin_before};
   const auto found = table_.find(action.request);
@@ -181,11 +181,11 @@
                     found->second.due <= now || action.begin_before <= now;
   if (found != table_.end()) send.attempt = found->second.attempts;
   if (moot) {
-    fordlb::AttemptEnded end;
+    balancer::AttemptEnded end;
     end.request = send.request;
     end.attempt = send.attempt;
     end.server = send.server;
-    end.outcome = Outcome::kMoot;
+    end.outcome = Outcome::kNotSent;
     end.settled = found == table_.end();
     queue_.push_back(end);
     if (found != table_.end()) ++found->second.attempts;
@@ -198,23 +198,23 @@
   found->second.out = true;
 }
 
-void Exchange::Perform(TimePoint, const fordlb::Abandon& action, Actions* out) {
+void Exchange::Perform(TimePoint, const balancer::CancelAttempt& action, Actions* out) {
   const auto found = table_.find(action.request);
   if (found != table_.end() && found->second.attempts == action.attempt + 1)
     out->push_back(Cancel{action.request, action.attempt});
 }
 
-void Exchange::Perform(TimePoint, const fordlb::Refuse& action, Actions* out) {
+void Exchange::Perform(TimePoint, const balancer::Reject& action, Actions* out) {
   Settle(action.request, Ending::kRefused, action.retry_after, out);
 }
-void Exchange::Perform(TimePoint, const fordlb::Fail& action, Actions* out) {
+void Exchange::Perform(TimePoint, const balancer::FailRequest& action, Actions* out) {
   Settle(action.request, Ending::kFailed, Duration(0), out);
 }
-void Exchange::Perform(TimePoint, const fordlb::SetTimer& action, Actions*) {
+void Exchange::Perform(TimePoint, const balancer::SetTimer& action, Actions*) {
   timers_.emplace(action.at, action.token);
 }
-void Exchange::Perform(TimePoint, const fordlb::Subscribe& action, Actions* out) { out->push_back(action); }
-void Exchange::Perform(TimePoint, const fordlb::Log& action, Actions* out) { out->push_back(action); }
+void Exchange::Perform(TimePoint, const balancer::Subscribe& action, Actions* out) { out->push_back(action); }
+void Exchange::Perform(TimePoint, const balancer::Log& action, Actions* out) { out->push_back(action); }
 
 // For all that the end of a request adds: from here on it can't fail.
 void Exchange::MakeRoom(Actions* out) {
@@ -243,4 +243,4 @@
   return tally;
 }
 
-}  // namespace badgerbridge::exchange
+}  // namespace badgerbridge::request_table
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -10,7 +10,7 @@
 
 namespace badgerbridge::settings {
 
-using namespace fordlb;  // the settings are the module's
+using namespace balancer;  // the settings are the module's
 
 namespace {
 
@@ -67,19 +67,19 @@
   std::map<std::string_view, std::string_view, std::less<>> values_;
 };
 
-Effect EffectOf(const Pairs& pairs, const std::string& key) {
+Idempotency EffectOf(const Pairs& pairs, const std::string& key) {
   const std::string_view word = pairs.Word(key);
-  if (word == "read_like") return Effect::kSafe;
-  if (word == "idempotency_key") return Effect::kKeyed;
-  if (word == "non_idempotent") return Effect::kUnsafe;
+  if (word == "read_like") return Idempotency::kIdempotent;
+  if (word == "idempotency_key") return Idempotency::kIdempotencyKey;
+  if (word == "non_idempotent") return Idempotency::kNotIdempotent;
   throw BadSettings("setting of unknown meaning: " + key);
 }
 
-Group GroupOf(const Pairs& pairs, const std::string& key) {
+DeduplicationScope GroupOf(const Pairs& pairs, const std::string& key) {
   const std::string_view word = pairs.Word(key);
-  if (word == "all") return Group::kAll;
-  if (word == "zone") return Group::kZone;
-  if (word == "cell") return Group::kCell;
+  if (word == "all") return DeduplicationScope::kAll;
+  if (word == "zone") return DeduplicationScope::kZone;
+  if (word == "cell") return DeduplicationScope::kCell;
   throw BadSettings("setting of unknown meaning: " + key);
 }
 
@@ -88,8 +88,8 @@
 Settings ParseSettings(std::string_view text) {
   const Pairs pairs(text);
   Settings settings;
-  settings.balancers = pairs.Whole("balancers", 1, kMostListItems);
-  settings.me = static_cast<int>(pairs.NumberOr("me", 0, 0, kMostListItems));
+  settings.balancer_count = pairs.Whole("balancers", 1, kMostListItems);
+  settings.balancer_index = static_cast<int>(pairs.NumberOr("me", 0, 0, kMostListItems));
   settings.zone = pairs.Whole("zone", 0, kMostListItems);
 
   const int classes = pairs.Whole("classes.count", 1, kMostListItems);
@@ -97,14 +97,14 @@
     const std::string at = "classes." + std::to_string(i) + ".";
     ClassSettings c;
     c.effect = EffectOf(pairs, at + "effect");
-    if (c.effect == Effect::kKeyed) {
+    if (c.effect == Idempotency::kIdempotencyKey) {
       c.group = GroupOf(pairs, at + "group");
       c.window = pairs.Time(at + "windowMs");
     }
-    c.aim = pairs.Time(at + "goalTimeMs");
+    c.latency_objective = pairs.Time(at + "goalTimeMs");
     c.deadline = pairs.Time(at + "deadlineMs");
-    c.worth = pairs.NumberOr(at + "worth", 1);
-    c.late_worth = pairs.NumberOr(at + "lateWorth", 0, 0, 1);
+    c.priority_weight = pairs.NumberOr(at + "worth", 1);
+    c.late_weight = pairs.NumberOr(at + "lateWorth", 0, 0, 1);
     settings.classes.push_back(c);
   }
 
@@ -116,23 +116,23 @@
     settings.tenants.push_back(tenant);
   }
 
-  settings.over_share_worth = pairs.NumberOr("overShareWorth", 1, 0, 1);
-  settings.price_cross_zone = pairs.NumberOr("deductions.crossZone", 0);
-  settings.warm_keys = pairs.Word("specifics.warmKeys", "false") == "true";
+  settings.over_quota_weight = pairs.NumberOr("overShareWorth", 1, 0, 1);
+  settings.cross_zone_cost = pairs.NumberOr("deductions.crossZone", 0);
+  settings.key_affinity = pairs.Word("specifics.warmKeys", "false") == "true";
 
   const std::string_view mode = pairs.Word("registryMode", "push");
   if (mode != "push" && mode != "ask") throw BadSettings("setting of unknown meaning: registryMode");
-  settings.must_ask_for_list = mode == "ask";
-  if (settings.must_ask_for_list) settings.must_ask_within = pairs.Time("rules.mustAskInMs");
+  settings.polls_endpoint_list = mode == "ask";
+  if (settings.polls_endpoint_list) settings.max_poll_interval = pairs.Time("rules.mustAskInMs");
   settings.max_attempts = pairs.Whole("permissions.maxAttempts", 1, 255);
   if (pairs.Word("permissions.retryAfter", "false") == "true")
     settings.max_retry_after = Duration(pairs.NumberOr("permissions.maxRetryAfterMs", 0));
   settings.tick = Duration(pairs.NumberOr("periodMs", 1));
 
-  settings.cold_from = pairs.Number("rules.coldFrom", 0, 1);
-  settings.warm_up = pairs.Time("rules.warmUpMs");
-  settings.fall_multiple = pairs.Number("rules.fallMultiple");
-  settings.overload_for = pairs.Time("rules.overloadForMs");
+  settings.slow_start_floor = pairs.Number("rules.coldFrom", 0, 1);
+  settings.slow_start_window = pairs.Time("rules.warmUpMs");
+  settings.overload_factor = pairs.Number("rules.fallMultiple");
+  settings.overload_duration = pairs.Time("rules.overloadForMs");
   return settings;
 }
 
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <string_view>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
 namespace badgerbridge::settings {
 
@@ -18,7 +18,7 @@
 };
 
 // Unknown keys are ignored; an absent optional key has its documented meaning.
-fordlb::Settings ParseSettings(std::string_view text);
+balancer::Settings ParseSettings(std::string_view text);
 
 }  // namespace badgerbridge::settings
 
--- a/src/lab/converter.cpp
+++ b/src/simulator/backend.cpp
@@ -1,21 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/converter.h"
+#include "simulator/backend.h"
 
 #include <algorithm>
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
-Converter::Converter(EventQueue& queue, Watcher& watcher, std::size_t index, ConverterModel model,
-                     Random random)
+Backend::Backend(EventQueue& queue, Watcher& watcher, std::size_t index, BackendModel model, Random random)
     : queue_(queue), watcher_(watcher), index_(index), model_(model), random_(random) {}
 
-void Converter::Start(TimePoint up_since) {
+void Backend::Start(TimePoint up_since) {
   up_ = true;
   up_since_ = up_since;
   ++incarnation_;
 }
 
-void Converter::Die(TimePoint now) {
+void Backend::Die(TimePoint now) {
   if (!up_) return;
   up_ = false;
   ++incarnation_;
@@ -26,15 +25,16 @@
   for (const Job& job : std::exchange(waiting_, {})) watcher_.Dropped(now, index_, job.id);
 }
 
-double Converter::WarmShare(TimePoint now) const {
-  if (up_since_ == TimePoint{} || now - up_since_ >= model_.warm_up) return 1;
-  return model_.cold_from + (1 - model_.cold_from) * ((now - up_since_) / model_.warm_up);
+double Backend::WarmShare(TimePoint now) const {
+  if (up_since_ == TimePoint{} || now - up_since_ >= model_.slow_start_window) return 1;
+  return model_.slow_start_floor +
+         (1 - model_.slow_start_floor) * ((now - up_since_) / model_.slow_start_window);
 }
 
 // The rule counts the work within any such time, and what is turned away too.
-bool Converter::Overwhelmed(TimePoint now, double work) {
-  if (!model_.falls || model_.fall_multiple <= 0) return false;
-  while (!received_.empty() && now - received_.front().first > model_.overload_for) {
+bool Backend::Overwhelmed(TimePoint now, double work) {
+  if (!model_.falls || model_.overload_factor <= 0) return false;
+  while (!received_.empty() && now - received_.front().first > model_.overload_duration) {
     received_work_ -= received_.front().second;
     received_.pop_front();
   }
@@ -42,11 +42,11 @@
   if (share >= 1) return false;
   received_.emplace_back(now, work);
   received_work_ += work;
-  const double can = model_.slots * model_.speed * share * model_.overload_for.count();
-  return received_work_ > model_.fall_multiple * can && now - up_since_ >= model_.overload_for;
+  const double can = model_.slots * model_.speed * share * model_.overload_duration.count();
+  return received_work_ > model_.overload_factor * can && now - up_since_ >= model_.overload_duration;
 }
 
-Converter::Begin Converter::Take(TimePoint now, JobId job, double work) {
+Backend::Begin Backend::Take(TimePoint now, JobId job, double work) {
   ++taken_;
   if (Overwhelmed(now, work)) {
     Die(now);
@@ -61,7 +61,7 @@
   return Begin::kQueued;
 }
 
-void Converter::Run(TimePoint now, const Job& job) {
+void Backend::Run(TimePoint now, const Job& job) {
   ++running_;
   run_.push_back(job.id);
   const Duration takes(job.work * slow_ / (model_.speed * WarmShare(now)));
@@ -71,7 +71,7 @@
   queue_.At(end, this, 0, job.id, incarnation_);
 }
 
-void Converter::On(TimePoint now, std::uint32_t, std::uint64_t job, std::uint64_t incarnation) {
+void Backend::On(TimePoint now, std::uint32_t, std::uint64_t job, std::uint64_t incarnation) {
   if (incarnation != incarnation_) return;
   if (now < paused_until_) return queue_.At(paused_until_, this, 0, job, incarnation);
   --running_;
@@ -85,4 +85,4 @@
   watcher_.Finished(now, index_, job, right);
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/lab/converter.h
+++ b/src/simulator/backend.h
@@ -1,48 +1,48 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A converter as the model has it: so many slots, a queue before them, work in ms of a standard core, cold
+// A backend as the model has it: so many slots, a queue before them, work in ms of a standard core, cold
 // after its start and warming evenly with time. Sent more than a multiple of what it can do for a while, it
 // falls over and stays down. It can be made slow, wrong or paused.
-#ifndef BADGERBRIDGE_LAB_CONVERTER_H_
-#define BADGERBRIDGE_LAB_CONVERTER_H_
+#ifndef BADGERBRIDGE_SIMULATOR_BACKEND_H_
+#define BADGERBRIDGE_SIMULATOR_BACKEND_H_
 
 #include <deque>
 #include <utility>
 
-#include "lab/event_queue.h"
-#include "lab/random.h"
+#include "simulator/event_queue.h"
+#include "simulator/random.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
-struct ConverterModel {
+struct BackendModel {
   int slots = 8, queue = 64;
   double speed = 1;  // work a ms of one slot, once warm
-  // The rules' words (fordlb::Settings).
-  double cold_from = 1;
-  Duration warm_up{0};
-  double fall_multiple = 0;  // 0: it never falls over
-  Duration overload_for{0};
+  // The rules' words (balancer::Settings).
+  double slow_start_floor = 1;
+  Duration slow_start_window{0};
+  double overload_factor = 0;  // 0: it never falls over
+  Duration overload_duration{0};
   bool falls = true;  // false: it stands whatever it is sent, and the referee alone judges
 };
 
 using JobId = std::uint64_t;
 
-class Converter final : public Actor {
+class Backend final : public Actor {
  public:
   enum class Begin { kRuns, kQueued, kFull, kFell };
   class Watcher {
    public:
-    virtual void Began(TimePoint now, std::size_t converter, JobId job) = 0;
+    virtual void Began(TimePoint now, std::size_t backend, JobId job) = 0;
     // `right` is false where the answer is an error.
-    virtual void Finished(TimePoint now, std::size_t converter, JobId job, bool right) = 0;
+    virtual void Finished(TimePoint now, std::size_t backend, JobId job, bool right) = 0;
     // It died: what waited or ran ends with no answer.
-    virtual void Dropped(TimePoint now, std::size_t converter, JobId job) = 0;
+    virtual void Dropped(TimePoint now, std::size_t backend, JobId job) = 0;
 
    protected:
     ~Watcher() = default;
   };
 
-  Converter(EventQueue& queue, Watcher& watcher, std::size_t index, ConverterModel model, Random random);
+  Backend(EventQueue& queue, Watcher& watcher, std::size_t index, BackendModel model, Random random);
 
   // It starts, cold, as a new process. `up_since` 0: long ago, and warm.
   void Start(TimePoint up_since);
@@ -79,7 +79,7 @@
   EventQueue& queue_;
   Watcher& watcher_;
   const std::size_t index_;
-  const ConverterModel model_;
+  const BackendModel model_;
   Random random_;
   bool up_ = false;
   TimePoint up_since_{}, paused_until_{};
@@ -93,6 +93,6 @@
   double received_work_ = 0;
 };
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
 
-#endif  // BADGERBRIDGE_LAB_CONVERTER_H_
+#endif  // BADGERBRIDGE_SIMULATOR_BACKEND_H_
--- a/src/lab/core.cpp
+++ b/src/simulator/core.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/core.h"
+#include "simulator/core.h"
 
 #include <utility>
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 namespace {
 
-using namespace fordlb;
+using namespace balancer;
 
 class Badgerbridge : public Core {
  public:
@@ -15,21 +15,21 @@
     return exchange_.Take(now, submit, out);
   }
   void Gone(TimePoint now, RequestId request, Actions* out) override { exchange_.Gone(now, request, out); }
-  void Ended(TimePoint now, const exchange::Send& attempt, Outcome outcome, Actions* out) override {
+  void Ended(TimePoint now, const request_table::Send& attempt, Outcome outcome, Actions* out) override {
     exchange_.Ended(now, attempt, outcome, out);
   }
-  void List(TimePoint now, ListUpdate update, Actions* out) override {
+  void List(TimePoint now, EndpointListUpdate update, Actions* out) override {
     exchange_.List(now, std::move(update), out);
   }
-  void Shares(TimePoint now, ZoneShares shares, Actions* out) override {
+  void Shares(TimePoint now, ZoneQuotas shares, Actions* out) override {
     exchange_.Shares(now, std::move(shares), out);
   }
   void Wake(TimePoint now, Actions* out) override { exchange_.Wake(now, out); }
   std::optional<TimePoint> NextWake() const override { return exchange_.NextWake(); }
-  const std::vector<exchange::Tally>& tallies() const override { return exchange_.tallies(); }
+  const std::vector<request_table::Tally>& tallies() const override { return exchange_.tallies(); }
 
  private:
-  exchange::Exchange exchange_;
+  request_table::Exchange exchange_;
 };
 
 }  // namespace
@@ -38,4 +38,4 @@
   return std::make_unique<Badgerbridge>(settings, seed);
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/lab/etcd.cpp
+++ b/src/simulator/etcd.cpp
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/etcd.h"
+#include "simulator/etcd.h"
 
 #include <utility>
 
-#include "regions/keys.h"
+#include "zone_failover/keys.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
-using fordlb::Duration;
-using fordlb::TimePoint;
-using regions::Kv;
-using regions::Member;
+using balancer::Duration;
+using balancer::TimePoint;
+using zone_failover::Kv;
+using zone_failover::Member;
 
 void EtcdModel::Write(const std::string& key, std::string value, std::int64_t lease) {
   ++revision_;
@@ -48,7 +48,7 @@
 }
 
 void EtcdModel::Order(int zone, const std::string& by) {
-  const std::string key = regions::kOrdersKey + std::to_string(zone);
+  const std::string key = zone_failover::kOrdersKey + std::to_string(zone);
   if (!by.empty()) return Write(key, by, 0);
   ++revision_;
   keys_.erase(key);
@@ -81,37 +81,37 @@
     leases_[keep->lease].due = now + leases_[keep->lease].ttl;
   } else if (const auto* heartbeat = std::get_if<Member::Heartbeat>(&call)) {
     if (!alive(heartbeat->lease)) return reply;
-    Write(regions::MemberKey(member), heartbeat->value, heartbeat->lease);
-    if (!heartbeat->all) Read(regions::MemberKey(member), false, &reply);
-    const auto decision = keys_.find(regions::kDecisionKey);
+    Write(zone_failover::MemberKey(member), heartbeat->value, heartbeat->lease);
+    if (!heartbeat->all) Read(zone_failover::MemberKey(member), false, &reply);
+    const auto decision = keys_.find(zone_failover::kDecisionKey);
     if (decision != keys_.end() && decision->second.modified == heartbeat->known) {
       reply.kvs.push_back(decision->second);
       reply.kvs.back().value.clear();
     } else {
-      Read(regions::kDecisionKey, false, &reply);
+      Read(zone_failover::kDecisionKey, false, &reply);
     }
-    Read(regions::kDeciderKey, false, &reply);
-    Read(regions::kOrdersKey, true, &reply);
+    Read(zone_failover::kDeciderKey, false, &reply);
+    Read(zone_failover::kOrdersKey, true, &reply);
     if (heartbeat->all) {
-      Read(regions::kMembersKey, true, &reply);
-      Read(regions::kRosterKey, false, &reply);
+      Read(zone_failover::kMembersKey, true, &reply);
+      Read(zone_failover::kRosterKey, false, &reply);
     }
   } else if (const auto* campaign = std::get_if<Member::Campaign>(&call)) {
     if (!alive(campaign->lease)) return reply;
-    reply.held = keys_.count(regions::kDeciderKey) == 0;
-    if (reply.held) Write(regions::kDeciderKey, member, campaign->lease);
+    reply.held = keys_.count(zone_failover::kDeciderKey) == 0;
+    if (reply.held) Write(zone_failover::kDeciderKey, member, campaign->lease);
   } else if (const auto* propose = std::get_if<Member::Propose>(&call)) {
-    const auto decider = keys_.find(regions::kDeciderKey);
-    const auto decision = keys_.find(regions::kDecisionKey);
+    const auto decider = keys_.find(zone_failover::kDeciderKey);
+    const auto decision = keys_.find(zone_failover::kDecisionKey);
     reply.held = decider != keys_.end() && decider->second.created == propose->decider_created &&
                  (decision == keys_.end() ? 0 : decision->second.modified) == propose->decision_modified;
     if (reply.held) {
-      Write(regions::kDecisionKey, propose->value, 0);
-      Write(regions::kRosterKey, propose->roster, 0);
+      Write(zone_failover::kDecisionKey, propose->value, 0);
+      Write(zone_failover::kRosterKey, propose->roster, 0);
     }
   }
   reply.revision = revision_;
   return reply;
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/lab/event_queue.h
+++ b/src/simulator/event_queue.h
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Virtual time: one queue of events, taken in the order of their times. Nothing here or above reads a clock.
-#ifndef BADGERBRIDGE_LAB_EVENT_QUEUE_H_
-#define BADGERBRIDGE_LAB_EVENT_QUEUE_H_
+#ifndef BADGERBRIDGE_SIMULATOR_EVENT_QUEUE_H_
+#define BADGERBRIDGE_SIMULATOR_EVENT_QUEUE_H_
 
 #include <cstdint>
 #include <queue>
 #include <vector>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
-using fordlb::Duration;
-using fordlb::TimePoint;
+using balancer::Duration;
+using balancer::TimePoint;
 
 // Receives what it asked for; `what`, `a` and `b` are its own words.
 class Actor {
@@ -77,6 +77,6 @@
   std::uint64_t asked_ = 0, steps_ = 0;
 };
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
 
-#endif  // BADGERBRIDGE_LAB_EVENT_QUEUE_H_
+#endif  // BADGERBRIDGE_SIMULATOR_EVENT_QUEUE_H_
--- a/src/lab/experiment.cpp
+++ b/src/simulator/experiment.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/experiment.h"
+#include "simulator/experiment.h"
 
 #include <algorithm>
 #include <atomic>
 #include <thread>
 
-#include "lab/random.h"
-#include "lab/world.h"
+#include "simulator/random.h"
+#include "simulator/world.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 namespace {
 
 constexpr int kResamples = 2000;
@@ -28,7 +28,7 @@
   std::size_t top = 0;
   double attempts = 0, crossed = 0;
   for (std::size_t i = 0; i < result.classes.size(); ++i) {
-    if (model.classes[i].rules.worth > model.classes[top].rules.worth) top = i;
+    if (model.classes[i].rules.priority_weight > model.classes[top].rules.priority_weight) top = i;
     attempts += static_cast<double>(result.classes[i].attempts);
     crossed += static_cast<double>(result.classes[i].crossed);
   }
@@ -90,4 +90,4 @@
   return all;
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/lab/experiment.h
+++ b/src/simulator/experiment.h
@@ -2,16 +2,16 @@
 //
 // One scenario played in several ways under the same seeds: the same requests come in each, so the ways are
 // compared pair by pair (common random numbers).
-#ifndef BADGERBRIDGE_LAB_EXPERIMENT_H_
-#define BADGERBRIDGE_LAB_EXPERIMENT_H_
+#ifndef BADGERBRIDGE_SIMULATOR_EXPERIMENT_H_
+#define BADGERBRIDGE_SIMULATOR_EXPERIMENT_H_
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "lab/model.h"
+#include "simulator/model.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
 // One way of playing it; the first that an experiment names is what the others are compared with.
 struct Way {
@@ -48,6 +48,6 @@
 std::vector<Compared> Compare(const Model& model, const std::vector<Way>& ways, std::uint64_t first,
                               std::size_t seeds, unsigned threads);
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
 
-#endif  // BADGERBRIDGE_LAB_EXPERIMENT_H_
+#endif  // BADGERBRIDGE_SIMULATOR_EXPERIMENT_H_
--- a/src/lab/histogram.h
+++ b/src/simulator/histogram.h
@@ -2,15 +2,15 @@
 //
 // Times in log-linear buckets, the layout of HdrHistogram (Tene): any time from a microsecond to hours is
 // told within 1/128 of itself, in 34 kB at the most, and histograms of the same layout add up.
-#ifndef BADGERBRIDGE_LAB_HISTOGRAM_H_
-#define BADGERBRIDGE_LAB_HISTOGRAM_H_
+#ifndef BADGERBRIDGE_SIMULATOR_HISTOGRAM_H_
+#define BADGERBRIDGE_SIMULATOR_HISTOGRAM_H_
 
 #include <algorithm>
 #include <bit>
 #include <cstdint>
 #include <vector>
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
 class Histogram {
  public:
@@ -64,6 +64,6 @@
   double sum_ = 0, most_ = 0;
 };
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
 
-#endif  // BADGERBRIDGE_LAB_HISTOGRAM_H_
+#endif  // BADGERBRIDGE_SIMULATOR_HISTOGRAM_H_
--- a/src/lab/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgerlab: plays a scenario in virtual time.
+// badgerbridge-simulator: plays a scenario in virtual time.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <boost/json.hpp>
@@ -9,10 +9,10 @@
 #include <optional>
 #include <thread>
 
-#include "api/version.h"
-#include "lab/experiment.h"
-#include "lab/scenario.h"
-#include "lab/world.h"
+#include "http_api/version.h"
+#include "simulator/experiment.h"
+#include "simulator/scenario.h"
+#include "simulator/world.h"
 
 namespace {
 
@@ -32,18 +32,18 @@
   double calls = 0, bytes = 0;
 };
 
-std::optional<Traffic> TrafficOf(const lab::Model& model, const lab::World& world,
-                                 const lab::Result& result) {
+std::optional<Traffic> TrafficOf(const simulator::Model& model, const simulator::World& world,
+                                 const simulator::Result& result) {
   if (!world.members() || world.members()->etcd().calls() == 0 || result.length <= 0) return std::nullopt;
   const double by = result.length / 1000 * model.proxies;
   return Traffic{static_cast<double>(world.members()->etcd().calls()) / by,
                  static_cast<double>(world.members()->etcd().bytes()) / by};
 }
 
-json::object Describe(const lab::Model& model, std::uint64_t seed, const lab::Result& result) {
+json::object Describe(const simulator::Model& model, std::uint64_t seed, const simulator::Result& result) {
   json::array classes;
   for (std::size_t i = 0; i < result.classes.size(); ++i) {
-    const lab::ClassResult& c = result.classes[i];
+    const simulator::ClassResult& c = result.classes[i];
     classes.push_back(json::object{{"class", model.classes[i].name},
                                    {"asked", c.asked},
                                    {"served", c.served},
@@ -73,20 +73,20 @@
                    {"digest", Hex(result.digest)},
                    {"classes", std::move(classes)}};
   if (result.breach)
-    all["breach"] = json::object{{"rule", lab::Name(result.breach->rule)},
+    all["breach"] = json::object{{"rule", simulator::Name(result.breach->rule)},
                                  {"step", result.breach->step},
                                  {"what", result.breach->what}};
   return all;
 }
 
-void Print(const lab::Model& model, std::uint64_t seed, const lab::Result& result) {
+void Print(const simulator::Model& model, std::uint64_t seed, const simulator::Result& result) {
   std::printf("%s, seed %llu: %.3f of the worth served, %llu steps, digest %s\n", model.name.c_str(),
               static_cast<unsigned long long>(seed), result.worth_share(),
               static_cast<unsigned long long>(result.steps), Hex(result.digest).c_str());
   std::printf("%-12s %9s %8s %8s %8s %8s %8s %8s %8s %8s\n", "class", "asked", "served", "in aim", "refused",
               "failed", "p50 ms", "p99 ms", "tries", "crossed");
   for (std::size_t i = 0; i < result.classes.size(); ++i) {
-    const lab::ClassResult& c = result.classes[i];
+    const simulator::ClassResult& c = result.classes[i];
     const auto share = [&](std::uint64_t n) {
       return c.asked > 0 ? 100 * static_cast<double>(n) / static_cast<double>(c.asked) : 0;
     };
@@ -104,11 +104,11 @@
                 busy.back());
   }
   if (result.breach)
-    std::printf("BROKEN: %s, at step %llu: %s\n", std::string(lab::Name(result.breach->rule)).c_str(),
+    std::printf("BROKEN: %s, at step %llu: %s\n", std::string(simulator::Name(result.breach->rule)).c_str(),
                 static_cast<unsigned long long>(result.breach->step), result.breach->what.c_str());
 }
 
-using Decide = lab::RegionsModel::Decide;
+using Decide = simulator::RegionsModel::Decide;
 
 Decide DecideOf(const std::string& name) {
   return name == "off"     ? Decide::kOff
@@ -118,33 +118,33 @@
 }
 
 // Percent, with the interval.
-std::string Percent(const lab::Interval& interval, bool sign) {
+std::string Percent(const simulator::Interval& interval, bool sign) {
   char text[64];
   std::snprintf(text, sizeof text, sign ? "%+.2f (%+.2f to %+.2f)" : "%.2f (%.2f to %.2f)",
                 100 * interval.mean, 100 * interval.low, 100 * interval.high);
   return text;
 }
 
-int Compare(const lab::Model& model, const std::vector<lab::Way>& ways, std::uint64_t first,
+int Compare(const simulator::Model& model, const std::vector<simulator::Way>& ways, std::uint64_t first,
             std::size_t seeds, unsigned threads, bool as_json) {
-  const auto all = lab::Compare(model, ways, first, seeds, threads);
+  const auto all = simulator::Compare(model, ways, first, seeds, threads);
   int code = kHeld;
   json::array rows;
   if (!as_json)
     std::printf("%s, %zu seeds from %llu: means, with 95 %% intervals\n%-24s %-26s %-28s %10s %10s\n",
                 model.name.c_str(), seeds, static_cast<unsigned long long>(first), "way", "worth served, %",
                 "against the first", "top ref. %", "crossed %");
-  for (const lab::Compared& one : all) {
+  for (const simulator::Compared& one : all) {
     double refused = 0, crossed = 0;
     json::array runs, breaches;
-    for (const lab::Played& run : one.runs) {
+    for (const simulator::Played& run : one.runs) {
       refused += run.top_refused / static_cast<double>(seeds);
       crossed += run.crossed / static_cast<double>(seeds);
       runs.push_back(run.worth);
       if (!run.breach.empty()) breaches.push_back(json::value(run.breach));
     }
     if (!breaches.empty()) code = kBroke;
-    const auto interval = [](const lab::Interval& i) {
+    const auto interval = [](const simulator::Interval& i) {
       return json::object{{"mean", i.mean}, {"low", i.low}, {"high", i.high}};
     };
     if (as_json) {
@@ -174,10 +174,11 @@
 }  // namespace
 
 int main(int count, char** arguments) {
-  CLI::App app("badgerlab: plays an installation in virtual time, with the proxies' own core in it");
+  CLI::App app(
+      "badgerbridge-simulator: plays an installation in virtual time, with the proxies' own core in it");
   app.footer(
       "Exit codes: 0 the rules held; 1 one was broken; 2 usage, or a scenario that is not to be used.");
-  app.set_version_flag("--version", api::VersionText("badgerlab", {}));
+  app.set_version_flag("--version", http_api::VersionText("badgerbridge-simulator", {}));
   app.set_help_all_flag("--help-all", "the same with each command's own options");
   app.require_subcommand(1);
   std::string path, output = "table";
@@ -216,13 +217,13 @@
   } catch (const CLI::ParseError& error) {
     return app.exit(error) == 0 ? kHeld : kUsage;
   }
-  operator_file::Problems problems;
-  lab::Model model = lab::LoadScenario(path, problems);
-  std::cerr << operator_file::Lines(problems);
+  operator_config::Problems problems;
+  simulator::Model model = simulator::LoadScenario(path, problems);
+  std::cerr << operator_config::Lines(problems);
   if (!problems.empty()) return kUsage;
   if (check->parsed()) return kHeld;
   if (compare->parsed()) {
-    std::vector<lab::Way> ways;
+    std::vector<simulator::Way> ways;
     for (const int count : proxies.empty() ? std::vector<int>{0} : proxies) {
       if (decides.empty()) ways.push_back({model.decision.decide, count});
       for (const std::string& one : decides) ways.push_back({DecideOf(one), count});
@@ -230,8 +231,8 @@
     return Compare(model, ways, seed, seeds, threads, output == "json");
   }
   if (!decide.empty()) model.decision.decide = DecideOf(decide);
-  lab::World world(model, seed, lab::MakeBadgerbridge, ties);
-  const lab::Result result = world.Run(most_steps);
+  simulator::World world(model, seed, simulator::MakeBadgerbridge, ties);
+  const simulator::Result result = world.Run(most_steps);
   const auto traffic = TrafficOf(model, world, result);
   if (output == "json") {
     json::object all = Describe(model, seed, result);
--- a/src/lab/members.cpp
+++ b/src/simulator/members.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/members.h"
+#include "simulator/members.h"
 
 #include <utility>
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
-using namespace fordlb;
-using regions::Meter;
+using namespace balancer;
+using zone_failover::Meter;
 
 namespace {
 
@@ -18,10 +18,10 @@
 
 struct Members::One {
   std::uint64_t incarnation = 0;
-  std::unique_ptr<regions::Member> member;  // none: its proxy is dead
-  std::unique_ptr<Meter> meter;             // of one that fails over by itself
-  std::optional<regions::Member::Call> call;
-  regions::Member::Reply reply;
+  std::unique_ptr<zone_failover::Member> member;  // none: its proxy is dead
+  std::unique_ptr<Meter> meter;                   // of one that fails over by itself
+  std::optional<zone_failover::Member::Call> call;
+  zone_failover::Member::Reply reply;
   std::vector<double> last_shares, warm;
   TimePoint left_until{};
   int zone = 0;
@@ -41,30 +41,29 @@
   one.call.reset();
   one.last_shares.clear();
   const auto zones = static_cast<std::size_t>(model_.zones);
-  regions::MemberSettings settings;
+  zone_failover::MemberSettings settings;
   settings.name = "n" + std::to_string(proxy);
   settings.zone = one.zone;
   settings.classes = model_.classes.size();
   settings.together = model_.decision.decide == RegionsModel::Decide::kTogether;
   settings.rules.zones = zones;
-  settings.rules.round_trip = regions::Matrix(zones);
-  settings.rules.price = regions::Matrix(zones);
+  settings.rules.round_trip = zone_failover::Matrix(zones);
+  settings.rules.price = zone_failover::Matrix(zones);
   for (const ClassModel& c : model_.classes)
-    settings.rules.aim = std::min(settings.rules.aim, c.rules.aim.count());
+    settings.rules.latency_objective =
+        std::min(settings.rules.latency_objective, c.rules.latency_objective.count());
   for (std::size_t o = 0; o < zones; ++o) {
     for (std::size_t r = 0; r < zones; ++r) {
       const bool far = model_.RegionOf(static_cast<int>(o)) != model_.RegionOf(static_cast<int>(r));
       settings.rules.round_trip.at(o, r) =
           2 * (model_.network.latency.Mean() + (far ? model_.far.count() : 0));
-      settings.rules.price.at(o, r) = o == r ? 0
-                                      : far  ? 2 * model_.price_cross_zone
-                                             : model_.price_cross_zone;
+      settings.rules.price.at(o, r) = o == r ? 0 : far ? 2 * model_.cross_zone_cost : model_.cross_zone_cost;
     }
   }
   if (model_.decision.decide == RegionsModel::Decide::kCliff) {
     one.meter = std::make_unique<Meter>(one.zone, zones, model_.classes.size());
   }
-  one.member = std::make_unique<regions::Member>(settings, seed_ * 7919 + proxy * 31 + one.incarnation);
+  one.member = std::make_unique<zone_failover::Member>(settings, seed_ * 7919 + proxy * 31 + one.incarnation);
   if (!one.warm.empty()) one.member->Listed(one.warm);
   queue_.At(now, this, kAsk, proxy, one.incarnation);
 }
@@ -75,14 +74,15 @@
   all_[proxy]->meter.reset();
 }
 
-const regions::Member* Members::member(std::size_t proxy) const { return all_[proxy]->member.get(); }
+const zone_failover::Member* Members::member(std::size_t proxy) const { return all_[proxy]->member.get(); }
 
 void Members::On(TimePoint now, std::uint32_t what, std::uint64_t proxy, std::uint64_t incarnation) {
   One& one = *all_[proxy];
   // What a dead one has sent still arrives.
   if (what == kReach) {
     if (!one.call || one.incarnation != incarnation) return;
-    one.reply = down_ ? regions::Member::Reply{} : etcd_.Do(now, "n" + std::to_string(proxy), *one.call);
+    one.reply =
+        down_ ? zone_failover::Member::Reply{} : etcd_.Do(now, "n" + std::to_string(proxy), *one.call);
     const Duration back = down_ ? Duration(500) : Duration(model_.decision.etcd.Draw(random_));
     return queue_.At(now + back, this, kReply, proxy, incarnation);
   }
@@ -122,12 +122,12 @@
 // The usual way of a proxy by itself: all of its own zone, or none of it.
 std::vector<double> Members::Cliff(TimePoint now, One& one) {
   const auto home = static_cast<std::size_t>(one.zone);
-  const regions::ZoneReport report = one.meter->Take(now, 0).zones[home];
+  const zone_failover::ZoneReport report = one.meter->Take(now, 0).zones[home];
   if (report.attempts >= 5 && (report.bad > kCliffBad * report.attempts || report.slow > kCliffSlow))
     one.left_until = now + kCliffFor;
   const bool left = now < one.left_until;
-  std::vector<double> shares(static_cast<std::size_t>(model_.zones), left ? regions::kFree : 0);
-  shares[home] = left ? 0 : regions::kFree;
+  std::vector<double> shares(static_cast<std::size_t>(model_.zones), left ? zone_failover::kFree : 0);
+  shares[home] = left ? 0 : zone_failover::kFree;
   return shares;
 }
 
@@ -144,10 +144,11 @@
 void Members::Ended(TimePoint now, std::size_t proxy, std::uint64_t attempt, int request_class,
                     Outcome outcome, Duration took, double work, double used) {
   One& one = *all_[proxy];
-  const Meter::End end = outcome == Outcome::kOk                                       ? Meter::End::kServed
-                         : outcome == Outcome::kFull                                   ? Meter::End::kFull
-                         : outcome == Outcome::kCancelled || outcome == Outcome::kMoot ? Meter::End::kNothing
-                                                                                       : Meter::End::kFailed;
+  const Meter::End end = outcome == Outcome::kOk         ? Meter::End::kServed
+                         : outcome == Outcome::kRejected ? Meter::End::kFull
+                         : outcome == Outcome::kCancelled || outcome == Outcome::kNotSent
+                             ? Meter::End::kNothing
+                             : Meter::End::kFailed;
   const std::optional<double> report =
       model_.decision.reports && used >= 0 ? std::optional<double>(used) : std::nullopt;
   const auto cls = static_cast<std::size_t>(request_class);
@@ -160,4 +161,4 @@
   if (all_[proxy]->member) all_[proxy]->member->Listed(all_[proxy]->warm);
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/lab/members.h
+++ b/src/simulator/members.h
@@ -1,21 +1,21 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The members of the regions in the model: a regions::Member for each proxy that lives, calling an etcd that
-// has a latency and can be out of reach. What they decide goes to the proxies' cores as ZoneShares.
-#ifndef BADGERBRIDGE_LAB_MEMBERS_H_
-#define BADGERBRIDGE_LAB_MEMBERS_H_
+// The members of the regions in the model: a zone_failover::Member for each proxy that lives, calling an etcd
+// that has a latency and can be out of reach. What they decide goes to the proxies' cores as ZoneQuotas.
+#ifndef BADGERBRIDGE_SIMULATOR_MEMBERS_H_
+#define BADGERBRIDGE_SIMULATOR_MEMBERS_H_
 
 #include <functional>
 #include <memory>
 #include <optional>
 #include <vector>
 
-#include "lab/etcd.h"
-#include "lab/event_queue.h"
-#include "lab/model.h"
-#include "lab/random.h"
+#include "simulator/etcd.h"
+#include "simulator/event_queue.h"
+#include "simulator/model.h"
+#include "simulator/random.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
 class Members final : public Actor {
  public:
@@ -33,11 +33,11 @@
   void Arrived(TimePoint now, std::size_t proxy, double work);
   void Sent(TimePoint now, std::size_t proxy, std::uint64_t attempt, int zone);
   void Ended(TimePoint now, std::size_t proxy, std::uint64_t attempt, int request_class,
-             fordlb::Outcome outcome, Duration took, double work, double used);
+             balancer::Outcome outcome, Duration took, double work, double used);
   void Listed(std::size_t proxy, std::vector<double> warm);
 
   const EtcdModel& etcd() const { return etcd_; }
-  const regions::Member* member(std::size_t proxy) const;
+  const zone_failover::Member* member(std::size_t proxy) const;
 
  private:
   enum What : std::uint32_t { kAsk, kReach, kReply };
@@ -58,6 +58,6 @@
   std::vector<std::unique_ptr<One>> all_;
 };
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
 
-#endif  // BADGERBRIDGE_LAB_MEMBERS_H_
+#endif  // BADGERBRIDGE_SIMULATOR_MEMBERS_H_
--- /dev/null
+++ b/src/simulator/model.cpp
@@ -0,0 +1,34 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "simulator/model.h"
+
+namespace badgerbridge::simulator {
+
+double Model::MeanWork() const {
+  double shares = 0, work = 0;
+  for (const ClassModel& c : classes) shares += c.share, work += c.share * c.work.Mean();
+  return shares > 0 ? work / shares : 0;
+}
+
+double Model::Utilization() const {
+  const double capacity = backends * backend.slots * backend.speed;
+  return capacity > 0 ? clients.per_second / 1000 * MeanWork() / capacity : 0;
+}
+
+balancer::Settings Model::SettingsOf(int proxy) const {
+  balancer::Settings settings;
+  settings.balancer_count = proxies;
+  settings.balancer_index = proxy;
+  settings.zone = proxy % zones;
+  for (const ClassModel& c : classes) settings.classes.push_back(c.rules);
+  settings.cross_zone_cost = zones > 1 ? cross_zone_cost : 0;
+  settings.max_attempts = max_attempts;
+  settings.max_retry_after = max_retry_after;
+  settings.tick = Duration(5);
+  settings.slow_start_floor = backend.slow_start_floor;
+  settings.slow_start_window = backend.slow_start_window;
+  settings.overload_factor = backend.overload_factor > 0 ? backend.overload_factor : 1;
+  settings.overload_duration = backend.overload_duration;
+  return settings;
+}
+
+}  // namespace badgerbridge::simulator
--- a/src/lab/model.h
+++ b/src/simulator/model.h
@@ -2,20 +2,20 @@
 //
 // An installation, its load and what happens to it, as plain values: what a scenario file says, or a test.
 // All times in ms of virtual time from the start of the run.
-#ifndef BADGERBRIDGE_LAB_MODEL_H_
-#define BADGERBRIDGE_LAB_MODEL_H_
+#ifndef BADGERBRIDGE_SIMULATOR_MODEL_H_
+#define BADGERBRIDGE_SIMULATOR_MODEL_H_
 
 #include <string>
 #include <vector>
 
-#include "fordlb/balancer.h"
-#include "lab/converter.h"
+#include "badgerbridge/balancer.h"
+#include "simulator/backend.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
 struct ClassModel {
   std::string name;
-  fordlb::ClassSettings rules;
+  balancer::ClassSettings rules;
   double share = 1;  // of the arrivals, by weight
   Shape work;        // ms on a standard core
   bool hinted = true;
@@ -41,16 +41,16 @@
 // What happens, at `at`, to whom.
 struct Happening {
   enum class Kind {
-    kDrain,     // converters: told to drain
-    kStop,      // converters: die; listed as gone
-    kStart,     // converters: start as new processes, cold; listed as ready
-    kSlow,      // converters: by `value`
-    kWrong,     // converters: this share of answers
-    kPause,     // converters: for `value` ms
+    kDrain,     // backends: told to drain
+    kStop,      // backends: die; listed as gone
+    kStart,     // backends: start as new processes, cold; listed as ready
+    kSlow,      // backends: by `value`
+    kWrong,     // backends: this share of answers
+    kPause,     // backends: for `value` ms
     kKill,      // proxies: die at once; what they hold is reset
     kRevive,    // proxies: start again with the list as it is
     kLoad,      // the arrivals by this factor of the model's
-    kCut,       // between proxies and converters of `zone` and those of other zones: silence
+    kCut,       // between proxies and backends of `zone` and those of other zones: silence
     kHeal,      // ends the cut of `zone`
     kEtcdDown,  // no call is answered, until kEtcdUp
     kEtcdUp,
@@ -68,20 +68,20 @@
   Way way = Way::kBoth;  // of a cut: what comes into the zone, what leaves it
 };
 
-// Who decides how much goes to each zone (src/regions).
+// Who decides how much goes to each zone (src/zone_failover).
 struct RegionsModel {
   enum class Decide { kOff, kAlone, kCliff, kTogether };
   Decide decide = Decide::kOff;
-  bool reports = true;                              // answers say how busy their converters are
+  bool reports = true;                              // answers say how busy their backends are
   Shape etcd{Shape::Kind::kExponential, 2, 1, {}};  // ms, one way
 };
 
-// What only processes and the links between them can suffer (tests/together); the lab leaves it out.
+// What only processes and the links between them can suffer (tests/multiprocess); the lab leaves it out.
 struct TogetherFault {
   double at = 0;
   // freeze, thaw: proxies (SIGSTOP, SIGCONT). restart: proxies one after another, `value` ms apart, each
   // asked to end and started again once it has. discovery_down, discovery_up: for all. Of links to and from a
-  // zone's converters: reset, half_close (once); swallow (a share of new connections), delay (ms), trickle
+  // zone's backends: reset, half_close (once); swallow (a share of new connections), delay (ms), trickle
   // (bytes a second), until one with value 0. Of links of a zone's proxies to etcd: etcd_cut, etcd_heal. Of
   // whoever decides for all zones then: freeze_decider, kill_decider, and thaw_decider for the one that was
   // frozen. Of the relay with number `value`, counted from 1: relay_cut (its links to its upstreams, `way` as
@@ -95,7 +95,7 @@
 struct TogetherModel {
   int etcd_members = 0;
   // Watch caches between etcd and the proxies, in two tiers: the first `regions` of them follow etcd, one a
-  // region; the others follow those, and the proxies follow them. 0: proxies hear of converters by discovery.
+  // region; the others follow those, and the proxies follow them. 0: proxies hear of backends by discovery.
   int relays = 0;
   // Each proxy is stopped (SIGSTOP) and continued at random moments, all through the load.
   bool stalls = false;
@@ -109,29 +109,29 @@
 struct Model {
   std::string name;
   double length = 60000;  // of the load; what is open then is played to its end
-  int zones = 1, proxies = 1, converters = 1;
-  ConverterModel converter;
+  int zones = 1, proxies = 1, backends = 1;
+  BackendModel backend;
   std::vector<ClassModel> classes;
   ClientModel clients;
   NetworkModel network;
   int max_attempts = 4;
   Duration max_retry_after{0};
   Duration drain_grace{500};
-  int groups = 2;  // of converters that drop each other's repeats of a key; by their numbers
-  double price_cross_zone = 0;
+  int groups = 2;  // of backends that drop each other's repeats of a key; by their numbers
+  double cross_zone_cost = 0;
   int regions = 1;  // of zones, by their numbers
   Duration far{0};  // one way more between regions
   RegionsModel decision;
   TogetherModel together;
   std::vector<Happening> happenings;  // by time
 
-  // Work that all converters do a ms once warm, over what is asked of them.
+  // Work that all backends do a ms once warm, over what is asked of them.
   double Utilization() const;
   double MeanWork() const;  // of a request, over all classes, ms of a standard core
   int RegionOf(int zone) const { return zone * regions / zones; }
-  fordlb::Settings SettingsOf(int proxy) const;
+  balancer::Settings SettingsOf(int proxy) const;
 };
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
 
-#endif  // BADGERBRIDGE_LAB_MODEL_H_
+#endif  // BADGERBRIDGE_SIMULATOR_MODEL_H_
--- a/src/lab/random.cpp
+++ b/src/simulator/random.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/random.h"
+#include "simulator/random.h"
 
 #include <algorithm>
 #include <boost/random/exponential_distribution.hpp>
@@ -9,7 +9,7 @@
 #include <cmath>
 #include <numeric>
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 namespace {
 
 std::uint64_t Mix(std::uint64_t x) {
@@ -63,4 +63,4 @@
   return std::min(value, mean * kMostMeans);
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/lab/random.h
+++ b/src/simulator/random.h
@@ -3,14 +3,14 @@
 // Randomness of a run: a stream for each thing that draws, so that one that draws more leaves the others as
 // they were (common random numbers: two policies under one seed meet the same arrivals and the same work).
 // Boost's distributions give the same numbers on every platform, which the standard's do not promise.
-#ifndef BADGERBRIDGE_LAB_RANDOM_H_
-#define BADGERBRIDGE_LAB_RANDOM_H_
+#ifndef BADGERBRIDGE_SIMULATOR_RANDOM_H_
+#define BADGERBRIDGE_SIMULATOR_RANDOM_H_
 
 #include <boost/random/taus88.hpp>
 #include <cstdint>
 #include <vector>
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
 class Random {
  public:
@@ -40,6 +40,6 @@
 };
 constexpr double kMostMeans = 1000;
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
 
-#endif  // BADGERBRIDGE_LAB_RANDOM_H_
+#endif  // BADGERBRIDGE_SIMULATOR_RANDOM_H_
--- a/src/lab/referee.cpp
+++ b/src/simulator/referee.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/referee.h"
+#include "simulator/referee.h"
 
 #include <utility>
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
 std::string_view Name(Rule rule) {
   switch (rule) {
@@ -25,13 +25,13 @@
   if (!breach_) breach_ = Breach{rule, now, step, std::move(what)};
 }
 
-void Referee::Answered(TimePoint now, std::uint64_t step, Trace& trace, const fordlb::ClassSettings& rules,
+void Referee::Answered(TimePoint now, std::uint64_t step, Trace& trace, const balancer::ClassSettings& rules,
                        bool refused) {
   if (trace.answered) Break(Rule::kLost, now, step, "a second answer");
   if (trace.left) return;
   if (now > trace.due) Break(Rule::kLost, now, step, "an answer after the client's time");
   trace.answered = true;
-  trace.refused = refused && rules.effect == fordlb::Effect::kUnsafe;
+  trace.refused = refused && rules.effect == balancer::Idempotency::kNotIdempotent;
   if (trace.refused && trace.effects > 0)
     Break(Rule::kTwice, now, step, "a refusal of what has taken effect");
 }
@@ -42,34 +42,34 @@
 }
 
 void Referee::Sent(TimePoint now, std::uint64_t step, const Trace& trace,
-                   std::optional<TimePoint> draining_since, std::uint32_t converter) {
+                   std::optional<TimePoint> draining_since, std::uint32_t backend) {
   if (trace.answered) Break(Rule::kLost, now, step, "an attempt after the final answer");
   if (trace.attempts_out > 1) Break(Rule::kTwice, now, step, "two attempts of a request out at a time");
   if (draining_since && now - *draining_since > drain_grace_)
     Break(Rule::kDrain, now, step,
-          "proxy " + std::to_string(trace.proxy) + " sends to converter " + std::to_string(converter) + " " +
+          "proxy " + std::to_string(trace.proxy) + " sends to converter " + std::to_string(backend) + " " +
               std::to_string(static_cast<long>((now - *draining_since).count())) +
               " ms after it was told off");
 }
 
-bool Referee::Effect(TimePoint now, std::uint64_t step, Trace& trace, const fordlb::ClassSettings& rules,
-                     int group) {
+bool Referee::Idempotency(TimePoint now, std::uint64_t step, Trace& trace,
+                          const balancer::ClassSettings& rules, int group) {
   if (trace.refused) Break(Rule::kTwice, now, step, "what was refused takes effect");
   const bool first = trace.effects == 0;
-  const bool dropped = !first && rules.effect == fordlb::Effect::kKeyed && group == trace.group &&
-                       now - trace.effect_at <= rules.window;
+  const bool dropped = !first && rules.effect == balancer::Idempotency::kIdempotencyKey &&
+                       group == trace.group && now - trace.effect_at <= rules.window;
   if (dropped) return false;
   ++trace.effects;
   if (first) trace.group = group, trace.effect_at = now;
-  if (!first && rules.effect != fordlb::Effect::kSafe)
+  if (!first && rules.effect != balancer::Idempotency::kIdempotent)
     Break(Rule::kTwice, now, step, "a second effect of a request");
   return true;
 }
 
-void Referee::Came(TimePoint now, std::uint64_t step, std::size_t converter, double work, bool told) {
-  if (!slow_starts_[converter].Came(now, work, told)) return;
+void Referee::Came(TimePoint now, std::uint64_t step, std::size_t backend, double work, bool told) {
+  if (!slow_starts_[backend].Came(now, work, told)) return;
   Break(Rule::kCold, now, step,
-        "converter " + std::to_string(converter) + " was sent more than its slow start allows");
+        "converter " + std::to_string(backend) + " was sent more than its slow start allows");
 }
 
 SlowStartShares Referee::worst_slow_start() const {
@@ -78,8 +78,8 @@
   return worst;
 }
 
-void Referee::Fell(TimePoint now, std::uint64_t step, std::uint32_t converter) {
-  Break(Rule::kCold, now, step, "converter " + std::to_string(converter) + " was pushed over while cold");
+void Referee::Fell(TimePoint now, std::uint64_t step, std::uint32_t backend) {
+  Break(Rule::kCold, now, step, "converter " + std::to_string(backend) + " was pushed over while cold");
 }
 
 void Referee::Totals(TimePoint now, std::uint64_t step, bool add_up, std::uint32_t proxy) {
@@ -87,4 +87,4 @@
     Break(Rule::kTotals, now, step, "the tally of proxy " + std::to_string(proxy) + " does not add up");
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/lab/scenario.cpp
+++ b/src/simulator/scenario.cpp
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/scenario.h"
+#include "simulator/scenario.h"
 
 #include <algorithm>
 #include <array>
 #include <utility>
 
-#include "operator/table_reader.h"
+#include "operator_config/table_reader.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 namespace {
 
-using namespace fordlb;
-using operator_file::Problems;
-using operator_file::TableReader;
+using namespace balancer;
+using operator_config::Problems;
+using operator_config::TableReader;
 using std::chrono::milliseconds;
 
 constexpr milliseconds kDay{24 * 3600 * 1000};
@@ -54,16 +54,16 @@
   constexpr std::array<std::string_view, 3> kGroups = {"all", "zone", "group"};
   table.Require("name", "the class's name");
   c->name = table.Text("name");
-  c->rules.effect = static_cast<Effect>(OneOf(table, "effect", kEffects, 0));
-  c->rules.group = static_cast<Group>(OneOf(table, "group", kGroups, 2));
+  c->rules.effect = static_cast<Idempotency>(OneOf(table, "effect", kEffects, 0));
+  c->rules.group = static_cast<DeduplicationScope>(OneOf(table, "group", kGroups, 2));
   c->rules.window = Duration(Ms(table.Duration("window", milliseconds(10000), milliseconds(0), kDay)));
-  c->rules.aim = Duration(Ms(table.Duration("aim", milliseconds(500), milliseconds(1), kDay)));
+  c->rules.latency_objective = Duration(Ms(table.Duration("aim", milliseconds(500), milliseconds(1), kDay)));
   c->rules.deadline =
       Duration(Ms(table.Duration("deadline", milliseconds(1500), milliseconds(10), milliseconds(600000))));
-  if (c->rules.deadline < c->rules.aim)
+  if (c->rules.deadline < c->rules.latency_objective)
     table.Report("deadline", "is shorter than aim; at least as long would be right");
-  c->rules.worth = static_cast<double>(table.Whole("worth", 1, 0, 1000000));
-  c->rules.late_worth = static_cast<double>(table.Whole("late_worth_percent", 30, 0, 100)) / 100;
+  c->rules.priority_weight = static_cast<double>(table.Whole("worth", 1, 0, 1000000));
+  c->rules.late_weight = static_cast<double>(table.Whole("late_worth_percent", 30, 0, 100)) / 100;
   c->share = static_cast<double>(table.Whole("share", 1, 1, 1000000));
   c->hinted = table.Flag("hinted", true);
   c->work = ReadShape(table, "work", {Shape::Kind::kLognormal, 20, 1, {}});
@@ -100,7 +100,7 @@
 
 Model ParseScenario(std::string_view text, const std::string& file, Problems& problems) {
   Model model;
-  const auto root = operator_file::ParseToml(text, file, problems);
+  const auto root = operator_config::ParseToml(text, file, problems);
   if (!root) return model;
   TableReader top(*root, "", file, problems);
   model.name = top.Text("name", file);
@@ -108,14 +108,14 @@
   if (const auto table = top.Table("installation")) {
     model.zones = static_cast<int>(table->Whole("zones", 1, 1, kMostZones));
     model.proxies = static_cast<int>(table->Whole("proxies", 3, 1, kMostProxies));
-    model.converters = static_cast<int>(table->Whole("converters", 10, 1, kMostConverters));
-    model.groups = static_cast<int>(table->Whole("groups", 2, 1, kMostConverters));
+    model.backends = static_cast<int>(table->Whole("converters", 10, 1, kMostBackends));
+    model.groups = static_cast<int>(table->Whole("groups", 2, 1, kMostBackends));
     model.max_attempts = static_cast<int>(table->Whole("max_attempts", 4, 1, 4));
     model.max_retry_after = Duration(
         Ms(table->Duration("max_retry_after", milliseconds(600), milliseconds(0), milliseconds(60000))));
     model.drain_grace =
         Duration(Ms(table->Duration("drain_grace", milliseconds(500), milliseconds(0), milliseconds(60000))));
-    model.price_cross_zone = static_cast<double>(table->Whole("price_cross_zone_percent", 10, 0, 1000)) / 100;
+    model.cross_zone_cost = static_cast<double>(table->Whole("price_cross_zone_percent", 10, 0, 1000)) / 100;
     model.regions = static_cast<int>(table->Whole("regions", 1, 1, model.zones));
     model.far = Duration(Ms(table->Duration("far", milliseconds(0), milliseconds(0), milliseconds(60000))));
     table->Finish();
@@ -123,15 +123,15 @@
     top.Require("installation", "a table with proxies, converters and zones");
   }
   if (const auto table = top.Table("converter")) {
-    ConverterModel& c = model.converter;
+    BackendModel& c = model.backend;
     c.slots = static_cast<int>(table->Whole("slots", 8, 1, 10000));
     c.queue = static_cast<int>(table->Whole("queue", 64, 0, 1000000));
     c.speed = static_cast<double>(table->Whole("speed_percent", 100, 1, 100000)) / 100;
-    c.cold_from = static_cast<double>(table->Whole("cold_from_percent", 16, 1, 100)) / 100;
-    c.warm_up =
+    c.slow_start_floor = static_cast<double>(table->Whole("cold_from_percent", 16, 1, 100)) / 100;
+    c.slow_start_window =
         Duration(Ms(table->Duration("warm_up", milliseconds(24000), milliseconds(0), milliseconds(3600000))));
-    c.fall_multiple = static_cast<double>(table->Whole("fall_multiple_percent", 250, 0, 100000)) / 100;
-    c.overload_for = Duration(
+    c.overload_factor = static_cast<double>(table->Whole("fall_multiple_percent", 250, 0, 100000)) / 100;
+    c.overload_duration = Duration(
         Ms(table->Duration("overload_for", milliseconds(3000), milliseconds(100), milliseconds(600000))));
     table->Finish();
   }
@@ -219,8 +219,8 @@
 }
 
 Model LoadScenario(const std::string& path, Problems& problems) {
-  const auto text = operator_file::ReadFile(path, kMostScenarioBytes, problems);
+  const auto text = operator_config::ReadFile(path, kMostScenarioBytes, problems);
   return text ? ParseScenario(*text, path, problems) : Model{};
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/lab/slow_start.cpp
+++ b/src/simulator/slow_start.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/slow_start.h"
+#include "simulator/slow_start.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 namespace {
 
 constexpr double kFewCalls = 30;        // below, the rule has a clause of its own
@@ -12,11 +12,12 @@
 
 }  // namespace
 
-double AllowedCalls(const ConverterModel& model, double mean_work, Duration age) {
-  const double warmth = model.warm_up.count() > 0 ? std::clamp(age / model.warm_up, 0.0, 1.0) : 1;
-  const double share = model.cold_from + (1 - model.cold_from) * warmth;
+double AllowedCalls(const BackendModel& model, double mean_work, Duration age) {
+  const double warmth =
+      model.slow_start_window.count() > 0 ? std::clamp(age / model.slow_start_window, 0.0, 1.0) : 1;
+  const double share = model.slow_start_floor + (1 - model.slow_start_floor) * warmth;
   const double capacity = model.slots * model.speed * share;  // work a ms
-  return model.fall_multiple * capacity * model.overload_for.count() / mean_work;
+  return model.overload_factor * capacity * model.overload_duration.count() / mean_work;
 }
 
 double MostCalls(double allowed) {
@@ -45,10 +46,10 @@
 }
 
 bool SlowStart::Came(TimePoint now, double work, bool told) {
-  if (model_.fall_multiple <= 0 || started_ == TimePoint{}) return false;
+  if (model_.overload_factor <= 0 || started_ == TimePoint{}) return false;
   const Duration age = now - started_;
-  if (age >= model_.warm_up) return false;
-  while (!window_.empty() && now - window_.front().at > model_.overload_for) {
+  if (age >= model_.slow_start_window) return false;
+  while (!window_.empty() && now - window_.front().at > model_.overload_duration) {
     Count(window_.front(), -1);
     window_.pop_front();
   }
@@ -62,4 +63,4 @@
   return used.calls > 1 || used.work > 1;
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/lab/slow_start.h
+++ b/src/simulator/slow_start.h
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The rule on converters in slow start: what all proxies together may send one that has just started. Judged
-// by what really reaches the converter, in every window of the settings' length, from its start on.
-#ifndef BADGERBRIDGE_LAB_SLOW_START_H_
-#define BADGERBRIDGE_LAB_SLOW_START_H_
+// The rule on backends in slow start: what all proxies together may send one that has just started. Judged
+// by what really reaches the backend, in every window of the settings' length, from its start on.
+#ifndef BADGERBRIDGE_SIMULATOR_SLOW_START_H_
+#define BADGERBRIDGE_SIMULATOR_SLOW_START_H_
 
 #include <deque>
 
-#include "lab/converter.h"
+#include "simulator/backend.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
-// N: the calls of mean work (`mean_work` ms of a standard core) that the settings allow a converter of this
-// age in one window of `overload_for`. The age is that at the window's end.
-double AllowedCalls(const ConverterModel& model, double mean_work, Duration age);
+// N: the calls of mean work (`mean_work` ms of a standard core) that the settings allow a backend of this
+// age in one window of `overload_duration`. The age is that at the window's end.
+double AllowedCalls(const BackendModel& model, double mean_work, Duration age);
 
 // N + 2 sqrt(N) + 2: beyond this the rule is broken. For an N under 30 the rule names 3 sqrt(N) + 3. It is
 // read in the strictest way, as the whole and not as what chance adds to N, and taken where it is less.
@@ -26,10 +26,10 @@
   void Raise(const SlowStartShares& other);
 };
 
-// What one converter has been sent since its start.
+// What one backend has been sent since its start.
 class SlowStart {
  public:
-  SlowStart(ConverterModel model, double mean_work) : model_(model), mean_work_(mean_work) {}
+  SlowStart(BackendModel model, double mean_work) : model_(model), mean_work_(mean_work) {}
 
   // A new process: nothing that came to an older one counts.
   void Start(TimePoint now);
@@ -50,7 +50,7 @@
   };
   void Count(const Call& call, double sign);
 
-  ConverterModel model_;
+  BackendModel model_;
   double mean_work_;
   TimePoint started_{};
   std::deque<Call> window_;
@@ -58,6 +58,6 @@
   SlowStartShares worst_;
 };
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
 
-#endif  // BADGERBRIDGE_LAB_SLOW_START_H_
+#endif  // BADGERBRIDGE_SIMULATOR_SLOW_START_H_
--- a/src/lab/world.cpp
+++ b/src/simulator/world.cpp
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lab/world.h"
+#include "simulator/world.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "lab/world_types.h"
+#include "simulator/world_types.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
-using namespace fordlb;
+using namespace balancer;
 
 namespace {
 
-// Streams of randomness; those of converters follow.
-enum Stream : std::uint64_t { kArrivals, kWorks, kNetwork, kLists, kClients, kConverters };
+// Streams of randomness; those of backends follow.
+enum Stream : std::uint64_t { kArrivals, kWorks, kNetwork, kLists, kClients, kBackends };
 
 }  // namespace
 
@@ -28,8 +28,7 @@
       seed_(seed),
       factory_(std::move(factory)),
       queue_(tie_seed),
-      referee_(model.drain_grace, static_cast<std::size_t>(model.converters), model.converter,
-               model.MeanWork()),
+      referee_(model.drain_grace, static_cast<std::size_t>(model.backends), model.backend, model.MeanWork()),
       arrivals_(seed, kArrivals),
       works_(seed, kWorks),
       network_(seed, kNetwork),
@@ -41,7 +40,7 @@
   double sum = 0;
   for (const ClassModel& c : model_.classes) class_shares_.push_back(sum += c.share);
   result_.classes.resize(model_.classes.size());
-  StartConverters();
+  StartBackends();
   proxies_.resize(static_cast<std::size_t>(model_.proxies));
   if (model_.decision.decide != RegionsModel::Decide::kOff) StartMembers();
   for (std::size_t i = 0; i < proxies_.size(); ++i) {
@@ -55,14 +54,14 @@
 
 World::~World() = default;
 
-void World::StartConverters() {
-  for (int i = 0; i < model_.converters; ++i) {
+void World::StartBackends() {
+  for (int i = 0; i < model_.backends; ++i) {
     const auto index = static_cast<std::size_t>(i);
-    converters_.push_back(std::make_unique<Converter>(queue_, static_cast<Converter::Watcher&>(*this), index,
-                                                      model_.converter, Random(seed_, kConverters + index)));
-    converters_.back()->Start(TimePoint{});
-    ServerEntry entry;
-    entry.server = static_cast<ServerId>(i + 1);
+    backends_.push_back(std::make_unique<Backend>(queue_, static_cast<Backend::Watcher&>(*this), index,
+                                                  model_.backend, Random(seed_, kBackends + index)));
+    backends_.back()->Start(TimePoint{});
+    BackendEntry entry;
+    entry.server = static_cast<BackendId>(i + 1);
     entry.zone = i % model_.zones;
     entry.cell = i / model_.zones % std::max(1, model_.groups);
     listed_.push_back(entry);
@@ -92,8 +91,8 @@
   result_.breach = referee_.breach();
   result_.slow_start = referee_.worst_slow_start();
   result_.busy.clear();
-  for (const auto& converter : converters_)
-    result_.busy.push_back(converter->busy_ms() / std::max(1.0, result_.length) / model_.converter.slots);
+  for (const auto& backend : backends_)
+    result_.busy.push_back(backend->busy_ms() / std::max(1.0, result_.length) / model_.backend.slots);
   return result_;
 }
 
@@ -102,7 +101,7 @@
   for (std::size_t i = 0; i < proxies_.size(); ++i) {
     if (!proxies_[i].alive()) continue;
     bool add_up = true;
-    for (const exchange::Tally& t : proxies_[i].core->tallies())
+    for (const request_table::Tally& t : proxies_[i].core->tallies())
       add_up &= t.taken == t.served + t.refused + t.failed + t.open;
     referee_.Totals(queue_.now(), queue_.steps(), add_up, static_cast<std::uint32_t>(i));
   }
@@ -118,13 +117,13 @@
     case kReachProxy:
       return ReachProxy(now, a);
     case kAnswered:
-      return Ended(now, a, static_cast<exchange::Ending>(b & 3), static_cast<double>(b >> 2) / 1000);
+      return Ended(now, a, static_cast<request_table::Ending>(b & 3), static_cast<double>(b >> 2) / 1000);
     case kTimeUp:
       return TimeUp(now, a);
     case kLeave:
       return ClientLeaves(now, a);
-    case kReachConverter:
-      return ReachConverter(now, a);
+    case kReachBackend:
+      return ReachBackend(now, a);
     case kAttemptEnds:
       return EndAttempt(now, a, static_cast<Outcome>(b));
     case kAttemptTimesOut:
@@ -157,4 +156,4 @@
   result_.digest = (result_.digest ^ word) * 0x100000001b3ull;
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/lab/world.h
+++ b/src/simulator/world.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The whole installation in virtual time: clients, a front, proxies with the product's own core, a network,
-// converters and discovery, from one seed on one queue. docs/lab.md says what is modelled and what is left
-// out.
-#ifndef BADGERBRIDGE_LAB_WORLD_H_
-#define BADGERBRIDGE_LAB_WORLD_H_
+// backends and discovery, from one seed on one queue. docs/simulator.md says what is modelled and what is
+// left out.
+#ifndef BADGERBRIDGE_SIMULATOR_WORLD_H_
+#define BADGERBRIDGE_SIMULATOR_WORLD_H_
 
 #include <cstdint>
 #include <memory>
@@ -12,15 +12,15 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/core.h"
-#include "lab/event_queue.h"
-#include "lab/histogram.h"
-#include "lab/members.h"
-#include "lab/model.h"
-#include "lab/random.h"
-#include "lab/referee.h"
+#include "simulator/core.h"
+#include "simulator/event_queue.h"
+#include "simulator/histogram.h"
+#include "simulator/members.h"
+#include "simulator/model.h"
+#include "simulator/random.h"
+#include "simulator/referee.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
 // Of first tries and their worth: each is in exactly one of served, refused, failed, left, unreached and
 // cut_short once the run has ended. A client that comes again after a refusal or a failure is one still.
@@ -38,14 +38,14 @@
   std::vector<ClassResult> classes;
   std::uint64_t steps = 0, attempts = 0, repeats_dropped = 0;
   double length = 0;         // ms of virtual time, to the last event
-  std::vector<double> busy;  // of each converter: its slots' time in use, a share of all
-  std::uint64_t digest = 0;  // of every event that a client or converter saw, in order
+  std::vector<double> busy;  // of each backend: its slots' time in use, a share of all
+  std::uint64_t digest = 0;  // of every event that a client or backend saw, in order
   std::optional<Breach> breach;
-  SlowStartShares slow_start;  // the worst of all converters
+  SlowStartShares slow_start;  // the worst of all backends
   double worth_share() const;
 };
 
-class World final : private Actor, private Converter::Watcher {
+class World final : private Actor, private Backend::Watcher {
  public:
   World(const Model& model, std::uint64_t seed, CoreFactory factory = MakeBadgerbridge,
         std::uint64_t tie_seed = 0);
@@ -65,7 +65,7 @@
     kAnswered,
     kTimeUp,
     kLeave,
-    kReachConverter,
+    kReachBackend,
     kAttemptEnds,
     kAttemptTimesOut,
     kWake,
@@ -78,12 +78,12 @@
   struct Intent;
 
   void On(TimePoint now, std::uint32_t what, std::uint64_t a, std::uint64_t b) override;
-  void Began(TimePoint now, std::size_t converter, JobId job) override;
-  void Finished(TimePoint now, std::size_t converter, JobId job, bool right) override;
-  void Dropped(TimePoint now, std::size_t converter, JobId job) override;
+  void Began(TimePoint now, std::size_t backend, JobId job) override;
+  void Finished(TimePoint now, std::size_t backend, JobId job, bool right) override;
+  void Dropped(TimePoint now, std::size_t backend, JobId job) override;
 
   // world.cpp: the course of a run.
-  void StartConverters();
+  void StartBackends();
   void StartMembers();
   void CheckTotals();
   void Forget(std::uint64_t attempt);
@@ -93,8 +93,8 @@
   // world_clients.cpp
   void Arrive(TimePoint now);
   void Try(TimePoint now, std::uint64_t intent);
-  void Ended(TimePoint now, std::uint64_t trace, exchange::Ending ending, double retry_after);
-  void Again(TimePoint now, std::uint64_t intent, double retry_after, exchange::Ending ending);
+  void Ended(TimePoint now, std::uint64_t trace, request_table::Ending ending, double retry_after);
+  void Again(TimePoint now, std::uint64_t intent, double retry_after, request_table::Ending ending);
   void TimeUp(TimePoint now, std::uint64_t trace);
   void ClientLeaves(TimePoint now, std::uint64_t trace);
   int PickProxy(int zone);
@@ -102,22 +102,22 @@
   // world_proxies.cpp
   void ReachProxy(TimePoint now, std::uint64_t trace);
   void Carry(TimePoint now, std::size_t proxy);
-  void Send(TimePoint now, std::size_t proxy, const exchange::Send& send);
+  void Send(TimePoint now, std::size_t proxy, const request_table::Send& send);
   void DeliverChange(TimePoint now, std::size_t proxy, std::uint64_t change);
   void Wake(TimePoint now, std::size_t proxy, std::uint64_t incarnation);
   void Kill(TimePoint now, std::size_t proxy);
   void Revive(TimePoint now, std::size_t proxy);
   void Noticed(std::size_t proxy);
-  void EndAttempt(TimePoint now, std::uint64_t attempt, fordlb::Outcome outcome);
+  void EndAttempt(TimePoint now, std::uint64_t attempt, balancer::Outcome outcome);
 
-  // world_converters.cpp: converters, network and discovery.
-  void ReachConverter(TimePoint now, std::uint64_t attempt);
-  void Leaves(TimePoint now, JobId job, fordlb::Outcome outcome);
+  // world_backends.cpp: backends, network and discovery.
+  void ReachBackend(TimePoint now, std::uint64_t attempt);
+  void Leaves(TimePoint now, JobId job, balancer::Outcome outcome);
   bool Cut(int from_zone, int to_zone) const;
   double Latency();
   double Between(int zone, int other);
   std::vector<double> Warm(TimePoint now) const;
-  void List(TimePoint now, std::size_t converter, fordlb::ServerState state);
+  void List(TimePoint now, std::size_t backend, balancer::BackendState state);
 
   // world_happenings.cpp: the scenario's timetable.
   void Happen(TimePoint now, const Happening& what);
@@ -125,7 +125,7 @@
   void OrderZones(const Happening& what);
   void HoldLists(TimePoint now, bool stale);
   void HappenToShare(TimePoint now, const Happening& what);
-  void HappenToConverter(TimePoint now, const Happening& what, std::size_t converter);
+  void HappenToBackend(TimePoint now, const Happening& what, std::size_t backend);
 
   const Model model_;
   const std::uint64_t seed_;
@@ -134,11 +134,11 @@
   Referee referee_;
   Random arrivals_, works_, network_, lists_, clients_;
   std::vector<double> class_shares_;  // running sums
-  std::vector<std::unique_ptr<Converter>> converters_;
+  std::vector<std::unique_ptr<Backend>> backends_;
   std::vector<Proxy> proxies_;
   std::vector<std::vector<std::uint32_t>> fronts_;  // of each zone: the proxies that it deals to
-  std::vector<fordlb::ServerEntry> changes_;        // all that discovery wrote, in order
-  std::vector<fordlb::ServerEntry> listed_;         // as discovery has it now
+  std::vector<balancer::BackendEntry> changes_;     // all that discovery wrote, in order
+  std::vector<balancer::BackendEntry> listed_;      // as discovery has it now
   std::vector<std::pair<std::size_t, std::uint64_t>> held_back_;  // while lists are stale: whom, and what
   std::unordered_map<std::uint64_t, Trace> traces_;
   std::unordered_map<std::uint64_t, Attempt> attempts_;
@@ -151,6 +151,6 @@
   Result result_;
 };
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
 
-#endif  // BADGERBRIDGE_LAB_WORLD_H_
+#endif  // BADGERBRIDGE_SIMULATOR_WORLD_H_
--- a/src/lab/world_converters.cpp
+++ b/src/simulator/world_backends.cpp
@@ -1,22 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The converters of the world, the network before them, and discovery.
+// The backends of the world, the network before them, and discovery.
 #include <algorithm>
 #include <bit>
 #include <utility>
 
-#include "lab/world_types.h"
+#include "simulator/world_types.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
-using namespace fordlb;
+using namespace balancer;
 
-void World::ReachConverter(TimePoint now, std::uint64_t id) {
+void World::ReachBackend(TimePoint now, std::uint64_t id) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end() || found->second.ended) return;  // its connection was closed before
   Attempt& attempt = found->second;
-  Converter& converter = *converters_[attempt.converter];
-  const int zone = listed_[attempt.converter].zone;
+  Backend& backend = *backends_[attempt.backend];
+  const int zone = listed_[attempt.backend].zone;
   const auto ends = [&](Outcome outcome) {
     if (Cut(zone, proxies_[attempt.proxy].zone)) return;
     queue_.At(now + Duration(Between(proxies_[attempt.proxy].zone, zone)), this, kAttemptEnds, id,
@@ -24,20 +24,20 @@
   };
   // Another process than the one that it was meant for, or none: what was written on an open connection is
   // reset.
-  if (!converter.up() || converter.up_since() != attempt.converter_since)
+  if (!backend.up() || backend.up_since() != attempt.backend_since)
     return ends(attempt.on_idle ? Outcome::kReset : Outcome::kConnectFailed);
   if (Cut(proxies_[attempt.proxy].zone, zone)) return;
-  attempt.at_converter = true;
+  attempt.at_backend = true;
   const double work = traces_.at(attempt.trace).work;
-  referee_.Came(now, queue_.steps(), attempt.converter, work, attempt.told);
-  const Converter::Begin begin = converter.Take(now, id, work);
-  if (begin == Converter::Begin::kFull) {
-    attempt.at_converter = false;
-    return ends(Outcome::kFull);
+  referee_.Came(now, queue_.steps(), attempt.backend, work, attempt.told);
+  const Backend::Begin begin = backend.Take(now, id, work);
+  if (begin == Backend::Begin::kFull) {
+    attempt.at_backend = false;
+    return ends(Outcome::kRejected);
   }
-  if (begin == Converter::Begin::kFell) {
-    attempt.at_converter = false;
-    referee_.Fell(now, queue_.steps(), static_cast<std::uint32_t>(attempt.converter));
+  if (begin == Backend::Begin::kFell) {
+    attempt.at_backend = false;
+    referee_.Fell(now, queue_.steps(), static_cast<std::uint32_t>(attempt.backend));
     return ends(Outcome::kReset);
   }
   if (attempt.reset) ends(Outcome::kReset);
@@ -46,10 +46,10 @@
 void World::Began(TimePoint now, std::size_t index, JobId id) {
   Trace& trace = traces_.at(attempts_.at(id).trace);
   const ClassSettings& rules = model_.classes[static_cast<std::size_t>(trace.request_class)].rules;
-  const int group = rules.group == Group::kAll    ? 0
-                    : rules.group == Group::kZone ? listed_[index].zone
-                                                  : listed_[index].cell;
-  result_.repeats_dropped += !referee_.Effect(now, queue_.steps(), trace, rules, group);
+  const int group = rules.group == DeduplicationScope::kAll    ? 0
+                    : rules.group == DeduplicationScope::kZone ? listed_[index].zone
+                                                               : listed_[index].cell;
+  result_.repeats_dropped += !referee_.Idempotency(now, queue_.steps(), trace, rules, group);
   Digest(id * 64 + index);
   Digest(std::bit_cast<std::uint64_t>(now.time_since_epoch().count()));
 }
@@ -57,9 +57,9 @@
 // Its proxy hears of it, if it still waits and the link is not silent.
 void World::Leaves(TimePoint now, JobId id, Outcome outcome) {
   Attempt& attempt = attempts_.at(id);
-  attempt.at_converter = false;
+  attempt.at_backend = false;
   if (!attempt.ended) {
-    const int zone = listed_[attempt.converter].zone, proxy = proxies_[attempt.proxy].zone;
+    const int zone = listed_[attempt.backend].zone, proxy = proxies_[attempt.proxy].zone;
     if (!Cut(zone, proxy))
       queue_.At(now + Duration(Between(proxy, zone)), this, kAttemptEnds, id,
                 static_cast<std::uint64_t>(outcome));
@@ -87,20 +87,20 @@
 
 double World::Latency() { return model_.network.latency.Draw(network_); }
 
-// Warm converters' worth in each zone, as discovery has it.
+// Warm backends' worth in each zone, as discovery has it.
 std::vector<double> World::Warm(TimePoint now) const {
   std::vector<double> warm(static_cast<std::size_t>(model_.zones));
   for (std::size_t i = 0; i < listed_.size(); ++i) {
-    if (listed_[i].state == ServerState::kReady)
-      warm[static_cast<std::size_t>(listed_[i].zone)] += converters_[i]->WarmShare(now);
+    if (listed_[i].state == BackendState::kReady)
+      warm[static_cast<std::size_t>(listed_[i].zone)] += backends_[i]->WarmShare(now);
   }
   return warm;
 }
 
-void World::List(TimePoint now, std::size_t converter, ServerState state) {
-  ServerEntry& entry = listed_[converter];
+void World::List(TimePoint now, std::size_t backend, BackendState state) {
+  BackendEntry& entry = listed_[backend];
   entry.state = state;
-  entry.up_since = converters_[converter]->up_since();
+  entry.up_since = backends_[backend]->up_since();
   changes_.push_back(entry);
   for (std::size_t i = 0; i < proxies_.size(); ++i) {
     if (!proxies_[i].alive()) continue;
@@ -114,4 +114,4 @@
   }
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/lab/world_clients.cpp
+++ b/src/simulator/world_clients.cpp
@@ -4,11 +4,11 @@
 #include <algorithm>
 #include <bit>
 
-#include "lab/world_types.h"
+#include "simulator/world_types.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
-using namespace fordlb;
+using namespace balancer;
 
 void World::Arrive(TimePoint now) {
   if (now >= At(model_.length)) return;
@@ -27,7 +27,7 @@
   const std::uint64_t id = ++next_intent_;
   ClassResult& result = result_.classes[static_cast<std::size_t>(intent.request_class)];
   ++result.asked;
-  result.worth_asked += cls.rules.worth;
+  result.worth_asked += cls.rules.priority_weight;
   intents_.emplace(id, intent);
   Try(now, id);
 }
@@ -75,23 +75,23 @@
     queue_.At(now + cls.rules.deadline * clients_.Unit(), this, kLeave, number);
 }
 
-void World::Ended(TimePoint now, std::uint64_t id, exchange::Ending ending, double retry_after) {
+void World::Ended(TimePoint now, std::uint64_t id, request_table::Ending ending, double retry_after) {
   const auto found = traces_.find(id);
   if (found == traces_.end()) return;
   Trace& trace = found->second;
   const ClassModel& cls = model_.classes[static_cast<std::size_t>(trace.request_class)];
   const bool waited = !trace.left && !trace.answered;
-  referee_.Answered(now, queue_.steps(), trace, cls.rules, ending == exchange::Ending::kRefused);
+  referee_.Answered(now, queue_.steps(), trace, cls.rules, ending == request_table::Ending::kRefused);
   Digest(id ^ static_cast<std::uint64_t>(ending) << 60);
   Digest(std::bit_cast<std::uint64_t>(now.time_since_epoch().count()));
   if (!waited) return;
   const std::uint64_t intent = trace.intent;
-  if (ending == exchange::Ending::kServed) {
+  if (ending == request_table::Ending::kServed) {
     ClassResult& result = result_.classes[static_cast<std::size_t>(trace.request_class)];
     const Intent& wanted = intents_.at(intent);
-    const bool in_aim = now - trace.sent <= cls.rules.aim;
+    const bool in_aim = now - trace.sent <= cls.rules.latency_objective;
     ++result.served, result.in_aim += in_aim;
-    result.worth_served += cls.rules.worth * (in_aim ? 1 : cls.rules.late_worth);
+    result.worth_served += cls.rules.priority_weight * (in_aim ? 1 : cls.rules.late_weight);
     result.latency.Add((now - wanted.began).count());
     intents_.erase(intent);
   } else {
@@ -100,12 +100,12 @@
 }
 
 // A refusal says that trying again is harmless; a failure is tried again where that is safe or has a key.
-void World::Again(TimePoint now, std::uint64_t id, double retry_after, exchange::Ending ending) {
+void World::Again(TimePoint now, std::uint64_t id, double retry_after, request_table::Ending ending) {
   Intent& intent = intents_.at(id);
   ClassResult& result = result_.classes[static_cast<std::size_t>(intent.request_class)];
-  const bool refused = ending == exchange::Ending::kRefused;
-  const Effect effect = model_.classes[static_cast<std::size_t>(intent.request_class)].rules.effect;
-  if (intent.tries >= model_.clients.tries || (!refused && effect == Effect::kUnsafe)) {
+  const bool refused = ending == request_table::Ending::kRefused;
+  const Idempotency effect = model_.classes[static_cast<std::size_t>(intent.request_class)].rules.effect;
+  if (intent.tries >= model_.clients.tries || (!refused && effect == Idempotency::kNotIdempotent)) {
     ++(refused ? result.refused : result.failed);
     intents_.erase(id);
     return;
@@ -144,4 +144,4 @@
   Carry(now, trace.proxy);
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
