--- a/src/lab/world_happenings.cpp
+++ b/src/simulator/world_happenings.cpp
@@ -3,11 +3,11 @@
 // What happens to the world on the scenario's timetable.
 #include <utility>
 
-#include "lab/world_types.h"
+#include "simulator/world_types.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
-using namespace fordlb;
+using namespace balancer;
 
 void World::Happen(TimePoint now, const Happening& what) {
   using Kind = Happening::Kind;
@@ -67,7 +67,7 @@
 void World::HappenToShare(TimePoint now, const Happening& what) {
   using Kind = Happening::Kind;
   const bool of_proxies = what.kind == Kind::kKill || what.kind == Kind::kRevive;
-  const std::size_t all = of_proxies ? proxies_.size() : converters_.size();
+  const std::size_t all = of_proxies ? proxies_.size() : backends_.size();
   double sum = 0;
   for (std::size_t i = 0; i < all; ++i) {
     const int zone = of_proxies ? proxies_[i].zone : listed_[i].zone;
@@ -78,41 +78,41 @@
     if (of_proxies) {
       what.kind == Kind::kKill ? Kill(now, i) : Revive(now, i);
     } else {
-      HappenToConverter(now, what, i);
+      HappenToBackend(now, what, i);
     }
   }
 }
 
-void World::HappenToConverter(TimePoint now, const Happening& what, std::size_t i) {
+void World::HappenToBackend(TimePoint now, const Happening& what, std::size_t i) {
   using Kind = Happening::Kind;
   switch (what.kind) {
     case Kind::kDrain:
-      if (listed_[i].state == ServerState::kReady) List(now, i, ServerState::kDraining);
+      if (listed_[i].state == BackendState::kReady) List(now, i, BackendState::kDraining);
       break;
     case Kind::kStop:
-      converters_[i]->Die(now);
+      backends_[i]->Die(now);
       for (Proxy& proxy : proxies_) proxy.idle[i] = 0;
-      if (listed_[i].state != ServerState::kGone) List(now, i, ServerState::kGone);
+      if (listed_[i].state != BackendState::kGone) List(now, i, BackendState::kGone);
       break;
     case Kind::kStart:
-      converters_[i]->Die(now);
+      backends_[i]->Die(now);
       for (Proxy& proxy : proxies_) proxy.idle[i] = 0;
-      converters_[i]->Start(now);
+      backends_[i]->Start(now);
       referee_.Started(now, i);
-      List(now, i, ServerState::kReady);
+      List(now, i, BackendState::kReady);
       break;
     case Kind::kSlow:
-      converters_[i]->Slow(what.value);
+      backends_[i]->Slow(what.value);
       break;
     case Kind::kWrong:
-      converters_[i]->Wrong(what.value);
+      backends_[i]->Wrong(what.value);
       break;
     case Kind::kPause:
-      converters_[i]->Pause(now + Duration(what.value));
+      backends_[i]->Pause(now + Duration(what.value));
       break;
     default:
       break;
   }
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/lab/world_proxies.cpp
+++ b/src/simulator/world_proxies.cpp
@@ -4,11 +4,11 @@
 #include <utility>
 #include <variant>
 
-#include "lab/world_types.h"
+#include "simulator/world_types.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
-using namespace fordlb;
+using namespace balancer;
 
 void World::ReachProxy(TimePoint now, std::uint64_t id) {
   const auto found = traces_.find(id);
@@ -36,18 +36,18 @@
   if (proxy.carrying) return;
   proxy.carrying = true;
   while (!proxy.actions.empty()) {
-    for (const exchange::Action& action : std::exchange(proxy.actions, {})) {
-      if (const auto* send = std::get_if<exchange::Send>(&action)) {
+    for (const request_table::Action& action : std::exchange(proxy.actions, {})) {
+      if (const auto* send = std::get_if<request_table::Send>(&action)) {
         Send(now, index, *send);
-      } else if (const auto* cancel = std::get_if<exchange::Cancel>(&action)) {
+      } else if (const auto* cancel = std::get_if<request_table::Cancel>(&action)) {
         const auto newest = proxy.newest.find(cancel->request);
         if (newest != proxy.newest.end())
           queue_.At(now, this, kAttemptEnds, newest->second, static_cast<std::uint64_t>(Outcome::kCancelled));
-      } else if (const auto* withdraw = std::get_if<exchange::Withdraw>(&action)) {
+      } else if (const auto* withdraw = std::get_if<request_table::Withdraw>(&action)) {
         const auto newest = proxy.newest.find(withdraw->request);
         if (newest != proxy.newest.end() && now < attempts_.at(newest->second).written)
-          queue_.At(now, this, kAttemptEnds, newest->second, static_cast<std::uint64_t>(Outcome::kMoot));
-      } else if (const auto* answer = std::get_if<exchange::Answer>(&action)) {
+          queue_.At(now, this, kAttemptEnds, newest->second, static_cast<std::uint64_t>(Outcome::kNotSent));
+      } else if (const auto* answer = std::get_if<request_table::Answer>(&action)) {
         const auto traced = proxy.traces.find(answer->request);
         if (traced == proxy.traces.end()) continue;
         queue_.At(now + Duration(Latency()), this, kAnswered, traced->second,
@@ -65,19 +65,19 @@
   }
 }
 
-void World::Send(TimePoint now, std::size_t index, const exchange::Send& send) {
+void World::Send(TimePoint now, std::size_t index, const request_table::Send& send) {
   Proxy& proxy = proxies_[index];
   const auto traced = proxy.traces.find(send.request);
-  if (traced == proxy.traces.end()) return proxy.core->Ended(now, send, Outcome::kMoot, &proxy.actions);
+  if (traced == proxy.traces.end()) return proxy.core->Ended(now, send, Outcome::kNotSent, &proxy.actions);
   Trace& trace = traces_.at(traced->second);
-  const auto converter = static_cast<std::size_t>(send.server - 1);
+  const auto backend = static_cast<std::size_t>(send.server - 1);
   Attempt attempt;
   attempt.proxy = index;
   attempt.incarnation = proxy.incarnation;
   attempt.trace = traced->second;
-  attempt.converter = converter;
-  attempt.converter_since = converters_[converter]->up_since();
-  attempt.told = proxy.told_start[converter] == attempt.converter_since;
+  attempt.backend = backend;
+  attempt.backend_since = backends_[backend]->up_since();
+  attempt.told = proxy.told_start[backend] == attempt.backend_since;
   attempt.send = send;
   attempt.reset = model_.network.reset_share > 0 && network_.Unit() < model_.network.reset_share;
   const std::uint64_t id = ++next_attempt_;
@@ -87,9 +87,9 @@
   const auto off = proxy.draining_since.find(send.server);
   referee_.Sent(now, queue_.steps(), trace,
                 off == proxy.draining_since.end() ? std::nullopt : std::optional<TimePoint>(off->second),
-                static_cast<std::uint32_t>(converter));
-  attempt.on_idle = proxy.idle[converter] > 0;
-  const int zone = listed_[converter].zone;
+                static_cast<std::uint32_t>(backend));
+  attempt.on_idle = proxy.idle[backend] > 0;
+  const int zone = listed_[backend].zone;
   if (members_) members_->Sent(now, index, id, zone);
   ClassResult& result = result_.classes[static_cast<std::size_t>(trace.request_class)];
   ++result.attempts, result.crossed += zone != proxy.zone;
@@ -99,15 +99,15 @@
   attempt.written = attempt.on_idle ? now : cut ? TimePoint::max() : now + Duration(2 * latency);
   attempts_.emplace(id, attempt);
   if (attempt.on_idle) {
-    --proxy.idle[converter];
+    --proxy.idle[backend];
     // A silent link, or a process that has died since: an idle connection does not notice the one, and is
     // reset by the other.
-    if (!cut) queue_.At(now + Duration(latency), this, kReachConverter, id);
+    if (!cut) queue_.At(now + Duration(latency), this, kReachBackend, id);
   } else if (cut) {
     queue_.At(now + std::min(model_.network.connect_timeout, send.timeout), this, kAttemptEnds, id,
               static_cast<std::uint64_t>(Outcome::kConnectFailed));
   } else {
-    queue_.At(now + Duration(3 * latency), this, kReachConverter, id);
+    queue_.At(now + Duration(3 * latency), this, kReachBackend, id);
   }
   queue_.At(now + send.timeout, this, kAttemptTimesOut, id);
 }
@@ -119,21 +119,21 @@
   attempt.ended = true;
   Proxy& proxy = proxies_[attempt.proxy];
   const std::size_t index = attempt.proxy;
-  const exchange::Send send = attempt.send;
+  const request_table::Send send = attempt.send;
   const bool same_incarnation = proxy.incarnation == attempt.incarnation;
   const std::uint64_t trace = attempt.trace;
   --traces_.at(trace).attempts_out;
   // A connection is kept where its answer came whole.
-  const bool kept = outcome == Outcome::kOk || outcome == Outcome::kError || outcome == Outcome::kFull;
-  if (same_incarnation && kept && proxy.idle[attempt.converter] < 16) ++proxy.idle[attempt.converter];
+  const bool kept = outcome == Outcome::kOk || outcome == Outcome::kError || outcome == Outcome::kRejected;
+  if (same_incarnation && kept && proxy.idle[attempt.backend] < 16) ++proxy.idle[attempt.backend];
   if (same_incarnation && members_) {
-    const Converter& converter = *converters_[attempt.converter];
-    const bool heard = outcome == Outcome::kOk || outcome == Outcome::kError || outcome == Outcome::kFull;
+    const Backend& backend = *backends_[attempt.backend];
+    const bool heard = outcome == Outcome::kOk || outcome == Outcome::kError || outcome == Outcome::kRejected;
     members_->Ended(now, index, id, traces_.at(trace).request_class, outcome, now - send.at,
                     traces_.at(trace).work,
-                    heard ? static_cast<double>(converter.running()) / model_.converter.slots : -1);
+                    heard ? static_cast<double>(backend.running()) / model_.backend.slots : -1);
   }
-  if (!attempt.at_converter) Forget(id);
+  if (!attempt.at_backend) Forget(id);
   if (same_incarnation) {
     proxy.newest.erase(send.request);
     proxy.core->Ended(now, send, outcome, &proxy.actions);
@@ -145,16 +145,16 @@
 void World::DeliverChange(TimePoint now, std::size_t index, std::uint64_t change) {
   Proxy& proxy = proxies_[index];
   if (!proxy.alive()) return;
-  const ServerEntry& entry = changes_[change];
+  const BackendEntry& entry = changes_[change];
   proxy.told_start[entry.server - 1] = entry.up_since;
-  if (entry.state == ServerState::kReady) {
+  if (entry.state == BackendState::kReady) {
     proxy.draining_since.erase(entry.server);
   } else {
     proxy.draining_since.emplace(entry.server, now);
     proxy.idle[entry.server - 1] = 0;
   }
   if (members_) members_->Listed(index, Warm(now));
-  proxy.core->List(now, {ListKind::kDelta, {entry}}, &proxy.actions);
+  proxy.core->List(now, {EndpointListKind::kDelta, {entry}}, &proxy.actions);
   Carry(now, index);
 }
 
@@ -186,14 +186,14 @@
   proxy.core =
       factory_(model_.SettingsOf(static_cast<int>(index)), seed_ * 1000003 + index * 101 + proxy.incarnation);
   proxy.draining_since.clear();
-  proxy.idle.assign(converters_.size(), 0);
-  proxy.told_start.assign(converters_.size(), TimePoint{});
+  proxy.idle.assign(backends_.size(), 0);
+  proxy.told_start.assign(backends_.size(), TimePoint{});
   proxy.listed_until = now;
-  ListUpdate list{ListKind::kFull, {}};
-  for (const ServerEntry& entry : listed_) {
-    if (entry.state != ServerState::kGone) list.entries.push_back(entry);
+  EndpointListUpdate list{EndpointListKind::kFull, {}};
+  for (const BackendEntry& entry : listed_) {
+    if (entry.state != BackendState::kGone) list.entries.push_back(entry);
     proxy.told_start[entry.server - 1] = entry.up_since;
-    if (entry.state != ServerState::kReady) proxy.draining_since.emplace(entry.server, now);
+    if (entry.state != BackendState::kReady) proxy.draining_since.emplace(entry.server, now);
   }
   proxy.core->List(now, std::move(list), &proxy.actions);
   Carry(now, index);
@@ -216,4 +216,4 @@
   if (alive) front.push_back(static_cast<std::uint32_t>(index));
 }
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
--- a/src/lab/world_types.h
+++ b/src/simulator/world_types.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What the files of the world share: its proxies, attempts and clients.
-#ifndef BADGERBRIDGE_LAB_WORLD_TYPES_H_
-#define BADGERBRIDGE_LAB_WORLD_TYPES_H_
+#ifndef BADGERBRIDGE_SIMULATOR_WORLD_TYPES_H_
+#define BADGERBRIDGE_SIMULATOR_WORLD_TYPES_H_
 
 #include <cstdint>
 #include <memory>
@@ -10,9 +10,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/world.h"
+#include "simulator/world.h"
 
-namespace badgerbridge::lab {
+namespace badgerbridge::simulator {
 
 constexpr double kEpochMs = 1e6;  // virtual time begins here: 0 means "long ago" to the module
 
@@ -25,12 +25,12 @@
   Core::Actions actions;
   bool carrying = false;
   std::optional<TimePoint> wake;
-  std::unordered_map<fordlb::RequestId, std::uint64_t> traces;     // its own numbers
-  std::unordered_map<fordlb::RequestId, std::uint64_t> newest;     // attempt of each, while it is out
-  std::unordered_map<fordlb::ServerId, TimePoint> draining_since;  // since when not to send there
-  std::vector<TimePoint> told_start;                               // of each converter
-  std::vector<std::uint16_t> idle;                                 // connections to each converter
-  TimePoint listed_until{};                                        // lists reach it in order
+  std::unordered_map<balancer::RequestId, std::uint64_t> traces;      // its own numbers
+  std::unordered_map<balancer::RequestId, std::uint64_t> newest;      // attempt of each, while it is out
+  std::unordered_map<balancer::BackendId, TimePoint> draining_since;  // since when not to send there
+  std::vector<TimePoint> told_start;                                  // of each backend
+  std::vector<std::uint16_t> idle;                                    // connections to each backend
+  TimePoint listed_until{};                                           // lists reach it in order
   bool alive() const { return incarnation % 2 == 1; }
 };
 
@@ -38,11 +38,11 @@
   std::size_t proxy = 0;
   std::uint32_t incarnation = 0;
   std::uint64_t trace = 0;
-  std::size_t converter = 0;
-  TimePoint converter_since{};  // of the process that it was sent to
-  exchange::Send send;
+  std::size_t backend = 0;
+  TimePoint backend_since{};  // of the process that it was sent to
+  request_table::Send send;
   bool ended = false;  // and its proxy knows it
-  bool at_converter = false;
+  bool at_backend = false;
   bool on_idle = false;  // on a connection that was there
   bool told = false;     // its proxy had been told of that process's start
   TimePoint written{};   // when its connection is up and the request goes out
@@ -55,6 +55,6 @@
   double work = 0;
 };
 
-}  // namespace badgerbridge::lab
+}  // namespace badgerbridge::simulator
 
-#endif  // BADGERBRIDGE_LAB_WORLD_TYPES_H_
+#endif  // BADGERBRIDGE_SIMULATOR_WORLD_TYPES_H_
--- a/src/drill/codec.cpp
+++ b/src/simulator_protocol/codec.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "drill/codec.h"
+#include "simulator_protocol/codec.h"
 
 #include <bit>
 #include <cstring>
@@ -7,7 +7,7 @@
 #include <type_traits>
 #include <utility>
 
-namespace badgerbridge::drill {
+namespace badgerbridge::simulator_protocol {
 namespace {
 
 static_assert(std::endian::native == std::endian::little,
@@ -71,7 +71,7 @@
     case 500:
       return Outcome::kError;
     case 503:
-      return Outcome::kFull;
+      return Outcome::kRejected;
     case 504:
       return Outcome::kTimeout;
     case 502:
@@ -81,30 +81,30 @@
     case 499:
       return Outcome::kCancelled;
     case 410:
-      return Outcome::kMoot;
+      return Outcome::kNotSent;
     default:
       return Outcome::kUnknown;
   }
 }
 
-ListUpdate ReadDiscovery(Reader& in) {
-  ListUpdate update;
+EndpointListUpdate ReadDiscovery(Reader& in) {
+  EndpointListUpdate update;
   const auto how = in.Get<std::uint8_t>();
   if (how > 3) throw MalformedInput("a list of an unknown kind");
-  update.kind = static_cast<ListKind>(how);
+  update.kind = static_cast<EndpointListKind>(how);
   in.Get<std::uint32_t>();  // version: lists come in order and without gaps
   const auto count = in.Get<std::uint32_t>();
   if (count > in.left() / kEntryBytes) throw MalformedInput("a list overruns its record");
   Reader entries(in.Bytes(std::size_t{count} * kEntryBytes));
   for (std::uint32_t i = 0; i < count; ++i) {
-    ServerEntry entry;
+    BackendEntry entry;
     entry.server = entries.Get<std::uint32_t>();
     entry.zone = entries.Get<std::uint16_t>();
     entry.kind = entries.Get<std::uint16_t>();
     entry.cell = entries.Get<std::uint16_t>();
     const auto state = entries.Get<std::uint8_t>();
     if (state > 2) throw MalformedInput("a list entry of an unknown state");
-    entry.state = static_cast<ServerState>(state);
+    entry.state = static_cast<BackendState>(state);
     entry.weight = entries.Get<float>();
     entry.up_since = At(entries.Get<double>());
     update.entries.push_back(entry);
@@ -159,7 +159,7 @@
     case kAttemptEnd:
       return Event(ReadAttemptEnd(in));
     case kAborted:
-      return Event(ClientGone{in.Get<std::uint64_t>()});
+      return Event(ClientDisconnected{in.Get<std::uint64_t>()});
     case kElapsed:
       return Event(TimerFired{in.Get<std::uint64_t>()});
     case kCrashNow:
@@ -196,17 +196,17 @@
     Put(out, a.server);
     return kDispatch;
   }
-  std::uint8_t operator()(const Abandon& a) const {
+  std::uint8_t operator()(const CancelAttempt& a) const {
     Put(out, a.request);
     Put(out, static_cast<std::uint8_t>(a.attempt));
     return kAbandon;
   }
-  std::uint8_t operator()(const Refuse& a) const {
+  std::uint8_t operator()(const Reject& a) const {
     Put(out, a.request);
     Put(out, a.retry_after.count());
     return kSayNo;
   }
-  std::uint8_t operator()(const Fail& a) const {
+  std::uint8_t operator()(const FailRequest& a) const {
     Put(out, a.request);
     return kAbort;
   }
@@ -295,4 +295,4 @@
   return frame;
 }
 
-}  // namespace badgerbridge::drill
+}  // namespace badgerbridge::simulator_protocol
--- a/src/drill/codec.h
+++ b/src/simulator_protocol/codec.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Frames of the simulator's wire: little-endian, packed. Reads batches of events, writes replies of actions.
-#ifndef BADGERBRIDGE_DRILL_CODEC_H_
-#define BADGERBRIDGE_DRILL_CODEC_H_
+#ifndef BADGERBRIDGE_SIMULATOR_PROTOCOL_CODEC_H_
+#define BADGERBRIDGE_SIMULATOR_PROTOCOL_CODEC_H_
 
 #include <cstdint>
 #include <iosfwd>
@@ -13,11 +13,11 @@
 #include <variant>
 #include <vector>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace badgerbridge::drill {
+namespace badgerbridge::simulator_protocol {
 
-using namespace fordlb;  // the wire is the module's interface in bytes
+using namespace balancer;  // the wire is the module's interface in bytes
 
 // The input breaks the framing or a field; what() is one line.
 class MalformedInput : public std::runtime_error {
@@ -62,6 +62,6 @@
   std::string body_;
 };
 
-}  // namespace badgerbridge::drill
+}  // namespace badgerbridge::simulator_protocol
 
-#endif  // BADGERBRIDGE_DRILL_CODEC_H_
+#endif  // BADGERBRIDGE_SIMULATOR_PROTOCOL_CODEC_H_
--- a/src/drill/host.cpp
+++ b/src/simulator_protocol/host.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "drill/host.h"
+#include "simulator_protocol/host.h"
 
 #include <ostream>
 #include <utility>
@@ -7,7 +7,7 @@
 
 #include "settings/settings.h"
 
-namespace badgerbridge::drill {
+namespace badgerbridge::simulator_protocol {
 
 std::string Host::Answer(const Batch& batch) {
   for (const Record& record : batch.records) Handle(batch.now, record);
@@ -45,7 +45,7 @@
 }
 
 void Host::TellOnce(const std::string& what) {
-  if (told_.insert(what).second) complaints_ << "fordlb_drill: " << what << '\n';
+  if (told_.insert(what).second) complaints_ << "badgerbridge_drill: " << what << '\n';
 }
 
-}  // namespace badgerbridge::drill
+}  // namespace badgerbridge::simulator_protocol
--- a/src/drill/host.h
+++ b/src/simulator_protocol/host.h
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Hosts one Balancer per live instance and carries events and actions between them and the wire.
-#ifndef BADGERBRIDGE_DRILL_HOST_H_
-#define BADGERBRIDGE_DRILL_HOST_H_
+#ifndef BADGERBRIDGE_SIMULATOR_PROTOCOL_HOST_H_
+#define BADGERBRIDGE_SIMULATOR_PROTOCOL_HOST_H_
 
 #include <iosfwd>
 #include <map>
 #include <set>
 #include <string>
 
-#include "drill/codec.h"
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
+#include "simulator_protocol/codec.h"
 
-namespace badgerbridge::drill {
+namespace badgerbridge::simulator_protocol {
 
 class Host {
  public:
@@ -31,6 +31,6 @@
   ReplyWriter reply_;
 };
 
-}  // namespace badgerbridge::drill
+}  // namespace badgerbridge::simulator_protocol
 
-#endif  // BADGERBRIDGE_DRILL_HOST_H_
+#endif  // BADGERBRIDGE_SIMULATOR_PROTOCOL_HOST_H_
--- a/src/relay/event.h
+++ b/src/watch_cache/event.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What the state, the window and the subscribers' backlogs share without copies: key values, events, batches.
-#ifndef BADGERBRIDGE_RELAY_EVENT_H_
-#define BADGERBRIDGE_RELAY_EVENT_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_EVENT_H_
+#define BADGERBRIDGE_WATCH_CACHE_EVENT_H_
 
 #include <cstdint>
 #include <memory>
@@ -10,7 +10,7 @@
 
 #include "etcd.pb.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 using KeyValuePtr = std::shared_ptr<const etcdserverpb::KeyValue>;
 
@@ -34,6 +34,6 @@
 };
 using BatchPtr = std::shared_ptr<const Batch>;
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_EVENT_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_EVENT_H_
--- a/src/relay/key_range.cpp
+++ b/src/watch_cache/key_range.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/key_range.h"
+#include "watch_cache/key_range.h"
 
 #include "etcd/key_range.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 KeyRange KeyRange::Prefix(std::string_view prefix) {
   return {std::string(prefix), etcd::PrefixRangeEnd(std::string(prefix))};
 }
@@ -19,4 +19,4 @@
   return !other.unbounded() && other.end <= end;
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/key_range.h
+++ b/src/watch_cache/key_range.h
@@ -2,13 +2,13 @@
 //
 // Ranges of keys as etcd's API has them: a key alone, [key, range_end), or all from a key on (range_end
 // "\0"). Pure.
-#ifndef BADGERBRIDGE_RELAY_KEY_RANGE_H_
-#define BADGERBRIDGE_RELAY_KEY_RANGE_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_KEY_RANGE_H_
+#define BADGERBRIDGE_WATCH_CACHE_KEY_RANGE_H_
 
 #include <string>
 #include <string_view>
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 struct KeyRange {
   std::string begin, end;
@@ -23,6 +23,6 @@
   auto operator<=>(const KeyRange&) const = default;
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_KEY_RANGE_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_KEY_RANGE_H_
--- a/src/relay/merged_backlog.cpp
+++ b/src/watch_cache/merged_backlog.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/merged_backlog.h"
+#include "watch_cache/merged_backlog.h"
 
 #include <algorithm>
 #include <iterator>
 #include <utility>
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 // Whether the newest segment holds an event that must be delivered and that one of these would replace.
 bool MergedBacklog::WouldHide(const std::vector<StoredEventPtr>& events) const {
@@ -110,4 +110,4 @@
   return taken;
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/merged_backlog.h
+++ b/src/watch_cache/merged_backlog.h
@@ -9,8 +9,8 @@
 // delivered, too, is there: a later event of another kind begins a new segment, sent in a message of its own.
 // Two segments that no such event keeps apart any longer are joined, so there are never more of them than
 // keys, plus one.
-#ifndef BADGERBRIDGE_RELAY_MERGED_BACKLOG_H_
-#define BADGERBRIDGE_RELAY_MERGED_BACKLOG_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_MERGED_BACKLOG_H_
+#define BADGERBRIDGE_WATCH_CACHE_MERGED_BACKLOG_H_
 
 #include <cstdint>
 #include <map>
@@ -19,9 +19,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "relay/event.h"
+#include "watch_cache/event.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 class MergedBacklog {
  public:
@@ -67,6 +67,6 @@
   std::size_t size_ = 0;
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_MERGED_BACKLOG_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_MERGED_BACKLOG_H_
--- a/src/relay/reads.cpp
+++ b/src/watch_cache/reads.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/reads.h"
+#include "watch_cache/reads.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "relay/actions.h"
+#include "watch_cache/actions.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 namespace pb = etcdserverpb;
@@ -209,4 +209,4 @@
   return next(&ready_lists_);
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/reads.h
+++ b/src/watch_cache/reads.h
@@ -6,8 +6,8 @@
 // A confirmation serves only the reads that had arrived before it was issued. One is under way at a time;
 // those that arrive meanwhile share the next. Every wait ends: at the read's deadline, or at
 // once with a confirmation that fails.
-#ifndef BADGERBRIDGE_RELAY_READS_H_
-#define BADGERBRIDGE_RELAY_READS_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_READS_H_
+#define BADGERBRIDGE_WATCH_CACHE_READS_H_
 
 #include <cstdint>
 #include <deque>
@@ -19,9 +19,9 @@
 
 #include "etcd.pb.h"
 #include "etcd/grpc.h"
-#include "relay/relay.h"
+#include "watch_cache/relay.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 // What the cache holds: which history, up to where.
 struct CachePosition {
@@ -108,6 +108,6 @@
   Time progress_requested_{0};
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_READS_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_READS_H_
--- a/src/relay/relay.cpp
+++ b/src/watch_cache/relay.cpp
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/relay.h"
+#include "watch_cache/relay.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 
-#include "relay/actions.h"
-#include "relay/key_range.h"
-#include "relay/reads.h"
-#include "relay/state.h"
-#include "relay/subscribers.h"
-#include "relay/window.h"
+#include "watch_cache/actions.h"
+#include "watch_cache/key_range.h"
+#include "watch_cache/reads.h"
+#include "watch_cache/state.h"
+#include "watch_cache/subscribers.h"
+#include "watch_cache/window.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 namespace pb = etcdserverpb;
@@ -433,4 +433,4 @@
 Relay::Relay(Settings settings) : impl_(std::make_unique<Impl>(std::move(settings))) {}
 Relay::~Relay() = default;
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/relay.h
+++ b/src/watch_cache/relay.h
@@ -2,14 +2,14 @@
 //
 // The core of the relay: a watch cache between etcd and its readers. It holds the state of one key prefix at
 // one revision, a bounded window of past events, and one cursor per subscriber. Pure: events and the time go
-// in, actions come out; no socket, clock, thread or global. docs/relay.md has the invariants.
+// in, actions come out; no socket, clock, thread or global. docs/watch_cache.md has the invariants.
 //
 // Revisions, cluster ids and error texts are the source's (etcd's v3 API, "KV" and "Watch"). A linearizable
 // read is answered only after the upstream has confirmed a committed revision by a read that began after this
 // one arrived, and once the cache has reached that revision (the read-index technique); one confirmation
 // serves all reads that wait.
-#ifndef BADGERBRIDGE_RELAY_RELAY_H_
-#define BADGERBRIDGE_RELAY_RELAY_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_RELAY_H_
+#define BADGERBRIDGE_WATCH_CACHE_RELAY_H_
 
 #include <chrono>
 #include <cstdint>
@@ -23,7 +23,7 @@
 #include "etcd.pb.h"
 #include "etcd/grpc.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 using Time = std::chrono::milliseconds;  // monotonic
 using SubscriberId = std::uint64_t;      // chosen by the caller, never used twice
@@ -154,6 +154,6 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_RELAY_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_RELAY_H_
--- a/src/relay/relay_file.cpp
+++ b/src/watch_cache/relay_file.cpp
@@ -1,27 +1,27 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/relay_file.h"
+#include "watch_cache/relay_file.h"
 
 #include <stdexcept>
 
 #include "membership/etcd_settings.h"
 #include "membership/value.h"
-#include "operator/operator_file.h"
-#include "operator/table_reader.h"
+#include "operator_config/operator_file.h"
+#include "operator_config/table_reader.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
-using operator_file::Problems;
-using operator_file::TableReader;
+using operator_config::Problems;
+using operator_config::TableReader;
 using std::chrono::milliseconds;
 
 constexpr std::int64_t kMebibyte = 1 << 20;
 
 void ReadUpstream(TableReader& table, ServiceSettings* settings, Problems& problems,
                   const std::string& file) {
-  operator_file::EtcdLink link;
+  operator_config::EtcdLink link;
   if (table.Has("endpoints")) table.Report("endpoints", "are --upstream's");
-  operator_file::ReadEtcdLink(table, link);
+  operator_config::ReadEtcdLink(table, link);
   table.Finish();
   if (!problems.empty()) return;
   try {
@@ -36,7 +36,7 @@
 
 void ReadReaders(TableReader& table, ServiceSettings* settings) {
   etcd::ServerOptions& server = settings->server;
-  api::TlsFiles files{table.Text("certificate"), table.Text("key"), table.Text("client_authority")};
+  http_api::TlsFiles files{table.Text("certificate"), table.Text("key"), table.Text("client_authority")};
   const bool some = !files.certificate.empty() || !files.key.empty() || !files.authority.empty();
   const bool all = !files.certificate.empty() && !files.key.empty() && !files.authority.empty();
   if (some && !all)
@@ -87,7 +87,7 @@
 
 void ApplyFile(std::string_view text, const std::string& file, ServiceSettings* settings,
                Problems& problems) {
-  const auto root = operator_file::ParseToml(text, file, problems);
+  const auto root = operator_config::ParseToml(text, file, problems);
   if (!root) return;
   TableReader reader(*root, "", file, problems);
   settings->relay.drain_period =
@@ -101,7 +101,7 @@
 }
 
 void LoadFile(const std::string& path, ServiceSettings* settings, Problems& problems) {
-  const auto text = operator_file::ReadFile(path, operator_file::kMostBytes, problems);
+  const auto text = operator_config::ReadFile(path, operator_config::kMostBytes, problems);
   if (text) ApplyFile(*text, path, settings, problems);
 }
 
@@ -114,4 +114,4 @@
   return !problem && member.state == membership::State::kDraining;
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/service.cpp
+++ b/src/watch_cache/service.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/service.h"
+#include "watch_cache/service.h"
 
 #include <algorithm>
 #include <iterator>
 #include <utility>
 
-#include "api/address.h"
+#include "http_api/address.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 namespace json = boost::json;
@@ -146,17 +146,18 @@
     return;
   }
   if (head.path == kAuthenticate) {
-    connection.http2().Finish(stream, Error(Code::kFailedPrecondition,
-                                            "authentication is not enabled: badgerrelay knows its readers by "
-                                            "their certificates"));
+    connection.http2().Finish(stream,
+                              Error(Code::kFailedPrecondition,
+                                    "authentication is not enabled: badgerbridge-relay knows its readers by "
+                                    "their certificates"));
     return;
   }
   const bool etcds = std::any_of(std::begin(kEtcdServices), std::end(kEtcdServices),
                                  [&](std::string_view service) { return head.path.rfind(service, 0) == 0; });
   writes_refused_ += etcds;
   connection.http2().Finish(
-      stream, etcds ? Error(Code::kPermissionDenied,
-                            "badgerrelay serves reads of " + settings_.relay.prefix + " only; write to etcd")
+      stream, etcds ? Error(Code::kPermissionDenied, "badgerbridge-relay serves reads of " +
+                                                         settings_.relay.prefix + " only; write to etcd")
                     : Error(Code::kUnimplemented, "unknown method " + head.path));
 }
 
@@ -436,11 +437,12 @@
 json::object Service::Describe() const {
   const Relay::Status status = relay_.status();
   json::array endpoints;
-  for (const auto& endpoint : settings_.upstream.endpoints) endpoints.emplace_back(api::ToText(endpoint));
+  for (const auto& endpoint : settings_.upstream.endpoints)
+    endpoints.emplace_back(http_api::ToText(endpoint));
   const auto age = status.last_heard.count() == 0 ? json::value(nullptr)
                                                   : json::value((Now() - status.last_heard).count());
   return {{"prefix", settings_.relay.prefix},
-          {"listen", api::ToText(address())},
+          {"listen", http_api::ToText(address())},
           {"upstream", json::object{{"endpoints", std::move(endpoints)},
                                     {"connected", status.connected},
                                     {"state", upstream_->follower().state()},
@@ -470,4 +472,4 @@
           {"draining", drain_deadline_.has_value()}};
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/service.h
+++ b/src/watch_cache/service.h
@@ -5,8 +5,8 @@
 //
 // A watch is asked for its next message only while its connection's unsent bytes are under a bound, so that a
 // slow reader's backlog stays in the relay's core, where it is merged and bounded.
-#ifndef BADGERBRIDGE_RELAY_SERVICE_H_
-#define BADGERBRIDGE_RELAY_SERVICE_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_SERVICE_H_
+#define BADGERBRIDGE_WATCH_CACHE_SERVICE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -23,9 +23,9 @@
 #include "etcd/follower_link.h"
 #include "etcd/server.h"
 #include "net/one_shot_timer.h"
-#include "relay/relay.h"
+#include "watch_cache/relay.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 struct ServiceSettings {
   boost::asio::ip::tcp::endpoint listen;
@@ -125,6 +125,6 @@
   std::unique_ptr<etcd::FollowerLink> upstream_;
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_SERVICE_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_SERVICE_H_
--- a/src/relay/state.cpp
+++ b/src/watch_cache/state.cpp
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/state.h"
+#include "watch_cache/state.h"
 
 #include <algorithm>
 #include <map>
 #include <utility>
 #include <vector>
 
-#include "relay/key_range.h"
-#include "relay/window.h"
+#include "watch_cache/key_range.h"
+#include "watch_cache/window.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 namespace {
 
 namespace pb = etcdserverpb;
@@ -176,4 +176,4 @@
   return {};
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/state.h
+++ b/src/watch_cache/state.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The keys of the prefix at the cache's revision, and reads of them as etcd answers a RangeRequest. Pure.
-#ifndef BADGERBRIDGE_RELAY_STATE_H_
-#define BADGERBRIDGE_RELAY_STATE_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_STATE_H_
+#define BADGERBRIDGE_WATCH_CACHE_STATE_H_
 
 #include <boost/multi_index/ranked_index.hpp>
 #include <boost/multi_index_container.hpp>
@@ -13,9 +13,9 @@
 
 #include "etcd.pb.h"
 #include "etcd/grpc.h"
-#include "relay/event.h"
+#include "watch_cache/event.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 class Window;
 
@@ -56,6 +56,6 @@
                        const etcdserverpb::RangeRequest& request, etcdserverpb::RangeResponse* response,
                        std::size_t* visited = nullptr);
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_STATE_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_STATE_H_
--- a/src/relay/subscribers.cpp
+++ b/src/watch_cache/subscribers.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/subscribers.h"
+#include "watch_cache/subscribers.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "relay/actions.h"
+#include "watch_cache/actions.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 namespace pb = etcdserverpb;
 
@@ -320,4 +320,4 @@
   }
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/subscribers.h
+++ b/src/watch_cache/subscribers.h
@@ -6,8 +6,8 @@
 //
 // Invariant, for a subscriber that has applied its messages in order: after each whole response (the last of
 // its fragments) it holds the source's state, of its range and filters, at the header's revision.
-#ifndef BADGERBRIDGE_RELAY_SUBSCRIBERS_H_
-#define BADGERBRIDGE_RELAY_SUBSCRIBERS_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_SUBSCRIBERS_H_
+#define BADGERBRIDGE_WATCH_CACHE_SUBSCRIBERS_H_
 
 #include <cstdint>
 #include <map>
@@ -20,13 +20,13 @@
 #include <vector>
 
 #include "etcd.pb.h"
-#include "relay/key_range.h"
-#include "relay/merged_backlog.h"
-#include "relay/reads.h"
-#include "relay/relay.h"
-#include "relay/window.h"
+#include "watch_cache/key_range.h"
+#include "watch_cache/merged_backlog.h"
+#include "watch_cache/reads.h"
+#include "watch_cache/relay.h"
+#include "watch_cache/window.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 class Subscribers {
  public:
@@ -112,6 +112,6 @@
   std::uint64_t resumed_ = 0, told_to_reread_ = 0;
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_SUBSCRIBERS_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_SUBSCRIBERS_H_
--- a/src/relay/window.cpp
+++ b/src/watch_cache/window.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "relay/window.h"
+#include "watch_cache/window.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 void Window::Reset(std::int64_t floor) {
   first_ = end();
@@ -60,4 +60,4 @@
   return after == end() || revision <= At(after).from;
 }
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
--- a/src/relay/window.h
+++ b/src/watch_cache/window.h
@@ -2,15 +2,15 @@
 //
 // The past batches of events that the cache still holds, oldest first, bounded by bytes and events; shared by
 // all subscribers, each of which has a sequence number in it. Pure.
-#ifndef BADGERBRIDGE_RELAY_WINDOW_H_
-#define BADGERBRIDGE_RELAY_WINDOW_H_
+#ifndef BADGERBRIDGE_WATCH_CACHE_WINDOW_H_
+#define BADGERBRIDGE_WATCH_CACHE_WINDOW_H_
 
 #include <cstdint>
 #include <deque>
 
-#include "relay/event.h"
+#include "watch_cache/event.h"
 
-namespace badgerbridge::relay {
+namespace badgerbridge::watch_cache {
 
 class Window {
  public:
@@ -53,6 +53,6 @@
   std::size_t bytes_ = 0, events_ = 0;
 };
 
-}  // namespace badgerbridge::relay
+}  // namespace badgerbridge::watch_cache
 
-#endif  // BADGERBRIDGE_RELAY_WINDOW_H_
+#endif  // BADGERBRIDGE_WATCH_CACHE_WINDOW_H_
--- a/src/regions/decider.cpp
+++ b/src/zone_failover/decider.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/decider.h"
+#include "zone_failover/decider.h"
 
 #include <algorithm>
 #include <cmath>
 #include <numeric>
 #include <utility>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 namespace {
 
@@ -22,7 +22,8 @@
     std::iota(all.begin(), all.end(), 0);
     std::erase(all, o);
     // Where the way there and back takes half of what is wanted, help comes too late.
-    std::erase_if(all, [&](std::size_t r) { return rules_.round_trip.at(o, r) >= rules_.aim / 2; });
+    std::erase_if(all,
+                  [&](std::size_t r) { return rules_.round_trip.at(o, r) >= rules_.latency_objective / 2; });
     std::stable_sort(all.begin(), all.end(), [&](std::size_t a, std::size_t b) {
       return std::pair(rules_.price.at(o, a), rules_.round_trip.at(o, a)) <
              std::pair(rules_.price.at(o, b), rules_.round_trip.at(o, b));
@@ -176,4 +177,4 @@
   return next;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/decider.h
+++ b/src/zone_failover/decider.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What the member that holds the decider's lease makes of all members' evidence: the next decision, or none.
-// Pure; docs/regions.md has the reasons.
+// Pure; docs/zone_failover.md has the reasons.
 //
 // The invariant, whatever members hold whichever epoch, are deaf, stopped or dead: what all of them together
 // may send to a zone, beside what the clients of a sound zone ask of its own members, stays within that
 // zone's limit. So a grant grows only into what nobody may still go by: each member counts with the most that
 // any epoch gives it from the one that it has confirmed on, and one that vanished until its time has run out.
-#ifndef BADGERBRIDGE_REGIONS_DECIDER_H_
-#define BADGERBRIDGE_REGIONS_DECIDER_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_DECIDER_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_DECIDER_H_
 
 #include <cstdint>
 #include <deque>
@@ -18,15 +18,15 @@
 #include <utility>
 #include <vector>
 
-#include "regions/decision.h"
+#include "zone_failover/decision.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 struct Rules {
   std::size_t zones = 1;
   Matrix round_trip;  // ms, by origin and receiver
   Matrix price;       // of work that crosses, in any unit; what is nearer comes first where prices are alike
-  double aim = 500;   // ms, within which answers are wanted
+  double latency_objective = 500;  // ms, within which answers are wanted
   // A member's word counts for so long after its lease has ended, by its own clock; the decider waits for
   // that by its own, which may differ by `drift` of the time.
   Duration hold{5000};
@@ -65,8 +65,8 @@
  private:
   struct Observation {  // of a zone, over all members' words
     double attempts = 0, served = 0, slow = 1, latency = 0, used = -1;
-    double cold = 1;  // times that it is slower for the converters that just started
-    double warm = 0;  // warm converters' worth, as members' lists have it
+    double cold = 1;                            // times that it is slower for the backends that just started
+    double warm = 0;                            // warm backends' worth, as members' lists have it
     int origins = 0, failing = 0, slow_at = 0;  // places that speak of it, say that it fails, that it is slow
     bool well_at_home = false;                  // by the word of its own members
     std::string who;                            // the places that speak against it, for people
@@ -81,9 +81,9 @@
   struct ZoneStatus {  // a zone's
     ZoneState state = ZoneState::kSound;
     double shown = 0, limit = 0;
-    double each = 0;               // of it, by one warm converter's worth; 0: not known
-    double most_warm = 0;          // warm converters' worth that it had lately
-    double of_warm = 0, warm = 0;  // warm converters' worth that showed it; that is there now
+    double each = 0;               // of it, by one warm backend's worth; 0: not known
+    double most_warm = 0;          // warm backends' worth that it had lately
+    double of_warm = 0, warm = 0;  // warm backends' worth that showed it; that is there now
     double asked = 0;              // of its members, when all of them were last there
     double peak = 0;               // of it, lately
     double relapses = 0;           // halved by kRelapseMemory
@@ -198,6 +198,6 @@
   std::vector<std::vector<std::size_t>> order_;  // receivers of each origin, the nearest first
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_DECIDER_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_DECIDER_H_
--- a/src/regions/decider_epochs.cpp
+++ b/src/zone_failover/decider_epochs.cpp
@@ -5,10 +5,10 @@
 #include <algorithm>
 #include <utility>
 
-#include "regions/decider.h"
-#include "regions/decider_internal.h"
+#include "zone_failover/decider.h"
+#include "zone_failover/decider_internal.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 namespace {
 
@@ -121,4 +121,4 @@
   return one;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/decider_grants.cpp
+++ b/src/zone_failover/decider_grants.cpp
@@ -7,10 +7,10 @@
 #include <numeric>
 #include <utility>
 
-#include "regions/decider.h"
-#include "regions/decider_internal.h"
+#include "zone_failover/decider.h"
+#include "zone_failover/decider_internal.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 namespace {
 
@@ -246,4 +246,4 @@
   return change > kLargeChange || (change > kSmallChange && now - written_at_ > kRestless);
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/decider_members.cpp
+++ b/src/zone_failover/decider_members.cpp
@@ -6,10 +6,10 @@
 #include <map>
 #include <set>
 
-#include "regions/decider.h"
-#include "regions/decider_internal.h"
+#include "zone_failover/decider.h"
+#include "zone_failover/decider_internal.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 // At the start: those that the last decider had counted, or knew to be lost, and that are not there.
 void Decider::CountVanished(TimePoint now, const Snapshot& snapshot) {
@@ -129,4 +129,4 @@
   return live;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/decider_zones.cpp
+++ b/src/zone_failover/decider_zones.cpp
@@ -6,10 +6,10 @@
 #include <cmath>
 #include <utility>
 
-#include "regions/decider.h"
-#include "regions/decider_internal.h"
+#include "zone_failover/decider.h"
+#include "zone_failover/decider_internal.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 namespace {
 
@@ -18,22 +18,22 @@
 constexpr double kFailsNot = 0.1;  // and one that does not
 constexpr double kSlow = 3;        // times what members are used to
 constexpr double kNotSlow = 1.7;
-constexpr double kFewWarm = 0.5;     // converters' worth, below which what one can do is not learnt
-constexpr double kEmpty = 0.05;      // of the converters' worth that a zone had
+constexpr double kFewWarm = 0.5;     // backends' worth, below which what one can do is not learnt
+constexpr double kEmpty = 0.05;      // of the backends' worth that a zone had
 constexpr double kMostCold = 10;     // times that a cold zone may be slower by nature
 constexpr double kFellShort = 0.75;  // of what it has shown: slow at less is no crowd, but a fault
 constexpr double kCrowded = 0.6;     // of the aim
 constexpr double kQuick = 0.45;      // of the aim
 constexpr double kCut = 0.8, kGrow = 1.2, kEarn = 1.5;
 constexpr double kFirstStep = 0.08;  // of a zone that returns
-constexpr double kShare = 1;         // of what its converters say that they can do
+constexpr double kShare = 1;         // of what its backends say that they can do
 constexpr double kFewUsed = 0.15;    // below, how busy they are tells little of what they can do
 constexpr double kShownGain = 0.15;
 constexpr Duration kShownMemory{600000};  // half-life of the most that a zone has done
 constexpr Duration kWell{1000};           // for a limping zone to count as well
 constexpr Duration kRelapseMemory{30000};
-constexpr double kFirstOfLike = 0.2;    // of what another zone's converters have shown, each
-constexpr double kFirstOfDemand = 0.1;  // where none has shown anything
+constexpr double kFirstOfLike = 0.2;                       // of what another zone's backends have shown, each
+constexpr double kFirstOfDemand = 0.1;                     // where none has shown anything
 constexpr Duration kFirstShut{5000}, kLongestShut{80000};  // a zone to an origin that it fails
 
 }  // namespace
@@ -124,7 +124,7 @@
     if (sums.timed[r] > 0)
       zone.slow = sums.slow[r] / sums.timed[r], zone.latency = sums.latency[r] / sums.timed[r];
     if (sums.told[r] > 0) zone.used = sums.used[r] / sums.told[r];
-    // Converters that have just started are slow by nature.
+    // Backends that have just started are slow by nature.
     if (zone.warm > 0) zone.cold = std::clamp(zones_[r].most_warm / zone.warm, 1.0, kMostCold);
     for (std::size_t o = 0; o < n; ++o) ObservePair(at, o, r, sums.members[o], &sums.pairs[o][r], &zone);
   }
@@ -134,7 +134,7 @@
 
 void Decider::LearnCapacity(TimePoint now, ZoneStatus* zone, const Observation& seen) const {
   const double elapsed = observed_at_ == TimePoint{} ? 0 : (now - observed_at_).count();
-  // Converters that leave take with them what they have shown; those that come, as the rules say how warm
+  // Backends that leave take with them what they have shown; those that come, as the rules say how warm
   // they are, count like the others.
   if (zone->each > 0) zone->shown = zone->each * seen.warm;
   zone->of_warm = std::max(seen.warm, 1e-9);
@@ -155,7 +155,7 @@
   zone->limit = seen.used >= 0 ? std::max(kShare * zone->shown, seen.served) : kBeyond * zone->shown;
 }
 
-// What it has shown, as far as the converters that showed it are still there.
+// What it has shown, as far as the backends that showed it are still there.
 double Decider::Capacity(const ZoneStatus& zone) {
   return zone.shown * (zone.of_warm > 0 ? std::min(1.0, zone.warm / zone.of_warm) : 1);
 }
@@ -194,7 +194,7 @@
   const Signs signs = SignsOf(zone, seen);
   if (!signs.quick) zone.well = false;
   if (signs.quick && !std::exchange(zone.well, true)) zone.well_since = now;
-  // Its converters have left the list, and what is said of them with them: those that come are new.
+  // Its backends have left the list, and what is said of them with them: those that come are new.
   zone.most_warm = std::max(zone.most_warm * std::exp2(-elapsed / kShownMemory.count()), seen.warm);
   if (zone.state != ZoneState::kEvacuated && zone.each > 0 && seen.warm < kEmpty * zone.most_warm) {
     zone.state = ZoneState::kSound;
@@ -246,11 +246,11 @@
                       "nobody sends enough to say that it is slow", zone);
   if (now - zone->stepped < rules_.step || seen.attempts < kEnough || seen.origins == 0) return;
   zone->stepped = now;
-  if (seen.used >= kFewUsed) {  // its converters say how much of what it does now they could do
+  if (seen.used >= kFewUsed) {  // its backends say how much of what it does now they could do
     zone->limit = std::clamp(kShare * seen.served / seen.used, kTrial * zone->shown, zone->shown);
-  } else if (seen.latency > kCrowded * rules_.aim) {
+  } else if (seen.latency > kCrowded * rules_.latency_objective) {
     zone->limit = std::max(kTrial * zone->shown, kCut * std::min(zone->limit, seen.served));
-  } else if (seen.latency < kQuick * rules_.aim && seen.served > 0.6 * zone->limit) {
+  } else if (seen.latency < kQuick * rules_.latency_objective && seen.served > 0.6 * zone->limit) {
     zone->limit = std::min(zone->shown, kGrow * zone->limit);
   }
 }
@@ -281,7 +281,7 @@
   LearnCapacity(now, zone, seen);
 }
 
-// A zone of which nothing is known yet, since nobody had cause to send there: a part of what its converters
+// A zone of which nothing is known yet, since nobody had cause to send there: a part of what its backends
 // would do if they were like the others', or a part of what is asked in all. From there on it earns.
 void Decider::GiveFirstRoom(const Snapshot& snapshot) {
   std::vector<double> each;
@@ -303,4 +303,4 @@
   }
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/decision.cpp
+++ b/src/zone_failover/decision.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/decision.h"
+#include "zone_failover/decision.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
 #include <cmath>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 namespace json = boost::json;
@@ -202,4 +202,4 @@
   return decision;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/decision.h
+++ b/src/zone_failover/decision.h
@@ -4,8 +4,8 @@
 // zone may ask of it. A record with an epoch under one key of etcd, changed by compare-and-swap alone. Pure.
 //
 // Units as in evidence.h: work a ms. "Origin" is the zone of a member, "receiver" the zone that it sends to.
-#ifndef BADGERBRIDGE_REGIONS_DECISION_H_
-#define BADGERBRIDGE_REGIONS_DECISION_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_DECISION_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_DECISION_H_
 
 #include <cstdint>
 #include <optional>
@@ -13,9 +13,9 @@
 #include <string_view>
 #include <vector>
 
-#include "regions/evidence.h"
+#include "zone_failover/evidence.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 constexpr double kFree = -1;  // a grant without limit: a sound zone to its own members
 constexpr std::size_t kMostDecisionBytes = 1 << 18;
@@ -95,6 +95,6 @@
 bool DecodeRoster(std::string_view text, std::size_t zones, Decision* decision);
 std::optional<Decision> DecodeDecision(std::string_view text, std::size_t zones, std::string* why);
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_DECISION_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_DECISION_H_
--- a/src/regions/evacuation.cpp
+++ b/src/zone_failover/evacuation.cpp
@@ -1,19 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/evacuation.h"
+#include "zone_failover/evacuation.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
-Evacuation PlanEvacuation(const Decision& decision, const Matrix& round_trip, const Matrix& price, double aim,
-                          std::size_t zone) {
+Evacuation PlanEvacuation(const Decision& decision, const Matrix& round_trip, const Matrix& price,
+                          double latency_objective, std::size_t zone) {
   Evacuation plan;
   const Decision::Zone& left = decision.zones[zone];
   plan.moved = std::max(left.carried, std::min(left.demand, left.limit));
   for (std::size_t r = 0; r < decision.zones.size(); ++r) {
     const Decision::Zone& z = decision.zones[r];
-    if (r == zone || z.state != ZoneState::kSound || round_trip.at(zone, r) >= aim / 2) continue;
+    if (r == zone || z.state != ZoneState::kSound || round_trip.at(zone, r) >= latency_objective / 2)
+      continue;
     plan.receivers.push_back({r, z.carried, z.carried, z.limit});
   }
   std::stable_sort(plan.receivers.begin(), plan.receivers.end(), [&](const auto& a, const auto& b) {
@@ -29,4 +30,4 @@
   return plan;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/evacuation.h
+++ b/src/zone_failover/evacuation.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What an operator's order to leave a zone would do, reckoned from the decision in force. Pure.
-#ifndef BADGERBRIDGE_REGIONS_EVACUATION_H_
-#define BADGERBRIDGE_REGIONS_EVACUATION_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_EVACUATION_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_EVACUATION_H_
 
 #include <vector>
 
-#include "regions/decision.h"
+#include "zone_failover/decision.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 struct Evacuation {
   struct Receiver {
@@ -22,9 +22,9 @@
 
 // Fills the sound zones with room, the nearest first (by price, then round trip), leaving out those whose
 // round trip is half of `aim` (ms) or more.
-Evacuation PlanEvacuation(const Decision& decision, const Matrix& round_trip, const Matrix& price, double aim,
-                          std::size_t zone);
+Evacuation PlanEvacuation(const Decision& decision, const Matrix& round_trip, const Matrix& price,
+                          double latency_objective, std::size_t zone);
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_EVACUATION_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_EVACUATION_H_
--- a/src/regions/evidence.cpp
+++ b/src/zone_failover/evidence.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/evidence.h"
+#include "zone_failover/evidence.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
 #include <cmath>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 namespace json = boost::json;
@@ -215,4 +215,4 @@
   return evidence;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/evidence.h
+++ b/src/zone_failover/evidence.h
@@ -4,8 +4,8 @@
 // proxy tells what it sent and how that ended; words of other members come in as text that may be anything.
 //
 // Units: work is in ms on a standard core, as clients hint it; rates in work a ms, so in standard cores.
-#ifndef BADGERBRIDGE_REGIONS_EVIDENCE_H_
-#define BADGERBRIDGE_REGIONS_EVIDENCE_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_EVIDENCE_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_EVIDENCE_H_
 
 #include <array>
 #include <cstdint>
@@ -17,12 +17,12 @@
 #include <utility>
 #include <vector>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
-using fordlb::Duration;
-using fordlb::TimePoint;
+using balancer::Duration;
+using balancer::TimePoint;
 
 constexpr std::size_t kMostZones = 64;
 constexpr std::size_t kMostEvidenceBytes = 8192;  // of a member's word: 64 zones at most
@@ -34,8 +34,8 @@
   double served = 0;    // work a ms
   double slow = 1;      // time of answers over what this member is used to from this zone; 1 where none came
   double latency = 0;   // ms, mean
-  double used = -1;     // 0 to 1: how busy its converters say they are; below 0: they say nothing
-  double warm = 0;      // how many warm converters' worth the list has there: cold ones count by their share
+  double used = -1;     // 0 to 1: how busy its backends say they are; below 0: they say nothing
+  double warm = 0;      // how many warm backends' worth the list has there: cold ones count by their share
 
   friend bool operator==(const ZoneReport&, const ZoneReport&) = default;
 };
@@ -70,7 +70,7 @@
     kFull,     // turned away: answered, and not served
     kNothing,  // given up for reasons of this proxy or its client
   };
-  // `used` is what its answer says of how busy its converter is; NaN or out of 0 to 1: nothing.
+  // `used` is what its answer says of how busy its backend is; NaN or out of 0 to 1: nothing.
   void Ended(TimePoint now, std::uint64_t attempt, std::size_t request_class, End end, Duration took,
              double work, std::optional<double> used);
 
@@ -109,6 +109,6 @@
   std::vector<double> warm_;                                        // by zone
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_EVIDENCE_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_EVIDENCE_H_
--- a/src/regions/keys.h
+++ b/src/zone_failover/keys.h
@@ -4,12 +4,12 @@
 // releases share them, so the text stays what it is, also where the code has another name for the thing. The
 // same holds for the fields of the values: decision.cpp and evidence.cpp, which encode and decode them, have
 // those.
-#ifndef BADGERBRIDGE_REGIONS_KEYS_H_
-#define BADGERBRIDGE_REGIONS_KEYS_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_KEYS_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_KEYS_H_
 
 #include <string>
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 constexpr char kMembersKey[] = "members/";   // and a member's name: its evidence, under its lease
 constexpr char kDeciderKey[] = "decider";    // the decider's name, under its lease
@@ -20,6 +20,6 @@
 inline std::string MemberKey(const std::string& member) { return kMembersKey + member; }
 inline std::string OrderKey(std::size_t zone) { return kOrdersKey + std::to_string(zone); }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_KEYS_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_KEYS_H_
--- a/src/regions/links.h
+++ b/src/zone_failover/links.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Round trips and prices between zones, from a table that lists what is out of the ordinary. Pure: the table
-// is whatever has these members (operator_file::Regions), so that this package needs no file.
-#ifndef BADGERBRIDGE_REGIONS_LINKS_H_
-#define BADGERBRIDGE_REGIONS_LINKS_H_
+// is whatever has these members (operator_config::Regions), so that this package needs no file.
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_LINKS_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_LINKS_H_
 
 #include <algorithm>
 
-#include "regions/decision.h"
+#include "zone_failover/decision.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 struct Links {
   Matrix round_trip;  // ms
@@ -36,6 +36,6 @@
   return links;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_LINKS_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_LINKS_H_
--- a/src/regions/member.cpp
+++ b/src/zone_failover/member.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "regions/member.h"
+#include "zone_failover/member.h"
 
 #include <algorithm>
 #include <iterator>
 #include <utility>
 
-#include "regions/keys.h"
+#include "zone_failover/keys.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 namespace {
 
 constexpr double kRenewAt = 1.0 / 3;  // of the lease
@@ -261,4 +261,4 @@
   return shares;
 }
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
--- a/src/regions/member.h
+++ b/src/zone_failover/member.h
@@ -12,8 +12,8 @@
 // One call does most of it: a transaction puts the evidence and reads the decision, the decider and the
 // orders, and for the decider all evidence, as of one revision. What is read can't be behind (a linearizable
 // read).
-#ifndef BADGERBRIDGE_REGIONS_MEMBER_H_
-#define BADGERBRIDGE_REGIONS_MEMBER_H_
+#ifndef BADGERBRIDGE_ZONE_FAILOVER_MEMBER_H_
+#define BADGERBRIDGE_ZONE_FAILOVER_MEMBER_H_
 
 #include <cstdint>
 #include <deque>
@@ -23,9 +23,9 @@
 #include <variant>
 #include <vector>
 
-#include "regions/decider.h"
+#include "zone_failover/decider.h"
 
-namespace badgerbridge::regions {
+namespace badgerbridge::zone_failover {
 
 struct MemberSettings {
   std::string name;
@@ -145,6 +145,6 @@
   std::uint64_t calls_ = 0;
 };
 
-}  // namespace badgerbridge::regions
+}  // namespace badgerbridge::zone_failover
 
-#endif  // BADGERBRIDGE_REGIONS_MEMBER_H_
+#endif  // BADGERBRIDGE_ZONE_FAILOVER_MEMBER_H_
--- a/tests/control/control_test.cpp
+++ b/tests/admin_api/admin_api_test.cpp
@@ -2,7 +2,7 @@
 //
 // The control API beside a node on sockets: what it says, what it does, and that peers of its socket cost the
 // requests nothing.
-#include "control/control.h"
+#include "admin_api/admin_api.h"
 
 #include <sys/stat.h>
 #include <sys/un.h>
@@ -12,15 +12,15 @@
 #include <boost/json.hpp>
 #include <fstream>
 
-#include "node_harness.h"
+#include "proxy/proxy_harness.h"
 
-namespace badgerbridge::control {
+namespace badgerbridge::admin_api {
 namespace {
 
 namespace asio = boost::asio;
 namespace json = boost::json;
-using namespace badgerbridge::node::testing;
-using badgerbridge::node::Config;
+using namespace badgerbridge::proxy::testing;
+using badgerbridge::proxy::Config;
 using Local = asio::local::stream_protocol;
 
 std::string Folder() {
@@ -51,12 +51,12 @@
   bool closed = false;
 };
 
-// A node with a control socket, one converter that answers when it is told to, and its list.
+// A node with a control socket, one backend that answers when it is told to, and its list.
 struct Rig {
-  explicit Rig(operator_file::Control settings = {})
-      : converter(io, [this](Wire& wire) { waiting.push_back(&wire); }),
+  explicit Rig(operator_config::Control settings = {})
+      : backend(io, [this](Wire& wire) { waiting.push_back(&wire); }),
         config(TestConfig(
-            {EndpointJson("s-1", converter.address()), EndpointJson("s-2", "127.0.0.1:1", "Terminating")})),
+            {EndpointJson("s-1", backend.address()), EndpointJson("s-2", "127.0.0.1:1", "Terminating")})),
         node(io, config),
         folder(Folder()) {
     settings.socket = folder + "/c.sock";
@@ -92,7 +92,7 @@
 
   asio::io_context io;
   std::vector<Wire*> waiting;
-  Peer converter;
+  Peer backend;
   Config config;
   Node node;
   std::string folder;
@@ -143,7 +143,7 @@
   ExpectSum(rig.Status().at("requests"));
 }
 
-TEST(Control, ConvertersAsThisProxySeesThem) {
+TEST(Control, BackendsAsThisProxySeesThem) {
   Rig rig;
   const auto client = rig.node.Connect();
   client->Send(Get("a"));
@@ -226,7 +226,7 @@
 }
 
 TEST(Control, SilentPeersAndHalfRequestsMakeRoomForTheNext) {
-  operator_file::Control settings;
+  operator_config::Control settings;
   settings.max_connections = 4;
   settings.request_timeout = std::chrono::milliseconds(60000);  // not this is what frees the places
   settings.idle_timeout = std::chrono::milliseconds(60000);
@@ -245,7 +245,7 @@
 }
 
 TEST(Control, AHalfRequestAndAnIdleConnectionEndByTheirTimeouts) {
-  operator_file::Control settings;
+  operator_config::Control settings;
   settings.request_timeout = settings.idle_timeout = std::chrono::milliseconds(100);
   Rig rig(settings);
   const auto half = rig.Open(), idle = rig.Open();
@@ -260,7 +260,7 @@
   struct stat about {};
   ASSERT_EQ(lstat((rig.folder + "/c.sock").c_str(), &about), 0);
   EXPECT_EQ(about.st_mode & 0777, 0600u);
-  operator_file::Control same;
+  operator_config::Control same;
   same.socket = rig.folder + "/c.sock";
   const Control::Subject subject{rig.config,      rig.node.clock, rig.node.proxy, rig.node.listener,
                                  rig.node.reader, rig.reloads,    [] {}};
@@ -297,4 +297,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::control
+}  // namespace badgerbridge::admin_api
--- a/tests/fleet/agent_test.cpp
+++ b/tests/agent/agent_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgeragent, badgerctl and badgerbridge as processes, against stand-ins on loopback.
-#include "fleet/agent.h"
+// badgerbridge-agent, badgerbridge-ctl and badgerbridge as processes, against stand-ins on loopback.
+#include "agent/agent.h"
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -21,11 +21,11 @@
 #include <filesystem>
 #include <fstream>
 
-#include "api/client.h"
+#include "http_api/client.h"
 #include "standins/certificates.h"
 #include "standins/site.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace asio = boost::asio;
@@ -34,7 +34,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// What one line of `badgerctl ... -o json` says.
+// What one line of `badgerbridge-ctl ... -o json` says.
 std::string LineOf(const CommandResult& result, const std::string& instance) {
   boost::system::error_code error;
   const json::value answer = json::parse(result.out, error);
@@ -54,7 +54,7 @@
   void Start(int proxies = 3, const std::string& agent_extra = "") {
     SiteSettings settings;
     settings.proxies = proxies;
-    settings.converters = 3;
+    settings.backends = 3;
     settings.service = milliseconds(10);
     settings.agent_extra = agent_extra;
     site = std::make_unique<Site>(io, settings);
@@ -66,7 +66,7 @@
   }
   std::map<std::string, pid_t> Pids() {
     std::map<std::string, pid_t> pids;
-    const api::Reply reply = site->Call("GET", "/v1/status");
+    const http_api::Reply reply = site->Call("GET", "/v1/status");
     for (const json::value& one : reply.body.at("instances").as_array())
       pids[std::string(one.at("name").as_string())] = one.at("pid").to_number<pid_t>();
     return pids;
@@ -242,8 +242,8 @@
   const pid_t second = fork();
   if (second == 0) {
     if (!std::freopen("/dev/null", "w", stderr)) _exit(9);
-    execl(Binary("badgeragent").c_str(), "badgeragent", "--fleet", (site->folder() + "/fleet.toml").c_str(),
-          static_cast<char*>(nullptr));
+    execl(Binary("badgerbridge-agent").c_str(), "badgerbridge-agent", "--fleet",
+          (site->folder() + "/fleet.toml").c_str(), static_cast<char*>(nullptr));
     _exit(9);
   }
   int status = 0;
@@ -374,7 +374,7 @@
   EXPECT_EQ(site->Ctl({"check", site->folder() + "/n1.toml"}).code, 0);
   site->Write("bad.toml", "[control]\n");
   EXPECT_EQ(site->Ctl({"check", site->folder() + "/bad.toml"}).code, 1);
-  EXPECT_NE(site->Ctl({"completion", "bash"}).out.find("complete -F _badgerctl badgerctl"),
+  EXPECT_NE(site->Ctl({"completion", "bash"}).out.find("complete -F _badgerctl badgerbridge-ctl"),
             std::string::npos);
   EXPECT_EQ(site->Ctl({"drain", "n1", "--dry-run"}).out.find("done"), std::string::npos);
   EXPECT_EQ(site->StateOf("n1"), "ready");
@@ -406,7 +406,7 @@
     EXPECT_LT(drained.took, seconds(15)) << "by the other clock";
     // The clock did jump, for the agent: it is what the account's dates say.
     ASSERT_EQ(site->Ctl({"undrain", "n1"}).code, 0);
-    const api::Reply orders = site->Call("GET", "/v1/orders");
+    const http_api::Reply orders = site->Call("GET", "/v1/orders");
     const auto at =
         orders.body.at("orders").as_array().back().at("accepted_unix_ms").to_number<std::int64_t>();
     const auto wall =
@@ -438,15 +438,15 @@
 
 TEST_F(AgentTest, AFullDiskRefusesNewOrdersAndKeepsTheInstancesRunning) {
   Start(2);
-  operator_file::Problems problems;
+  operator_config::Problems problems;
   const FleetFile file = LoadFleet(site->folder() + "/fleet.toml", problems);
-  ASSERT_EQ(operator_file::Lines(problems), "");
+  ASSERT_EQ(operator_config::Lines(problems), "");
   const auto disk = std::make_shared<BadDisk>();
   Agent agent(io, file, disk);
   ASSERT_TRUE(site->Until([&] { return site->All("ready"); }));
   disk->bad = true;
   const std::string order = R"({"id":"o1","verb":"drain","instances":["n1"]})";
-  api::Reply reply = site->Call("POST", "/v1/orders", order);
+  http_api::Reply reply = site->Call("POST", "/v1/orders", order);
   EXPECT_EQ(reply.status, 507u) << reply.Why();
   EXPECT_NE(reply.Why().find("No space left"), std::string::npos);
   EXPECT_EQ(agent.fleet().generation(), 0u);
@@ -496,21 +496,21 @@
                         "/agent.pem\"\nkey = \"" + folder + "/agent.key\"\nclient_ca = \"" + folder +
                         "/ca.pem\"\nroles = { reader = \"reader\", operator = \"operator\" }\n");
     site->Write("fleet.toml", text);
-    operator_file::Problems problems;
+    operator_config::Problems problems;
     const FleetFile file = LoadFleet(folder + "/fleet.toml", problems);
-    ASSERT_EQ(operator_file::Lines(problems), "");
+    ASSERT_EQ(operator_config::Lines(problems), "");
     agent = std::make_unique<Agent>(io, file);
     ASSERT_TRUE(site->Until([&] { return site->All("ready"); }));
   }
-  api::Reply As(const std::string& who, const std::string& method, const std::string& path,
-                const std::string& body = "") {
-    api::Target target;
+  http_api::Reply As(const std::string& who, const std::string& method, const std::string& path,
+                     const std::string& body = "") {
+    http_api::Target target;
     target.address = *agent->tls_address();
     const std::string& folder = site->folder();
     target.files = {folder + "/" + who + ".pem", folder + "/" + who + ".key", folder + "/ca.pem"};
-    auto reply = std::make_shared<std::optional<api::Reply>>();
-    asio::co_spawn(io, api::Call(target, method, path, body, milliseconds(8000)),
-                   [reply](std::exception_ptr, api::Reply answer) { *reply = std::move(answer); });
+    auto reply = std::make_shared<std::optional<http_api::Reply>>();
+    asio::co_spawn(io, http_api::Call(target, method, path, body, milliseconds(8000)),
+                   [reply](std::exception_ptr, http_api::Reply answer) { *reply = std::move(answer); });
     EXPECT_TRUE(site->Until([&] { return reply->has_value(); }));
     return **reply;
   }
@@ -524,7 +524,7 @@
 TEST_F(TlsTest, ACertificatesNameHasARole) {
   StartTls();
   EXPECT_EQ(As("reader", "GET", "/v1/status").status, 200u);
-  const api::Reply refused = As("reader", "POST", "/v1/orders", kDrain);
+  const http_api::Reply refused = As("reader", "POST", "/v1/orders", kDrain);
   EXPECT_EQ(refused.status, 403u);
   EXPECT_EQ(refused.Why(), "cn reader has the role reader; this takes operator");
   EXPECT_EQ(As("stranger", "GET", "/v1/status").status, 403u);
@@ -540,7 +540,7 @@
 TEST_F(TlsTest, NoCertificateAWrongOneOrAnExpiredOneGetsNoAnswer) {
   StartTls();
   for (const char* who : {"expired", "forged"}) {
-    const api::Reply reply = As(who, "POST", "/v1/orders", kDrain);
+    const http_api::Reply reply = As(who, "POST", "/v1/orders", kDrain);
     EXPECT_EQ(reply.status, 0u) << who;
     EXPECT_FALSE(reply.error.empty());
   }
@@ -702,4 +702,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/tests/fleet/fleet_file_test.cpp
+++ b/tests/agent/fleet_file_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/fleet_file.h"
+#include "agent/fleet_file.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -7,9 +7,9 @@
 #include <filesystem>
 #include <fstream>
 
-#include "ctl/context.h"
+#include "cli/context.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 class FleetFileTest : public ::testing::Test {
@@ -30,16 +30,16 @@
            "/op.toml\"\n" + more;
   }
   std::string Check(const std::string& text) const {
-    operator_file::Problems problems;
+    operator_config::Problems problems;
     ParseFleet(text, "f", problems);
-    return operator_file::Lines(problems);
+    return operator_config::Lines(problems);
   }
 
   std::string folder_;
 };
 
 TEST_F(FleetFileTest, ReadsWhatIsThere) {
-  operator_file::Problems problems;
+  operator_config::Problems problems;
   const FleetFile file = ParseFleet(
       Agent() +
           "poll = \"2s\"\n[agent.tls]\nlisten = \"127.0.0.1:7443\"\ncertificate = \"c\"\nkey = \"k\"\n"
@@ -48,14 +48,14 @@
                    "listen = \"127.0.0.1:8080\"\nlabels = { zone = \"a\" }\nenvironment = { X = \"1\" }\n"
                    "limits = { descriptors = 1024 }\n"),
       "f", problems);
-  EXPECT_EQ(operator_file::Lines(problems), "");
+  EXPECT_EQ(operator_config::Lines(problems), "");
   ASSERT_EQ(file.instances.size(), 1u);
   const Definition& one = file.instances[0];
   EXPECT_EQ(one.control_socket, "/run/n1.sock");
   EXPECT_EQ(one.descriptors, 1024);
   EXPECT_EQ(one.labels.at("zone"), "a");
   EXPECT_EQ(file.agent.poll, std::chrono::milliseconds(2000));
-  EXPECT_EQ(file.agent.tls->roles.at("ana"), api::Role::kOperator);
+  EXPECT_EQ(file.agent.tls->roles.at("ana"), http_api::Role::kOperator);
   EXPECT_EQ(DefinitionOf(ToText(one)), one);
 }
 
@@ -66,13 +66,13 @@
     ASSERT_FALSE(text.empty()) << name;
     const std::size_t at = text.find("/etc/badgerbridge/n1.toml");
     if (at != std::string::npos) text.replace(at, 25, folder_ + "/op.toml");
-    operator_file::Problems problems;
+    operator_config::Problems problems;
     if (std::string(name) == "fleet.toml") {
       ParseFleet(text, name, problems);
     } else {
-      ctl::ParseContext(text, name, problems);
+      cli::ParseContext(text, name, problems);
     }
-    EXPECT_EQ(operator_file::Lines(problems), "");
+    EXPECT_EQ(operator_config::Lines(problems), "");
   }
 }
 
@@ -98,7 +98,7 @@
 }
 
 TEST_F(FleetFileTest, DiffNamesWhatIsNewChangedAndGone) {
-  operator_file::Problems problems;
+  operator_config::Problems problems;
   const FleetFile file = ParseFleet(Agent() + Instance("n1"), "f", problems);
   Definition changed = file.instances[0];
   changed.descriptors = 99;
@@ -113,9 +113,9 @@
 
 TEST(Context, ProblemsAreLines) {
   const auto check = [](const std::string& text) {
-    operator_file::Problems problems;
-    ctl::ParseContext(text, "c", problems);
-    return operator_file::Lines(problems);
+    operator_config::Problems problems;
+    cli::ParseContext(text, "c", problems);
+    return operator_config::Lines(problems);
   };
   EXPECT_EQ(check("[[agent]]\nname = \"a\"\nsocket = \"/s\"\n"), "");
   EXPECT_NE(check("").find("agent is missing"), std::string::npos);
@@ -128,4 +128,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/tests/fleet/hard_cases_test.cpp
+++ b/tests/agent/hard_cases_test.cpp
@@ -20,10 +20,10 @@
 #include <fstream>
 #include <sstream>
 
-#include "api/server.h"
+#include "http_api/server.h"
 #include "standins/site.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 namespace asio = boost::asio;
@@ -38,7 +38,7 @@
   void Start(int proxies, const std::string& agent_extra = "") {
     SiteSettings settings;
     settings.proxies = proxies;
-    settings.converters = 2;
+    settings.backends = 2;
     settings.agent_extra = agent_extra;
     site = std::make_unique<Site>(io, settings);
     site->StartAgent();
@@ -104,7 +104,7 @@
         std::pair("{} {}", "the body has more after its JSON, from byte 3 on"),
         std::pair(R"({"verb":"dra)", "the body is no JSON: incomplete JSON at byte 12"),
         std::pair("[1]", "the body is no JSON object")}) {
-    const api::Reply reply = site->Call("POST", "/v1/orders", body);
+    const http_api::Reply reply = site->Call("POST", "/v1/orders", body);
     EXPECT_EQ(reply.status, 400u);
     EXPECT_EQ(reply.Why(), says) << body;
   }
@@ -114,9 +114,10 @@
   Start(2);
   const std::string path = site->folder() + "/n1.sock";
   unlink(path.c_str());
-  api::UnixServer stranger(io, path, {}, {}, [](api::Request, api::Peer) -> asio::awaitable<api::Response> {
-    co_return api::Response{200, json::object{{"state", "drained"}, {"pid", 1}}};
-  });
+  http_api::UnixServer stranger(
+      io, path, {}, {}, [](http_api::Request, http_api::Peer) -> asio::awaitable<http_api::Response> {
+        co_return http_api::Response{200, json::object{{"state", "drained"}, {"pid", 1}}};
+      });
   ASSERT_TRUE(site->Until([&] { return site->StateOf("n1") == "silent"; }));
   const CommandResult status = site->Ctl({"status"});
   EXPECT_NE(status.out.find("another process answers on its socket"), std::string::npos) << status.out;
@@ -153,9 +154,10 @@
   EXPECT_EQ(site->PidOf("n1"), pid) << "adopted";
 }
 
-// badgerctl on a terminal of its own; what it printed there.
+// badgerbridge-ctl on a terminal of its own; what it printed there.
 std::string OnTerminal(Site& site, std::vector<std::string> arguments, bool no_color) {
-  arguments.insert(arguments.begin(), {Binary("badgerctl"), "--context", site.folder() + "/context.toml"});
+  arguments.insert(arguments.begin(),
+                   {Binary("badgerbridge-ctl"), "--context", site.folder() + "/context.toml"});
   int master = -1;
   const pid_t pid = forkpty(&master, nullptr, nullptr, nullptr);
   if (pid == 0) {
@@ -200,17 +202,17 @@
 TEST_F(HardCasesTest, TheCompletionCompletesInAShell) {
   Start(2);
   const auto complete = [&](const std::string& words, int at) {
-    return Shell("BADGERCTL_CONTEXT=" + site->folder() +
-                 "/context.toml PATH=" + std::filesystem::path(Binary("badgerctl")).parent_path().string() +
-                 ":$PATH bash -c '" + "source <(badgerctl completion bash); COMP_WORDS=(" + words +
+    return Shell("BADGERCTL_CONTEXT=" + site->folder() + "/context.toml PATH=" +
+                 std::filesystem::path(Binary("badgerbridge-ctl")).parent_path().string() +
+                 ":$PATH bash -c '" + "source <(badgerbridge-ctl completion bash); COMP_WORDS=(" + words +
                  "); COMP_CWORD=" + std::to_string(at) + "; _badgerctl; echo ${COMPREPLY[@]}'");
   };
-  EXPECT_EQ(complete("badgerctl dr", 1), "drain\nexit 0");
-  EXPECT_EQ(complete("badgerctl mem", 1), "members\nexit 0");
-  EXPECT_EQ(complete("badgerctl drain --dead", 2), "--deadline\nexit 0");
+  EXPECT_EQ(complete("badgerbridge-ctl dr", 1), "drain\nexit 0");
+  EXPECT_EQ(complete("badgerbridge-ctl mem", 1), "members\nexit 0");
+  EXPECT_EQ(complete("badgerbridge-ctl drain --dead", 2), "--deadline\nexit 0");
   // Names of instances come from the agents; the tool runs while this thread waits, and the agent is a
   // process.
-  EXPECT_EQ(complete("badgerctl drain \"\"", 2), "n1 n2\nexit 0");
+  EXPECT_EQ(complete("badgerbridge-ctl drain \"\"", 2), "n1 n2\nexit 0");
 }
 
 TEST(Scripts, WithoutRightsTheOneLineToRunIsPrinted) {
@@ -229,4 +231,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/tests/fleet/orders_random_test.cpp
+++ b/tests/agent/orders_random_test.cpp
@@ -7,9 +7,9 @@
 #include <csignal>
 #include <set>
 
-#include "fleet/orders.h"
+#include "agent/orders.h"
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 // A world of simulated processes that obeys the actions, late and not always.
@@ -309,4 +309,4 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, FleetRandom, ::testing::Values(1, 11, 21, 31, 41, 51));
 
 }  // namespace
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/tests/fleet/orders_test.cpp
+++ b/tests/agent/orders_test.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/orders.h"
+#include "agent/orders.h"
 
 #include <gtest/gtest.h>
 
 #include <csignal>
 #include <fstream>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 using std::chrono::milliseconds;
@@ -130,7 +130,8 @@
   EXPECT_EQ(verdict.kind, Verdict::Kind::kConflict);
   EXPECT_EQ(verdict.order, "d");
   EXPECT_EQ(verdict.text,
-            "n2 is held by drain (order d, generation 2) by ana, telling it to drain; wait for it (badgerctl "
+            "n2 is held by drain (order d, generation 2) by ana, telling it to drain; wait for it "
+            "(badgerbridge-ctl "
             "orders "
             "d), or take over with --supersede");
   EXPECT_TRUE(actions.empty());
@@ -483,4 +484,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/tests/fleet/store_test.cpp
+++ b/tests/agent/store_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/store.h"
+#include "agent/store.h"
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 #include <fstream>
 #include <sstream>
 
-namespace badgerbridge::fleet {
+namespace badgerbridge::agent {
 namespace {
 
 class StoreTest : public ::testing::Test {
@@ -223,4 +223,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::fleet
+}  // namespace badgerbridge::agent
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The module's decisions, each at its boundary. Events are written out; no bench is needed.
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
 #include <gtest/gtest.h>
 
@@ -18,7 +18,7 @@
 
 #include "harness.h"
 
-namespace fordlb {
+namespace badgerbridge::balancer {
 namespace {
 
 using testing::At;
@@ -30,7 +30,7 @@
 RequestId next_id = 1;
 
 // One request and its answer, which fails if it came from one of `failing`.
-void AnswerOne(Rig& rig, Outcome outcome, std::set<ServerId> failing, double took = 10) {
+void AnswerOne(Rig& rig, Outcome outcome, std::set<BackendId> failing, double took = 10) {
   const RequestId id = next_id++;
   const auto server = rig.Ask(id, 2, 10, 5000);  // unsafe: one attempt, so nothing is sent again
   ASSERT_TRUE(server.has_value());
@@ -38,15 +38,15 @@
   rig.End(id, 0, *server, fails ? outcome : Outcome::kOk, took);
 }
 
-std::optional<ServerId> AskAndEnd(Rig& rig) {
+std::optional<BackendId> AskAndEnd(Rig& rig) {
   const RequestId id = next_id++;
   const auto server = rig.Ask(id);
   if (server) rig.End(id, 0, *server, Outcome::kOk);
   return server;
 }
 
-bool InService(Rig& rig, ServerId server) {
-  std::vector<std::pair<RequestId, ServerId>> open;
+bool InService(Rig& rig, BackendId server) {
+  std::vector<std::pair<RequestId, BackendId>> open;
   bool seen = false;
   for (int i = 0; i < 3; ++i) {
     const RequestId id = next_id++;
@@ -62,7 +62,7 @@
 // Gives each of three servers `per_server` answers; `failures` of server 1's fail, first ones first.
 void Answers(Rig& rig, int per_server, int failures, Outcome outcome = Outcome::kError) {
   for (int i = 0; i < per_server; ++i) {
-    std::map<ServerId, RequestId> open;
+    std::map<BackendId, RequestId> open;
     for (int k = 0; k < 3; ++k) {
       const RequestId id = next_id++;
       const auto s = rig.Ask(id, 2, 10, 5000);
@@ -101,7 +101,7 @@
   settings.max_attempts = 1;
   Rig rig(settings);
   rig.Servers(6);
-  std::set<ServerId> late_on;
+  std::set<BackendId> late_on;
   for (int i = 0; i < 120; ++i) {
     const RequestId id = next_id++;
     const auto s = rig.Ask(id, 2, 10, 5000);
@@ -132,7 +132,7 @@
 }
 
 TEST(OutlierDetection, CancelsAndMootTellNothing) {
-  for (Outcome outcome : {Outcome::kCancelled, Outcome::kMoot, Outcome::kUnknown}) {
+  for (Outcome outcome : {Outcome::kCancelled, Outcome::kNotSent, Outcome::kUnknown}) {
     Settings settings = Usual();
     settings.max_attempts = 1;
     Rig rig(settings);
@@ -144,7 +144,7 @@
 
 TEST(OutlierDetection, EveryFailureCounts) {
   for (Outcome outcome :
-       {Outcome::kError, Outcome::kFull, Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset}) {
+       {Outcome::kError, Outcome::kRejected, Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset}) {
     Settings s = Usual();
     s.max_attempts = 1;
     Rig rig(s);
@@ -201,8 +201,8 @@
     ASSERT_TRUE(s.has_value());
     rig.End(id, 0, *s, Outcome::kError);
   }
-  std::set<ServerId> in;
-  for (ServerId s = 1; s <= 4; ++s) {
+  std::set<BackendId> in;
+  for (BackendId s = 1; s <= 4; ++s) {
     if (InService(rig, s)) in.insert(s);
   }
   EXPECT_GE(in.size(), 2u) << "never more than half";
@@ -213,7 +213,7 @@
   rig.Servers(3);
   for (int i = 0; i < 40; ++i) AnswerOne(rig, Outcome::kError, {1, 2, 3});
   int in = 0;
-  for (ServerId s = 1; s <= 3; ++s) in += InService(rig, s);
+  for (BackendId s = 1; s <= 3; ++s) in += InService(rig, s);
   EXPECT_EQ(in, 3);
 }
 
@@ -236,8 +236,8 @@
   Rig rig;
   rig.Servers(3);
   Answers(rig, 3, 3);
-  rig.List({Entry(1, 0, 0, ServerState::kGone)}, ListKind::kDelta);
-  rig.List({Entry(1)}, ListKind::kDelta);
+  rig.List({Entry(1, 0, 0, BackendState::kGone)}, EndpointListKind::kDelta);
+  rig.List({Entry(1)}, EndpointListKind::kDelta);
   EXPECT_FALSE(InService(rig, 1));
 }
 
@@ -245,7 +245,7 @@
   Rig rig;
   rig.Servers(3);
   const auto a = rig.Ask(1001, 0, 50), b = rig.Ask(1002, 0, 20), c = rig.Ask(1003, 0, 40);
-  EXPECT_EQ(std::set<ServerId>({*a, *b, *c}).size(), 3u);
+  EXPECT_EQ(std::set<BackendId>({*a, *b, *c}).size(), 3u);
   EXPECT_EQ(rig.Ask(1004, 0, 25), b) << "20 in flight is the least";
   EXPECT_EQ(rig.Ask(1005, 0, 5), c) << "now 40 is";
 }
@@ -261,16 +261,16 @@
 
 TEST(Pick, AmongIdleServersTheOwnZoneGoesFirstWhereCrossingHasAPrice) {
   Settings s = Usual();
-  s.price_cross_zone = 0.02;
+  s.cross_zone_cost = 0.02;
   Rig rig(s);
   rig.List({Entry(1, 1), Entry(2, 0), Entry(3, 1)});
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), BackendId{2});
   rig.Ask(next_id++);
-  EXPECT_NE(rig.Ask(next_id++), ServerId{2}) << "a whole request in flight outweighs it";
+  EXPECT_NE(rig.Ask(next_id++), BackendId{2}) << "a whole request in flight outweighs it";
 }
 
 TEST(Pick, TiesAtRandom) {
-  std::set<ServerId> seen;
+  std::set<BackendId> seen;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     Rig rig(Usual(), seed);
     rig.Servers(4);
@@ -288,21 +288,21 @@
     const auto server = rig.Ask(id, 0, 10, 900);
     rig.End(id, 0, *server, Outcome::kOk, *server == 1 ? 60 : 20);
   }
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
+  for (int i = 0; i < 10; ++i) EXPECT_EQ(AskAndEnd(rig), BackendId{2});
   // And with that one busy it still serves.
   const RequestId busy = next_id++;
-  EXPECT_EQ(rig.Ask(busy, 0, 100, 900), ServerId{2});
-  EXPECT_EQ(rig.Ask(next_id++, 0, 10, 900), ServerId{1});
+  EXPECT_EQ(rig.Ask(busy, 0, 100, 900), BackendId{2});
+  EXPECT_EQ(rig.Ask(next_id++, 0, 10, 900), BackendId{1});
 }
 
 // Spread evenly, a key was served afresh by one server after the other: up to half of all work for nothing.
 TEST(Pick, AKeyGoesWhereItIsWarmUnlessThatIsFarBusier) {
   Settings settings = Usual();
-  settings.warm_keys = true;
+  settings.key_affinity = true;
   Rig rig(settings);
   rig.Servers(4);
   auto ask = [&](std::uint64_t key, double work = 10) { return *rig.Ask(next_id++, 0, work, 5000, key); };
-  const ServerId home = ask(7);
+  const BackendId home = ask(7);
   EXPECT_EQ(ask(7), home) << "10 in flight there, but the key saves its work";
   EXPECT_NE(ask(8), home) << "another key";
   EXPECT_NE(ask(0), home) << "no key";
@@ -310,7 +310,7 @@
 
   Rig forgets(settings);
   forgets.Servers(4);
-  std::set<ServerId> later;
+  std::set<BackendId> later;
   for (int i = 0; i < 20; ++i) {
     const RequestId id = next_id++;
     later.insert(*forgets.Ask(id, 0, 10, 5000, 9));
@@ -319,7 +319,7 @@
   }
   EXPECT_GT(later.size(), 1u) << "forgotten";
 
-  settings.warm_keys = false;
+  settings.key_affinity = false;
   Rig none(settings);
   none.Servers(2);
   const auto first = none.Ask(next_id++, 0, 10, 5000, 7);
@@ -330,23 +330,24 @@
   Rig rig;
   rig.Servers(3);
   Answers(rig, 3, 3);
-  rig.List({Entry(2, 0, 0, ServerState::kGone), Entry(3, 0, 0, ServerState::kGone)}, ListKind::kDelta);
-  EXPECT_EQ(rig.Ask(next_id++), ServerId{1});
+  rig.List({Entry(2, 0, 0, BackendState::kGone), Entry(3, 0, 0, BackendState::kGone)},
+           EndpointListKind::kDelta);
+  EXPECT_EQ(rig.Ask(next_id++), BackendId{1});
 }
 
 // ---- Aperture: a proxy with few requests ranks few servers, and all proxies together rank all alike
 // ----------
 Settings OneOf(int balancers, int me) {
   Settings s = Usual();
-  s.balancers = balancers;
-  s.me = me;
+  s.balancer_count = balancers;
+  s.balancer_index = me;
   return s;
 }
 
 TEST(Aperture, AProxyWithFewRequestsUsesFewServersOfALargeFleet) {
   Rig rig(OneOf(400, 7));
   rig.Servers(100);
-  std::set<ServerId> used;
+  std::set<BackendId> used;
   for (int i = 0; i < 300; ++i) {
     rig.Tick(200);
     used.insert(*AskAndEnd(rig));
@@ -358,7 +359,7 @@
 TEST(Aperture, AProxyWithManyRequestsUsesThemAll) {
   Rig rig(OneOf(2, 1));
   rig.Servers(20);
-  std::set<ServerId> used;
+  std::set<BackendId> used;
   for (int i = 0; i < 2000; ++i) {
     rig.Tick(5);
     used.insert(*AskAndEnd(rig));
@@ -367,16 +368,16 @@
 }
 
 TEST(Aperture, ServersAreInAboutAsManyAperturesEach) {
-  std::map<ServerId, int> users;
+  std::map<BackendId, int> users;
   for (int me = 0; me < 200; ++me) {
     Rig rig(OneOf(200, me));
     rig.Servers(50);
-    std::set<ServerId> used;
+    std::set<BackendId> used;
     for (int i = 0; i < 60; ++i) {
       rig.Tick(200);
       used.insert(*AskAndEnd(rig));
     }
-    for (ServerId s : used) ++users[s];
+    for (BackendId s : used) ++users[s];
   }
   ASSERT_EQ(users.size(), 50u) << "no server is left out";
   // 24 in the mean; places drawn at random would differ by 4.6 (one deviation) and reach far lower and
@@ -392,14 +393,14 @@
   settings.max_attempts = 1;
   Rig rig(settings);
   rig.Servers(100);
-  std::set<ServerId> first;
+  std::set<BackendId> first;
   for (int i = 0; i < 60; ++i) {
     rig.Tick(200);
     first.insert(*AskAndEnd(rig));
   }
   ASSERT_GE(first.size(), 4u);
-  const std::set<ServerId> failing = {*first.begin(), *std::next(first.begin())};
-  std::set<ServerId> fresh;
+  const std::set<BackendId> failing = {*first.begin(), *std::next(first.begin())};
+  std::set<BackendId> fresh;
   int at_failing = 0;
   for (int i = 0; i < 100; ++i) {
     const RequestId id = next_id++;
@@ -419,7 +420,7 @@
   Rig rig(OneOf(400, 3));
   rig.Servers(100);
   // Two requests a second over six servers: three answers of one server take nine seconds.
-  std::map<ServerId, int> failed;
+  std::map<BackendId, int> failed;
   for (int i = 0; i < 200; ++i) {
     const RequestId id = next_id++;
     rig.Tick(250);
@@ -452,40 +453,40 @@
     }
     rig.now = std::max(rig.now + 0.001, at - 0.0004);
     rig.Do(TimerFired{token});
-    finals = rig.Count<Refuse>() + rig.Count<Fail>();
+    finals = rig.Count<Reject>() + rig.Count<FailRequest>();
   }
   EXPECT_EQ(finals, 1);
   EXPECT_LE(rig.now, 100300);
 }
 
 TEST(Drains, NothingNewFromTheMomentItIsKnown) {
-  for (ServerState state : {ServerState::kDraining, ServerState::kGone}) {
+  for (BackendState state : {BackendState::kDraining, BackendState::kGone}) {
     Rig rig;
     rig.Servers(2);
-    rig.List({Entry(1, 0, 0, state)}, ListKind::kDelta);
-    for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
+    rig.List({Entry(1, 0, 0, state)}, EndpointListKind::kDelta);
+    for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), BackendId{2});
   }
   Rig rig;
   rig.Servers(2);
   rig.List({Entry(2)});  // absent from a full list: removed
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), BackendId{2});
 }
 
 TEST(Discovery, AsksAtStartAndAgainAfterAFailure) {
   Settings s = Usual();
-  s.must_ask_for_list = true;
-  s.must_ask_within = Duration(10000);
+  s.polls_endpoint_list = true;
+  s.max_poll_interval = Duration(10000);
   Rig rig(s);
-  rig.List({Entry(1)}, ListKind::kCached);
+  rig.List({Entry(1)}, EndpointListKind::kCached);
   EXPECT_EQ(rig.Count<Subscribe>(), 1);
   rig.Tick(100);
   EXPECT_EQ(rig.Count<Subscribe>(), 0) << "one call at a time";
-  rig.List({}, ListKind::kFailed);
+  rig.List({}, EndpointListKind::kFailed);
   double waited = 0;
   while (rig.Count<Subscribe>() == 0 && waited < 20000) rig.Tick(10), waited += 10;
   EXPECT_GE(waited, 200);
   EXPECT_LE(waited, 2500);
-  EXPECT_EQ(rig.Ask(next_id++), ServerId{1}) << "the old list serves";
+  EXPECT_EQ(rig.Ask(next_id++), BackendId{1}) << "the old list serves";
   rig.List({Entry(1)});
   for (int i = 0; i < 1000; ++i) {
     rig.Tick(100);
@@ -495,7 +496,7 @@
 
 TEST(Discovery, PushIsNeverAsked) {
   Rig rig;
-  rig.List({Entry(1)}, ListKind::kCached);
+  rig.List({Entry(1)}, EndpointListKind::kCached);
   for (int i = 0; i < 200; ++i) {
     rig.Tick(100);
     EXPECT_EQ(rig.Count<Subscribe>(), 0);
@@ -512,13 +513,13 @@
 TEST(Attempts, OnlyWhatIsPermittedIsSentAgainOrRefused) {
   const Verdict verdicts[] = {
       {0, Outcome::kError, true, true},         {0, Outcome::kTimeout, true, true},
-      {0, Outcome::kReset, true, true},         {0, Outcome::kFull, true, true},
+      {0, Outcome::kReset, true, true},         {0, Outcome::kRejected, true, true},
       {0, Outcome::kConnectFailed, true, true}, {1, Outcome::kError, true, false},
-      {1, Outcome::kTimeout, true, false},      {1, Outcome::kFull, true, true},
+      {1, Outcome::kTimeout, true, false},      {1, Outcome::kRejected, true, true},
       {1, Outcome::kConnectFailed, true, true}, {1, Outcome::kReset, true, false},
       {2, Outcome::kError, false, false},       {2, Outcome::kTimeout, false, false},
       {2, Outcome::kReset, false, false},       {2, Outcome::kUnknown, false, false},
-      {2, Outcome::kFull, true, true},          {2, Outcome::kConnectFailed, true, true},
+      {2, Outcome::kRejected, true, true},      {2, Outcome::kConnectFailed, true, true},
       {2, Outcome::kCancelled, false, false},
   };
   for (const Verdict& v : verdicts) {
@@ -532,7 +533,7 @@
     if (v.again) {
       EXPECT_NE(rig.SentTo(1), first) << "elsewhere";
     } else {
-      EXPECT_EQ(rig.Count<Fail>(), 1);
+      EXPECT_EQ(rig.Count<FailRequest>(), 1);
     }
     // And with no attempt left: refused only where that is permitted.
     Settings s = Usual();
@@ -541,8 +542,8 @@
     last.Servers(3);
     const auto only = last.Ask(1, v.cls);
     last.End(1, 0, *only, v.outcome);
-    EXPECT_EQ(last.Count<Refuse>(), v.refusable ? 1 : 0);
-    EXPECT_EQ(last.Count<Fail>(), v.refusable ? 0 : 1);
+    EXPECT_EQ(last.Count<Reject>(), v.refusable ? 1 : 0);
+    EXPECT_EQ(last.Count<FailRequest>(), v.refusable ? 0 : 1);
   }
 }
 
@@ -550,19 +551,19 @@
   for (int gone : {0, 1}) {
     Rig rig;
     rig.List({Entry(1, 0, 1), Entry(2, 0, 1), Entry(3, 0, 2), Entry(4, 1, 1)});
-    ServerId first = *rig.Ask(next_id, 1);
+    BackendId first = *rig.Ask(next_id, 1);
     while (first > 2) {  // start in the cell of servers 1 and 2
       rig.End(next_id, 0, first, Outcome::kOk);
       first = *rig.Ask(++next_id, 1);
     }
-    if (gone) rig.List({Entry(3 - first, 0, 1, ServerState::kGone)}, ListKind::kDelta);
+    if (gone) rig.List({Entry(3 - first, 0, 1, BackendState::kGone)}, EndpointListKind::kDelta);
     rig.now += 100;
     rig.End(next_id, 0, first, Outcome::kError);
     EXPECT_EQ(rig.SentTo(next_id), gone ? first : 3 - first);
     rig.now += 401;  // past the 500 ms window
     rig.End(next_id, 1, gone ? first : 3 - first, Outcome::kError);
     EXPECT_FALSE(rig.SentTo(next_id).has_value());
-    EXPECT_EQ(rig.Count<Fail>(), 1);
+    EXPECT_EQ(rig.Count<FailRequest>(), 1);
     ++next_id;
   }
 }
@@ -622,7 +623,7 @@
       rig.End(id, 0, *rig.Ask(id, cls), Outcome::kOk);
     }
     const RequestId stuck = next_id++;
-    const ServerId server = *rig.Ask(stuck, cls, 10, 1000);
+    const BackendId server = *rig.Ask(stuck, cls, 10, 1000);
     std::vector<RequestId> later;  // sent there too: together they are more work than the stuck one
     while (later.size() < 3) {
       const RequestId id = next_id++;
@@ -633,7 +634,7 @@
     int abandoned = 0;
     const auto note = [&] {
       for (const Action& action : rig.actions) {
-        const auto* abandon = std::get_if<Abandon>(&action);
+        const auto* abandon = std::get_if<CancelAttempt>(&action);
         if (!abandon) continue;
         EXPECT_EQ(abandon->request, stuck);
         EXPECT_EQ(abandon->attempt, 0);
@@ -662,13 +663,13 @@
     rig.End(id, 0, *rig.Ask(id, i % 3), Outcome::kOk);
   }
   const RequestId lost = next_id++;
-  const ServerId silent = *rig.Ask(lost, 2, 10, 900);
+  const BackendId silent = *rig.Ask(lost, 2, 10, 900);
   int to_silent = 0, repeatable = 0;
   const auto ask = [&](int cls) {
     const RequestId id = next_id++;
     const auto sent_to = rig.Ask(id, cls, 10, 900);
     ASSERT_TRUE(sent_to.has_value());
-    const ServerId at = *sent_to;
+    const BackendId at = *sent_to;
     if (at != silent) return rig.End(id, 0, at, Outcome::kOk);
     ++to_silent;
     repeatable += cls != 2 && rig.sent.back().timeout.count() > 0;
@@ -700,7 +701,7 @@
   ASSERT_TRUE(second.has_value());
   rig.End(1, 1, *second, Outcome::kConnectFailed);
   EXPECT_FALSE(rig.SentTo(1).has_value());
-  EXPECT_EQ(rig.Count<Refuse>(), 1);
+  EXPECT_EQ(rig.Count<Reject>(), 1);
 }
 
 TEST(Attempts, AFailingFleetMeetsNoStorm) {
@@ -720,14 +721,14 @@
 
 TEST(ColdStart, BudgetOverEveryWindow) {
   Rig rig;
-  std::vector<ServerEntry> list = {Entry(1), Entry(2), Entry(3)};
+  std::vector<BackendEntry> list = {Entry(1), Entry(2), Entry(3)};
   rig.List(list);
   // 30 ms of work every 10 ms, answered at once, for 20 s: each warm server gets about 1 a ms.
   auto run = [&](double ms) {
     std::vector<std::pair<double, double>> sent;
     for (double t = 0; t < ms; t += 10) {
       rig.Tick(10);
-      std::vector<std::pair<RequestId, ServerId>> open;
+      std::vector<std::pair<RequestId, BackendId>> open;
       for (int k = 0; k < 3; ++k) {
         const RequestId id = next_id++;
         const auto s = rig.Ask(id, 2, 10, 900);
@@ -740,7 +741,8 @@
     return sent;
   };
   run(20000);
-  rig.List({Entry(3, 0, 0, ServerState::kReady, rig.now)}, ListKind::kDelta);  // the same id, started again
+  rig.List({Entry(3, 0, 0, BackendState::kReady, rig.now)},
+           EndpointListKind::kDelta);  // the same id, started again
   const double start = rig.now;
   const auto sent = run(10000);
   double most = 0;
@@ -762,11 +764,11 @@
   double worst = 0;
   std::size_t first = 0;
   for (std::size_t i = 0; i < sent.size(); ++i) {
-    const double warmth = (sent[i] - start) / s.warm_up.count();
+    const double warmth = (sent[i] - start) / s.slow_start_window.count();
     if (warmth >= 1) break;
-    while (sent[i] - sent[first] > s.overload_for.count()) ++first;
-    const double capacity = cores * (s.cold_from + (1 - s.cold_from) * warmth);
-    const double allowed = s.fall_multiple * capacity * s.overload_for.count() / work;
+    while (sent[i] - sent[first] > s.overload_duration.count()) ++first;
+    const double capacity = cores * (s.slow_start_floor + (1 - s.slow_start_floor) * warmth);
+    const double allowed = s.overload_factor * capacity * s.overload_duration.count() / work;
     const double calls = static_cast<double>(i - first + 1);
     worst = std::max(worst, calls / (allowed + 2 * std::sqrt(allowed) + 2));
   }
@@ -779,14 +781,14 @@
 // allows the cold one.
 double ManyStartTogether(int proxies, bool hinted) {
   Settings s = Usual();
-  s.balancers = proxies;
+  s.balancer_count = proxies;
   const double work = std::min(100.0, 3000.0 / proxies), started = 99500;
   const int period = static_cast<int>(proxies * 4 * work / 3) / 10;  // steps
   std::vector<Rig> rigs;
   for (int i = 0; i < proxies; ++i) {
-    s.me = i;
+    s.balancer_index = i;
     rigs.emplace_back(s, static_cast<std::uint64_t>(i) + 1);
-    rigs.back().List({Entry(1), Entry(2), Entry(3), Entry(4, 0, 0, ServerState::kReady, started)});
+    rigs.back().List({Entry(1), Entry(2), Entry(3), Entry(4, 0, 0, BackendState::kReady, started)});
   }
   std::vector<double> sent;
   for (int step = 0; step < 950; ++step) {
@@ -794,7 +796,7 @@
       Rig& rig = rigs[static_cast<std::size_t>(i)];
       rig.Tick(10);
       if (step % period != i % std::min(50, period)) continue;
-      std::vector<std::pair<RequestId, ServerId>> open;
+      std::vector<std::pair<RequestId, BackendId>> open;
       for (int k = 0; k < 4; ++k) {
         const RequestId id = next_id++;
         const auto server = rig.Ask(id, 2, hinted ? work : 0, 900);
@@ -822,7 +824,7 @@
   Settings s = Usual();
   s.max_attempts = 1;
   Rig rig(s);
-  rig.List({Entry(1), Entry(2), Entry(3, 0, 0, ServerState::kReady, rig.now)});
+  rig.List({Entry(1), Entry(2), Entry(3, 0, 0, BackendState::kReady, rig.now)});
   int sent = 0;
   for (int i = 0; i < 800; ++i) {
     rig.Tick(5);
@@ -830,19 +832,19 @@
     const auto server = rig.Ask(id, 2, 10, 900);
     if (!server) continue;
     sent += *server == 3;
-    rig.End(id, 0, *server, i % 20 ? Outcome::kFull : Outcome::kOk, 5);
+    rig.End(id, 0, *server, i % 20 ? Outcome::kRejected : Outcome::kOk, 5);
   }
   EXPECT_LE(sent, 6) << "4 s, of a fleet that served 0.05 of 2 ms of work a ms";
 }
 
 TEST(ColdStart, RejectedWorkCountsToo) {
   Rig rig;
-  rig.List({Entry(1, 0, 0, ServerState::kReady, 99999)});
+  rig.List({Entry(1, 0, 0, BackendState::kReady, 99999)});
   int sent = 0;
   for (int i = 0; i < 50; ++i) {
     const RequestId id = next_id++;
     const auto s = rig.Ask(id, 2, 10, 2000);
-    if (s) ++sent, rig.End(id, 0, *s, Outcome::kFull);
+    if (s) ++sent, rig.End(id, 0, *s, Outcome::kRejected);
   }
   EXPECT_LE(sent, 2) << "nothing is known of warm servers: one mean request a window";
 }
@@ -850,11 +852,11 @@
 // What was withdrawn before it was sent has used up nothing of the budget, however often that is told; what
 // the server turned away has.
 TEST(ColdStart, WhatWasNeverSentIsGivenBackOnce) {
-  for (const Outcome outcome : {Outcome::kMoot, Outcome::kFull}) {
+  for (const Outcome outcome : {Outcome::kNotSent, Outcome::kRejected}) {
     Settings s = Usual();
     s.max_attempts = 1;
     Rig rig(s);
-    rig.List({Entry(1), Entry(2), Entry(3, 0, 0, ServerState::kReady, rig.now)});
+    rig.List({Entry(1), Entry(2), Entry(3, 0, 0, BackendState::kReady, rig.now)});
     const auto cold = [&] { return rig.View(3); };
     RequestId at_cold = 0;
     for (int i = 0; at_cold == 0; ++i) {
@@ -872,7 +874,7 @@
     EXPECT_EQ(cold().in_flight, 1);
     for (int twice = 0; twice < 2; ++twice) {
       rig.End(at_cold, 0, 3, outcome);
-      EXPECT_EQ(cold().cold_sent, outcome == Outcome::kMoot ? 0 : 10);
+      EXPECT_EQ(cold().cold_sent, outcome == Outcome::kNotSent ? 0 : 10);
       EXPECT_EQ(cold().in_flight, 0);
     }
   }
@@ -884,31 +886,31 @@
     Settings s = Usual();
     s.max_attempts = 1;
     Rig rig(s);
-    rig.List({Entry(1, 0, 0, ServerState::kReady, rig.now - 1)});
+    rig.List({Entry(1, 0, 0, BackendState::kReady, rig.now - 1)});
     const RequestId id = next_id++;
     const auto server = rig.Ask(id, 2, 10, 900);
     if (server) rig.End(id, 0, *server, first);
     return server.has_value() + rig.Ask(next_id++, 2, 10, 900).has_value();
   };
-  EXPECT_EQ(sent_of_two(Outcome::kFull), 1);
-  EXPECT_EQ(sent_of_two(Outcome::kMoot), 2);
+  EXPECT_EQ(sent_of_two(Outcome::kRejected), 1);
+  EXPECT_EQ(sent_of_two(Outcome::kNotSent), 2);
 }
 
 TEST(ColdStart, AProxyThatKnowsNothingStillServes) {
   Rig rig;
-  rig.List({Entry(1, 0, 0, ServerState::kReady, 99999), Entry(2, 0, 0, ServerState::kReady, 99999)});
+  rig.List({Entry(1, 0, 0, BackendState::kReady, 99999), Entry(2, 0, 0, BackendState::kReady, 99999)});
   EXPECT_TRUE(rig.Ask(next_id++, 0).has_value());
 }
 
 // Whatever the rules allow after a failed call: a change is to be heard of within 6 s of discovery's return.
 TEST(Discovery, AfterFailedCallsTheNextComesWithinTwoSeconds) {
   Settings s = Usual();
-  s.must_ask_for_list = true;
-  s.must_ask_within = Duration(40000);
+  s.polls_endpoint_list = true;
+  s.max_poll_interval = Duration(40000);
   Rig rig(s);
-  rig.List({Entry(1)}, ListKind::kCached);
+  rig.List({Entry(1)}, EndpointListKind::kCached);
   for (int i = 0; i < 8; ++i) {
-    rig.List({}, ListKind::kFailed);
+    rig.List({}, EndpointListKind::kFailed);
     double waited = 0;
     while (rig.Count<Subscribe>() == 0 && waited < 60000) rig.Tick(50), waited += 50;
     EXPECT_LE(waited, 2050) << i;
@@ -928,8 +930,8 @@
   rig.Servers(1);
   EXPECT_NEAR(Fill(rig, 2), 4.7, 0.9) << "1.5 a server, a deviation of that and two in a burst";
   double waited = 0;
-  while (rig.Count<Refuse>() == 0 && waited < 2000) rig.Tick(5), waited += 5;
-  EXPECT_EQ(rig.Count<Refuse>(), 1);
+  while (rig.Count<Reject>() == 0 && waited < 2000) rig.Tick(5), waited += 5;
+  EXPECT_EQ(rig.Count<Reject>(), 1);
   EXPECT_LE(waited, 205) << "within the aim, not at the deadline";
 }
 
@@ -938,15 +940,15 @@
   Rig rig;
   rig.List({});
   rig.Ask(1, 0, 10, 100);
-  EXPECT_EQ(rig.Count<Refuse>(), 0);
+  EXPECT_EQ(rig.Count<Reject>(), 0);
   rig.Tick(50);
-  EXPECT_EQ(rig.Count<Refuse>(), 1);
+  EXPECT_EQ(rig.Count<Reject>(), 1);
 }
 
 TEST(Admission, TheMostWorthGoesFirst) {
   Settings s = Usual();
-  s.classes[2].worth = 1;
-  s.classes[0].worth = 9;
+  s.classes[2].priority_weight = 1;
+  s.classes[0].priority_weight = 9;
   Rig rig(s);
   rig.Servers(1);
   const RequestId first = next_id;
@@ -967,7 +969,7 @@
 TEST(Admission, BeyondItsShareATenantComesLast) {
   Settings s = Usual();
   s.tenants = {{1}, {1}};
-  s.over_share_worth = 0.2;
+  s.over_quota_weight = 0.2;
   Rig rig(s);
   rig.Servers(1);
   auto ask = [&](RequestId id, int tenant) {
@@ -992,10 +994,10 @@
 // 65 servers that had just started tripled what was always in order, and the fleet was overdriven.
 TEST(Admission, ColdServersRaiseTheFloorByTheirShareOnly) {
   Settings s = Usual();
-  s.balancers = 2;
+  s.balancer_count = 2;
   Rig rig(s);
-  std::vector<ServerEntry> list = {Entry(1), Entry(2)};
-  for (ServerId id = 3; id <= 10; ++id) list.push_back(Entry(id, 0, 0, ServerState::kReady, rig.now));
+  std::vector<BackendEntry> list = {Entry(1), Entry(2)};
+  for (BackendId id = 3; id <= 10; ++id) list.push_back(Entry(id, 0, 0, BackendState::kReady, rig.now));
   rig.List(list);
   for (int i = 0; i < 50; ++i) rig.Ask(next_id++, 0, 10, 900);
   EXPECT_NEAR(static_cast<double>(rig.sent.size()), 6.7, 0.9)
@@ -1020,7 +1022,7 @@
 // A new proxy that floods the fleet before it knows any rate leaves queues that last far longer.
 TEST(Admission, ANewProxyStartsFromLittle) {
   Settings s = Usual();
-  s.balancers = 2;
+  s.balancer_count = 2;
   Rig rig(s);
   rig.Servers(4);
   for (int i = 0; i < 50; ++i) rig.Ask(next_id++, 0, 10, 900);
@@ -1036,7 +1038,7 @@
     rig.Tick(50);
   }
   rig.Ask(next_id++, 0, 1000, 900);
-  EXPECT_EQ(rig.Count<Refuse>(), 1) << "about 1500 ms of 900";
+  EXPECT_EQ(rig.Count<Reject>(), 1) << "about 1500 ms of 900";
   rig.Ask(next_id++, 0, 100, 900);
   EXPECT_EQ(rig.Count<Dispatch>(), 1);
 }
@@ -1076,7 +1078,7 @@
   EXPECT_TRUE(served(900)) << "100 of its 1000 are gone, of an aim of 200";
   EXPECT_FALSE(served(780)) << "220 are";
   EXPECT_FALSE(served(600, true)) << "200 or so: half of what may have passed before a marked repeat";
-  const auto* refused = std::get_if<Refuse>(&rig.actions.front());
+  const auto* refused = std::get_if<Reject>(&rig.actions.front());
   ASSERT_NE(refused, nullptr);
   EXPECT_EQ(refused->retry_after.count(), 300) << "another try would be later still";
   EXPECT_TRUE(served(600));
@@ -1086,7 +1088,7 @@
 TEST(Admission, AFleetSlowThroughoutGetsNoMoreThanItAnswersInTime) {
   Rig rig;
   rig.Servers(3);
-  std::deque<std::tuple<double, RequestId, ServerId>> out;
+  std::deque<std::tuple<double, RequestId, BackendId>> out;
   std::size_t most = 0;
   for (int i = 0; i < 2000; ++i) {
     rig.Tick(5);
@@ -1114,7 +1116,7 @@
 // nothing.
 TEST(Admission, TheLimitLeavesRoomForBursts) {
   Settings settings = Usual();
-  settings.classes[2].aim = Duration(1000);
+  settings.classes[2].latency_objective = Duration(1000);
   settings.classes[2].deadline = Duration(5000);
   Rig rig(settings);
   rig.Servers(3);
@@ -1130,7 +1132,7 @@
 // do.
 TEST(Admission, TheLimitOfASmallProxyIsAFraction) {
   Settings settings = Usual();
-  settings.balancers = 30;
+  settings.balancer_count = 30;
   int three = 0;
   for (std::uint64_t seed = 0; seed < 60; ++seed) {
     Rig rig(settings, seed);
@@ -1162,7 +1164,7 @@
 // Long aims let queues grow until servers choked on them; a fleet in that state did a fifth of its work.
 TEST(Admission, LongAimsDoNotCrowdServers) {
   Settings settings = Usual();
-  settings.classes[2].aim = Duration(1000);
+  settings.classes[2].latency_objective = Duration(1000);
   settings.classes[2].deadline = Duration(5000);
   Rig rig(settings);
   rig.Servers(3);
@@ -1190,7 +1192,7 @@
   ASSERT_EQ(lines.size(), 1u) << "others within ten seconds are not told";
   EXPECT_NE(lines[0].find("refusing: not in time"), std::string::npos) << lines[0];
   rig.now += 100;
-  rig.List({Entry(1, 0, 0, ServerState::kReady, rig.now)});
+  rig.List({Entry(1, 0, 0, BackendState::kReady, rig.now)});
   for (int i = 0; i < 10; ++i) {
     rig.Ask(next_id++);
     note();
@@ -1205,18 +1207,18 @@
   EXPECT_FALSE(rig.Ask(1, 0).has_value()) << "no list yet: held";
   rig.List({});
   rig.End(77, 0, 1, Outcome::kOk);
-  rig.Do(ClientGone{77});
+  rig.Do(ClientDisconnected{77});
   rig.Do(StreamStarted{77, 0});
   rig.Servers(1);
-  EXPECT_EQ(rig.SentTo(1), ServerId{1}) << "held ones go once a server is listed";
+  EXPECT_EQ(rig.SentTo(1), BackendId{1}) << "held ones go once a server is listed";
   rig.End(1, 9, 1, Outcome::kOk);
   rig.End(1, -1, 1, Outcome::kOk);
   rig.Ask(1, 0);
   EXPECT_FALSE(rig.SentTo(1).has_value()) << "a duplicate id";
   rig.Ask(2, 99);
-  EXPECT_EQ(rig.Count<Refuse>(), 1) << "an unknown class";
+  EXPECT_EQ(rig.Count<Reject>(), 1) << "an unknown class";
   rig.Ask(3, 0, 10, -50);
-  EXPECT_EQ(rig.Count<Refuse>(), 1) << "due in the past";
+  EXPECT_EQ(rig.Count<Reject>(), 1) << "due in the past";
   for (double work : {0.0, -5.0, inf, nan, 1e300}) {
     const RequestId id = 100 + next_id++;
     Submit s;
@@ -1253,4 +1255,4 @@
 }
 
 }  // namespace
-}  // namespace fordlb
+}  // namespace badgerbridge::balancer
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A Balancer under test, its clock, and short ways to say what happens.
-#ifndef FORDLB_TESTS_HARNESS_H_
-#define FORDLB_TESTS_HARNESS_H_
+#ifndef BADGERBRIDGE_TESTS_HARNESS_H_
+#define BADGERBRIDGE_TESTS_HARNESS_H_
 
 #include <map>
 #include <optional>
@@ -11,16 +11,16 @@
 #include <variant>
 #include <vector>
 
-#include "fordlb/balancer.h"
+#include "badgerbridge/balancer.h"
 
-namespace fordlb::testing {
+namespace badgerbridge::balancer::testing {
 
 inline TimePoint At(double ms) { return TimePoint(Duration(ms)); }
 
-inline ClassSettings Class(Effect effect, double aim = 200, double deadline = 1000) {
+inline ClassSettings Class(Idempotency effect, double latency_objective = 200, double deadline = 1000) {
   ClassSettings c;
   c.effect = effect;
-  c.aim = Duration(aim);
+  c.latency_objective = Duration(latency_objective);
   c.deadline = Duration(deadline);
   c.window = Duration(500);
   return c;
@@ -29,21 +29,22 @@
 // Three classes: 0 safe, 1 keyed (cell), 2 unsafe.
 inline Settings Usual() {
   Settings s;
-  s.classes = {Class(Effect::kSafe), Class(Effect::kKeyed), Class(Effect::kUnsafe)};
-  s.classes[1].group = Group::kCell;
+  s.classes = {Class(Idempotency::kIdempotent), Class(Idempotency::kIdempotencyKey),
+               Class(Idempotency::kNotIdempotent)};
+  s.classes[1].group = DeduplicationScope::kCell;
   s.max_attempts = 4;
-  s.balancers = 1;
-  s.cold_from = 0.25;
-  s.warm_up = Duration(10000);
-  s.fall_multiple = 3;
-  s.overload_for = Duration(1000);
+  s.balancer_count = 1;
+  s.slow_start_floor = 0.25;
+  s.slow_start_window = Duration(10000);
+  s.overload_factor = 3;
+  s.overload_duration = Duration(1000);
   s.tick = Duration(5);
   return s;
 }
 
-inline ServerEntry Entry(ServerId id, int zone = 0, int cell = 0, ServerState state = ServerState::kReady,
-                         double up_since = 0) {
-  ServerEntry e;
+inline BackendEntry Entry(BackendId id, int zone = 0, int cell = 0, BackendState state = BackendState::kReady,
+                          double up_since = 0) {
+  BackendEntry e;
   e.server = id;
   e.zone = zone;
   e.cell = cell;
@@ -67,24 +68,24 @@
     }
     return actions;
   }
-  void List(std::vector<ServerEntry> entries, ListKind kind = ListKind::kFull) {
-    Do(ListUpdate{kind, std::move(entries)});
+  void List(std::vector<BackendEntry> entries, EndpointListKind kind = EndpointListKind::kFull) {
+    Do(EndpointListUpdate{kind, std::move(entries)});
   }
   // What the module holds of a server.
-  ServerView View(ServerId id) const {
-    for (const ServerView& view : balancer_.Inspect()) {
+  BackendView View(BackendId id) const {
+    for (const BackendView& view : balancer_.Inspect()) {
       if (view.entry.server == id) return view;
     }
     return {};
   }
   void Servers(int n) {
-    std::vector<ServerEntry> entries;
-    for (int i = 1; i <= n; ++i) entries.push_back(Entry(static_cast<ServerId>(i)));
+    std::vector<BackendEntry> entries;
+    for (int i = 1; i <= n; ++i) entries.push_back(Entry(static_cast<BackendId>(i)));
     List(entries);
   }
   // Submits and returns the server it was sent to at once, if any.
-  std::optional<ServerId> Ask(RequestId id, int cls = 0, double work = 10, double patience = 1000,
-                              std::uint64_t key = 0) {
+  std::optional<BackendId> Ask(RequestId id, int cls = 0, double work = 10, double patience = 1000,
+                               std::uint64_t key = 0) {
     Submit s;
     s.request = id;
     s.request_class = cls;
@@ -95,7 +96,7 @@
     Do(s);
     return SentTo(id);
   }
-  void End(RequestId id, int attempt, ServerId server, Outcome outcome, double took = 10,
+  void End(RequestId id, int attempt, BackendId server, Outcome outcome, double took = 10,
            bool settled = false) {
     AttemptEnded e;
     e.request = id;
@@ -110,7 +111,7 @@
     now += ms;
     Do(TimerFired{});
   }
-  std::optional<ServerId> SentTo(RequestId id) const {
+  std::optional<BackendId> SentTo(RequestId id) const {
     for (const Action& a : actions) {
       const auto* d = std::get_if<Dispatch>(&a);
       if (d && d->request == id) return d->server;
@@ -131,6 +132,6 @@
   std::map<RequestId, int> attempts_;
 };
 
-}  // namespace fordlb::testing
+}  // namespace badgerbridge::balancer::testing
 
-#endif  // FORDLB_TESTS_HARNESS_H_
+#endif  // BADGERBRIDGE_TESTS_HARNESS_H_
--- a/tests/install_test.sh
+++ b/tests/install_test.sh
@@ -23,35 +23,35 @@
 
 prefix=$work/prefix
 expect "installs into an empty prefix" cmake --install "$build" --prefix "$prefix"
-for file in bin/badgerbridge bin/badgeragent bin/badgerctl bin/badgerlab bin/badgerrelay share/badgerbridge/scenarios/calm.toml lib/systemd/system/badgeragent.service \
-  lib/systemd/system/badgerrelay.service lib/systemd/system/badgerbridge@.service lib/sysusers.d/badgerbridge.conf etc/badgerbridge/operator.toml \
-  etc/badgerbridge/fleet.toml etc/badgerbridge/context.toml etc/badgerbridge/relay.toml share/man/man1/badgerbridge.1 share/man/man1/badgerrelay.1 \
-  share/man/man1/badgeragent.1 share/man/man1/badgerctl.1 share/man/man1/badgerlab.1 share/bash-completion/completions/badgerctl \
-  include/fordlb/balancer.h share/doc/fordlb/README.md; do
+for file in bin/badgerbridge bin/badgerbridge-agent bin/badgerbridge-ctl bin/badgerbridge-simulator bin/badgerbridge-relay share/badgerbridge/scenarios/calm.toml lib/systemd/system/badgerbridge-agent.service \
+  lib/systemd/system/badgerbridge-relay.service lib/systemd/system/badgerbridge@.service lib/sysusers.d/badgerbridge.conf etc/badgerbridge/operator.toml \
+  etc/badgerbridge/fleet.toml etc/badgerbridge/context.toml etc/badgerbridge/relay.toml share/man/man1/badgerbridge.1 share/man/man1/badgerbridge-relay.1 \
+  share/man/man1/badgerbridge-agent.1 share/man/man1/badgerbridge-ctl.1 share/man/man1/badgerbridge-simulator.1 share/bash-completion/completions/badgerbridge-ctl \
+  include/badgerbridge/balancer.h share/doc/badgerbridge/README.md; do
   expect "$file is there" test -s "$prefix/$file"
 done
-for program in badgerbridge badgeragent badgerctl badgerlab badgerrelay; do
+for program in badgerbridge badgerbridge-agent badgerbridge-ctl badgerbridge-simulator badgerbridge-relay; do
   expect "$program --version tells version and what is built in" \
     bash -c "'$prefix/bin/$program' --version | tr '\n' ' ' | grep -q '^$program [0-9.]* built in: [a-zA-Z]'"
   expect "$program.1 is a manual page with its options" \
     bash -c "grep -q '^.TH' '$prefix/share/man/man1/$program.1' && grep -q version '$prefix/share/man/man1/$program.1'"
 done
-expect "badgerctl.1 has the commands' own options" grep -q -e '\\-\\-force' "$prefix/share/man/man1/badgerctl.1"
+expect "badgerbridge-ctl.1 has the commands' own options" grep -q -e '\\-\\-force' "$prefix/share/man/man1/badgerbridge-ctl.1"
 # The example names an operator's file of the instance, which the administrator writes: here the example itself.
 sed -i "s|operator_file = \"[^\"]*\"|operator_file = \"$prefix/etc/badgerbridge/operator.toml\"|" \
   "$prefix/etc/badgerbridge/fleet.toml"
 for file in operator fleet context; do
-  expect "badgerctl check $file.toml" "$prefix/bin/badgerctl" check "$prefix/etc/badgerbridge/$file.toml"
+  expect "badgerbridge-ctl check $file.toml" "$prefix/bin/badgerbridge-ctl" check "$prefix/etc/badgerbridge/$file.toml"
 done
-expect "badgerrelay --check takes the installed relay.toml" "$prefix/bin/badgerrelay" --check --listen 127.0.0.1:0 \
+expect "badgerbridge-relay --check takes the installed relay.toml" "$prefix/bin/badgerbridge-relay" --check --listen 127.0.0.1:0 \
   --upstream 127.0.0.1:2379 --prefix /badgerbridge/ --config "$prefix/etc/badgerbridge/relay.toml"
-expect "badgerlab plays an installed scenario" \
-  "$prefix/bin/badgerlab" run "$prefix/share/badgerbridge/scenarios/calm.toml" --most-steps 10000
-expect "the completion is bash" bash -n "$prefix/share/bash-completion/completions/badgerctl"
+expect "badgerbridge-simulator plays an installed scenario" \
+  "$prefix/bin/badgerbridge-simulator" run "$prefix/share/badgerbridge/scenarios/calm.toml" --most-steps 10000
+expect "the completion is bash" bash -n "$prefix/share/bash-completion/completions/badgerbridge-ctl"
 expect "no unit is left with a place to fill in" bash -c "! grep -q '@BADGER' '$prefix'/lib/systemd/system/*"
 expect "the agent's unit leaves its instances alone" \
-  grep -qx KillMode=process "$prefix/lib/systemd/system/badgeragent.service"
-expect "the demo runs with the installed programs" env BADGERBRIDGE_BIN="$prefix/bin" "$build/badgerdemo"
+  grep -qx KillMode=process "$prefix/lib/systemd/system/badgerbridge-agent.service"
+expect "the demo runs with the installed programs" env BADGERBRIDGE_BIN="$prefix/bin" "$build/badgerbridge-demo"
 
 mkdir "$work/user"
 cat >"$work/user/CMakeLists.txt" <<CMAKE
@@ -59,7 +59,7 @@
 project(user LANGUAGES CXX)
 find_package(fordlb REQUIRED)
 add_executable(user $source/examples/minimal.cpp)
-target_link_libraries(user PRIVATE fordlb::fordlb)
+target_link_libraries(user PRIVATE badgerbridge::balancer)
 CMAKE
 expect "another project finds the library" cmake -S "$work/user" -B "$work/user/build" -DCMAKE_PREFIX_PATH="$prefix"
 expect "and builds with it" cmake --build "$work/user/build"
@@ -68,10 +68,10 @@
 expect "a Debian package is made" cpack --config "$build/CPackConfig.cmake" -B "$work/package"
 package=$(ls "$work"/package/*.deb)
 dpkg-deb --contents "$package" | awk '{ print $6 }' >"$work/contents"
-for file in ./usr/bin/badgerbridge ./usr/bin/badgeragent ./usr/bin/badgerctl ./etc/badgerbridge/operator.toml \
-  ./etc/badgerbridge/fleet.toml ./etc/badgerbridge/context.toml ./usr/lib/systemd/system/badgeragent.service \
-  ./usr/bin/badgerrelay ./etc/badgerbridge/relay.toml ./usr/lib/systemd/system/badgerrelay.service \
-  ./usr/share/man/man1/badgerctl.1 ./usr/share/bash-completion/completions/badgerctl ./usr/include/fordlb/balancer.h; do
+for file in ./usr/bin/badgerbridge ./usr/bin/badgerbridge-agent ./usr/bin/badgerbridge-ctl ./etc/badgerbridge/operator.toml \
+  ./etc/badgerbridge/fleet.toml ./etc/badgerbridge/context.toml ./usr/lib/systemd/system/badgerbridge-agent.service \
+  ./usr/bin/badgerbridge-relay ./etc/badgerbridge/relay.toml ./usr/lib/systemd/system/badgerbridge-relay.service \
+  ./usr/share/man/man1/badgerbridge-ctl.1 ./usr/share/bash-completion/completions/badgerbridge-ctl ./usr/include/fordlb/balancer.h; do
   expect "the package has $file" grep -qx "$file" "$work/contents"
 done
 expect "nothing of the package is under /usr/etc" bash -c "! grep -q '^./usr/etc' '$work/contents'"
@@ -81,8 +81,8 @@
 expect "its scripts are shell" sh -n "$work/control/postinst"
 dpkg-deb --extract "$package" "$work/unpacked"
 expect "its units name its programs" grep -qx \
-  'ExecStart=/usr/bin/badgeragent --fleet /etc/badgerbridge/fleet.toml' "$work/unpacked/usr/lib/systemd/system/badgeragent.service"
+  'ExecStart=/usr/bin/badgerbridge-agent --fleet /etc/badgerbridge/fleet.toml' "$work/unpacked/usr/lib/systemd/system/badgerbridge-agent.service"
 expect "the relay's unit reads what its administrator writes" grep -qx \
-  'EnvironmentFile=/etc/badgerbridge/relay.env' "$work/unpacked/usr/lib/systemd/system/badgerrelay.service"
-expect "and its programs run" "$work/unpacked/usr/bin/badgerctl" --version
+  'EnvironmentFile=/etc/badgerbridge/relay.env' "$work/unpacked/usr/lib/systemd/system/badgerbridge-relay.service"
+expect "and its programs run" "$work/unpacked/usr/bin/badgerbridge-ctl" --version
 echo "$passed passed, 0 failed"
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -8,48 +8,48 @@
 
 #include "harness.h"
 
-namespace fordlb::testing {
+namespace badgerbridge::balancer::testing {
 namespace {
 
 TEST(List, ChangesOneByOneAndAWholeListDecideAlike) {
   std::uint64_t dispatches = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     Settings settings = Usual();
-    settings.balancers = 5;
-    settings.me = static_cast<int>(seed % 5);
-    settings.price_cross_zone = 0.1;
+    settings.balancer_count = 5;
+    settings.balancer_index = static_cast<int>(seed % 5);
+    settings.cross_zone_cost = 0.1;
     Rig by_change(settings, seed), whole(settings, seed);
     std::mt19937_64 random(seed);
-    std::map<ServerId, ServerEntry> world;
+    std::map<BackendId, BackendEntry> world;
     const auto change = [&] {
-      const auto id = static_cast<ServerId>(random() % 120 + 1);
+      const auto id = static_cast<BackendId>(random() % 120 + 1);
       const auto since = random() % 3 == 0 ? by_change.now - static_cast<double>(random() % 12000) : 0;
-      ServerEntry entry = Entry(id, static_cast<int>(random() % 2), static_cast<int>(random() % 2),
-                                ServerState::kReady, since);
-      if (random() % 3 == 0) entry.state = random() % 2 ? ServerState::kDraining : ServerState::kGone;
+      BackendEntry entry = Entry(id, static_cast<int>(random() % 2), static_cast<int>(random() % 2),
+                                 BackendState::kReady, since);
+      if (random() % 3 == 0) entry.state = random() % 2 ? BackendState::kDraining : BackendState::kGone;
       world[id] = entry;
       return entry;
     };
-    std::vector<ServerEntry> first;
+    std::vector<BackendEntry> first;
     for (int i = 0; i < 80; ++i) first.push_back(change());
-    for (ServerId id = 1; id <= 120; ++id) world.try_emplace(id, Entry(id, 0, 0, ServerState::kGone));
+    for (BackendId id = 1; id <= 120; ++id) world.try_emplace(id, Entry(id, 0, 0, BackendState::kGone));
     const auto all = [&] {
-      std::vector<ServerEntry> entries;
+      std::vector<BackendEntry> entries;
       for (const auto& [id, entry] : world) entries.push_back(entry);
       return entries;
     };
     by_change.List(all());
     whole.List(all());
     RequestId id = 0;
-    std::vector<std::pair<RequestId, ServerId>> out;
+    std::vector<std::pair<RequestId, BackendId>> out;
     for (int step = 0; step < 2000; ++step) {
       const double pass = static_cast<double>(random() % 40);
       by_change.now += pass;
       whole.now += pass;
       if (random() % 4 == 0) {
-        std::vector<ServerEntry> changes;
+        std::vector<BackendEntry> changes;
         for (auto n = random() % 3 + 1; n > 0; --n) changes.push_back(change());
-        by_change.List(changes, ListKind::kDelta);
+        by_change.List(changes, EndpointListKind::kDelta);
         whole.List(all());
       } else if (random() % 2 == 0 || out.empty()) {
         const int cls = static_cast<int>(random() % 3);
@@ -75,4 +75,4 @@
 }
 
 }  // namespace
-}  // namespace fordlb::testing
+}  // namespace badgerbridge::balancer::testing
--- a/tests/membership/feed_random_test.cpp
+++ b/tests/membership/feed_random_test.cpp
@@ -129,7 +129,7 @@
       member.state = Draw(2) ? State::kReady : State::kDraining;
       request->set_key(kPrefix + member.name);
       request->set_value(ValueOf(member));
-      if (Draw(20) == 0) {  // of a converter that never had a value that can be read
+      if (Draw(20) == 0) {  // of a backend that never had a value that can be read
         request->set_key(kPrefix + "bad" + std::to_string(i));
         request->set_value("not JSON");
       }
--- a/tests/membership/members_test.cpp
+++ b/tests/membership/members_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgerctl members, end to end: tool, agent and proxies as processes, a stand-in etcd.
+// badgerbridge-ctl members, end to end: tool, agent and proxies as processes, a stand-in etcd.
 #include <gtest/gtest.h>
 
 #include <boost/json.hpp>
@@ -26,7 +26,7 @@
   MembersTest() {
     SiteSettings settings;
     settings.proxies = 2;
-    settings.converters = 3;
+    settings.backends = 3;
     site = std::make_unique<Site>(io, settings);
     etcd = std::make_unique<Etcd>(io, EtcdSettings{});
     const auto at = etcd->address(0);
@@ -43,14 +43,14 @@
   void Put(int i, const std::string& key = "") {
     Member member;
     member.name = "c-" + std::to_string(i + 1);
-    member.address = site->converters()[static_cast<std::size_t>(i)]->address();
+    member.address = site->backends()[static_cast<std::size_t>(i)]->address();
     member.zone = "a";
     member.group = 1;
     etcd->Put(kPrefix + (key.empty() ? member.name : key), ValueOf(member));
   }
   // What every proxy believes of one; "" if one of them does not know it.
   std::string Believed(const std::string& instance, const std::string& name) {
-    const api::Reply reply = site->Call("GET", "/v1/instances/" + instance + "/members");
+    const http_api::Reply reply = site->Call("GET", "/v1/instances/" + instance + "/members");
     if (!reply.ok()) return reply.Why();
     for (const json::value& member : reply.body.at("members").as_array()) {
       if (member.at("name").as_string() == name)
@@ -149,7 +149,7 @@
 }
 
 TEST_F(MembersTest, AnotherWriterIsNeverOverwrittenAndOneThatNeverStopsIsAConflict) {
-  // The converter itself writes its key between the tool's read and its transaction: once, then for ever.
+  // The backend itself writes its key between the tool's read and its transaction: once, then for ever.
   int writes = 0, most = 1;
   etcd->BeforeTxn([&] {
     if (writes >= most) return;
@@ -203,7 +203,7 @@
   for (const char* name : {"c-1", "c-2", "c-3"}) etcd->Delete(kPrefix + name);
   ASSERT_TRUE(site->Until([&] { return All("c-1", "ready held") || All("c-3", "ready held"); }));
   CommandResult result = site->Ctl({"members", "n1"});
-  EXPECT_NE(result.out.find("HELD; if they have really left: badgerctl members release n1"),
+  EXPECT_NE(result.out.find("HELD; if they have really left: badgerbridge-ctl members release n1"),
             std::string::npos)
       << result.out;
   EXPECT_EQ(site->Ctl({"members", "release"}).code, 2) << "it must be said whose";
--- a/tests/membership/membership_source_test.cpp
+++ b/tests/membership/membership_source_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a proxy is given of a list from a stand-in etcd, and in which order.
-#include "app/membership_source.h"
+#include "proxy_main/membership_source.h"
 
 #include <gtest/gtest.h>
 
@@ -10,27 +10,27 @@
 #include <random>
 
 #include "membership/value.h"
-#include "node_harness.h"
+#include "proxy/proxy_harness.h"
 #include "standins/etcd.h"
 
-namespace badgerbridge::app {
+namespace badgerbridge::proxy_main {
 namespace {
 
 namespace json = boost::json;
-using fordlb::ServerState;
+using balancer::BackendState;
 using membership::State;
-using node::EndpointList;
+using proxy::EndpointList;
 
 class MembershipSourceTest : public ::testing::Test {
  protected:
   using Pairs = std::vector<std::pair<std::string, std::string>>;
 
   void Start(std::size_t max_members = membership::kMaxMembers) {
-    operator_file::Etcd table;
+    operator_config::Etcd table;
     table.endpoints = {"127.0.0.1:" + std::to_string(etcd.address(0).port())};
     table.services = services;
     source.emplace(
-        io, node::testing::TestConfig({}), table, [this](const EndpointList& list) { Take(list); },
+        io, proxy::testing::TestConfig({}), table, [this](const EndpointList& list) { Take(list); },
         [this] {
           ++completions;
           size_at_completion = proxy.size();
@@ -42,7 +42,7 @@
     member.name = name;
     member.address = "127.0.0.1:1";
     member.state = state;
-    return {membership::kConvertersPrefix + name, membership::ValueOf(member)};
+    return {membership::kBackendsPrefix + name, membership::ValueOf(member)};
   }
   // All in one revision.
   void Write(const Pairs& pairs) {
@@ -57,21 +57,21 @@
   void Take(const EndpointList& list) {
     EXPECT_FALSE(list.snapshot);
     largest = std::max(largest, list.endpoints.size());
-    for (const node::Endpoint& endpoint : list.endpoints) {
+    for (const proxy::Endpoint& endpoint : list.endpoints) {
       order.push_back(endpoint.entry.state);
       proxy[endpoint.name] = endpoint.entry.state;
-      if (endpoint.entry.state == ServerState::kGone) proxy.erase(endpoint.name);
+      if (endpoint.entry.state == BackendState::kGone) proxy.erase(endpoint.name);
     }
   }
-  bool Until(const std::function<bool()>& holds) { return node::testing::RunUntil(io, holds); }
+  bool Until(const std::function<bool()>& holds) { return proxy::testing::RunUntil(io, holds); }
   json::object EtcdSource() { return source->Describe().at("sources").at(0).as_object(); }
 
   boost::asio::io_context io{1};
   standins::Etcd etcd{io, {}};
   std::optional<MembershipSource> source;
   std::vector<std::string> services;
-  std::map<std::string, ServerState> proxy;
-  std::vector<ServerState> order;  // of all entries, as they came
+  std::map<std::string, BackendState> proxy;
+  std::vector<BackendState> order;  // of all entries, as they came
   std::size_t largest = 0, size_at_completion = 0;
   int completions = 0;
 };
@@ -101,7 +101,7 @@
   EXPECT_EQ(largest, MembershipSource::kSliceMembers);
   EXPECT_EQ(order.size(), 1000u) << "each once";
   Write({Pair("m7", State::kDraining)});
-  ASSERT_TRUE(Until([&] { return proxy["m7"] == ServerState::kDraining; }));
+  ASSERT_TRUE(Until([&] { return proxy["m7"] == BackendState::kDraining; }));
   EXPECT_EQ(completions, 1);
   EXPECT_EQ(source->Describe().at("pending").to_number<int>(), 0);
 }
@@ -120,9 +120,9 @@
   for (const auto& pair : Numbered("m", 300, State::kDraining)) pairs.push_back(pair);
   Write(pairs);
   ASSERT_TRUE(Until([&] { return proxy.size() == 900 && order.size() == 800; }));
-  const auto first_join = std::find(order.begin(), order.end(), ServerState::kReady);
+  const auto first_join = std::find(order.begin(), order.end(), BackendState::kReady);
   EXPECT_EQ(first_join - order.begin(), 300);
-  EXPECT_EQ(std::count(order.begin(), order.end(), ServerState::kDraining), 300);
+  EXPECT_EQ(std::count(order.begin(), order.end(), BackendState::kDraining), 300);
   EXPECT_EQ(largest, MembershipSource::kSliceMembers);
 }
 
@@ -132,12 +132,12 @@
   ASSERT_TRUE(Until([&] { return completions == 1; }));
   order.clear();
   etcd.Down(0);
-  etcd.Delete(std::string(membership::kConvertersPrefix) + "m3");
+  etcd.Delete(std::string(membership::kBackendsPrefix) + "m3");
   Write({Pair("m5", State::kDraining), Pair("new")});
   etcd.Compact(etcd.store().revision());
   etcd.Up(0);
   ASSERT_TRUE(Until([&] { return proxy.count("m3") == 0 && proxy.count("new") == 1; }));
-  EXPECT_EQ(proxy["m5"], ServerState::kDraining);
+  EXPECT_EQ(proxy["m5"], BackendState::kDraining);
   EXPECT_EQ(order.size(), 3u);
   EXPECT_EQ(proxy.size(), 700u);
 }
@@ -179,7 +179,7 @@
   PutIn("billing", "new");
   DeleteIn("billing", "billing3");
   ASSERT_TRUE(Until([&] {
-    return proxy["search7"] == ServerState::kDraining && proxy.count("new") == 1 &&
+    return proxy["search7"] == BackendState::kDraining && proxy.count("new") == 1 &&
            proxy.count("billing3") == 0;
   }));
   EXPECT_EQ(proxy.size(), 600u);
@@ -198,7 +198,7 @@
   PutIn("y", "c", State::kDraining);
   PutIn("empty", "d");
   etcd.Up(0);
-  ASSERT_TRUE(Until([&] { return proxy["c"] == ServerState::kDraining && proxy.count("d") == 1; }));
+  ASSERT_TRUE(Until([&] { return proxy["c"] == BackendState::kDraining && proxy.count("d") == 1; }));
   EXPECT_EQ(source->Describe().at("etcd").at("lists").to_number<int>(), 1);
   EXPECT_EQ(source->Describe().at("etcd").at("resumes").to_number<int>(), 1);
   etcd.Down(0);
@@ -231,7 +231,7 @@
   services = {"x", "y", "z"};
   Start();
   std::mt19937 random(7);
-  std::map<std::string, ServerState> world;
+  std::map<std::string, BackendState> world;
   for (int round = 0; round < 40; ++round) {
     etcd.CutAfter(0, random() % 2500);
     for (unsigned n = random() % 4 + 1; n > 0; --n) {
@@ -243,7 +243,7 @@
         world.erase(name);
       } else {
         PutIn(service, name, what == 1 ? State::kReady : State::kDraining);
-        world[name] = what == 1 ? ServerState::kReady : ServerState::kDraining;
+        world[name] = what == 1 ? BackendState::kReady : BackendState::kDraining;
       }
     }
     if (random() % 4 == 0 && etcd.store().revision() > etcd.store().compacted() + 1)
@@ -262,4 +262,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::app
+}  // namespace badgerbridge::proxy_main
--- a/tests/membership/node_test.cpp
+++ b/tests/membership/node_test.cpp
@@ -12,10 +12,10 @@
 #include <filesystem>
 #include <fstream>
 
-#include "api/client.h"
+#include "http_api/client.h"
 #include "membership/value.h"
+#include "standins/backends.h"
 #include "standins/clients.h"
-#include "standins/converters.h"
 #include "standins/discovery.h"
 #include "standins/etcd.h"
 
@@ -39,11 +39,11 @@
     settings.members = 3;
     etcd = std::make_unique<Etcd>(io, settings);
     for (int i = 0; i < 4; ++i) {
-      ConverterSettings one;
+      BackendSettings one;
       one.name = "c" + std::to_string(i);
       one.service = milliseconds(5);
       one.seed = static_cast<std::uint64_t>(i + 1);
-      converters.push_back(std::make_unique<Converter>(io, one, ledger));
+      backends.push_back(std::make_unique<Backend>(io, one, ledger));
     }
   }
   ~NodeEtcdTest() override {
@@ -56,7 +56,7 @@
   Entry EntryOf(int i, const std::string& status = "Ready") {
     Entry entry;
     entry.name = "c" + std::to_string(i);
-    entry.address = converters[static_cast<std::size_t>(i)]->address();
+    entry.address = backends[static_cast<std::size_t>(i)]->address();
     entry.status = status;
     return entry;
   }
@@ -115,9 +115,9 @@
     return true;
   }
   json::value Members() {
-    auto reply = std::make_shared<std::optional<api::Reply>>();
-    asio::co_spawn(io, api::CallUnix(folder + "/c.sock", "GET", "/v1/members", "", milliseconds(3000)),
-                   [reply](std::exception_ptr, api::Reply answer) { *reply = std::move(answer); });
+    auto reply = std::make_shared<std::optional<http_api::Reply>>();
+    asio::co_spawn(io, http_api::CallUnix(folder + "/c.sock", "GET", "/v1/members", "", milliseconds(3000)),
+                   [reply](std::exception_ptr, http_api::Reply answer) { *reply = std::move(answer); });
     EXPECT_TRUE(Until([&] { return reply->has_value(); }));
     return (*reply)->ok() ? (*reply)->body : json::value(json::object{});
   }
@@ -137,7 +137,7 @@
   standins::Ledger ledger;
   standins::Discovery discovery{io};
   std::unique_ptr<Etcd> etcd;
-  std::vector<std::unique_ptr<Converter>> converters;
+  std::vector<std::unique_ptr<Backend>> backends;
   asio::ip::tcp::endpoint tcp_address;
   pid_t pid = -1;
 };
@@ -152,7 +152,7 @@
   ASSERT_TRUE(Until([&] { return clients.account().served > 100; }));
   for (int round = 0; round < 6; ++round) {
     const int which = round % 4;
-    Converter& converter = *converters[static_cast<std::size_t>(which)];
+    Backend& backend = *backends[static_cast<std::size_t>(which)];
     std::size_t in_use = 0;
     for (std::size_t i = 0; i < 3; ++i) {
       if (etcd->connections(i) > 0) in_use = i;
@@ -168,12 +168,12 @@
     }
     const auto until = written + milliseconds(1200);
     ASSERT_TRUE(Until([&] { return Clock::now() > until; }));
-    EXPECT_LT(converter.last_taken(), written + milliseconds(500)) << "round " << round;
+    EXPECT_LT(backend.last_taken(), written + milliseconds(500)) << "round " << round;
     EXPECT_EQ(StateOf("c" + std::to_string(which)), "draining by etcd: draining");
     if (round % 3 == 1) etcd->Silence(in_use, false);
     Write(which);
-    const std::size_t taken = converter.taken();
-    ASSERT_TRUE(Until([&] { return converter.taken() > taken; })) << "it takes work again";
+    const std::size_t taken = backend.taken();
+    ASSERT_TRUE(Until([&] { return backend.taken() > taken; })) << "it takes work again";
   }
   clients.Stop();
   ASSERT_TRUE(Until([&] { return clients.Done(); }));
@@ -192,7 +192,7 @@
     for (int i = 0; i < 400; ++i) {
       Member one;
       one.name = "far" + std::to_string(i);
-      one.address = converters[0]->address();
+      one.address = backends[0]->address();
       one.weight = weight;
       one.state = state;
       etcd->Put(kPrefix + one.name, ValueOf(one));
@@ -202,10 +202,11 @@
   many(2, State::kReady);
   Write(0, "Terminating");
   many(3, State::kDraining);
-  const auto converters_shown = [&] {
-    auto reply = std::make_shared<std::optional<api::Reply>>();
-    asio::co_spawn(io, api::CallUnix(folder + "/c.sock", "GET", "/v1/converters", "", milliseconds(3000)),
-                   [reply](std::exception_ptr, api::Reply answer) { *reply = std::move(answer); });
+  const auto backends_shown = [&] {
+    auto reply = std::make_shared<std::optional<http_api::Reply>>();
+    asio::co_spawn(io,
+                   http_api::CallUnix(folder + "/c.sock", "GET", "/v1/converters", "", milliseconds(3000)),
+                   [reply](std::exception_ptr, http_api::Reply answer) { *reply = std::move(answer); });
     EXPECT_TRUE(Until([&] { return reply->has_value(); }));
     std::map<std::string, std::string> states;
     for (const json::value& one : (*reply)->body.at("converters").as_array())
@@ -213,12 +214,12 @@
     return states;
   };
   ASSERT_TRUE(
-      Until([&] { return converters_shown().size() == 404 && converters_shown()["far399"] == "draining"; }));
-  const auto states = converters_shown();
+      Until([&] { return backends_shown().size() == 404 && backends_shown()["far399"] == "draining"; }));
+  const auto states = backends_shown();
   EXPECT_EQ(states.at("c0"), "draining");
   for (int i = 0; i < 400; ++i) EXPECT_EQ(states.at("far" + std::to_string(i)), "draining") << i;
   for (int i = 0; i < 400; ++i) etcd->Delete(kPrefix + "far" + std::to_string(i));
-  ASSERT_TRUE(Until([&] { return converters_shown().size() == 4; }));
+  ASSERT_TRUE(Until([&] { return backends_shown().size() == 4; }));
 }
 
 TEST_F(NodeEtcdTest, JoinsNeedEtcdAndDiscoverysDepartureCountsAtOnce) {
@@ -234,14 +235,14 @@
   ASSERT_TRUE(Until([&] { return clients.ready() == 1; }));
   discovery.Remove("c1");
   ASSERT_TRUE(Until([&] { return StateOf("c1") == "gone"; }));
-  const std::size_t before = converters[1]->taken();
+  const std::size_t before = backends[1]->taken();
   clients.Start();
   ASSERT_TRUE(Until([&] { return clients.account().served > 50; }));
-  EXPECT_EQ(converters[1]->taken(), before);
+  EXPECT_EQ(backends[1]->taken(), before);
   // The one that only the configuration and discovery knew may have served until etcd spoke; not since.
   Write(2);
-  const std::size_t taken = converters[2]->taken();
-  ASSERT_TRUE(Until([&] { return converters[2]->taken() > taken; }));
+  const std::size_t taken = backends[2]->taken();
+  ASSERT_TRUE(Until([&] { return backends[2]->taken() > taken; }));
   clients.Stop();
   ASSERT_TRUE(Until([&] { return clients.Done(); }));
   EXPECT_EQ(clients.account().lost, 0u);
--- a/tests/membership/registrar_test.cpp
+++ b/tests/membership/registrar_test.cpp
@@ -168,11 +168,11 @@
     front = std::make_unique<standins::TlsFront>(io, Files("server"), etcd->address(0));
   }
   ~TlsTest() override { std::filesystem::remove_all(folder); }
-  api::TlsFiles Files(const std::string& name, const std::string& ca = "ca") const {
+  http_api::TlsFiles Files(const std::string& name, const std::string& ca = "ca") const {
     return {folder + "/" + name + ".pem", folder + "/" + name + ".key", folder + "/" + ca + ".pem"};
   }
   // Whether the source comes to follow, with these files.
-  std::string Follow(const api::TlsFiles& files, const std::string& server_name = "") {
+  std::string Follow(const http_api::TlsFiles& files, const std::string& server_name = "") {
     EtcdSourceSettings settings;
     settings.endpoints = {front->address()};
     settings.channel.tls = files;
--- a/tests/together/converters.cpp
+++ b/tests/multiprocess/backends.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The converters of one zone on sockets. How long work takes, how it waits, warms and falls over is
-// lab::Converter's, the model that the lab plays, stepped by this machine's clock.
+// The backends of one zone on sockets. How long work takes, how it waits, warms and falls over is
+// simulator::Backend's, the model that the lab plays, stepped by this machine's clock.
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -18,13 +18,13 @@
 #include <set>
 #include <unordered_map>
 
-#include "api/address.h"
-#include "lab/converter.h"
-#include "together/lag_watch.h"
-#include "together/roles.h"
-#include "together/verdict.h"
+#include "http_api/address.h"
+#include "multiprocess/lag_watch.h"
+#include "multiprocess/roles.h"
+#include "multiprocess/verdict.h"
+#include "simulator/backend.h"
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 namespace {
 
 namespace asio = boost::asio;
@@ -32,16 +32,16 @@
 namespace http = boost::beast::http;
 namespace json = boost::json;
 using asio::ip::tcp;
-using fordlb::Duration;
-using fordlb::TimePoint;
+using balancer::Duration;
+using balancer::TimePoint;
 using Clock = std::chrono::steady_clock;
 
 constexpr std::size_t kMostBody = 64 << 10;
-constexpr double kUsageMemory = 300;  // ms over which a converter's use of its slots is averaged
+constexpr double kUsageMemory = 300;  // ms over which a backend's use of its slots is averaged
 
 TimePoint Now() { return TimePoint(Duration(NowMs())); }
 
-class Zone : public lab::Converter::Watcher {
+class Zone : public simulator::Backend::Watcher {
  public:
   explicit Zone(asio::io_context& io) : io_(io), timer_(io), lags_(io) {}
 
@@ -51,10 +51,10 @@
     model_.slots = order.at("slots").to_number<int>();
     model_.queue = order.at("queue").to_number<int>();
     model_.speed = order.at("speed").to_number<double>();
-    model_.cold_from = order.at("cold_from").to_number<double>();
-    model_.warm_up = Duration(order.at("warm_up_ms").to_number<double>());
-    model_.fall_multiple = order.at("fall_multiple").to_number<double>();
-    model_.overload_for = Duration(order.at("overload_for_ms").to_number<double>());
+    model_.slow_start_floor = order.at("cold_from").to_number<double>();
+    model_.slow_start_window = Duration(order.at("warm_up_ms").to_number<double>());
+    model_.overload_factor = order.at("fall_multiple").to_number<double>();
+    model_.overload_duration = Duration(order.at("overload_for_ms").to_number<double>());
     const auto host = asio::ip::make_address_v4(std::string(order.at("host").as_string()));
     json::array addresses;
     for (const json::value& value : order.at("converters").as_array()) {
@@ -66,7 +66,7 @@
       one->model.Start(TimePoint{});
       all_.push_back(std::move(one));
       Listen(*all_.back());
-      addresses.push_back(json::value(api::ToText(all_.back()->address)));
+      addresses.push_back(json::value(http_api::ToText(all_.back()->address)));
     }
     return addresses;
   }
@@ -99,7 +99,7 @@
       for (std::size_t i = at; i < std::min(came_.size(), at + 200); ++i) {
         const Came& c = came_[i];
         part.push_back(
-            json::array{c.id, c.key, c.converter, c.group, c.at, c.took_effect, c.work, c.time_left});
+            json::array{c.id, c.key, c.backend, c.group, c.at, c.took_effect, c.work, c.time_left});
       }
       Orders::Say({{"came", std::move(part)}});
     }
@@ -122,27 +122,27 @@
     std::size_t came = 0;  // its place in came_
   };
   struct One {
-    One(asio::io_context& io, lab::EventQueue& queue, lab::Converter::Watcher& watcher, std::size_t index,
-        const lab::ConverterModel& m)
-        : acceptor(io), model(queue, watcher, index, m, lab::Random(index + 1, 9)) {}
+    One(asio::io_context& io, simulator::EventQueue& queue, simulator::Backend::Watcher& watcher,
+        std::size_t index, const simulator::BackendModel& m)
+        : acceptor(io), model(queue, watcher, index, m, simulator::Random(index + 1, 9)) {}
     std::string name, group;
     tcp::endpoint address;
     tcp::acceptor acceptor;
-    lab::Converter model;
+    simulator::Backend model;
     std::uint64_t turn = 0;  // of its process
     std::set<std::shared_ptr<tcp::socket>> sockets;
     double used = 0;  // share of its slots, lately
     TimePoint used_at{};
   };
 
-  void Began(TimePoint, std::size_t, lab::JobId job) override {
+  void Began(TimePoint, std::size_t, simulator::JobId job) override {
     came_[waiters_.at(job)->came].took_effect = true;
   }
-  void Finished(TimePoint, std::size_t, lab::JobId job, bool right) override {
+  void Finished(TimePoint, std::size_t, simulator::JobId job, bool right) override {
     Over(job, right ? Waiter::End::kRight : Waiter::End::kWrong);
   }
-  void Dropped(TimePoint, std::size_t, lab::JobId job) override { Over(job, Waiter::End::kDropped); }
-  void Over(lab::JobId job, typename Waiter::End end) {
+  void Dropped(TimePoint, std::size_t, simulator::JobId job) override { Over(job, Waiter::End::kDropped); }
+  void Over(simulator::JobId job, typename Waiter::End end) {
     const auto found = waiters_.find(job);
     if (found == waiters_.end()) return;
     found->second->end = end;
@@ -175,7 +175,7 @@
   void Step() {
     while (queue_.Step(Now())) {
     }
-    // The queue does not tell its first event's time; a converter's work ends on some ms.
+    // The queue does not tell its first event's time; a backend's work ends on some ms.
     if (stepping_ || queue_.waiting() == 0) return;
     stepping_ = true;
     timer_.expires_after(std::chrono::milliseconds(1));
@@ -262,14 +262,14 @@
       }
       met->second = NowMs();
     }
-    const lab::JobId job = ++jobs_;
+    const simulator::JobId job = ++jobs_;
     waiters_.emplace(job, waiter);
     Use(one);
-    const lab::Converter::Begin begin = one.model.Take(Now(), job, WorkOf(request));
-    if (begin == lab::Converter::Begin::kFull || begin == lab::Converter::Begin::kFell) {
+    const simulator::Backend::Begin begin = one.model.Take(Now(), job, WorkOf(request));
+    if (begin == simulator::Backend::Begin::kFull || begin == simulator::Backend::Begin::kFell) {
       waiters_.erase(job);
       if (!key.empty()) keys_.erase(one.group + " " + key);  // it has not run
-      if (begin == lab::Converter::Begin::kFell) {
+      if (begin == simulator::Backend::Begin::kFell) {
         Orders::Say({{"fell", one.name}});
         Stop(one);
         co_return false;
@@ -318,21 +318,21 @@
   asio::steady_timer timer_;
   LagWatch lags_;
   bool stepping_ = false;
-  lab::EventQueue queue_;
+  simulator::EventQueue queue_;
   std::string zone_;
-  lab::ConverterModel model_;
+  simulator::BackendModel model_;
   double window_ = 10000;
   std::vector<std::unique_ptr<One>> all_;
   std::vector<Came> came_;
-  std::unordered_map<lab::JobId, std::shared_ptr<Waiter>> waiters_;
+  std::unordered_map<simulator::JobId, std::shared_ptr<Waiter>> waiters_;
   std::unordered_map<std::string, double> keys_;  // by group and key: when
-  lab::JobId jobs_ = 0;
+  simulator::JobId jobs_ = 0;
   std::uint64_t malformed_ = 0;
 };
 
 }  // namespace
 
-int PlayConverters() {
+int PlayBackends() {
   asio::io_context io(1);
   Orders orders(io);
   Zone zone(io);
@@ -350,4 +350,4 @@
   return 0;
 }
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
--- a/tests/together/child.cpp
+++ b/tests/multiprocess/child.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "together/child.h"
+#include "multiprocess/child.h"
 
 #include <fcntl.h>
 #include <sys/prctl.h>
@@ -16,7 +16,7 @@
 
 extern char** environ;
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 namespace asio = boost::asio;
 namespace json = boost::json;
@@ -109,4 +109,4 @@
   return running_;
 }
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
--- a/tests/together/child.h
+++ b/tests/multiprocess/child.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A process of a trial: started, told, signalled, and surely gone at its end, or at this one's.
-#ifndef BADGERBRIDGE_TESTS_TOGETHER_CHILD_H_
-#define BADGERBRIDGE_TESTS_TOGETHER_CHILD_H_
+#ifndef BADGERBRIDGE_TESTS_MULTIPROCESS_CHILD_H_
+#define BADGERBRIDGE_TESTS_MULTIPROCESS_CHILD_H_
 
 #include <sys/types.h>
 
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 class Child {
  public:
@@ -55,6 +55,6 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
 
-#endif  // BADGERBRIDGE_TESTS_TOGETHER_CHILD_H_
+#endif  // BADGERBRIDGE_TESTS_MULTIPROCESS_CHILD_H_
--- a/tests/together/lag_watch.cpp
+++ b/tests/multiprocess/lag_watch.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "together/lag_watch.h"
+#include "multiprocess/lag_watch.h"
 
 #include <chrono>
 
-#include "together/roles.h"
+#include "multiprocess/roles.h"
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 namespace {
 
@@ -27,4 +27,4 @@
   });
 }
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
--- a/tests/together/lag_watch.h
+++ b/tests/multiprocess/lag_watch.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // When a part of the trial was not run by the system: what it then noted late is not the proxies' fault.
-#ifndef BADGERBRIDGE_TESTS_TOGETHER_LAG_WATCH_H_
-#define BADGERBRIDGE_TESTS_TOGETHER_LAG_WATCH_H_
+#ifndef BADGERBRIDGE_TESTS_MULTIPROCESS_LAG_WATCH_H_
+#define BADGERBRIDGE_TESTS_MULTIPROCESS_LAG_WATCH_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <boost/json/array.hpp>
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 // Looks every few ms, from its making to its end, how late its event loop is.
 class LagWatch {
@@ -27,6 +27,6 @@
   boost::json::array lags_;
 };
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
 
-#endif  // BADGERBRIDGE_TESTS_TOGETHER_LAG_WATCH_H_
+#endif  // BADGERBRIDGE_TESTS_MULTIPROCESS_LAG_WATCH_H_
--- a/tests/together/main.cpp
+++ b/tests/multiprocess/main.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgertrial: plays a scenario of the lab with real processes on loopback, and judges it by what converters
-// and clients wrote down.
+// multiprocess_test: plays a scenario of the lab with real processes on loopback, and judges it by what
+// backends and clients wrote down.
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
 #include <csignal>
@@ -9,9 +9,9 @@
 #include <filesystem>
 #include <iostream>
 
-#include "lab/scenario.h"
-#include "together/roles.h"
-#include "together/trial.h"
+#include "multiprocess/roles.h"
+#include "multiprocess/trial.h"
+#include "simulator/scenario.h"
 
 namespace {
 
@@ -19,26 +19,27 @@
 
 constexpr int kHeld = 0, kBroke = 1, kUsage = 2;
 
-int Play(const lab::Model& model, std::uint64_t seed, const std::string& self, bool verbose) {
-  const double began = together::NowMs();
+int Play(const simulator::Model& model, std::uint64_t seed, const std::string& self, bool verbose) {
+  const double began = multiprocess::NowMs();
   boost::asio::io_context io(1);
-  together::Outcome outcome;
+  multiprocess::Outcome outcome;
   try {
     const std::filesystem::path programs = std::filesystem::path(self).parent_path();
-    together::Trial trial(io, model, seed, self, programs / "badgerbridge", programs / "badgerrelay");
+    multiprocess::Trial trial(io, model, seed, self, programs / "badgerbridge",
+                              programs / "badgerbridge-relay");
     outcome = trial.Run();
   } catch (const std::exception& bad) {
     std::cout << "trial: plan=\"" << model.name << "\" seed=" << seed << " did not run: " << bad.what()
               << std::endl;
     return kBroke;
   }
-  const together::Verdict& v = outcome.verdict;
+  const multiprocess::Verdict& v = outcome.verdict;
   const bool holds = outcome.holds() && 100 * outcome.worth_share() >= model.together.least_worth_percent;
   if (!holds || verbose) {
     for (const std::string& line : outcome.timeline) std::cout << line << '\n';
     std::printf("%8s %8s %8s %8s %8s\n", "second", "asked", "served", "refused", "failed");
     for (std::size_t i = 0; i < outcome.seconds.size(); ++i) {
-      const together::Second& s = outcome.seconds[i];
+      const multiprocess::Second& s = outcome.seconds[i];
       std::printf("%8zu %8llu %8llu %8llu %8llu\n", i, static_cast<unsigned long long>(s.asked),
                   static_cast<unsigned long long>(s.served), static_cast<unsigned long long>(s.refused),
                   static_cast<unsigned long long>(s.failed));
@@ -95,7 +96,7 @@
       static_cast<unsigned long long>(v.twice), static_cast<unsigned long long>(v.late_sends),
       static_cast<unsigned long long>(v.after_departure), static_cast<unsigned long long>(v.too_long),
       static_cast<unsigned long long>(v.fell), static_cast<unsigned long long>(v.unaccounted),
-      outcome.troubles.size(), outcome.worth_share(), (together::NowMs() - began) / 1000, decided.c_str(),
+      outcome.troubles.size(), outcome.worth_share(), (multiprocess::NowMs() - began) / 1000, decided.c_str(),
       holds ? "holds" : "BROKEN");
   return holds ? kHeld : kBroke;
 }
@@ -104,7 +105,7 @@
 
 int main(int count, char** arguments) {
   std::signal(SIGPIPE, SIG_IGN);
-  CLI::App app("badgertrial: plays scenarios with real processes on loopback");
+  CLI::App app("multiprocess_test: plays scenarios with real processes on loopback");
   app.footer(
       "Exit codes: 0 all held; 1 something was broken, or did not run; 2 usage, or a file that is not to be "
       "used.");
@@ -125,21 +126,21 @@
     return app.exit(error) == 0 ? kHeld : kUsage;
   }
   if (part->parsed()) {
-    if (role == "converters") return together::PlayConverters();
-    if (role == "clients") return together::PlayClients();
-    if (role == "raw_clients") return together::PlayRawClients();
-    if (role == "discovery") return together::PlayDiscovery();
-    if (role == "wire") return together::PlayWire();
-    if (role == "etcd") return together::PlayEtcd();
-    std::cerr << "badgertrial: there is no part " << role << '\n';
+    if (role == "converters") return multiprocess::PlayBackends();
+    if (role == "clients") return multiprocess::PlayClients();
+    if (role == "raw_clients") return multiprocess::PlayRawClients();
+    if (role == "discovery") return multiprocess::PlayDiscovery();
+    if (role == "wire") return multiprocess::PlayWire();
+    if (role == "etcd") return multiprocess::PlayEtcd();
+    std::cerr << "multiprocess_test: there is no part " << role << '\n';
     return kUsage;
   }
   const std::string self = std::filesystem::read_symlink("/proc/self/exe");
   int code = kHeld;
   for (const std::string& path : paths) {
-    operator_file::Problems problems;
-    const lab::Model model = lab::LoadScenario(path, problems);
-    std::cerr << operator_file::Lines(problems);
+    operator_config::Problems problems;
+    const simulator::Model model = simulator::LoadScenario(path, problems);
+    std::cerr << operator_config::Lines(problems);
     if (!problems.empty()) return kUsage;
     code = std::max(code, Play(model, seed, self, verbose));
   }
--- a/tests/together/peer_socket.cpp
+++ b/tests/multiprocess/peer_socket.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "together/peer_socket.h"
+#include "multiprocess/peer_socket.h"
 
 #include <linux/inet_diag.h>
 #include <linux/netlink.h>
@@ -14,7 +14,7 @@
 #include <cstring>
 #include <system_error>
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 using boost::asio::ip::tcp;
 
@@ -77,4 +77,4 @@
   return state.idiag_rqueue;
 }
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
--- a/tests/together/peer_socket.h
+++ b/tests/multiprocess/peer_socket.h
@@ -2,14 +2,14 @@
 //
 // What this machine's system knows of the other end of a loopback connection, asked from outside of the
 // process that holds it (sock_diag(7)).
-#ifndef BADGERBRIDGE_TESTS_TOGETHER_PEER_SOCKET_H_
-#define BADGERBRIDGE_TESTS_TOGETHER_PEER_SOCKET_H_
+#ifndef BADGERBRIDGE_TESTS_MULTIPROCESS_PEER_SOCKET_H_
+#define BADGERBRIDGE_TESTS_MULTIPROCESS_PEER_SOCKET_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <cstddef>
 #include <optional>
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 class PeerSockets {
  public:
@@ -28,6 +28,6 @@
   int socket_ = -1;
 };
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
 
-#endif  // BADGERBRIDGE_TESTS_TOGETHER_PEER_SOCKET_H_
+#endif  // BADGERBRIDGE_TESTS_MULTIPROCESS_PEER_SOCKET_H_
--- a/tests/together/peer_socket_test.cpp
+++ b/tests/multiprocess/peer_socket_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What the system says of the other end of a connection is what that end has not read.
-#include "together/peer_socket.h"
+#include "multiprocess/peer_socket.h"
 
 #include <gtest/gtest.h>
 
@@ -11,7 +11,7 @@
 #include <boost/asio/write.hpp>
 #include <string>
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 namespace {
 
 namespace asio = boost::asio;
@@ -65,4 +65,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
--- a/tests/together/raw_clients.cpp
+++ b/tests/multiprocess/raw_clients.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "together/raw_clients.h"
+#include "multiprocess/raw_clients.h"
 
 #include <sys/socket.h>
 
@@ -18,9 +18,9 @@
 #include <optional>
 #include <utility>
 
-#include "together/roles.h"
+#include "multiprocess/roles.h"
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
@@ -79,7 +79,9 @@
   co_await std::move(either);
 }
 
-double Between(lab::Random& random, double low, double high) { return low + random.Unit() * (high - low); }
+double Between(simulator::Random& random, double low, double high) {
+  return low + random.Unit() * (high - low);
+}
 
 // What stands at the front of what a connected socket has received, taking nothing.
 enum class Front { kNothing, kBytes, kEnd };
@@ -132,7 +134,7 @@
 
 struct RawClients::Client {
   explicit Client(std::uint64_t seed, std::size_t number) : random(seed, 100 + number) {}
-  lab::Random random;
+  simulator::Random random;
   std::deque<Request> again;  // to be sent once more
   // Of what it does next.
   std::size_t batch = 1;
@@ -213,7 +215,7 @@
 
 // What the client does next.
 void RawClients::Draw(Client& client) {
-  lab::Random& random = client.random;
+  simulator::Random& random = client.random;
   const double pipelines = random.Unit();
   client.batch = pipelines < kPipelinesThree ? 3 : pipelines < kPipelines ? 2 : 1;
   client.together = random.Unit() < kTogether;
@@ -252,12 +254,12 @@
 
 std::string RawClients::TextOf(const Request& request) const {
   const Class& c = settings_.classes[request.asked.request_class];
-  const bool safe = c.effect == Effect::kSafe;
+  const bool safe = c.effect == Idempotency::kIdempotent;
   const std::string body = safe ? std::string() : "document " + request.asked.id;
   std::string text = (safe ? "GET " : "POST ") + request.target + " HTTP/1.1\r\nHost: proxy\r\n";
   text += "X-Correlation-Id: " + request.asked.id + "\r\nX-Service-Class: " + c.name + "\r\n";
   text += "X-Time-Left-Ms: " + std::to_string(request.told_left) + "\r\n";
-  if (c.effect == Effect::kKeyed) text += "Idempotency-Key: k" + request.asked.id + "\r\n";
+  if (c.effect == Idempotency::kIdempotencyKey) text += "Idempotency-Key: k" + request.asked.id + "\r\n";
   if (!safe) text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
   return text + "\r\n" + body;
 }
@@ -352,7 +354,7 @@
 
 // Between requests. False: the connection has ended, or is to end.
 asio::awaitable<bool> RawClients::Rest(Client& client, Connection& connection) {
-  lab::Random& random = client.random;
+  simulator::Random& random = client.random;
   if (random.Unit() < kEndsAtRest) co_return false;
   const double kind = random.Unit();
   const double rest = kind < kRestsLong                   ? Between(random, kKeepAliveLow, kKeepAliveHigh)
@@ -451,4 +453,4 @@
   on_asked_(request.asked);
 }
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
--- a/tests/together/raw_clients.h
+++ b/tests/multiprocess/raw_clients.h
@@ -5,8 +5,8 @@
 // close or a reset. They connect to the proxies themselves, not through the relay, so that they know what a
 // proxy's machine has accepted, when its end came, and whether it had read what it ended. They repeat only
 // what the protocol lets a client repeat.
-#ifndef BADGERBRIDGE_TESTS_TOGETHER_RAW_CLIENTS_H_
-#define BADGERBRIDGE_TESTS_TOGETHER_RAW_CLIENTS_H_
+#ifndef BADGERBRIDGE_TESTS_MULTIPROCESS_RAW_CLIENTS_H_
+#define BADGERBRIDGE_TESTS_MULTIPROCESS_RAW_CLIENTS_H_
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -17,20 +17,20 @@
 #include <string>
 #include <vector>
 
-#include "lab/random.h"
-#include "together/peer_socket.h"
-#include "together/verdict.h"
+#include "multiprocess/peer_socket.h"
+#include "multiprocess/verdict.h"
+#include "simulator/random.h"
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 class RawClients {
  public:
   struct Class {
     std::string name;
-    Effect effect = Effect::kSafe;
+    Idempotency effect = Idempotency::kIdempotent;
     double share = 1;
     double deadline = 1500;  // ms, the longest that a client of this class waits
-    lab::Shape work;         // ms
+    simulator::Shape work;   // ms
   };
   struct Proxy {
     std::string name;
@@ -94,6 +94,6 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
 
-#endif  // BADGERBRIDGE_TESTS_TOGETHER_RAW_CLIENTS_H_
+#endif  // BADGERBRIDGE_TESTS_MULTIPROCESS_RAW_CLIENTS_H_
--- a/tests/together/raw_clients_role.cpp
+++ b/tests/multiprocess/raw_clients_role.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// `badgertrial role raw_clients`: those of one zone.
+// `multiprocess_test role raw_clients`: those of one zone.
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -9,12 +9,12 @@
 #include <memory>
 #include <string>
 
-#include "api/address.h"
-#include "together/lag_watch.h"
-#include "together/raw_clients.h"
-#include "together/roles.h"
+#include "http_api/address.h"
+#include "multiprocess/lag_watch.h"
+#include "multiprocess/raw_clients.h"
+#include "multiprocess/roles.h"
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 namespace asio = boost::asio;
 namespace json = boost::json;
@@ -27,10 +27,10 @@
 RawClients::Class ReadClass(const json::object& order) {
   RawClients::Class c;
   c.name = order.at("name").as_string();
-  c.effect = static_cast<Effect>(order.at("effect").to_number<int>());
+  c.effect = static_cast<Idempotency>(order.at("effect").to_number<int>());
   c.share = order.at("share").to_number<double>();
   c.deadline = order.at("deadline_ms").to_number<double>();
-  c.work.kind = static_cast<lab::Shape::Kind>(order.at("work_kind").to_number<int>());
+  c.work.kind = static_cast<simulator::Shape::Kind>(order.at("work_kind").to_number<int>());
   c.work.mean = order.at("work_ms").to_number<double>();
   c.work.spread = order.at("work_spread").to_number<double>();
   return c;
@@ -45,7 +45,7 @@
     settings.classes.push_back(ReadClass(one.as_object()));
   for (const json::value& one : order.at("proxies").as_array())
     settings.proxies.push_back({std::string(one.at("name").as_string()),
-                                *api::ParseAddress(std::string(one.at("address").as_string()))});
+                                *http_api::ParseAddress(std::string(one.at("address").as_string()))});
   return settings;
 }
 
@@ -121,4 +121,4 @@
   return 0;
 }
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
--- a/tests/together/raw_clients_test.cpp
+++ b/tests/multiprocess/raw_clients_test.cpp
@@ -2,7 +2,7 @@
 //
 // What clients with sockets of their own say of servers that answer, that end connections, and that read what
 // they do not answer.
-#include "together/raw_clients.h"
+#include "multiprocess/raw_clients.h"
 
 #include <gtest/gtest.h>
 
@@ -18,7 +18,7 @@
 #include <utility>
 #include <vector>
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 namespace {
 
 namespace asio = boost::asio;
@@ -92,7 +92,7 @@
     RawClients::Settings settings;
     settings.name = "r";
     settings.clients = 8;
-    settings.classes = {{"preview", Effect::kSafe, 1, 1500, {}}};
+    settings.classes = {{"preview", Idempotency::kIdempotent, 1, 1500, {}}};
     settings.proxies = {{"n1", server_->address()}};
     clients_ = std::make_unique<RawClients>(
         io_, std::move(settings), [this](const Asked& one) { asked_.push_back(one); },
@@ -201,4 +201,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
--- a/tests/together/roles.cpp
+++ b/tests/multiprocess/roles.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "together/roles.h"
+#include "multiprocess/roles.h"
 
 #include <time.h>
 #include <unistd.h>
@@ -11,16 +11,16 @@
 #include <map>
 #include <memory>
 
-#include "api/address.h"
-#include "lab/random.h"
+#include "http_api/address.h"
+#include "multiprocess/lag_watch.h"
+#include "multiprocess/wire.h"
+#include "multiprocess/zone_failover_watch.h"
+#include "simulator/random.h"
 #include "standins/clients.h"
 #include "standins/discovery.h"
 #include "standins/etcd.h"
-#include "together/lag_watch.h"
-#include "together/regions_watch.h"
-#include "together/wire.h"
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 namespace {
 
 namespace asio = boost::asio;
@@ -94,8 +94,8 @@
   LagWatch lags(io);
   std::unique_ptr<standins::Clients> clients;
   std::vector<std::string> proxies;
-  std::vector<lab::Shape> works;
-  std::unique_ptr<lab::Random> random;
+  std::vector<simulator::Shape> works;
+  std::unique_ptr<simulator::Random> random;
   std::uint64_t wanted = 0;
   json::array records;
   asio::steady_timer ending(io);
@@ -106,7 +106,7 @@
     load.name = Text(order, "name");
     load.tries = static_cast<int>(Number(order, "tries", 1));
     load.pause = milliseconds(static_cast<std::int64_t>(Number(order, "pause_ms", 100)));
-    random = std::make_unique<lab::Random>(load.seed, 77);
+    random = std::make_unique<simulator::Random>(load.seed, 77);
     for (const json::value& value : order.at("classes").as_array()) {
       const json::object& one = value.as_object();
       standins::LoadClass cls;
@@ -115,8 +115,8 @@
       cls.share = Number(one, "share", 1);
       cls.deadline = milliseconds(static_cast<std::int64_t>(Number(one, "deadline_ms", 1500)));
       load.classes.push_back(cls);
-      lab::Shape shape;
-      shape.kind = static_cast<lab::Shape::Kind>(static_cast<int>(Number(one, "work_kind")));
+      simulator::Shape shape;
+      shape.kind = static_cast<simulator::Shape::Kind>(static_cast<int>(Number(one, "work_kind")));
       shape.mean = Number(one, "work_ms", 20);
       shape.spread = Number(one, "work_spread", 1);
       works.push_back(shape);
@@ -125,7 +125,7 @@
     std::vector<asio::ip::tcp::endpoint> addresses;
     for (const json::value& value : order.at("proxies").as_array()) {
       proxies.push_back(Text(value.as_object(), "name"));
-      addresses.push_back(*api::ParseAddress(Text(value.as_object(), "address")));
+      addresses.push_back(*http_api::ParseAddress(Text(value.as_object(), "address")));
     }
     clients = std::make_unique<standins::Clients>(io, std::move(addresses), load);
     clients->OnRecord([&](const standins::Record& r) {
@@ -229,9 +229,9 @@
   orders.Follow([&](const json::object& order) {
     const std::string what = Text(order, "do"), from = Text(order, "from"), to = Text(order, "to");
     if (what == "open") {
-      const auto at = wire.Open(from, to, *api::ParseAddress(Text(order, "target")),
+      const auto at = wire.Open(from, to, *http_api::ParseAddress(Text(order, "target")),
                                 asio::ip::make_address_v4(Text(order, "host")));
-      Orders::Say({{"opened", api::ToText(at)}, {"number", order.at("number")}});
+      Orders::Say({{"opened", http_api::ToText(at)}, {"number", order.at("number")}});
     } else if (what == "link") {
       Link link;
       const auto us = [&](const char* key) {
@@ -275,7 +275,7 @@
       etcd = std::make_unique<standins::Etcd>(io, settings);
       json::array addresses;
       for (int i = 0; i < members; ++i)
-        addresses.push_back(json::value(api::ToText(etcd->address(static_cast<std::size_t>(i)))));
+        addresses.push_back(json::value(http_api::ToText(etcd->address(static_cast<std::size_t>(i)))));
       Orders::Say({{"ready", true}, {"addresses", std::move(addresses)}});
     } else if (what == "down" || what == "up") {
       for (int i = 0; i < members; ++i)
@@ -305,4 +305,4 @@
   return 0;
 }
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
--- a/tests/together/trial.cpp
+++ b/tests/multiprocess/trial.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "together/trial.h"
+#include "multiprocess/trial.h"
 
 #include <unistd.h>
 
@@ -9,13 +9,13 @@
 #include <filesystem>
 #include <stdexcept>
 
-#include "together/roles.h"
-#include "together/trial_names.h"
+#include "multiprocess/roles.h"
+#include "multiprocess/trial_names.h"
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 namespace asio = boost::asio;
-using lab::Happening;
+using simulator::Happening;
 
 namespace {
 
@@ -26,8 +26,8 @@
 
 }  // namespace
 
-Trial::Trial(asio::io_context& io, lab::Model model, std::uint64_t seed, std::string self, std::string proxy,
-             std::string relay)
+Trial::Trial(asio::io_context& io, simulator::Model model, std::uint64_t seed, std::string self,
+             std::string proxy, std::string relay)
     : io_(io),
       model_(std::move(model)),
       seed_(seed),
@@ -41,7 +41,7 @@
       ready_proxies_(static_cast<std::size_t>(model_.zones)),
       expected_proxies_(static_cast<std::size_t>(model_.zones)),
       held_block_(io) {
-  std::string folder = (std::filesystem::temp_directory_path() / "badgertrial_XXXXXX").string();
+  std::string folder = (std::filesystem::temp_directory_path() / "multiprocess_test_XXXXXX").string();
   if (!mkdtemp(folder.data())) throw std::runtime_error("cannot make " + folder);
   folder_ = folder;
   TakeBlock();
@@ -117,7 +117,7 @@
   Note("the load begins, " + std::to_string(processes_) + " processes");
   for (const Happening& what : model_.happenings)
     due_.push_back({began_ + what.at, [this, &what] { Happen(what); }});
-  for (const lab::TogetherFault& what : model_.together.faults)
+  for (const simulator::TogetherFault& what : model_.together.faults)
     due_.push_back({began_ + what.at, [this, &what] { Suffer(what); }});
   for (const auto& part : clients_) part->Tell({{"do", "start"}});
   for (const auto& part : raw_clients_) part->Tell({{"do", "start"}});
@@ -164,7 +164,7 @@
 
 void Trial::RunLoad() {
   double longest = 0;
-  for (const lab::ClassModel& c : model_.classes) longest = std::max(longest, c.rules.deadline.count());
+  for (const simulator::ClassModel& c : model_.classes) longest = std::max(longest, c.rules.deadline.count());
   while (NowMs() < began_ + model_.length) {
     io_.restart();
     io_.run_for(std::chrono::milliseconds(2));
@@ -184,7 +184,7 @@
   StartParts();
   OpenLinks();
   SetLinks();
-  for (Converter& c : converters_) List(c);
+  for (Backend& c : backends_) List(c);
   StartRelays();
   for (Proxy& proxy : proxies_) StartProxy(proxy);
   for (int z = 0; z < model_.zones; ++z) StartClients(z);
@@ -207,4 +207,4 @@
   return TakeOutcome();
 }
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
--- a/tests/together/trial.h
+++ b/tests/multiprocess/trial.h
@@ -4,8 +4,8 @@
 // links between zones, clients and discovery through the relay. The scenario is the lab's, at the size that
 // the file says; its happenings mean here what they mean there, and [together] adds what only processes and
 // links can suffer.
-#ifndef BADGERBRIDGE_TESTS_TOGETHER_TRIAL_H_
-#define BADGERBRIDGE_TESTS_TOGETHER_TRIAL_H_
+#ifndef BADGERBRIDGE_TESTS_MULTIPROCESS_TRIAL_H_
+#define BADGERBRIDGE_TESTS_MULTIPROCESS_TRIAL_H_
 
 #include <algorithm>
 #include <boost/asio/awaitable.hpp>
@@ -16,13 +16,13 @@
 #include <string>
 #include <vector>
 
-#include "lab/model.h"
-#include "lab/random.h"
-#include "together/child.h"
-#include "together/regions_watch.h"
-#include "together/verdict.h"
+#include "multiprocess/child.h"
+#include "multiprocess/verdict.h"
+#include "multiprocess/zone_failover_watch.h"
+#include "simulator/model.h"
+#include "simulator/random.h"
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 // Of the first tries and further tries that began in one second of the load.
 struct Second {
@@ -62,8 +62,8 @@
 
 class Trial {
  public:
-  // `self` is the path of this program, `proxy` that of badgerbridge, `relay` that of badgerrelay.
-  Trial(boost::asio::io_context& io, lab::Model model, std::uint64_t seed, std::string self,
+  // `self` is the path of this program, `proxy` that of badgerbridge, `relay` that of badgerbridge-relay.
+  Trial(boost::asio::io_context& io, simulator::Model model, std::uint64_t seed, std::string self,
         std::string proxy, std::string relay);
   ~Trial();
 
@@ -71,7 +71,7 @@
   Outcome Run();
 
  private:
-  struct Converter {
+  struct Backend {
     std::string name, address;
     int zone = 0, group = 0;
     std::size_t place = 0;  // in its zone
@@ -86,11 +86,11 @@
     double down_since = -1, frozen_since = -1;
     double term_at = -1;  // asked to end, and to be started again once it has
     int starts = 0;
-    std::unique_ptr<lab::Random> stalls;  // when it is stopped; none: it never is
-    double stopped_for = 0;               // ms in all, by these
-    double stopped_before_term = 0;       // of these, until it was asked to end
-    double continued_at = 0;              // when the last of them ended
-    double waited = 0;                    // ms for a processor until then
+    std::unique_ptr<simulator::Random> stalls;  // when it is stopped; none: it never is
+    double stopped_for = 0;                     // ms in all, by these
+    double stopped_before_term = 0;             // of these, until it was asked to end
+    double continued_at = 0;                    // when the last of them ended
+    double waited = 0;                          // ms for a processor until then
   };
   // A watch cache between etcd and the proxies.
   struct Relay {
@@ -131,7 +131,7 @@
   // trial_processes.cpp: processes and the links between them.
   std::unique_ptr<Child> Part(const std::string& role, const std::string& name);
   void Hear(const std::string& name, const boost::json::object& line);
-  void StartConverters();
+  void StartBackends();
   void PlaceProxies();
   void StartDiscovery();
   void StartEtcd();
@@ -155,29 +155,29 @@
   void StartRelay(Relay& relay);
   void StartRelays();
   void SetRelayLinks();
-  void SufferRelay(const lab::TogetherFault& what);
+  void SufferRelay(const simulator::TogetherFault& what);
   void LookAfterRelays();
   void StopRelays();
-  void WriteMember(const Converter& converter);
+  void WriteMember(const Backend& backend);
   bool relays_on() const { return model_.together.relays > 0; }
 
   // trial_faults.cpp: what happens to them.
-  void List(Converter& converter);
+  void List(Backend& backend);
   void SetLinks();
-  void Happen(const lab::Happening& what);
-  void CutZones(const lab::Happening& what);
+  void Happen(const simulator::Happening& what);
+  void CutZones(const simulator::Happening& what);
   void HoldLists(bool stale);
-  void OrderZones(const lab::Happening& what);
-  void HappenToProxies(const lab::Happening& what);
-  void HappenToConverters(const lab::Happening& what);
-  void Suffer(const lab::TogetherFault& what);
+  void OrderZones(const simulator::Happening& what);
+  void HappenToProxies(const simulator::Happening& what);
+  void HappenToBackends(const simulator::Happening& what);
+  void Suffer(const simulator::TogetherFault& what);
   bool SufferDecider(const std::string& what);
   void StopDecider(const std::string& what, const std::string& name);
   void Thaw(Proxy& proxy);
-  void CutEtcd(const lab::TogetherFault& what);
-  void FreezeProxies(const lab::TogetherFault& what);
-  void RestartProxies(const lab::TogetherFault& what);
-  void BreakConnections(const lab::TogetherFault& what);
+  void CutEtcd(const simulator::TogetherFault& what);
+  void FreezeProxies(const simulator::TogetherFault& what);
+  void RestartProxies(const simulator::TogetherFault& what);
+  void BreakConnections(const simulator::TogetherFault& what);
 
   // trial_stalls.cpp: proxies that are stopped at random.
   void StartStalls();
@@ -199,14 +199,14 @@
   }
 
   boost::asio::io_context& io_;
-  lab::Model model_;
+  simulator::Model model_;
   std::uint64_t seed_;
   std::string self_, program_, relay_program_, folder_;
-  lab::Random lags_;
-  std::vector<std::unique_ptr<Child>> zones_, clients_;  // converters and clients, by zone
+  simulator::Random lags_;
+  std::vector<std::unique_ptr<Child>> zones_, clients_;  // backends and clients, by zone
   std::vector<std::unique_ptr<Child>> raw_clients_;      // by zone
   std::unique_ptr<Child> wire_, discovery_, etcd_;
-  std::vector<Converter> converters_;
+  std::vector<Backend> backends_;
   std::vector<Proxy> proxies_;
   std::vector<Relay> relays_;
   std::map<std::string, std::function<void(const boost::json::object&)>>
@@ -219,7 +219,7 @@
   std::unique_ptr<RegionsWatch> regions_;
   std::string frozen_decider_;
   std::function<void(const std::string&)> on_decider_;  // waits for who it is
-  std::map<std::string, lab::TogetherFault> link_faults_;
+  std::map<std::string, simulator::TogetherFault> link_faults_;
   bool stale_ = false, load_over_ = false;
   std::vector<std::function<void()>> held_back_;
   double began_ = 0;
@@ -232,6 +232,6 @@
   int block_ = 0;
 };
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
 
-#endif  // BADGERBRIDGE_TESTS_TOGETHER_TRIAL_H_
+#endif  // BADGERBRIDGE_TESTS_MULTIPROCESS_TRIAL_H_
--- a/tests/together/trial_account.cpp
+++ b/tests/multiprocess/trial_account.cpp
@@ -5,11 +5,11 @@
 #include <boost/json.hpp>
 #include <utility>
 
-#include "lab/slow_start.h"
-#include "together/roles.h"
-#include "together/trial.h"
+#include "multiprocess/roles.h"
+#include "multiprocess/trial.h"
+#include "simulator/slow_start.h"
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 namespace json = boost::json;
 
@@ -61,36 +61,36 @@
   }
 }
 
-// What all proxies together may send to a converter of this age (ms), in one of its windows.
-std::function<double(double)> ColdBudget(const lab::Model& model) {
-  return [converter = model.converter, mean = model.MeanWork()](double age) {
-    return lab::AllowedCalls(converter, mean, fordlb::Duration(age));
+// What all proxies together may send to a backend of this age (ms), in one of its windows.
+std::function<double(double)> ColdBudget(const simulator::Model& model) {
+  return [backend = model.backend, mean = model.MeanWork()](double age) {
+    return simulator::AllowedCalls(backend, mean, balancer::Duration(age));
   };
 }
 
-Rules RulesOf(const lab::Model& model) {
+Rules RulesOf(const simulator::Model& model) {
   Rules rules;
-  for (const lab::ClassModel& c : model.classes) {
-    rules.effects.push_back(static_cast<Effect>(static_cast<int>(c.rules.effect)));
-    rules.worths.push_back(c.rules.worth);
-    rules.aims.push_back(c.rules.aim.count());
-    rules.late_worths.push_back(c.rules.late_worth);
+  for (const simulator::ClassModel& c : model.classes) {
+    rules.effects.push_back(static_cast<Idempotency>(static_cast<int>(c.rules.effect)));
+    rules.worths.push_back(c.rules.priority_weight);
+    rules.aims.push_back(c.rules.latency_objective.count());
+    rules.late_worths.push_back(c.rules.late_weight);
   }
   rules.drain_grace = model.drain_grace.count();
   rules.link_delay = 2 * model.far.count();
-  const lab::ConverterModel& converter = model.converter;
-  if (converter.fall_multiple > 0 && converter.warm_up.count() > 0) {
-    rules.window = converter.overload_for.count();
-    rules.warm_up = converter.warm_up.count();
+  const simulator::BackendModel& backend = model.backend;
+  if (backend.overload_factor > 0 && backend.slow_start_window.count() > 0) {
+    rules.window = backend.overload_duration.count();
+    rules.slow_start_window = backend.slow_start_window.count();
     rules.mean_work = model.MeanWork();
     rules.cold_budget = ColdBudget(model);
   }
-  for (const lab::TogetherFault& fault : model.together.faults) {
+  for (const simulator::TogetherFault& fault : model.together.faults) {
     if (fault.what == "delay") rules.link_delay += 2 * fault.value;
     if (fault.what == "trickle") rules.prompt_links = false;
   }
-  for (const lab::Happening& what : model.happenings) {
-    if (what.kind == lab::Happening::Kind::kCut) rules.prompt_links = false;
+  for (const simulator::Happening& what : model.happenings) {
+    if (what.kind == simulator::Happening::Kind::kCut) rules.prompt_links = false;
   }
   rules.slack += rules.link_delay;
   return rules;
@@ -172,4 +172,4 @@
   return std::move(outcome_);
 }
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
--- a/tests/together/trial_faults.cpp
+++ b/tests/multiprocess/trial_faults.cpp
@@ -6,14 +6,14 @@
 #include <csignal>
 #include <utility>
 
-#include "together/roles.h"
-#include "together/trial.h"
-#include "together/trial_names.h"
+#include "multiprocess/roles.h"
+#include "multiprocess/trial.h"
+#include "multiprocess/trial_names.h"
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 namespace json = boost::json;
-using lab::Happening;
+using simulator::Happening;
 
 namespace {
 
@@ -45,19 +45,19 @@
 }  // namespace
 
 // Tells every proxy, each after a time of its own.
-void Trial::List(Converter& converter) {
-  if (relays_on()) WriteMember(converter);
+void Trial::List(Backend& backend) {
+  if (relays_on()) WriteMember(backend);
   // Discovery then names who there was at the start, and tells no change.
   if (relays_on() && began_ > 0) return;
   for (const Proxy& proxy : proxies_) {
     const json::object order{{"do", "set"},
                              {"proxy", proxy.name},
-                             {"name", converter.name},
-                             {"address", converter.relayed[static_cast<std::size_t>(proxy.zone)]},
-                             {"zone", ZoneName(converter.zone)},
-                             {"status", converter.status},
-                             {"group", converter.group},
-                             {"since_ms", converter.since_ms}};
+                             {"name", backend.name},
+                             {"address", backend.relayed[static_cast<std::size_t>(proxy.zone)]},
+                             {"zone", ZoneName(backend.zone)},
+                             {"status", backend.status},
+                             {"group", backend.group},
+                             {"since_ms", backend.since_ms}};
     auto act = [this, order] { discovery_->Tell(order); };
     if (began_ == 0) {
       act();
@@ -131,7 +131,7 @@
       HappenToProxies(what);
       break;
     default:
-      HappenToConverters(what);
+      HappenToBackends(what);
       break;
   }
 }
@@ -178,10 +178,10 @@
   }
 }
 
-void Trial::HappenToConverters(const Happening& what) {
+void Trial::HappenToBackends(const Happening& what) {
   using Kind = Happening::Kind;
   EvenShare share(what.zone, what.share);
-  for (Converter& c : converters_) {
+  for (Backend& c : backends_) {
     if (!share.Chooses(c.zone)) continue;
     json::object order{{"which", json::array{c.place}}, {"value", what.value}};
     switch (what.kind) {
@@ -253,7 +253,7 @@
   }
 }
 
-void Trial::Suffer(const lab::TogetherFault& what) {
+void Trial::Suffer(const simulator::TogetherFault& what) {
   Note(what.what + (what.zone >= 0 ? ", zone " + std::to_string(what.zone) : std::string()));
   if (SufferDecider(what.what)) return;
   if (what.what.rfind("relay_", 0) == 0) return SufferRelay(what);
@@ -273,14 +273,14 @@
   SetLinks();
 }
 
-void Trial::CutEtcd(const lab::TogetherFault& what) {
+void Trial::CutEtcd(const simulator::TogetherFault& what) {
   for (std::size_t z = 0; z < cut_etcd_.size(); ++z) {
     if (what.zone < 0 || z == static_cast<std::size_t>(what.zone)) cut_etcd_[z] = what.what == "etcd_cut";
   }
   SetLinks();
 }
 
-void Trial::FreezeProxies(const lab::TogetherFault& what) {
+void Trial::FreezeProxies(const simulator::TogetherFault& what) {
   EvenShare share(what.zone, what.share);
   for (Proxy& proxy : proxies_) {
     if (!share.Chooses(proxy.zone) || proxy.down_since >= 0) continue;
@@ -294,7 +294,7 @@
 }
 
 // One after another, `value` ms apart.
-void Trial::RestartProxies(const lab::TogetherFault& what) {
+void Trial::RestartProxies(const simulator::TogetherFault& what) {
   EvenShare share(what.zone, what.share);
   double at = NowMs();
   for (Proxy& proxy : proxies_) {
@@ -310,7 +310,7 @@
   }
 }
 
-void Trial::BreakConnections(const lab::TogetherFault& what) {
+void Trial::BreakConnections(const simulator::TogetherFault& what) {
   for (int from = 0; from < model_.zones; ++from) {
     for (int to = 0; to < model_.zones; ++to) {
       if (what.zone >= 0 && to != what.zone) continue;
@@ -320,4 +320,4 @@
   }
 }
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
--- a/tests/together/trial_files.cpp
+++ b/tests/multiprocess/trial_files.cpp
@@ -5,10 +5,10 @@
 #include <cmath>
 #include <fstream>
 
-#include "together/trial.h"
-#include "together/trial_names.h"
+#include "multiprocess/trial.h"
+#include "multiprocess/trial_names.h"
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 namespace json = boost::json;
 
@@ -20,7 +20,7 @@
 std::string Trial::Config(const Proxy& proxy) const {
   json::array classes, zones, known;
   // As it had the list last, if it had one.
-  for (const Converter& c : converters_) {
+  for (const Backend& c : backends_) {
     if (proxy.starts > 1 && c.status != "Gone")
       known.push_back(json::object{{"name", c.name},
                                    {"address", c.relayed[static_cast<std::size_t>(proxy.zone)]},
@@ -33,15 +33,15 @@
   }
   constexpr const char* kEffects[] = {"read_like", "idempotency_key", "non_idempotent"};
   constexpr const char* kGroups[] = {"all", "zone", "cell"};
-  for (const lab::ClassModel& c : model_.classes)
+  for (const simulator::ClassModel& c : model_.classes)
     classes.push_back(json::object{{"name", c.name},
                                    {"effect", kEffects[static_cast<int>(c.rules.effect)]},
                                    {"group", kGroups[static_cast<int>(c.rules.group)]},
                                    {"windowMs", c.rules.window.count()},
-                                   {"goalTimeMs", c.rules.aim.count()},
+                                   {"goalTimeMs", c.rules.latency_objective.count()},
                                    {"deadlineMs", c.rules.deadline.count()},
-                                   {"worth", c.rules.worth},
-                                   {"lateWorth", c.rules.late_worth}});
+                                   {"worth", c.rules.priority_weight},
+                                   {"lateWorth", c.rules.late_weight}});
   for (int z = 0; z < model_.zones; ++z) zones.push_back(json::value(ZoneName(z)));
   const auto me = static_cast<int>(&proxy - proxies_.data());
   return json::serialize(json::object{
@@ -66,10 +66,10 @@
                                                  {"connIdleMs", 60000.0},
                                                  {"retryAfter", model_.max_retry_after.count() > 0},
                                                  {"maxRetryAfterMs", model_.max_retry_after.count()}}},
-                    {"rules", json::object{{"coldFrom", model_.converter.cold_from},
-                                           {"warmUpMs", model_.converter.warm_up.count()},
-                                           {"fallMultiple", std::max(1.0, model_.converter.fall_multiple)},
-                                           {"overloadForMs", model_.converter.overload_for.count()},
+                    {"rules", json::object{{"coldFrom", model_.backend.slow_start_floor},
+                                           {"warmUpMs", model_.backend.slow_start_window.count()},
+                                           {"fallMultiple", std::max(1.0, model_.backend.overload_factor)},
+                                           {"overloadForMs", model_.backend.overload_duration.count()},
                                            {"drainGraceMs", model_.drain_grace.count()}}}}}});
 }
 
@@ -110,4 +110,4 @@
   }
 }
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
--- a/tests/together/trial_names.h
+++ b/tests/multiprocess/trial_names.h
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Names that the files of a trial share: of zones, of the processes of their clients, and of etcd's keys.
-#ifndef BADGERBRIDGE_TESTS_TOGETHER_TRIAL_NAMES_H_
-#define BADGERBRIDGE_TESTS_TOGETHER_TRIAL_NAMES_H_
+#ifndef BADGERBRIDGE_TESTS_MULTIPROCESS_TRIAL_NAMES_H_
+#define BADGERBRIDGE_TESTS_MULTIPROCESS_TRIAL_NAMES_H_
 
 #include <string>
 
-namespace badgerbridge::together {
+namespace badgerbridge::multiprocess {
 
 // The prefix of the regions' keys in etcd.
 constexpr const char* kPrefix = "/badgerbridge/regions/";
 
-// The prefix of the converters' keys in etcd, where the proxies follow relays. Below it, one prefix a zone of
-// proxies: each zone reaches a converter at an address of its own.
+// The prefix of the backends' keys in etcd, where the proxies follow relays. Below it, one prefix a zone of
+// proxies: each zone reaches a backend at an address of its own.
 constexpr const char* kMembersPrefix = "/badgerbridge/converters/";
 
 inline std::string ZoneName(int zone) { return "z" + std::to_string(zone); }
@@ -23,6 +23,6 @@
 
 inline std::string ClientsName(int zone) { return "clients-" + std::to_string(zone); }
 
-}  // namespace badgerbridge::together
+}  // namespace badgerbridge::multiprocess
 
-#endif  // BADGERBRIDGE_TESTS_TOGETHER_TRIAL_NAMES_H_
+#endif  // BADGERBRIDGE_TESTS_MULTIPROCESS_TRIAL_NAMES_H_
