--- a/tests/docs/runbook_test.cpp
+++ b/tests/docs/runbook_test.cpp
@@ -31,15 +31,21 @@
     {"NameOfSource(source)", "SOURCE: …"},  // why a source of members is not taken whole: etcd or discovery
     {"std::perror(", "PATH: …"},            // a system call on a file
     {"action.text", ""},                    // a Log action of the decision module or of the table of requests
-    {"Log{std::move(text)}", ""},           // LogLine itself
+    {"Log{std::move(text)}", ""},           // of a function that LogFunctionsIn finds
 };
 
 std::string Page() { return ReadFile(kRoot / "docs/operators/runbook.md"); }
 
 std::vector<Message> AllMessages() {
+  const std::vector<std::string> files = SourcesBelow(kRoot, "src");
+  std::vector<std::string> log_functions;
+  for (const std::string& file : files) {
+    for (std::string& name : LogFunctionsIn(WithoutComments(ReadFile(kRoot / file))))
+      log_functions.push_back(std::move(name));
+  }
   std::vector<Message> all;
-  for (const std::string& file : SourcesBelow(kRoot, "src")) {
-    for (Message& one : MessagesIn(file, WithoutComments(ReadFile(kRoot / file))))
+  for (const std::string& file : files) {
+    for (Message& one : MessagesIn(file, WithoutComments(ReadFile(kRoot / file)), log_functions))
       all.push_back(std::move(one));
   }
   return all;
@@ -190,12 +196,19 @@
 
 TEST(RunbookSourceText, AConditionalThatBeginsAMessageIsTwoMessages) {
   const auto messages =
-      MessagesIn("f.cpp", "LogLine((bad ? \"x: \" : \"y: \") + (c ? \"p\" : \"q\") + \"; z\");");
+      MessagesIn("f.cpp", "Write((bad ? \"x: \" : \"y: \") + (c ? \"p\" : \"q\") + \"; z\");", {"Write"});
   ASSERT_EQ(messages.size(), 2u);
   EXPECT_EQ(messages[0].text, "x: …; z");
   EXPECT_EQ(messages[1].text, "y: …; z");
 }
 
+TEST(RunbookSourceText, AFunctionThatMakesALogActionOfItsTextIsFound) {
+  EXPECT_EQ(LogFunctionsIn("void Write(std::string text) { out_->push_back(Log{std::move(text)}); }"),
+            std::vector<std::string>{"Write"});
+  EXPECT_TRUE(LogFunctionsIn("void Write(std::string text) { other(text); } void F() { Log{std::move(a)}; }")
+                  .empty());
+}
+
 TEST(RunbookSourceText, AnExitCodeOfAHelpTextIsANumberBeforeItsMeaning) {
   EXPECT_EQ(CodesOfHelp("Exit codes: 0 all did it; 1 some; 12 usage."), (std::set<int>{1, 12}));
 }
--- a/tests/docs/source_text.cpp
+++ b/tests/docs/source_text.cpp
@@ -19,14 +19,12 @@
   char end;                 ///< Of the statement, or of the call's arguments.
 };
 
-const std::vector<LogForm>& LogForms() {
-  static const std::vector<LogForm> kForms = [] {
-    std::vector<LogForm> all{
-        {"LogLine(", "+", ')'}, {"Log{", "+", '}'}, {"TellOnce(", "+", ')'}, {"std::perror(", "+", ')'}};
-    for (const std::string& stream : ErrorStreams()) all.push_back({stream, "<<", ';'});
-    return all;
-  }();
-  return kForms;
+/// The forms of every source, and those of the functions that `log_functions` names.
+std::vector<LogForm> LogForms(const std::vector<std::string>& log_functions) {
+  std::vector<LogForm> forms{{"Log{", "+", '}'}, {"TellOnce(", "+", ')'}, {"std::perror(", "+", ')'}};
+  for (const std::string& name : log_functions) forms.push_back({name + "(", "+", ')'});
+  for (const std::string& stream : ErrorStreams()) forms.push_back({stream, "<<", ';'});
+  return forms;
 }
 
 bool IsWord(char c) { return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '_'; }
@@ -163,7 +161,7 @@
   return found == all.end() ? all.back() : *found;
 }
 
-/// `void LogLine(std::string text)` declares, and prints nothing.
+/// `void WriteLog(std::string text)` declares, and prints nothing.
 bool IsDeclaration(std::string_view arguments) {
   return std::regex_search(std::string(arguments), std::regex("^\\s*(const )?std::string(_view)?&? \\w"));
 }
@@ -243,9 +241,19 @@
   return literal;
 }
 
-std::vector<Message> MessagesIn(const std::string& file, std::string_view text) {
+std::vector<std::string> LogFunctionsIn(std::string_view text) {
+  std::vector<std::string> names;
+  const std::string all(text);
+  const std::regex wrapper("\\b(\\w+)\\(std::string \\w+\\)[^;{}]*\\{[^{}]*\\bLog\\{std::move\\(");
+  for (std::sregex_iterator at(all.begin(), all.end(), wrapper), end; at != end; ++at)
+    names.push_back((*at)[1]);
+  return names;
+}
+
+std::vector<Message> MessagesIn(const std::string& file, std::string_view text,
+                                const std::vector<std::string>& log_functions) {
   std::vector<Message> messages;
-  for (const LogForm& form : LogForms()) {
+  for (const LogForm& form : LogForms(log_functions)) {
     for (std::size_t at = text.find(form.opening); at != std::string_view::npos;
          at = text.find(form.opening, at + 1)) {
       for (Message& one : MessagesAt(file, text, at, form)) messages.push_back(std::move(one));
--- a/tests/docs/source_text.h
+++ b/tests/docs/source_text.h
@@ -44,8 +44,14 @@
 /// The literal that begins at `at`; nothing if no string literal begins there.
 std::optional<Literal> LiteralAt(std::string_view text, std::size_t at);
 
-/// The messages of each call form in one source, whose text is without comments.
-std::vector<Message> MessagesIn(const std::string& file, std::string_view text);
+/// Names of functions in one source that take a text and make a Log action of it, as in
+/// `void WriteLog(std::string text) { actions_->push_back(Log{std::move(text)}); }`.
+std::vector<std::string> LogFunctionsIn(std::string_view text);
+
+/// The messages of each call form in one source, whose text is without comments; calls of `log_functions` are
+/// forms, too.
+std::vector<Message> MessagesIn(const std::string& file, std::string_view text,
+                                const std::vector<std::string>& log_functions = {});
 
 /// Names of parameters and members of type std::ostream& in one source.
 std::vector<std::string> StreamNamesIn(std::string_view text);
