--- a/tests/docs/runbook_test.cpp
+++ b/tests/docs/runbook_test.cpp
@@ -5,7 +5,9 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
+#include <cctype>
 #include <map>
+#include <optional>
 #include <regex>
 #include <set>
 #include <string>
@@ -87,23 +89,51 @@
   return numbers;
 }
 
+/// The number that an exit or a return takes, or that the constant of this name has in `text`; nothing for
+/// other names.
+std::optional<int> CodeOf(const std::string& argument, const std::string& text) {
+  if (std::isdigit(static_cast<unsigned char>(argument.front())) != 0) return std::stoi(argument);
+  std::smatch value;
+  const std::regex constant("\\b" + argument + "\\s*(?:=|\\{)\\s*(\\d+)");
+  if (!std::regex_search(text, value, constant)) return std::nullopt;
+  return std::stoi(value[1]);
+}
+
+std::set<int> CodesOfCalls(const std::string& text, const std::regex& call) {
+  std::set<int> codes;
+  for (std::sregex_iterator at(text.begin(), text.end(), call), end; at != end; ++at) {
+    if (const auto code = CodeOf((*at)[1], text)) codes.insert(*code);
+  }
+  codes.erase(0);
+  return codes;
+}
+
+/// The codes with which any source of a program may end its process, or one that it has forked.
+std::set<int> ExitCodesOfSource(const std::string& text) {
+  std::set<int> codes = CodesOfCalls(text, std::regex("\\b(?:_exit|_Exit|exit)\\((\\w+)\\)"));
+  const std::regex enumeration("enum (?:class )?Exit\\w*[^{;]*\\{[^}]*\\}");
+  for (std::sregex_iterator at(text.begin(), text.end(), enumeration), end; at != end; ++at)
+    codes.merge(NumbersOf(at->str(), std::regex("= (\\d+)")));
+  return codes;
+}
+
+/// The codes that main returns, and those that its help text lists.
+std::set<int> ExitCodesOfMain(const std::string& text) {
+  std::set<int> codes = CodesOfCalls(text, std::regex("\\breturn (\\d+|k[A-Z]\\w*);"));
+  const std::size_t help = text.find("\"Exit codes: ");
+  if (help != std::string::npos) codes.merge(CodesOfHelp(LiteralAt(text, help)->text));
+  return codes;
+}
+
 /// The exit codes of the program whose main stands in `folder`, as the runbook writes them.
 std::set<std::string> ExitCodesOf(const std::filesystem::path& folder) {
   std::set<std::string> codes;
-  const auto add = [&codes](const std::set<int>& numbers) {
-    for (const int number : numbers) codes.insert(std::to_string(number));
-  };
   for (const std::string& file : SourcesBelow(folder, "")) {
     const std::string text = WithoutComments(ReadFile(folder / file));
-    add(NumbersOf(text, std::regex("\\b(?:_exit|std::exit)\\((\\d+)\\)")));
-    const std::regex enumeration("enum (?:class )?Exit\\w*[^{;]*\\{[^}]*\\}");
-    for (std::sregex_iterator at(text.begin(), text.end(), enumeration), end; at != end; ++at)
-      add(NumbersOf(at->str(), std::regex("= (\\d+)")));
-    if (file != "main.cpp") continue;
-    add(NumbersOf(text, std::regex("\\breturn (\\d+);")));
+    std::set<int> numbers = ExitCodesOfSource(text);
+    if (file == "main.cpp") numbers.merge(ExitCodesOfMain(text));
+    for (const int number : numbers) codes.insert(std::to_string(number));
     if (text.find("CLI11_PARSE(") != std::string::npos) codes.insert("100 to 127");
-    const std::size_t help = text.find("\"Exit codes: ");
-    if (help != std::string::npos) add(CodesOfHelp(LiteralAt(text, help)->text));
   }
   return codes;
 }
@@ -209,6 +239,13 @@
                   .empty());
 }
 
+TEST(RunbookSourceText, AnExitCodeIsANumberOrAConstantOfTheFile) {
+  EXPECT_EQ(ExitCodesOfSource("constexpr int kNotExecuted = 127; _exit(kNotExecuted); _exit(3); on_exit(4);"),
+            (std::set<int>{3, 127}));
+  EXPECT_EQ(ExitCodesOfMain("constexpr int kBroke = 1, kUsage{2}; return kBroke; return kUsage; return 0;"),
+            (std::set<int>{1, 2}));
+}
+
 TEST(RunbookSourceText, AnExitCodeOfAHelpTextIsANumberBeforeItsMeaning) {
   EXPECT_EQ(CodesOfHelp("Exit codes: 0 all did it; 1 some; 12 usage."), (std::set<int>{1, 12}));
 }
