--- a/src/admin_api/admin_api.cpp
+++ b/src/admin_api/admin_api.cpp
@@ -91,7 +91,7 @@
     }
     return {200, Status()};
   }
-  return http_api::Error(404, "no such call; docs/operators/control.md lists them");
+  return http_api::Error(404, "no such call; docs/operators/admin_api.md lists them");
 }
 
 http_api::Response Control::Drain(const http_api::Request& request) {
