--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -64,7 +64,7 @@
 }
 
 http_api::Response UnknownCall() {
-  return http_api::Error(404, "no such call; docs/operators/fleet.md lists them");
+  return http_api::Error(404, "no such call; docs/operators/agent.md lists them");
 }
 
 http_api::Response UnknownInstance(const std::string& name) {
@@ -115,10 +115,9 @@
       co_return response;
     }
   }
-  if (read && !below("/v1/logs/").empty()) co_return GetLog(below("/v1/logs/"), request);
-  if (write && request.path == "/v1/orders") co_return PostOrder(request, peer);
-  if (write && (request.path == "/v1/apply" || diff)) co_return PostFleet(request, peer, !diff);
-  co_return http_api::Error(404, "no such call; docs/operators/agent.md lists them");
+  if (const std::string name = After(request.path, "/v1/logs/"); !name.empty())
+    co_return GetLog(name, request);
+  co_return UnknownCall();
 }
 
 asio::awaitable<http_api::Response> AgentApi::HandlePost(http_api::Request request, http_api::Peer peer) {
