--- a/tests/fingerprint/follower_fingerprint_test.cpp
+++ b/tests/fingerprint/follower_fingerprint_test.cpp
@@ -34,7 +34,7 @@
 using standins::EtcdStore;
 using Time = Follower::Time;
 
-constexpr std::uint64_t kSeeds = 12;
+constexpr std::uint64_t kSeeds = 16;
 constexpr int kSteps = 4000;
 constexpr int kKeys = 12;
 constexpr char kPrefix[] = "/badgerbridge/converters/";
@@ -55,6 +55,7 @@
         services_(DrawServices()),
         follower_(settings_, random_.Next()),
         feed_(kPrefix, services_, 0),
+        longest_delay_ms_(random_.Chance(0.5) ? 6 : random_.Integer(20, 120)),
         fingerprint_("follower", seed),
         coverage_(coverage) {}
 
@@ -227,7 +228,7 @@
   void Answer(std::function<void()> answer) {
     dead_ |= random_.Chance(0.02);
     if (dead_) return;
-    last_answer_ = std::max(last_answer_, now_ + Time(random_.Integer(0, 6)));
+    last_answer_ = std::max(last_answer_, now_ + Time(random_.Integer(0, longest_delay_ms_)));
     answers_.emplace(last_answer_, std::move(answer));
   }
 
@@ -424,6 +425,7 @@
   bool dead_ = false;                                   // this one gets none any more
   std::vector<Watch> watches_;                          // on this connection
   std::multimap<Time, std::function<void()>> answers_;  // on their way on this connection
+  int longest_delay_ms_;                                // of an answer
   Time last_answer_{0};                                 // when the last of them arrives
   Fingerprint fingerprint_;
   Coverage* coverage_;
--- a/tests/fingerprint/orders_fingerprint_test.cpp
+++ b/tests/fingerprint/orders_fingerprint_test.cpp
@@ -132,8 +132,10 @@
     if (order.verb == agent::Verb::kApply || random_.Chance(0.02)) {
       for (const std::string& name : names) order.definitions[name] = random_.Chance(0.2) ? "" : "new";
     }
-    if (random_.Chance(0.02)) order.deadline = Time(0);
-    if (random_.Chance(0.02)) order.id = std::string(agent::kMostId + 1, 'x');
+    // At the bounds, and beyond them.
+    if (random_.Chance(0.04))
+      order.deadline = random_.Chance(0.5) ? Time(0) : Time(3600000 + random_.Integer(0, 1));
+    if (random_.Chance(0.02)) order.id.insert(0, 64 - order.id.size() + random_.Index(2), 'x');
     const agent::Verdict verdict = fleet_.Submit(now_, 1700000000000 + now_.count(), order, &actions_);
     ++coverage_->verdicts[static_cast<std::size_t>(verdict.kind)];
     fingerprint_.digest().Add(verdict.kind, !verdict.text.empty(), verdict.order);
--- a/tests/fingerprint/zone_failover_fingerprint_test.cpp
+++ b/tests/fingerprint/zone_failover_fingerprint_test.cpp
@@ -30,7 +30,7 @@
 using zone_failover::Decision;
 using zone_failover::Member;
 
-constexpr std::uint64_t kSeeds = 16;
+constexpr std::uint64_t kSeeds = 24;
 constexpr int kSteps = 5000;
 constexpr double kStepMs = 10;
 constexpr double kWorkIntervalMs = 50;
@@ -97,6 +97,7 @@
   struct Zone {
     double capacity = 1;  ///< Work a ms; 0: it fails what it is sent.
     double slow = 1;      ///< Times that its answers take longer than usual.
+    double failing = 0;   ///< Share of its answers.
     bool silent = false;  ///< It never answers.
     double load = 0;      ///< Since the last measurement.
     std::optional<double> used = 0.4;
@@ -201,15 +202,17 @@
   }
 
   void DisturbZone(Zone* zone) {
-    const bool well = zone->capacity > 0 && zone->slow == 1 && !zone->silent;
+    const bool well = zone->capacity > 0 && zone->slow == 1 && zone->failing == 0 && !zone->silent;
     zone->capacity = random_.Between(2, 8);
     zone->slow = 1;
+    zone->failing = 0;
     zone->silent = false;
     if (!well) return;
-    const int fault = random_.Integer(0, 2);
+    const int fault = random_.Integer(0, 3);
     if (fault == 0) zone->capacity = 0;
     if (fault == 1) zone->slow = random_.Between(2, 12);
     if (fault == 2) zone->silent = true;
+    if (fault == 3) zone->failing = random_.Between(0.2, 0.9);
   }
 
   void MeasureLoad() {
@@ -279,6 +282,7 @@
     if (zone.silent) return;
     zone_failover::Meter::End end =
         zone.capacity > 0 ? zone_failover::Meter::End::kServed : zone_failover::Meter::End::kFailed;
+    if (random_.Chance(zone.failing)) end = zone_failover::Meter::End::kFailed;
     if (random_.Chance(0.02)) end = zone_failover::Meter::End::kFull;
     if (random_.Chance(0.02)) end = zone_failover::Meter::End::kNothing;
     const Duration took(zone.slow * random_.Between(15, 30));
