--- a/src/proxy_main/zone_failover_source.cpp
+++ b/src/proxy_main/zone_failover_source.cpp
@@ -88,7 +88,7 @@
       member_(SettingsOf(config, settings), config.seed ^ 0x7265676fu),
       timer_(io) {
   if (together_) {
-    etcd::ClientSettings client = membership::ClientSettingsOf(settings);
+    etcd::ClientSettings client = membership::MakeEtcdClientSettings(settings).value();
     // A member of etcd that does not answer must leave time for the next.
     client.call_timeout = std::max(milliseconds(150), call_timeout_ / 2);
     client_.emplace(io, std::move(client), config.seed);
@@ -150,7 +150,7 @@
   member_.AttemptEnded(now, out.number,
                        {.request_class = out.request_class,
                         .outcome = AttemptOutcomeOf(outcome),
-                        .latency = now - send.at,
+                        .latency = now - send.sent_at,
                         .work = out.work,
                         .utilization = UtilIn(load)});
 }
