--- a/tests/fingerprint/orders_fingerprint_test.cpp
+++ b/tests/fingerprint/orders_fingerprint_test.cpp
@@ -16,7 +16,7 @@
 #include <variant>
 #include <vector>
 
-#include "agent/orders.h"
+#include "agent/fleet_controller.h"
 #include "fingerprint/fingerprint.h"
 #include "fingerprint/json_digest.h"
 #include "fingerprint/random.h"
@@ -34,13 +34,13 @@
 constexpr int kVerbs = 7;
 constexpr int kVerdicts = 6;
 constexpr int kResults = 6;
-constexpr int kStates = 10;  ///< That Fleet::StateOf has a word for.
+constexpr int kStates = 10;  ///< That InstanceStateName has a word for.
 
 /// How often the runs met what they must meet, summed over the seeds.
 struct Coverage {
   std::uint64_t spawns = 0, drains = 0, undrains = 0, terminations = 0, kills = 0, reloads = 0, restarts = 0;
   std::array<std::uint64_t, kVerdicts> verdicts{};
-  std::array<std::uint64_t, kResults> results{};  // of parts, at the regular looks
+  std::array<std::uint64_t, kResults> results{};  // of tasks, at the regular looks
   std::set<std::string> states;
 };
 
@@ -49,12 +49,12 @@
  public:
   SimulatedAgent(std::uint64_t seed, Coverage* coverage)
       : random_(seed),
-        fleet_(random_.Next(), DrawSupervision()),
+        fleet_(random_.Next(), DrawRestartPolicy()),
         fingerprint_("orders", seed),
         coverage_(coverage) {
     for (int instance = 0; instance < kInstances; ++instance)
-      fleet_.Add("n" + std::to_string(instance), "old", random_.Chance(0.3));
-    stored_ = fleet_.Everything();
+      fleet_.AddInstance("n" + std::to_string(instance), "old", random_.Chance(0.3));
+    stored_ = fleet_.AllRecords();
   }
 
   void Execute() {
@@ -78,13 +78,13 @@
     std::uint64_t reloads_applied = 0, reloads_refused = 0;
   };
 
-  agent::Supervision DrawSupervision() {
-    agent::Supervision supervision;
-    supervision.first_backoff = Time(random_.Integer(50, 400));
-    supervision.most_backoff = Time(random_.Integer(1000, 10000));
-    supervision.short_life = Time(random_.Integer(500, 10000));
-    supervision.most_deaths = random_.Integer(2, 6);
-    return supervision;
+  agent::RestartPolicy DrawRestartPolicy() {
+    agent::RestartPolicy policy;
+    policy.initial_backoff = Time(random_.Integer(50, 400));
+    policy.max_backoff = Time(random_.Integer(1000, 10000));
+    policy.min_uptime = Time(random_.Integer(500, 10000));
+    policy.max_consecutive_crashes = random_.Integer(2, 6);
+    return policy;
   }
   /// Also names of instances that there may not be.
   std::string DrawName() { return "n" + std::to_string(random_.Integer(0, kInstances + 1)); }
@@ -122,21 +122,23 @@
     for (int count = random_.Integer(random_.Chance(0.05) ? 0 : 1, 4); count > 0; --count)
       names.insert(DrawName());
     order.instances.assign(names.begin(), names.end());
-    order.who = "w" + std::to_string(random_.Integer(0, 1));
+    order.author = "w" + std::to_string(random_.Integer(0, 1));
     order.supersede = random_.Chance(0.3);
     order.deadline = Time(random_.Integer(200, 6000));
     if (random_.Chance(0.3)) order.force_after = Time(random_.Integer(0, 4000));
-    order.at_most = static_cast<unsigned>(random_.Integer(0, 2));
+    order.max_parallel = static_cast<unsigned>(random_.Integer(0, 2));
     const auto back = static_cast<std::uint64_t>(random_.Integer(0, 2));
-    if (random_.Chance(0.2)) order.against = fleet_.generation() - std::min(fleet_.generation(), back);
+    if (random_.Chance(0.2))
+      order.expected_generation = fleet_.generation() - std::min(fleet_.generation(), back);
     if (order.verb == agent::Verb::kApply || random_.Chance(0.02)) {
       for (const std::string& name : names) order.definitions[name] = random_.Chance(0.2) ? "" : "new";
     }
     if (random_.Chance(0.02)) order.deadline = Time(0);
-    if (random_.Chance(0.02)) order.id = std::string(agent::kMostId + 1, 'x');
-    const agent::Verdict verdict = fleet_.Submit(now_, 1700000000000 + now_.count(), order, &actions_);
-    ++coverage_->verdicts[static_cast<std::size_t>(verdict.kind)];
-    fingerprint_.digest().Add(verdict.kind, !verdict.text.empty(), verdict.order);
+    if (random_.Chance(0.02)) order.id = std::string(agent::kMaxOrderIdLength + 1, 'x');
+    const agent::ValidationResult verdict =
+        fleet_.Submit(now_, 1700000000000 + now_.count(), order, &actions_);
+    ++coverage_->verdicts[static_cast<std::size_t>(verdict.code)];
+    fingerprint_.digest().Add(verdict.code, !verdict.message.empty(), verdict.conflicting_order);
   }
 
   void AnswerSomething() {
@@ -145,7 +147,7 @@
     const std::string name = DrawName();
     Process& process = processes_[name];
     if (process.pid == 0) return;
-    if (hung_.count(name)) return Handle(agent::Silent{name, "no answer"});
+    if (hung_.count(name)) return Handle(agent::Unresponsive{name, "no answer"});
     if (process.terminating && random_.Chance(0.7)) return EndProcess(name, "exited with 0");
     Observe(name, process);
   }
@@ -153,9 +155,9 @@
   void EndSpawn() {
     const std::string name = *spawning_.begin();
     spawning_.erase(spawning_.begin());
-    if (random_.Chance(0.2)) return Handle(agent::Spawned{name, 0, "cannot be started"});
+    if (random_.Chance(0.2)) return Handle(agent::SpawnFailed{name, "cannot be started"});
     processes_[name] = Process{.pid = ++last_pid_, .refuses_reload = random_.Chance(0.3)};
-    Handle(agent::Spawned{name, last_pid_, ""});
+    Handle(agent::Spawned{name, last_pid_});
   }
 
   void EndCall() {
@@ -164,7 +166,8 @@
     Process& process = processes_[name];
     const bool answered = process.pid != 0 && !hung_.count(name);
     if (answered) process.drained = drain;
-    Handle(agent::CallEnded{name, answered ? "" : "no answer"});
+    if (answered) return Handle(agent::CallSucceeded{name});
+    Handle(agent::CallFailed{name, "no answer"});
   }
 
   void Observe(const std::string& name, const Process& process) {
@@ -176,9 +179,9 @@
     } else {
       seen.state = random_.Chance(0.8) ? "ready" : "starting";
     }
-    seen.open = static_cast<std::uint64_t>(random_.Integer(0, 3));
+    seen.open_requests = static_cast<std::uint64_t>(random_.Integer(0, 3));
     seen.reloads_applied = process.reloads_applied;
-    seen.reloads_refused = process.reloads_refused;
+    seen.reloads_rejected = process.reloads_refused;
     if (process.reloads_refused > 0) seen.reload_error = "bad file";
     Handle(agent::Observed{name, seen, now_ - Time(random_.Chance(0.2) ? 300 : 0)});
   }
@@ -197,8 +200,8 @@
   void RestartAgent() {
     ++coverage_->restarts;
     const bool same_boot = random_.Chance(0.8);
-    agent::Fleet fresh(random_.Next());
-    for (const std::string& record : stored_) fresh.Restore(record);
+    agent::FleetController fresh(random_.Next());
+    for (const std::string& record : stored_) EXPECT_TRUE(fresh.RestoreRecord(record).has_value());
     calls_.clear();
     for (const std::string& name : spawning_) {  // a start that was under way may have come to be
       if (random_.Chance(0.5)) processes_[name] = Process{.pid = ++last_pid_};
@@ -209,7 +212,7 @@
     for (const auto& [name, process] : processes_) {
       if (process.pid != 0) running[name] = process.pid;
     }
-    fresh.Restored(now_, same_boot, running);
+    fresh.FinishRestore(now_, same_boot, running);
     fleet_ = std::move(fresh);
     Handle(agent::Tick{});
   }
@@ -223,7 +226,7 @@
       AddJson(boost::json::parse(record), {"text", "last_end", "gave_up"}, &fingerprint_.digest());
       stored_.push_back(std::move(record));
     }
-    if (stored_.size() > 300) stored_ = fleet_.Everything();
+    if (stored_.size() > 300) stored_ = fleet_.AllRecords();
     const std::vector<agent::Action> actions = std::exchange(actions_, {});
     fingerprint_.digest().Add(actions.size());
     for (const agent::Action& action : actions) std::visit([this](const auto& act) { Perform(act); }, action);
@@ -262,27 +265,29 @@
     Digest& digest = fingerprint_.digest();
     digest.Add(fleet_.generation(), fleet_.instances().size(), fleet_.orders().size());
     for (const auto& [name, instance] : fleet_.instances()) {
-      const std::string_view state = agent::Fleet::StateOf(instance);
+      const std::string_view state = agent::InstanceStateName(instance);
       coverage_->states.insert(std::string(state));
-      digest.Add(name, state, fleet_.Eager(name), instance.wanted, instance.wanted_drained, instance.pid);
-      digest.Add(instance.spawn_after, instance.call_after, instance.deaths, !instance.gave_up.empty());
+      digest.Add(name, state, fleet_.NeedsFrequentPolling(name), instance.desired_running,
+                 instance.desired_drained, instance.pid);
+      digest.Add(instance.start_not_before, instance.call_not_before, instance.consecutive_crashes,
+                 !instance.crash_loop_reason.empty());
     }
     for (const OrderState& order : fleet_.orders()) {
       if (order.ended) continue;
       digest.Add(order.order.id, order.generation, order.superseded_by, order.halted);
-      for (const agent::Part& part : order.parts) {
-        ++coverage_->results[static_cast<std::size_t>(part.result)];
-        digest.Add(part.instance, part.at, part.result, part.issued, part.forced);
-        digest.Add(part.step_began, part.retry_at, !part.last_try.empty(),
-                   !fleet_.Doing(order, part).empty());
+      for (const agent::InstanceTask& task : order.tasks) {
+        ++coverage_->results[static_cast<std::size_t>(task.state)];
+        digest.Add(task.instance, task.step_index, task.state, task.action_sent, task.killed);
+        digest.Add(task.step_started_at, task.retry_at, !task.last_call_error.empty(),
+                   !fleet_.DescribeStep(order, task).empty());
       }
     }
-    const auto wake = fleet_.NextWake(now_);
+    const auto wake = fleet_.NextWakeup(now_);
     digest.Add(wake.has_value(), wake.value_or(Time(0)));
   }
 
   Random random_;
-  agent::Fleet fleet_;
+  agent::FleetController fleet_;
   Fingerprint fingerprint_;
   Coverage* coverage_;
   Time now_{1000000};
