--- a/tests/compatibility/agent_compatibility_test.cpp
+++ b/tests/compatibility/agent_compatibility_test.cpp
@@ -9,6 +9,7 @@
 
 #include "agent/audit_log.h"
 #include "agent/fleet_controller.h"
+#include "agent/instance.h"
 #include "agent/instance_definition.h"
 #include "agent/order_codec.h"
 #include "agent/store.h"
@@ -142,6 +143,31 @@
   EXPECT_TRUE(MatchesGoldenFile("agent/superseded_order_records.jsonl", JoinLines(fleet.TakeChanges())));
 }
 
+/// The word for an instance whose process runs, and that said this of itself.
+std::string WordWhenObserved(const std::string& state, const std::string& unresponsive_reason = "") {
+  agent::Instance instance;
+  instance.pid = 100;
+  instance.observation = agent::Observation{};
+  instance.observation->state = state;
+  instance.unresponsive_reason = unresponsive_reason;
+  return std::string(agent::InstanceStateName(instance));
+}
+
+TEST(AgentWordsCompatibility, EachStateOfAnInstanceHasItsWord) {
+  agent::Instance instance;
+  std::vector<std::string> words{std::string(agent::InstanceStateName(instance))};
+  instance.desired_running = true;
+  words.emplace_back(agent::InstanceStateName(instance));
+  instance.crash_loop_reason = "it died too often";
+  words.emplace_back(agent::InstanceStateName(instance));
+  instance.start_in_flight = true;
+  words.emplace_back(agent::InstanceStateName(instance));
+  for (const char* state : {"starting", "ready", "draining", "drained", "stopping"})
+    words.push_back(WordWhenObserved(state));
+  words.push_back(WordWhenObserved("ready", "time out"));
+  EXPECT_TRUE(MatchesGoldenFile("agent/instance_states.txt", JoinLines(words)));
+}
+
 TEST(AgentDefinitionCompatibility, DefinitionReadAndWrittenBackIsTheSameBytes) {
   for (const std::string& line : GoldenLines("agent/definitions.jsonl"))
     EXPECT_EQ(agent::SerializeDefinition(agent::ParseDefinition(line).value()), line);
