--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -77,7 +77,8 @@
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions) {
     AdvanceTime(now);
     actions_ = actions;
-    std::visit([this](const auto& e) { On(e); }, event);  // first: a list may forbid what is due
+    std::visit([this](const auto& received) { On(received); },
+               event);  // first: a list may forbid what is due
     ReturnEjectedBackends();
     EndOutlierInterval();
     SampleRates();
