--- a/tests/fingerprint/zone_failover_fingerprint_test.cpp
+++ b/tests/fingerprint/zone_failover_fingerprint_test.cpp
@@ -99,7 +99,9 @@
     double slow = 1;      ///< Times that its answers take longer than usual.
     double failing = 0;   ///< Share of its answers.
     bool silent = false;  ///< It never answers.
-    double load = 0;      ///< Since the last measurement.
+    double warm = 10;     ///< Backends that are warm; cold ones count by their share.
+    bool tells_used = true;
+    double load = 0;  ///< Since the last measurement.
     std::optional<double> used = 0.4;
   };
   struct SimulatedMember {
@@ -186,10 +188,9 @@
       backup_ = etcd_;
     } else if (draw < 0.0203) {
       etcd_.Put("members/liar", random_.Chance(0.5) ? "{\"v\":1,\"zone\":NaN}" : std::string(9000, 'x'));
-    } else if (draw < 0.022) {
-      std::vector<double> warm(zones_.size());
-      for (double& share : warm) share = random_.Between(2, 12);
-      if (!member.dead) member.member->Listed(std::move(warm));
+    } else if (draw < 0.024) {
+      zones_[number].warm = random_.Chance(0.4) ? 10 : random_.Unit() * random_.Unit() * 10;
+      zones_[number].tells_used = random_.Chance(0.5);
     }
   }
 
@@ -210,7 +211,7 @@
     if (!well) return;
     const int fault = random_.Integer(0, 3);
     if (fault == 0) zone->capacity = 0;
-    if (fault == 1) zone->slow = random_.Between(2, 12);
+    if (fault == 1) zone->slow = random_.Chance(0.2) ? random_.Between(25, 45) : random_.Between(2, 20);
     if (fault == 2) zone->silent = true;
     if (fault == 3) zone->failing = random_.Between(0.2, 0.9);
   }
@@ -218,9 +219,14 @@
   void MeasureLoad() {
     for (Zone& zone : zones_) {
       if (zone.capacity > 0) zone.used = std::min(1.0, zone.load / kLoadIntervalMs / zone.capacity);
-      if (random_.Chance(0.1)) zone.used.reset();
+      if (!zone.tells_used || random_.Chance(0.1)) zone.used.reset();
       zone.load = 0;
     }
+    std::vector<double> warm;
+    for (const Zone& zone : zones_) warm.push_back(zone.warm);
+    for (SimulatedMember& member : members_) {
+      if (!member.dead && random_.Chance(0.8)) member.member->Listed(warm);  // others hear of it later
+    }
   }
 
   void StepMember(int step, SimulatedMember* member) {
