--- a/bench/slopes_watch_cache.cpp
+++ b/bench/slopes_watch_cache.cpp
@@ -8,17 +8,17 @@
 
 #include "allocations.h"
 #include "etcd/key_range.h"
-#include "membership/value.h"
+#include "membership/member_codec.h"
 #include "slopes.h"
 #include "slopes_names.h"
-#include "watch_cache/relay.h"
+#include "watch_cache/watch_cache.h"
 
 namespace badgerbridge::bench {
 namespace {
 
 namespace pb = etcdserverpb;
-using watch_cache::Relay;
 using watch_cache::Time;
+using watch_cache::WatchCache;
 
 constexpr int kKeySizes[] = {1000, 3000, 10000, 30000, kBackends};
 constexpr int kSubscriberSizes[] = {100, 300, 1000, kProxies, 10000};
@@ -38,12 +38,12 @@
   return settings;
 }
 
-pb::KeyValue KeyValueOf(int index, std::int64_t revision, membership::State state) {
+pb::KeyValue KeyValueOf(int index, std::int64_t revision, membership::MemberState state) {
   membership::Member member = BackendMember(index);
   member.state = state;
   pb::KeyValue kv;
   kv.set_key(kPrefix + member.name);
-  kv.set_value(ValueOf(member));
+  kv.set_value(SerializeMember(member));
   kv.set_create_revision(kFirstRevision);
   kv.set_mod_revision(revision);
   kv.set_version(1 + revision - kFirstRevision);
@@ -53,7 +53,8 @@
 
 std::vector<pb::KeyValue> StateOf(int keys) {
   std::vector<pb::KeyValue> kvs;
-  for (int i = 0; i < keys; ++i) kvs.push_back(KeyValueOf(i, kFirstRevision, membership::State::kReady));
+  for (int i = 0; i < keys; ++i)
+    kvs.push_back(KeyValueOf(i, kFirstRevision, membership::MemberState::kReady));
   return kvs;
 }
 
@@ -84,7 +85,7 @@
   double PutMs(int first, int count) {
     std::vector<pb::Event> events;
     for (int i = first; i < first + count; ++i)
-      *events.emplace_back().mutable_kv() = KeyValueOf(i, ++revision_, membership::State::kDraining);
+      *events.emplace_back().mutable_kv() = KeyValueOf(i, ++revision_, membership::MemberState::kDraining);
     const double before = ThreadCpuMs();
     relay_.UpstreamEvents(Time(3), revision_, std::move(events), &actions_);
     const double took = ThreadCpuMs() - before;
@@ -102,10 +103,10 @@
     const double before = ThreadCpuMs();
     for (watch_cache::SubscriberId subscriber = 1; subscriber <= subscribers_; ++subscriber) {
       for (;;) {
-        pb::WatchResponse response;
-        if (!relay_.Take(Time(4), subscriber, kMostMessageBytes, &response)) break;
-        delivered.bytes += static_cast<double>(response.SerializeAsString().size());
-        delivered.events += response.events_size();
+        const auto response = relay_.NextMessage(Time(4), subscriber, kMostMessageBytes);
+        if (!response) break;
+        delivered.bytes += static_cast<double>(response->SerializeAsString().size());
+        delivered.events += response->events_size();
       }
     }
     delivered.cpu_ms = ThreadCpuMs() - before;
@@ -126,8 +127,8 @@
       actions_.clear();
       relay_.Read(Time(5), ++reads_, request, &actions_);
       more = false;
-      for (const Relay::Action& action : actions_) {
-        const auto* answer = std::get_if<Relay::AnswerRead>(&action);
+      for (const WatchCache::Action& action : actions_) {
+        const auto* answer = std::get_if<WatchCache::AnswerRead>(&action);
         if (!answer || !answer->status.ok() || answer->response.kvs_size() == 0) continue;
         listed.bytes += static_cast<double>(answer->response.SerializeAsString().size());
         listed.events += answer->response.kvs_size();
@@ -140,12 +141,12 @@
     return listed;
   }
 
-  Relay::Status status() const { return relay_.status(); }
+  WatchCache::Status status() const { return relay_.status(); }
   double load_ms = 0, moved_bytes = 0;
 
  private:
-  Relay relay_;
-  Relay::Actions actions_;
+  WatchCache relay_;
+  WatchCache::Actions actions_;
   std::int64_t revision_ = kFirstRevision;
   watch_cache::SubscriberId subscribers_ = 0;
   watch_cache::ReadId reads_ = 0;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -26,7 +26,7 @@
 
 namespace badgerbridge::proxy {
 
-using request_table::Tally;
+using request_table::RequestCounters;
 
 // Looks on at what goes where (src/zone_failover); it changes nothing.
 class TrafficWatcher {
@@ -66,7 +66,7 @@
   void SetListComplete(bool complete) { list_complete_ = complete; }
   bool CanServe() const { return list_complete_ && backends_.AnyReady(); }
   std::size_t open() const { return table_.open(); }
-  const std::vector<Tally>& tallies() const { return table_.tallies(); }  // by class
+  const std::vector<RequestCounters>& counters() const { return table_.counters(); }  // by class
   TimePoint list_at() const { return list_at_; }  // when discovery last told something
   std::vector<BackendView> Inspect() const { return table_.Inspect(); }
 
@@ -94,7 +94,7 @@
   void Perform(const request_table::Send& action);
   void Perform(const request_table::Cancel& action);
   void Perform(const request_table::Withdraw& action);
-  void Perform(const request_table::Answer& action);
+  void Perform(const request_table::Respond& action);
   void Perform(const balancer::Subscribe& action);
   void Perform(const balancer::Log& action);
   void OnAttemptEnd(const request_table::Send& attempt, AttemptResult result);
@@ -102,7 +102,7 @@
 
   const ProxyClock& clock_;
   Backends& backends_;
-  request_table::Exchange table_;
+  request_table::RequestTable table_;
   std::function<void()> subscribe_;
   TrafficWatcher* watcher_ = nullptr;
   std::unordered_map<RequestId, Entry> entries_;  // of those that are open
@@ -110,7 +110,7 @@
   Attempts out_;
   bool ends_untold_ = false;
   TimePoint list_at_{};
-  request_table::Exchange::Actions actions_;  // said by the table, and not begun yet
+  request_table::RequestTable::Actions actions_;  // said by the table, and not begun yet
   bool performing_ = false;
   bool list_complete_ = true;
   net::OneShotTimer timer_;
--- a/tests/compatibility/operator_config_compatibility_test.cpp
+++ b/tests/compatibility/operator_config_compatibility_test.cpp
@@ -110,12 +110,12 @@
   dump->Add("socket", agent.socket);
   dump->Add("allow_uids", agent.allow_uids);
   dump->Add("max_connections", agent.max_connections);
-  dump->Add("poll", agent.poll);
-  dump->Add("log_kib * 1024", agent.log_bytes);
-  dump->Add("first_backoff", agent.first_backoff);
-  dump->Add("most_backoff", agent.most_backoff);
-  dump->Add("short_life", agent.short_life);
-  dump->Add("most_deaths", agent.most_deaths);
+  dump->Add("poll", agent.poll_interval);
+  dump->Add("log_kib * 1024", agent.max_log_bytes);
+  dump->Add("first_backoff", agent.initial_backoff);
+  dump->Add("most_backoff", agent.max_backoff);
+  dump->Add("short_life", agent.min_uptime);
+  dump->Add("most_deaths", agent.max_consecutive_crashes);
   if (!agent.tls) return;
   dump->BeginTable("agent.tls");
   dump->Add("listen", agent.tls->listen);
@@ -126,7 +126,7 @@
     dump->Add("roles." + name, std::string(http_api::Name(role)));
 }
 
-void AddInstance(const agent::Definition& instance, KeyValueDump* dump) {
+void AddInstance(const agent::InstanceDefinition& instance, KeyValueDump* dump) {
   dump->BeginTable("instance");
   dump->Add("name", instance.name);
   dump->Add("command", instance.command);
@@ -135,8 +135,8 @@
   dump->Add("operator_file's control.socket", instance.control_socket);
   dump->Add("working_directory", instance.working_directory);
   dump->Add("labels", instance.labels);
-  dump->Add("limits.descriptors", instance.descriptors);
-  dump->Add("limits.address_space_mb", instance.address_space_mb);
+  dump->Add("limits.descriptors", instance.max_descriptors);
+  dump->Add("limits.address_space_mb", instance.max_address_space_mb);
 }
 
 /// Reads a fleet file whose instance's operator file is at `operator_path`.
@@ -145,10 +145,10 @@
   constexpr std::string_view kPlaceholder = "@OPERATOR_FILE@";
   text.replace(text.find(kPlaceholder), kPlaceholder.size(), operator_path);
   operator_config::Problems problems;
-  const agent::FleetFile file = agent::ParseFleet(text, name, problems);
+  const agent::FleetFile file = agent::ParseFleetFile(text, name, problems);
   KeyValueDump dump;
   AddAgent(file.agent, &dump);
-  for (const agent::Definition& instance : file.instances) {
+  for (const agent::InstanceDefinition& instance : file.instances) {
     EXPECT_EQ(instance.operator_file, operator_path);
     AddInstance(instance, &dump);
   }
--- a/tests/compatibility/watch_cache_compatibility_test.cpp
+++ b/tests/compatibility/watch_cache_compatibility_test.cpp
@@ -31,7 +31,7 @@
   dump->BeginTable("readers");
   AddTls(settings.server.tls, "client_authority", dump);
   dump->Add("connections", settings.server.connections);
-  dump->Add("watches_per_connection", settings.watches_per_connection);
+  dump->Add("watches_per_connection", settings.max_watches_per_connection);
   dump->Add("ping_every", settings.server.ping_every);
   dump->Add("ping_timeout", settings.server.ping_timeout);
   dump->Add("idle_timeout", settings.server.idle_timeout);
@@ -40,10 +40,10 @@
 
 void AddBounds(const watch_cache::Settings& bounds, KeyValueDump* dump) {
   dump->BeginTable("bounds");
-  dump->Add("window_bytes", bounds.window_bytes);
-  dump->Add("window_events", bounds.window_events);
-  dump->Add("backlog_bytes", bounds.backlog_bytes);
-  dump->Add("merged_events", bounds.merged_events);
+  dump->Add("window_bytes", bounds.max_window_bytes);
+  dump->Add("window_events", bounds.max_window_events);
+  dump->Add("backlog_bytes", bounds.max_backlog_bytes);
+  dump->Add("merged_events", bounds.max_merged_events);
   dump->Add("watches", bounds.max_subscribers);
   dump->Add("waiting_reads", bounds.max_waiting_reads);
   dump->Add("read_timeout", bounds.read_timeout);
@@ -54,11 +54,11 @@
 
 std::string DumpOf(const watch_cache::ServiceSettings& settings) {
   KeyValueDump dump;
-  dump.Add("drain_period", settings.relay.drain_period);
-  dump.Add("upstream_grace", settings.relay.upstream_grace);
+  dump.Add("drain_period", settings.cache.drain_period);
+  dump.Add("upstream_grace", settings.cache.upstream_grace);
   AddUpstream(settings.upstream, &dump);
   AddReaders(settings, &dump);
-  AddBounds(settings.relay, &dump);
+  AddBounds(settings.cache, &dump);
   return dump.text();
 }
 
@@ -69,10 +69,8 @@
   const std::size_t placeholder = text.find(kPlaceholder);
   if (placeholder != std::string::npos)
     text.replace(placeholder, kPlaceholder.size(), GoldenPath("watch_cache/password"));
-  operator_config::Problems problems;
-  watch_cache::ServiceSettings settings;
-  watch_cache::ApplyFile(text, "relay.toml", &settings, problems);
-  return DumpOf(settings) + operator_config::Lines(problems);
+  const watch_cache::RelayFile file = watch_cache::ParseRelayFile(text, "relay.toml");
+  return DumpOf(file.settings) + operator_config::Lines(file.problems);
 }
 
 TEST(WatchCacheFileCompatibility, FileWithEveryKeyIsReadAsBefore) {
--- a/tests/fingerprint/watch_cache_fingerprint_test.cpp
+++ b/tests/fingerprint/watch_cache_fingerprint_test.cpp
@@ -18,7 +18,7 @@
 #include "fingerprint/fingerprint.h"
 #include "fingerprint/random.h"
 #include "standins/etcd_store.h"
-#include "watch_cache/relay.h"
+#include "watch_cache/watch_cache.h"
 
 namespace badgerbridge::fingerprint {
 namespace {
@@ -29,9 +29,9 @@
 using etcd::Status;
 using standins::EtcdStore;
 using watch_cache::ReadId;
-using watch_cache::Relay;
 using watch_cache::SubscriberId;
 using watch_cache::Time;
+using watch_cache::WatchCache;
 
 constexpr std::uint64_t kSeeds = 20;
 constexpr int kSteps = 4000;
@@ -79,10 +79,10 @@
     watch_cache::Settings settings;
     settings.prefix = kPrefix;
     settings.member_id = 7;
-    settings.window_events = static_cast<std::size_t>(random_.Integer(20, 100));
-    settings.window_bytes = static_cast<std::size_t>(random_.Integer(3000, 30000));
-    settings.backlog_bytes = static_cast<std::size_t>(random_.Integer(300, 2000));
-    settings.merged_events = static_cast<std::size_t>(random_.Integer(5, 30));
+    settings.max_window_events = static_cast<std::size_t>(random_.Integer(20, 100));
+    settings.max_window_bytes = static_cast<std::size_t>(random_.Integer(3000, 30000));
+    settings.max_backlog_bytes = static_cast<std::size_t>(random_.Integer(300, 2000));
+    settings.max_merged_events = static_cast<std::size_t>(random_.Integer(5, 30));
     settings.max_subscribers = static_cast<std::size_t>(random_.Integer(6, 30));
     settings.max_waiting_reads = static_cast<std::size_t>(random_.Integer(3, 20));
     settings.read_timeout = Time(random_.Integer(100, 800));
@@ -289,14 +289,14 @@
   }
 
   void TakeMessage(SubscriberId subscriber) {
-    pb::WatchResponse response;
     const auto most = static_cast<std::size_t>(random_.Integer(60, 600));
-    const bool given = cache_.Take(now_, subscriber, most, &response);
-    fingerprint_.digest().Add(subscriber, given);
-    if (!given) {
+    std::optional<pb::WatchResponse> message = cache_.NextMessage(now_, subscriber, most);
+    fingerprint_.digest().Add(subscriber, message.has_value());
+    if (!message) {
       awake_.erase(subscriber);
       return;
     }
+    pb::WatchResponse& response = *message;
     fingerprint_.digest().Add(!response.cancel_reason().empty());
     response.clear_cancel_reason();  // a message for people
     fingerprint_.digest().Add(response.SerializeAsString());
@@ -310,26 +310,27 @@
   // ---- what the cache does; the first number that each adds stands for the kind of action ----
 
   void EndStep() {
-    Relay::Actions actions = std::exchange(actions_, {});
+    WatchCache::Actions actions = std::exchange(actions_, {});
     fingerprint_.digest().Add(actions.size());
     SortWakes(&actions);
-    for (const Relay::Action& action : actions) std::visit([this](const auto& act) { Perform(act); }, action);
+    for (const WatchCache::Action& action : actions)
+      std::visit([this](const auto& act) { Perform(act); }, action);
     const auto wake = cache_.NextWake();
     fingerprint_.digest().Add(wake.has_value(), wake.value_or(Time(0)));
   }
 
   /// Subscribers that are woken one right after the other come in no particular order (that of a hash table).
-  static void SortWakes(Relay::Actions* actions) {
-    const auto is_wake = [](const Relay::Action& action) {
-      return std::holds_alternative<Relay::WakeSubscriber>(action);
+  static void SortWakes(WatchCache::Actions* actions) {
+    const auto is_wake = [](const WatchCache::Action& action) {
+      return std::holds_alternative<WatchCache::WakeSubscriber>(action);
     };
     auto begin = actions->begin();
     while (begin != actions->end()) {
       begin = std::find_if(begin, actions->end(), is_wake);
       const auto end = std::find_if_not(begin, actions->end(), is_wake);
-      std::sort(begin, end, [](const Relay::Action& left, const Relay::Action& right) {
-        return std::get<Relay::WakeSubscriber>(left).subscriber <
-               std::get<Relay::WakeSubscriber>(right).subscriber;
+      std::sort(begin, end, [](const WatchCache::Action& left, const WatchCache::Action& right) {
+        return std::get<WatchCache::WakeSubscriber>(left).subscriber <
+               std::get<WatchCache::WakeSubscriber>(right).subscriber;
       });
       begin = end;
     }
@@ -339,67 +340,67 @@
     fingerprint_.digest().Add(status.code, status.ending, !status.message.empty());
   }
 
-  void Perform(const Relay::AnswerRead& action) {
+  void Perform(const WatchCache::AnswerRead& action) {
     fingerprint_.digest().Add(1, action.read);
     AddStatusCode(action.status);
     ++(action.status.ok() ? coverage_->answers : coverage_->failed_answers);
     if (action.status.ok()) fingerprint_.digest().Add(action.response.SerializeAsString());
   }
-  void Perform(const Relay::ConfirmRevision& action) {
+  void Perform(const WatchCache::ConfirmRevision& action) {
     fingerprint_.digest().Add(2, action.confirmation);
     ++coverage_->confirmations;
     confirmation_.reset();
     if (random_.Chance(0.95)) confirmation_ = {action.confirmation, now_ + Time(random_.Integer(0, 60))};
   }
-  void Perform(const Relay::WakeSubscriber& action) {
+  void Perform(const WatchCache::WakeSubscriber& action) {
     fingerprint_.digest().Add(3, action.subscriber);
     ++coverage_->wakes;
     awake_.insert(action.subscriber);
   }
-  void Perform(const Relay::EndSubscriber& action) {
+  void Perform(const WatchCache::EndSubscriber& action) {
     fingerprint_.digest().Add(4, action.subscriber);
     AddStatusCode(action.status);
     ++coverage_->ended_subscribers;
     Forget(action.subscriber);
   }
-  void Perform(const Relay::RequestUpstreamProgress&) {
+  void Perform(const WatchCache::RequestUpstreamProgress&) {
     fingerprint_.digest().Add(5);
     ++coverage_->progress_requests;
     if (connected_ && delivered_ == store_.revision()) cache_.UpstreamProgress(now_, delivered_, &actions_);
   }
-  void Perform(const Relay::RejectUpstream& action) {
-    fingerprint_.digest().Add(6, !action.why.empty());
+  void Perform(const WatchCache::RejectUpstream& action) {
+    fingerprint_.digest().Add(6, !action.reason.empty());
     ++coverage_->rejections;
     connected_ = false;
   }
 
   void AddStatus() {
-    const Relay::Status status = cache_.status();
+    const WatchCache::Status status = cache_.status();
     Digest& digest = fingerprint_.digest();
     digest.Add(status.connected, status.cluster_id, status.revision, status.compact_revision,
-               status.last_heard);
+               status.last_upstream_message);
     digest.Add(status.keys, status.state_bytes, status.window_events, status.window_bytes,
                status.subscribers);
     digest.Add(status.slow_subscribers, status.merged_events, status.waiting_reads, status.reads,
                status.lists);
-    digest.Add(status.confirmations, status.snapshots, status.resumed, status.told_to_reread, status.refused);
-    digest.Add(status.upstream_rejected, !status.last_upstream_error.empty());
+    digest.Add(status.confirmations, status.snapshots, status.resumed, status.compacted, status.rejected);
+    digest.Add(status.upstream_rejections, !status.last_upstream_error.empty());
     coverage_->slow += status.slow_subscribers;
     coverage_->merged += status.merged_events;
     coverage_->resumed += status.resumed;
-    coverage_->rereads += status.told_to_reread;
+    coverage_->rereads += status.compacted;
     coverage_->waiting_reads += status.waiting_reads;
-    coverage_->refused += status.refused;
+    coverage_->refused += status.rejected;
   }
 
   Random random_;
-  Relay cache_;
+  WatchCache cache_;
   EtcdStore store_;
   std::uint64_t cluster_id_ = 1;
   bool connected_ = false;      // the cache to the source
   std::int64_t delivered_ = 0;  // revision up to which the cache was told
   Time now_{1000};
-  Relay::Actions actions_;  // of the step that is under way
+  WatchCache::Actions actions_;  // of the step that is under way
   ReadId last_read_ = 0;
   SubscriberId last_subscriber_ = 0;
   std::set<SubscriberId> subscribers_, stalled_, awake_;
--- a/tests/simulator/world_test.cpp
+++ b/tests/simulator/world_test.cpp
@@ -114,20 +114,23 @@
  public:
   using Mend = std::function<void(Actions&)>;
   Faulty(const Settings& settings, std::uint64_t seed) : core_(MakeBadgerbridge(settings, seed)) {}
-  RequestId Take(TimePoint now, Submit submit, Actions* out) override {
+  RequestId Accept(TimePoint now, Submit submit, Actions* out) override {
     classes_.push_back(submit.request_class);
-    return core_->Take(now, submit, out);
+    return core_->Accept(now, submit, out);
   }
-  void Gone(TimePoint now, RequestId request, Actions* out) override { core_->Gone(now, request, out); }
-  void Ended(TimePoint now, const request_table::Send& attempt, Outcome outcome, Actions* out) override {
-    core_->Ended(now, attempt, outcome, out);
+  void ClientDisconnected(TimePoint now, RequestId request, Actions* out) override {
+    core_->ClientDisconnected(now, request, out);
   }
-  void List(TimePoint now, EndpointListUpdate update, Actions* out) override {
-    core_->List(now, std::move(update), out);
+  void AttemptEnded(TimePoint now, const request_table::Send& attempt, Outcome outcome,
+                    Actions* out) override {
+    core_->AttemptEnded(now, attempt, outcome, out);
+  }
+  void UpdateEndpoints(TimePoint now, EndpointListUpdate update, Actions* out) override {
+    core_->UpdateEndpoints(now, std::move(update), out);
   }
   void Wake(TimePoint now, Actions* out) override { core_->Wake(now, out); }
   std::optional<TimePoint> NextWake() const override { return core_->NextWake(); }
-  const std::vector<request_table::Tally>& tallies() const override { return core_->tallies(); }
+  const std::vector<request_table::RequestCounters>& counters() const override { return core_->counters(); }
 
  protected:
   std::unique_ptr<Core> core_;
@@ -138,15 +141,16 @@
 class Repeats : public Faulty {
  public:
   using Faulty::Faulty;
-  void Ended(TimePoint now, const request_table::Send& attempt, Outcome outcome, Actions* out) override {
+  void AttemptEnded(TimePoint now, const request_table::Send& attempt, Outcome outcome,
+                    Actions* out) override {
     const bool certify = classes_[attempt.request - 1] == 2;
     if (certify && attempt.attempt == 0 && outcome == Outcome::kError) {
       request_table::Send again = attempt;
-      again.attempt = 1, again.at = now;
+      again.attempt = 1, again.sent_at = now;
       out->push_back(again);
       return;
     }
-    core_->Ended(now, attempt, outcome, out);
+    core_->AttemptEnded(now, attempt, outcome, out);
   }
 };
 class Forgets : public Faulty {  // does not answer what was refused
@@ -155,27 +159,27 @@
   void Wake(TimePoint now, Actions* out) override {
     core_->Wake(now, out);
     std::erase_if(*out, [](const request_table::Action& a) {
-      return std::holds_alternative<request_table::Answer>(a);
+      return std::holds_alternative<request_table::Respond>(a);
     });
   }
 };
 class Ignores : public Faulty {  // drains
  public:
   using Faulty::Faulty;
-  void List(TimePoint now, EndpointListUpdate update, Actions* out) override {
+  void UpdateEndpoints(TimePoint now, EndpointListUpdate update, Actions* out) override {
     for (BackendEntry& entry : update.entries) entry.state = BackendState::kReady;
-    core_->List(now, std::move(update), out);
+    core_->UpdateEndpoints(now, std::move(update), out);
   }
 };
 class Herds : public Faulty {  // sends all previews to the one that started last
  public:
   using Faulty::Faulty;
-  void List(TimePoint now, EndpointListUpdate update, Actions* out) override {
+  void UpdateEndpoints(TimePoint now, EndpointListUpdate update, Actions* out) override {
     if (update.kind == EndpointListKind::kDelta) newest_ = update.entries.front().server;
-    core_->List(now, std::move(update), out);
+    core_->UpdateEndpoints(now, std::move(update), out);
   }
-  RequestId Take(TimePoint now, Submit submit, Actions* out) override {
-    const RequestId request = core_->Take(now, submit, out);
+  RequestId Accept(TimePoint now, Submit submit, Actions* out) override {
+    const RequestId request = core_->Accept(now, submit, out);
     for (request_table::Action& action : *out) {
       if (auto* send = std::get_if<request_table::Send>(&action);
           send && newest_ != 0 && submit.request_class == 0)
