--- a/src/agent/instance_log.cpp
+++ b/src/agent/instance_log.cpp
@@ -34,16 +34,16 @@
 
 /// Copies the last `max_bytes` of a file of `size` bytes to another file.
 void CopyEnd(const std::string& from, std::uint64_t size, const std::string& to, std::uint64_t max_bytes) {
-  std::ifstream in(from, std::ios::binary);
-  in.seekg(static_cast<std::streamoff>(size - max_bytes));
-  std::ofstream out(to, std::ios::binary | std::ios::trunc);
+  std::ifstream input(from, std::ios::binary);
+  input.seekg(static_cast<std::streamoff>(size - max_bytes));
+  std::ofstream output(to, std::ios::binary | std::ios::trunc);
   std::vector<char> buffer(kCopyBufferBytes);
   std::uint64_t left = max_bytes;
-  while (left > 0 && in) {
-    in.read(buffer.data(), static_cast<std::streamsize>(std::min<std::uint64_t>(left, buffer.size())));
-    if (in.gcount() <= 0) return;
-    out.write(buffer.data(), in.gcount());
-    left -= static_cast<std::uint64_t>(in.gcount());
+  while (left > 0 && input) {
+    input.read(buffer.data(), static_cast<std::streamsize>(std::min<std::uint64_t>(left, buffer.size())));
+    if (input.gcount() <= 0) return;
+    output.write(buffer.data(), input.gcount());
+    left -= static_cast<std::uint64_t>(input.gcount());
   }
 }
 
--- a/src/agent/order_validation.cpp
+++ b/src/agent/order_validation.cpp
@@ -115,9 +115,9 @@
 ValidationResult ChangedSince(const FleetState& state, const Order& order, const Instance& instance) {
   std::string text =
       instance.name + " was changed at generation " + std::to_string(instance.changed_generation);
-  if (const OrderState* by = state.FindOrder(instance.changed_by_order))
-    text += " by " + std::string(VerbName(by->order.verb)) + " (order " + by->order.id + ") of " +
-            by->order.author;
+  if (const OrderState* changer = state.FindOrder(instance.changed_by_order))
+    text += " by " + std::string(VerbName(changer->order.verb)) + " (order " + changer->order.id + ") of " +
+            changer->order.author;
   text += "; the order was written against generation " + std::to_string(order.expected_generation) +
           ": look at it again (badgerbridge-ctl status), then repeat the order";
   return {Code::kStale, std::move(text), instance.changed_by_order};
--- a/src/membership/source_list.cpp
+++ b/src/membership/source_list.cpp
@@ -58,7 +58,7 @@
 }
 
 void SourceList::StartPagedList(const Report& report) {
-  paged_list_.emplace();
+  paged_list_ = PagedList{};
   paged_list_->epoch = report.epoch;
   paged_list_->version = report.version;
   paged_list_->service = report.service;
--- a/src/watch_cache/merged_backlog.cpp
+++ b/src/watch_cache/merged_backlog.cpp
@@ -108,9 +108,10 @@
     taken.entries.push_back(entry);
   }
   // Entries of equal revision are ordered by key, so that the result does not depend on the hash map.
-  std::sort(taken.entries.begin(), taken.entries.end(), [](const Entry& a, const Entry& b) {
-    if (a.event->revision() != b.event->revision()) return a.event->revision() < b.event->revision();
-    return a.event->kv->key() < b.event->kv->key();
+  std::sort(taken.entries.begin(), taken.entries.end(), [](const Entry& left, const Entry& right) {
+    if (left.event->revision() != right.event->revision())
+      return left.event->revision() < right.event->revision();
+    return left.event->kv->key() < right.event->kv->key();
   });
   return taken;
 }
