--- a/tests/fingerprint/follower_fingerprint_test.cpp
+++ b/tests/fingerprint/follower_fingerprint_test.cpp
@@ -20,7 +20,7 @@
 #include "fingerprint/fingerprint.h"
 #include "fingerprint/random.h"
 #include "membership/feed.h"
-#include "membership/value.h"
+#include "membership/member_codec.h"
 #include "standins/etcd_store.h"
 
 namespace badgerbridge::fingerprint {
@@ -159,9 +159,9 @@
     membership::Member member;
     member.name = key.substr(key.rfind('/') + 1);
     member.address = "127.0.0.1:1";
-    member.since_ms = random_.Integer(0, 3);
-    member.state = random_.Chance(0.7) ? membership::State::kReady : membership::State::kDraining;
-    return membership::ValueOf(member);
+    member.start_time_ms = random_.Integer(0, 3);
+    member.state = random_.Chance(0.7) ? membership::MemberState::kReady : membership::MemberState::kDraining;
+    return membership::SerializeMember(member);
   }
 
   void Compact() {
@@ -393,10 +393,11 @@
   void AddReport(const membership::Feed::Output& output) {
     const membership::Report& report = output.report;
     Digest& digest = fingerprint_.digest();
-    digest.Add(report.source, report.epoch, report.version, report.whole, report.certain, report.page);
+    digest.Add(report.source, report.epoch, report.version, report.complete, report.linearizable,
+               report.page);
     digest.Add(report.service, report.ends_service, report.members.size(), report.unreadable.size());
     for (const membership::Member& member : report.members)
-      digest.Add(member.name, member.service, member.state, member.since_ms);
+      digest.Add(member.name, member.service, member.state, member.start_time_ms);
     for (const std::string& name : report.unreadable) digest.Add(name);
     for (const membership::Feed::KeyProblem& key : output.keys) {
       digest.Add(key.key, key.reason.empty());
--- a/tests/fingerprint/ledger_fingerprint_test.cpp
+++ b/tests/fingerprint/ledger_fingerprint_test.cpp
@@ -29,18 +29,18 @@
 constexpr int kSteps = 4000;
 constexpr int kNames = 24;
 constexpr int kStates = 3;
-constexpr int kFreshnesses = 4;
+constexpr int kStalenesses = 4;
 
 /// How often the runs met what they must meet, summed over the seeds.
 struct Coverage {
   std::uint64_t taken = 0, refused = 0, held = 0, too_many = 0, problems = 0, by_others = 0, urgent = 0;
   std::array<std::uint64_t, kStates> changes{};
-  std::array<std::uint64_t, kFreshnesses> freshness{};
+  std::array<std::uint64_t, kStalenesses> staleness{};
 };
 
 void AddMember(const Member& member, Digest* digest) {
   digest->Add(member.name, member.address, member.zone, member.kind, member.service);
-  digest->Add(member.group, member.state, member.weight, member.since_ms);
+  digest->Add(member.group, member.state, member.weight, member.start_time_ms);
 }
 
 /// A ledger and the sources that report to it.
@@ -74,8 +74,8 @@
     std::vector<membership::Report> pages;  ///< Of a whole list, yet to come.
   };
 
-  membership::Settings DrawSettings() {
-    membership::Settings settings;
+  membership::LedgerSettings DrawSettings() {
+    membership::LedgerSettings settings;
     const int sources = random_.Integer(1, 4);
     for (int number = 0; number < sources; ++number) {
       membership::SourceSettings source;
@@ -86,11 +86,11 @@
       settings.sources.push_back(source);
     }
     if (random_.Chance(0.5)) std::reverse(settings.sources.begin(), settings.sources.end());
-    settings.most_departures = random_.Chance(0.2) ? 1 : random_.Between(0.2, 0.7);
-    settings.departures_window = Time(random_.Integer(500, 5000));
-    settings.least_departures = static_cast<std::size_t>(random_.Integer(1, 5));
-    if (random_.Chance(0.3)) settings.max_members = static_cast<std::size_t>(random_.Integer(6, 16));
-    if (random_.Chance(0.3)) settings.max_tombstones = static_cast<std::size_t>(random_.Integer(1, 5));
+    settings.mass_departure.max_share = random_.Chance(0.2) ? 1 : random_.Between(0.2, 0.7);
+    settings.mass_departure.window = Time(random_.Integer(500, 5000));
+    settings.mass_departure.min_count = static_cast<std::size_t>(random_.Integer(1, 5));
+    if (random_.Chance(0.3)) settings.limits.max_members = static_cast<std::size_t>(random_.Integer(6, 16));
+    if (random_.Chance(0.3)) settings.limits.max_tombstones = static_cast<std::size_t>(random_.Integer(1, 5));
     with_services_ = random_.Chance(0.4);
     return settings;
   }
@@ -103,9 +103,9 @@
     member.kind = "k" + std::to_string(random_.Integer(0, 1));
     if (with_services_) member.service = "service" + std::to_string(random_.Integer(0, 2));
     member.group = random_.Integer(0, 1);
-    member.state = random_.Chance(0.7) ? membership::State::kReady : membership::State::kDraining;
+    member.state = random_.Chance(0.7) ? membership::MemberState::kReady : membership::MemberState::kDraining;
     member.weight = random_.Integer(1, 3);
-    member.since_ms = random_.Integer(0, 4) * 100;
+    member.start_time_ms = random_.Integer(0, 4) * 100;
     return member;
   }
 
@@ -119,14 +119,14 @@
     } else if (draw < 0.65) {
       ReportPage(number);
     } else if (draw < 0.80) {
-      ledger_.Heard(now_, number);
+      ledger_.RecordContact(now_, number);
     } else if (draw < 0.90) {
       Tick();
     } else if (draw < 0.92) {
-      ledger_.Release(now_, &changes_);
+      Collect(ledger_.ReleaseRetained(now_));
     } else if (draw < 0.96) {
       const std::string reason = random_.Chance(0.5) ? "" : "not JSON";
-      ledger_.Problem(number, "key" + std::to_string(random_.Integer(0, 80)), reason);
+      ledger_.RecordProblem(number, "key" + std::to_string(random_.Integer(0, 80)), reason);
     } else if (draw < 0.97) {
       ++sources_[number].epoch;  // another history
     } else {
@@ -138,7 +138,7 @@
     const auto wake = ledger_.NextWake(now_);
     fingerprint_.digest().Add(wake.has_value(), wake.value_or(Time(0)));
     if (wake && random_.Chance(0.5)) now_ = std::max(now_, *wake);
-    ledger_.Tick(now_, &changes_);
+    Collect(ledger_.Tick(now_));
   }
 
   membership::Report NewReport(std::size_t number) {
@@ -146,7 +146,7 @@
     report.source = number;
     report.epoch = sources_[number].epoch;
     report.version = sources_[number].version;
-    report.certain = random_.Chance(0.7);
+    report.linearizable = random_.Chance(0.7);
     return report;
   }
 
@@ -160,13 +160,13 @@
       Member member = DrawMember();
       const auto known = source.members.find(member.name);
       if (known != source.members.end() && random_.Chance(0.6)) {  // the same process, in another state
-        const membership::State state = member.state;
+        const membership::MemberState state = member.state;
         member = known->second;
         member.state = state;
       }
-      if (mass || random_.Chance(0.25)) member.state = membership::State::kGone;
+      if (mass || random_.Chance(0.25)) member.state = membership::MemberState::kGone;
       source.members[member.name] = member;
-      if (member.state == membership::State::kGone) source.members.erase(member.name);
+      if (member.state == membership::MemberState::kGone) source.members.erase(member.name);
       changed[member.name] = member;
     }
     if (with_services_) report.service = changed.begin()->second.service;
@@ -194,7 +194,7 @@
     std::vector<membership::Report> pages;
     const std::size_t page_size = static_cast<std::size_t>(random_.Integer(2, 12));
     membership::Report page = NewReport(number);
-    page.whole = true;
+    page.complete = true;
     for (const auto& [key, member] : sorted) {
       const bool other_service = member.service != page.service;
       if (!page.members.empty() && (other_service || page.members.size() >= page_size)) {
@@ -226,18 +226,33 @@
       report.epoch += 10;
     }
     report.page = static_cast<membership::Page>(random_.Integer(0, 3));
-    report.whole = random_.Chance(0.5);
+    report.complete = random_.Chance(0.5);
     return report;
   }
 
   void TakeReport(std::size_t number, const membership::Report& report) {
-    const bool taken = ledger_.Take(now_, report, &changes_);
+    const auto changes = ledger_.ApplyReport(now_, report);
+    const bool taken = changes.has_value();
+    if (taken) Collect(*changes);
     fingerprint_.digest().Add(number, taken);
     ++(taken ? coverage_->taken : coverage_->refused);
   }
 
   // ---- what the ledger says ----
 
+  /// Adds changes to those of earlier steps; a member that is in both keeps its place with the later change.
+  void Collect(const std::vector<Member>& changes) {
+    for (const Member& member : changes) {
+      const auto earlier = std::find_if(changes_.begin(), changes_.end(),
+                                        [&](const Member& change) { return change.name == member.name; });
+      if (earlier != changes_.end()) {
+        *earlier = member;
+      } else {
+        changes_.push_back(member);
+      }
+    }
+  }
+
   void AddChanges() {
     fingerprint_.digest().Add(changes_.size());
     for (const Member& member : changes_) {
@@ -255,22 +270,22 @@
 
   void AddState() {
     Digest& digest = fingerprint_.digest();
-    digest.Add(ledger_.believed().size(), ledger_.held());
-    coverage_->held += ledger_.held();
-    for (const auto& [name, believed] : ledger_.believed()) {
-      AddMember(*believed.member, &digest);
-      digest.Add(believed.source, believed.version, believed.changed, believed.held);
-      coverage_->by_others += !ledger_.is_authority(believed.source);
+    digest.Add(ledger_.current_view().size(), ledger_.retained_count());
+    coverage_->held += ledger_.retained_count();
+    for (const auto& [name, entry] : ledger_.current_view()) {
+      AddMember(*entry.member, &digest);
+      digest.Add(entry.source, entry.version, entry.changed_at, entry.retained);
+      coverage_->by_others += !ledger_.is_authority(entry.source);
     }
     for (std::size_t number = 0; number < sources_.size(); ++number) {
-      const membership::Freshness freshness = ledger_.FreshnessOf(now_, number);
-      ++coverage_->freshness[static_cast<std::size_t>(freshness)];
-      coverage_->too_many += !ledger_.refusal(number).empty();
+      const membership::Staleness staleness = ledger_.StalenessAt(now_, number);
+      ++coverage_->staleness[static_cast<std::size_t>(staleness)];
+      coverage_->too_many += !ledger_.rejection(number).empty();
       coverage_->problems += ledger_.problems(number).size();
-      digest.Add(freshness, ledger_.epoch(number), ledger_.version(number), ledger_.heard(number));
-      digest.Add(!ledger_.refusal(number).empty(), ledger_.problems(number).size());
+      digest.Add(staleness, ledger_.epoch(number), ledger_.version(number), ledger_.last_contact(number));
+      digest.Add(!ledger_.rejection(number).empty(), ledger_.problems(number).size());
       for (int name = 0; name < kNames; ++name) {
-        const Member* reported = ledger_.Reported(number, "m" + std::to_string(name));
+        const Member* reported = ledger_.FindReported(number, "m" + std::to_string(name));
         digest.Add(reported != nullptr);
         if (reported) AddMember(*reported, &digest);
       }
@@ -279,7 +294,7 @@
 
   Random random_;
   bool with_services_ = false;
-  membership::Settings settings_;
+  membership::LedgerSettings settings_;
   Ledger ledger_;
   std::vector<Source> sources_;
   membership::PendingChanges pending_;
@@ -301,8 +316,8 @@
   EXPECT_GT(coverage.urgent, 100U);
   for (int state = 0; state < kStates; ++state)
     EXPECT_GT(coverage.changes[static_cast<std::size_t>(state)], 100U) << state;
-  for (int freshness = 0; freshness < kFreshnesses; ++freshness)
-    EXPECT_GT(coverage.freshness[static_cast<std::size_t>(freshness)], 10U) << freshness;
+  for (int staleness = 0; staleness < kStalenesses; ++staleness)
+    EXPECT_GT(coverage.staleness[static_cast<std::size_t>(staleness)], 10U) << staleness;
 }
 
 }  // namespace
--- a/tests/fingerprint/registration_fingerprint_test.cpp
+++ b/tests/fingerprint/registration_fingerprint_test.cpp
@@ -6,14 +6,15 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
+#include <chrono>
 #include <string>
 #include <utility>
 #include <variant>
 
 #include "fingerprint/fingerprint.h"
 #include "fingerprint/random.h"
+#include "membership/member_codec.h"
 #include "membership/registration.h"
-#include "membership/value.h"
 #include "standins/etcd_store.h"
 
 namespace badgerbridge::fingerprint {
@@ -62,12 +63,13 @@
     settings.member.name = "c1";
     settings.member.address = "127.0.0.1:" + std::to_string(random_.Integer(1, 2));
     // Some are started twice at the same time, and some come too late.
-    settings.member.since_ms = kStartMs + number + random_.Integer(-2, 1);
-    settings.member.state = random_.Chance(0.9) ? membership::State::kReady : membership::State::kDraining;
-    settings.ttl_s = random_.Integer(1, 12);
-    settings.drain_for = Time(random_.Integer(0, 3000));
-    settings.first_backoff = Time(random_.Integer(10, 100));
-    settings.most_backoff = Time(random_.Integer(200, 3000));
+    settings.member.start_time_ms = kStartMs + number + random_.Integer(-2, 1);
+    settings.member.state =
+        random_.Chance(0.9) ? membership::MemberState::kReady : membership::MemberState::kDraining;
+    settings.lease_ttl = std::chrono::seconds(random_.Integer(1, 12));
+    settings.drain_time = Time(random_.Integer(0, 3000));
+    settings.initial_backoff = Time(random_.Integer(10, 100));
+    settings.max_backoff = Time(random_.Integer(200, 3000));
     return settings;
   }
 
@@ -125,24 +127,26 @@
     pb::RangeResponse response;
     store_.Range(request, &response);
     if (response.kvs_size() == 0) return;
-    std::string problem;
-    const auto state = random_.Chance(0.6) ? membership::State::kDraining : membership::State::kReady;
-    const auto change = membership::ChangeOfState(response.kvs(0), state, &problem);
-    fingerprint_.digest().Add(change.has_value());
-    if (!change) return;
-    fingerprint_.digest().Add(change->SerializeAsString());
+    const auto state =
+        random_.Chance(0.6) ? membership::MemberState::kDraining : membership::MemberState::kReady;
+    const auto change = membership::MakeStateChange(response.kvs(0), state);
+    const bool is_change = change.has_value() && change->has_value();
+    fingerprint_.digest().Add(is_change);
+    if (!is_change) return;
+    const pb::TxnRequest& transaction = **change;
+    fingerprint_.digest().Add(transaction.SerializeAsString());
     pb::TxnResponse answer;
-    store_.Txn(*change, &answer);
+    store_.Txn(transaction, &answer);
   }
 
   void PutNewerStart() {
     Member member;
     member.name = "c1";
     member.address = "127.0.0.1:9";
-    member.since_ms = kStartMs + random_.Integer(0, 2 * kRegistrations);
+    member.start_time_ms = kStartMs + random_.Integer(0, 2 * kRegistrations);
     pb::PutRequest request;
     request.set_key(kKey);
-    request.set_value(random_.Chance(0.2) ? "not JSON" : membership::ValueOf(member));
+    request.set_value(random_.Chance(0.2) ? "not JSON" : membership::SerializeMember(member));
     pb::PutResponse response;
     store_.Put(request, &response);
   }
@@ -168,28 +172,28 @@
     return status;
   }
 
-  void Perform(const Registration::Grant& action) {
+  void Perform(const Registration::GrantLease& action) {
     fingerprint_.digest().Add(1, action.request.SerializeAsString());
     ++coverage_->grants;
     pb::LeaseGrantResponse response;
     const Status status = RunCall([&] { return store_.Grant(now_, action.request, &response); });
-    registration_->Granted(now_, status, response);
+    registration_->OnLeaseGranted(now_, status, response);
   }
-  void Perform(const Registration::Read& action) {
+  void Perform(const Registration::ReadKey& action) {
     fingerprint_.digest().Add(2, action.request.SerializeAsString());
     ++coverage_->reads;
     pb::RangeResponse response;
     const Status status = RunCall([&] { return store_.Range(action.request, &response); });
-    registration_->WasRead(now_, status, response);
+    registration_->OnKeyRead(now_, status, response);
   }
-  void Perform(const Registration::Write& action) {
+  void Perform(const Registration::WriteKey& action) {
     fingerprint_.digest().Add(3, action.request.SerializeAsString());
     ++coverage_->writes;
     pb::TxnResponse response;
     const Status status = RunCall([&] { return store_.Txn(action.request, &response); });
-    registration_->Written(now_, status, response);
+    registration_->OnKeyWritten(now_, status, response);
   }
-  void Perform(const Registration::KeepAlive& action) {
+  void Perform(const Registration::KeepLeaseAlive& action) {
     fingerprint_.digest().Add(4, action.request.SerializeAsString());
     ++coverage_->keep_alives;
     pb::LeaseKeepAliveResponse response;
@@ -198,13 +202,13 @@
       return Status{};
     });
     coverage_->lost_leases += status.ok() && response.ttl() == 0;
-    registration_->KeptAlive(now_, status, response);
+    registration_->OnLeaseKeptAlive(now_, status, response);
   }
-  void Perform(const Registration::Revoke& action) {
+  void Perform(const Registration::RevokeLease& action) {
     fingerprint_.digest().Add(5, action.request.SerializeAsString());
     ++coverage_->revocations;
     const Status status = RunCall([&] { return store_.Revoke(action.request.id()); });
-    registration_->Revoked(now_, status, {});
+    registration_->OnLeaseRevoked(now_, status, {});
   }
   void Perform(const Registration::Wait& action) {
     fingerprint_.digest().Add(6, action.until);
@@ -219,10 +223,12 @@
   }
 
   void AddState() {
-    fingerprint_.digest().Add(registration_->registered(), registration_->ended(), registration_->state());
-    fingerprint_.digest().Add(registration_->lease(), registration_->grants(), !registration_->why().empty());
-    coverage_->registered += registration_->registered();
-    coverage_->draining += registration_->state() == membership::State::kDraining;
+    fingerprint_.digest().Add(registration_->is_registered(), registration_->has_ended(),
+                              registration_->state());
+    fingerprint_.digest().Add(registration_->lease(), registration_->grants(),
+                              !Message(registration_->condition()).empty());
+    coverage_->registered += registration_->is_registered();
+    coverage_->draining += registration_->state() == membership::MemberState::kDraining;
   }
 
   static constexpr char kKey[] = "/badgerbridge/converters/c1";
