--- a/src/membership/source_list.h
+++ b/src/membership/source_list.h
@@ -61,6 +61,17 @@
   std::size_t max_tombstones = kMaxTombstones;  ///< Departures that are remembered.
 };
 
+/// A complete list that comes in pages, as far as it has come.
+struct PagedList {
+  std::uint64_t epoch = 0;          ///< Of every page.
+  std::uint64_t version = 0;        ///< Of every page.
+  std::string service;              ///< Of the newest page.
+  std::string compared_up_to;       ///< The last name of the pages so far, within the service.
+  std::vector<MemberPtr> unlisted;  ///< Listed before, and not named by the pages so far.
+  /// Members whose names another service has so far; the end of the list may show that it lost them.
+  std::vector<Member> postponed;
+};
+
 /// One source's list. Not thread-safe.
 class SourceList {
  public:
@@ -126,16 +137,6 @@
   const std::string& rejection() const { return rejection_; }
 
  private:
-  /// A complete list that comes in pages, as far as it has come.
-  struct PagedList {
-    std::uint64_t epoch = 0;
-    std::uint64_t version = 0;
-    std::string service;
-    std::string compared_up_to;       ///< The last name of the pages so far, within the service.
-    std::vector<MemberPtr> unlisted;  ///< Listed before, and not named by the pages so far.
-    /// Members whose names another service has so far; the end of the list may show that it lost them.
-    std::vector<Member> postponed;
-  };
   struct Tombstone {
     Time departed_at;
     std::string name;
