--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -1,49 +1,71 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgerbridge-agent: keeps the instances of one machine.
+/// \file
+/// The agent's program: keeps the instances of one machine.
 #include <CLI/CLI.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
 #include <iostream>
+#include <string>
 
 #include "agent/agent.h"
 #include "http_api/version.h"
 
+namespace {
+
+using namespace badgerbridge;
+
+/// Runs the event loop until it is stopped. What one handler throws must not end the agent.
+void RunUntilStopped(boost::asio::io_context& io) {
+  while (!io.stopped()) {
+    try {
+      io.run();
+    } catch (const std::exception& error) {
+      std::cerr << "badgerbridge-agent: " << error.what() << '\n';
+    }
+  }
+}
+
+/// Keeps the file's instances until SIGTERM or SIGINT. Returns the exit code.
+int RunAgent(const agent::FleetFile& file) {
+  boost::asio::io_context io(1);
+  const auto agent = agent::Agent::Create(io, file);
+  if (!agent) {
+    std::cerr << "badgerbridge-agent: " << agent::Message(agent.error()) << '\n';
+    return 1;
+  }
+  boost::asio::signal_set signals(io, SIGTERM, SIGINT);
+  signals.async_wait([&](const boost::system::error_code& error, int) {
+    if (!error) io.stop();
+  });
+  std::cerr << "badgerbridge-agent: " << file.agent.name << " answers on " << file.agent.socket << '\n';
+  RunUntilStopped(io);
+  return 0;
+}
+
+}  // namespace
+
 int main(int count, char** arguments) {
-  using namespace badgerbridge;
   CLI::App app("badgerbridge-agent: keeps the instances of a fleet file; badgerbridge-ctl commands it");
   std::string path;
-  bool check = false;
+  bool check_only = false;
   app.add_option("--fleet", path, "the fleet file (deploy/fleet.toml lists every key)")->required();
-  app.add_flag("--check", check, "check the file and the operator's files that it names, and start nothing");
+  app.add_flag("--check", check_only,
+               "check the file and the operator's files that it names, and start nothing");
   app.set_version_flag("--version", http_api::VersionText("badgerbridge-agent", {"TLS"}));
   CLI11_PARSE(app, count, arguments);
 
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGHUP, SIG_IGN);
   operator_config::Problems problems;
-  const agent::FleetFile file = agent::LoadFleet(path, problems);
+  const agent::FleetFile file = agent::LoadFleetFile(path, problems);
   std::cerr << operator_config::Lines(problems);
   if (!problems.empty()) return 1;
-  if (check) return 0;
-  boost::asio::io_context io(1);
+  if (check_only) return 0;
   try {
-    agent::Agent agent(io, file);
-    boost::asio::signal_set signals(io, SIGTERM, SIGINT);
-    signals.async_wait([&](const boost::system::error_code& error, int) {
-      if (!error) io.stop();
-    });
-    std::cerr << "badgerbridge-agent: " << file.agent.name << " answers on " << file.agent.socket << '\n';
-    while (!io.stopped()) {
-      try {
-        io.run();
-      } catch (const std::exception& error) {
-        std::cerr << "badgerbridge-agent: " << error.what() << '\n';
-      }
-    }
+    return RunAgent(file);
   } catch (const std::exception& error) {
     std::cerr << "badgerbridge-agent: " << error.what() << '\n';
     return 1;
   }
-  return 0;
 }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -33,12 +33,12 @@
 // A fleet file or an operator's file, by what stands in it.
 int Check(const std::string& path) {
   operator_config::Problems problems;
-  if (const auto text = operator_config::ReadFile(path, agent::kMostFleetBytes, problems)) {
+  if (const auto text = operator_config::ReadFile(path, agent::kMaxFleetFileBytes, problems)) {
     operator_config::Problems ignored;
     const auto root = operator_config::ParseToml(*text, path, ignored);
     if (root && (root->contains("agent") || root->contains("instance"))) {
       root->at("agent").is_array_of_tables() ? void(cli::ParseContext(*text, path, problems))
-                                             : void(agent::ParseFleet(*text, path, problems));
+                                             : void(agent::ParseFleetFile(*text, path, problems));
     } else {
       std::cerr << operator_config::Lines(operator_config::Parse(*text, path, problems).warnings);
     }
--- a/tests/compatibility/membership_compatibility_test.cpp
+++ b/tests/compatibility/membership_compatibility_test.cpp
@@ -7,6 +7,7 @@
 #include "compatibility/golden_file.h"
 #include "membership/member_codec.h"
 #include "membership/registration.h"
+#include "membership/source_list.h"
 
 namespace badgerbridge::compatibility {
 namespace {
@@ -76,6 +77,17 @@
   EXPECT_TRUE(MatchesGoldenFile("membership/change_of_state.txt", text));
 }
 
+TEST(MembershipWordsCompatibility, EachStateAndStalenessHasItsWord) {
+  std::vector<std::string> words;
+  for (const int state : {0, 1, 2}) {
+    words.emplace_back(membership::Name(static_cast<membership::MemberState>(state)));
+  }
+  for (const int staleness : {0, 1, 2, 3}) {
+    words.emplace_back(membership::Name(static_cast<membership::Staleness>(staleness)));
+  }
+  EXPECT_TRUE(MatchesGoldenFile("membership/words.txt", JoinLines(words)));
+}
+
 TEST(MembershipRegistrationCompatibility, RegistrationWritesTheGoldenKeyAndValue) {
   using membership::Registration;
   membership::RegistrationSettings settings;
