--- a/src/balancer/backend_list.cpp
+++ b/src/balancer/backend_list.cpp
@@ -4,8 +4,6 @@
 #include <cstddef>
 #include <set>
 
-#include "balancer/reserve.h"
-
 namespace badgerbridge::balancer {
 namespace {
 
@@ -43,13 +41,6 @@
   return found == backends_.end() ? nullptr : &found->second;
 }
 
-void BackendList::MarkActive(Backend& backend) {
-  if (!backend.active) active_.push_back(&backend);
-  backend.active = true;
-}
-
-void BackendList::ReserveActive() { ReserveOne(active_); }
-
 void BackendList::RetireIdle() {
   for (Backend* backend : active_) backend->active = !backend->IsIdle();
   std::erase_if(active_, [](const Backend* backend) { return !backend->active; });
--- a/src/balancer/backend_list.h
+++ b/src/balancer/backend_list.h
@@ -11,6 +11,7 @@
 #include "badgerbridge/balancer.h"
 #include "balancer/aperture.h"
 #include "balancer/backend.h"
+#include "balancer/reserve.h"
 
 namespace badgerbridge::balancer {
 
@@ -31,10 +32,13 @@
   const std::vector<Backend*>& active() const { return active_; }
 
   /// Adds a backend to the active ones; allocates nothing if ReserveActive was called before.
-  void MarkActive(Backend& backend);
+  void MarkActive(Backend& backend) {
+    if (!backend.active) active_.push_back(&backend);
+    backend.active = true;
+  }
 
   /// Allocates what the next MarkActive needs.
-  void ReserveActive();
+  void ReserveActive() { ReserveOne(active_); }
 
   /// Removes the backends that are idle from the active ones.
   void RetireIdle();
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -315,6 +315,7 @@
   }
 
   void ReturnEjectedBackends() {
+    if (now_ < outlier_detector_.next_unejection_at()) return;
     for (const BackendId id : outlier_detector_.UnejectDue(now_, backends_.active())) {
       has_capacity_ = true;
       if (log_throttle_.Permits(LogTopic::kOutlier, now_)) WriteLog(BackendName(id) + " returns to service");
@@ -322,9 +323,9 @@
   }
 
   void EndOutlierInterval() {
+    if (!outlier_detector_.IntervalIsOver(now_)) return;
     const double arrivals_per_ms = request_stats_.arrivals_per_ms();
-    outlier_detector_.EndIntervalIfDue(now_, arrivals_per_ms, aperture_.Size(arrivals_per_ms),
-                                       backends_.active());
+    outlier_detector_.EndInterval(now_, arrivals_per_ms, aperture_.Size(arrivals_per_ms), backends_.active());
   }
 
   void SampleRates() {
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -19,21 +19,6 @@
 
 }  // namespace
 
-void ConcurrencyLimit::AdvanceTime(double passed_ms) {
-  mean_in_flight_ += std::min(1.0, passed_ms / kRateAveragingTime.count()) * (in_flight_ - mean_in_flight_);
-}
-
-void ConcurrencyLimit::AttemptStarted(Backend& backend, Random& random) {
-  ++in_flight_;
-  ++backend.in_flight.counted_attempts;
-  fractional_slot_ = random.Unit();
-}
-
-void ConcurrencyLimit::AttemptReleased(Backend* backend) {
-  --in_flight_;
-  if (backend != nullptr) --backend->in_flight.counted_attempts;
-}
-
 void ConcurrencyLimit::RecordLateness(bool late) {
   late_share_ += kLatenessGain * ((late ? 1 : 0) - late_share_);
 }
--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -4,6 +4,8 @@
 #ifndef BADGERBRIDGE_BALANCER_CONCURRENCY_LIMIT_H_
 #define BADGERBRIDGE_BALANCER_CONCURRENCY_LIMIT_H_
 
+#include <algorithm>
+
 #include "badgerbridge/balancer.h"
 #include "balancer/backend.h"
 #include "balancer/latency_stats.h"
@@ -27,13 +29,22 @@
   explicit ConcurrencyLimit(int balancer_count) : balancer_count_(balancer_count) {}
 
   /// Averages the attempts in flight over the `passed_ms` since the last call.
-  void AdvanceTime(double passed_ms);
+  void AdvanceTime(double passed_ms) {
+    mean_in_flight_ += std::min(1.0, passed_ms / kRateAveragingTime.count()) * (in_flight_ - mean_in_flight_);
+  }
 
   /// Counts an attempt sent to `backend`.
-  void AttemptStarted(Backend& backend, Random& random);
+  void AttemptStarted(Backend& backend, Random& random) {
+    ++in_flight_;
+    ++backend.in_flight.counted_attempts;
+    fractional_slot_ = random.Unit();
+  }
 
   /// An attempt counts as in flight no longer. `backend`: where it was sent; null: forgotten.
-  void AttemptReleased(Backend* backend);
+  void AttemptReleased(Backend* backend) {
+    --in_flight_;
+    if (backend != nullptr) --backend->in_flight.counted_attempts;
+  }
 
   /// Counts a successful response.
   void RecordSuccess() { successes_.Count(); }
--- a/src/balancer/endpoint_poller.cpp
+++ b/src/balancer/endpoint_poller.cpp
@@ -29,10 +29,4 @@
   }
 }
 
-bool EndpointPoller::TakeDuePoll(TimePoint now) {
-  if (now < next_at_) return false;
-  next_at_ = now + max_interval_ / 2;  // a response may never come
-  return true;
-}
-
 }  // namespace badgerbridge::balancer
--- a/src/balancer/endpoint_poller.h
+++ b/src/balancer/endpoint_poller.h
@@ -20,7 +20,11 @@
   void RecordUpdate(EndpointListKind kind, TimePoint now, Random& random);
 
   /// Whether a call is due; if so, it counts as made.
-  bool TakeDuePoll(TimePoint now);
+  bool TakeDuePoll(TimePoint now) {
+    if (now < next_at_) return false;
+    next_at_ = now + max_interval_ / 2;  // a response may never come
+    return true;
+  }
 
   /// When the next call is due, or kNever.
   TimePoint next_at() const { return next_at_; }
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -69,7 +69,6 @@
 
 std::vector<BackendId> OutlierDetector::UnejectDue(TimePoint now, const std::vector<Backend*>& active) {
   std::vector<BackendId> returned;
-  if (now < next_unejection_at_) return returned;
   next_unejection_at_ = kNever;
   for (Backend* backend : active) {
     OutlierState& state = backend->outlier;
@@ -85,9 +84,8 @@
   return returned;
 }
 
-void OutlierDetector::EndIntervalIfDue(TimePoint now, double requests_per_ms, double aperture,
-                                       const std::vector<Backend*>& active) {
-  if (now < interval_ends_at_) return;
+void OutlierDetector::EndInterval(TimePoint now, double requests_per_ms, double aperture,
+                                  const std::vector<Backend*>& active) {
   const double needed = requests_per_ms > 0 ? 2 * kMinRequestVolume * aperture / requests_per_ms : 0;
   interval_ends_at_ = now + std::clamp(Duration(needed), kMinOutlierInterval, kMaxEjectionTime / 2);
   for (Backend* backend : active) {
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -49,10 +49,13 @@
   /// Returns the backends whose ejection is over to service, and gives their ids.
   std::vector<BackendId> UnejectDue(TimePoint now, const std::vector<Backend*>& active);
 
-  /// Starts a new interval if the current one is over. The next one is long enough for twice the request
-  /// volume at each backend of the aperture: `requests_per_ms` over `aperture` backends.
-  void EndIntervalIfDue(TimePoint now, double requests_per_ms, double aperture,
-                        const std::vector<Backend*>& active);
+  /// Whether the current interval has ended.
+  bool IntervalIsOver(TimePoint now) const { return now >= interval_ends_at_; }
+
+  /// Starts a new interval. It is long enough for twice the request volume at each backend of the aperture:
+  /// `requests_per_ms` over `aperture` backends.
+  void EndInterval(TimePoint now, double requests_per_ms, double aperture,
+                   const std::vector<Backend*>& active);
 
   /// When the next backend returns to service, or kNever.
   TimePoint next_unejection_at() const { return next_unejection_at_; }
--- a/src/balancer/request_stats.cpp
+++ b/src/balancer/request_stats.cpp
@@ -27,10 +27,4 @@
   return work_ms;
 }
 
-double RequestStats::LatencyScale(int request_class, double work_ms) const {
-  const double mean = class_work_[static_cast<std::size_t>(request_class)].mean();
-  const double ratio = mean > 0 ? work_ms / mean : 1;
-  return ratio > 1 ? ratio : 0.5 + 0.5 * ratio;
-}
-
 }  // namespace badgerbridge::balancer
--- a/src/balancer/request_stats.h
+++ b/src/balancer/request_stats.h
@@ -40,7 +40,11 @@
 
   /// How much longer than a mean request of its class one with `work_ms` is expected to take. Half of the
   /// time of a small request is taken not to depend on its work.
-  double LatencyScale(int request_class, double work_ms) const;
+  double LatencyScale(int request_class, double work_ms) const {
+    const double mean = class_work_[static_cast<std::size_t>(request_class)].mean();
+    const double ratio = mean > 0 ? work_ms / mean : 1;
+    return ratio > 1 ? ratio : 0.5 + 0.5 * ratio;
+  }
 
  private:
   std::vector<EwmaStats> class_work_;
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -4,7 +4,6 @@
 #include <algorithm>
 
 #include "balancer/backend.h"
-#include "balancer/reserve.h"
 
 namespace badgerbridge::balancer {
 namespace {
@@ -20,13 +19,6 @@
 
 }  // namespace
 
-void SentWindow::Add(TimePoint now, double work_ms) {
-  sent_.push_back({now, work_ms});
-  sum_ += work_ms;
-}
-
-void SentWindow::ReserveNext() { ReserveOne(sent_); }
-
 double SentWindow::ForgetAndSum(TimePoint now, Duration window) {
   while (first_ < sent_.size() && now - sent_[first_].at > window) {
     sum_ -= sent_[first_].work_ms;
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -11,6 +11,7 @@
 #include "balancer/latency_stats.h"
 #include "balancer/random.h"
 #include "balancer/request_stats.h"
+#include "balancer/reserve.h"
 
 namespace badgerbridge::balancer {
 
@@ -21,10 +22,13 @@
 class SentWindow {
  public:
   /// Adds work that is sent now; allocates nothing if ReserveNext was called before.
-  void Add(TimePoint now, double work_ms);
+  void Add(TimePoint now, double work_ms) {
+    sent_.push_back({now, work_ms});
+    sum_ += work_ms;
+  }
 
   /// Allocates what the next Add needs.
-  void ReserveNext();
+  void ReserveNext() { ReserveOne(sent_); }
 
   /// The work sent within the last `window`; forgets what is older.
   double ForgetAndSum(TimePoint now, Duration window);
--- a/src/balancer/zone_quota.cpp
+++ b/src/balancer/zone_quota.cpp
@@ -26,14 +26,6 @@
   }
 }
 
-void ZoneQuotaBuckets::Spend(int zone, double work_ms) {
-  if (Bucket* const bucket = Find(zone)) bucket->work_ms -= work_ms;
-}
-
-void ZoneQuotaBuckets::Refund(int zone, double work_ms) {
-  if (Bucket* const bucket = Find(zone)) bucket->work_ms += work_ms;
-}
-
 void ZoneQuotaBuckets::Refill(Bucket& bucket, TimePoint now) {
   const double max_work_ms = std::max(0.0, bucket.work_per_ms) * kBurst.count();
   bucket.work_ms =
--- a/src/balancer/zone_quota.h
+++ b/src/balancer/zone_quota.h
@@ -37,10 +37,14 @@
   }
 
   /// Takes work out of the bucket of `zone`, if it has one.
-  void Spend(int zone, double work_ms);
+  void Spend(int zone, double work_ms) {
+    if (Bucket* const bucket = Find(zone)) bucket->work_ms -= work_ms;
+  }
 
   /// Puts back what was never sent.
-  void Refund(int zone, double work_ms);
+  void Refund(int zone, double work_ms) {
+    if (Bucket* const bucket = Find(zone)) bucket->work_ms += work_ms;
+  }
 
  private:
   static constexpr Duration kBurst{1000};           // of a quota that may be used at once
