--- a/src/agent/order_validation.cpp
+++ b/src/agent/order_validation.cpp
@@ -77,7 +77,7 @@
 }
 
 /// Whether the task of an open order keeps `order` from being accepted.
-bool IsInTheWay(const Order& order, const OrderState& open, const InstanceTask& task) {
+bool ConflictsWith(const Order& order, const OrderState& open, const InstanceTask& task) {
   if (IsTerminal(task.state)) return false;
   const auto& names = order.instances;
   if (std::find(names.begin(), names.end(), task.instance) == names.end()) return false;
@@ -106,7 +106,7 @@
   for (const OrderState& open : state.orders) {
     if (open.ended) continue;
     for (const InstanceTask& task : open.tasks) {
-      if (IsInTheWay(order, open, task)) return Conflict(state, order, open, task);
+      if (ConflictsWith(order, open, task)) return Conflict(state, order, open, task);
     }
   }
   return std::nullopt;
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -110,12 +110,12 @@
       if (is_ready && slow_start_.CapacityShare(endpoint, now_) < 1) warm_capacity_.Track(endpoint.server);
     }
     warm_capacity_.Update(backends_, aperture_.ready_backends(), slow_start_, now_);
-    has_capacity_ = true;
+    queue_needs_dispatch_ = true;
   }
 
   void On(const ZoneQuotas& quotas) {
     zone_quotas_.Update(quotas, now_);
-    has_capacity_ = true;
+    queue_needs_dispatch_ = true;
   }
 
   void On(const Submit& submit) {
@@ -154,7 +154,7 @@
     if (backend != nullptr && attempt_recorder_.Record(request, attempt, ended, *backend, now_)) {
       EjectIfOutlier(*backend);
     }
-    has_capacity_ = true;
+    queue_needs_dispatch_ = true;
     if (ended.settled) request.finished = true;
     if (!request.finished && request.OutstandingAttempts() == 0 && !request.queued) {
       Retry(request, attempt.may_have_run || ended.outcome == Outcome::kRejected);
@@ -318,7 +318,7 @@
   void ReturnEjectedBackends() {
     if (now_ < outlier_detector_.next_unejection_at()) return;
     for (const BackendId id : outlier_detector_.UnejectDue(now_, backends_.active())) {
-      has_capacity_ = true;
+      queue_needs_dispatch_ = true;
       if (log_throttle_.Permits(LogTopic::kOutlier, now_)) WriteLog(BackendName(id) + " returns to service");
     }
   }
@@ -353,7 +353,7 @@
     tenant_quotas_.Refill(elapsed_ms);
     sampled_at_ = now_;
     next_sample_at_ = now_ + kSampleInterval;
-    has_capacity_ = true;  // slow-start budgets have moved on
+    queue_needs_dispatch_ = true;  // slow-start budgets have moved on
   }
 
   void PollEndpoints() {
@@ -384,7 +384,7 @@
         if (backend != nullptr) backend->responsiveness.RecordOverdue(attempt.sent_at);
       }
       attempt.overdue = true;
-      has_capacity_ = true;
+      queue_needs_dispatch_ = true;
       CancelIfStalled(request, attempt, backend);
     }
   }
@@ -404,8 +404,8 @@
   }
 
   void DispatchQueued() {
-    if (!has_capacity_) return;
-    has_capacity_ = false;
+    if (!queue_needs_dispatch_) return;
+    queue_needs_dispatch_ = false;
     queue_.DispatchInOrder([this](RequestId id) {
       const auto found = requests_.find(id);
       const bool dispatched = TryDispatch(found->second);
@@ -456,7 +456,7 @@
   RequestMap requests_;
   RequestQueue queue_;
   WakeupSchedule wakeups_;
-  bool has_capacity_ = false;  // something changed that may let a queued request be dispatched
+  bool queue_needs_dispatch_ = false;  // something changed that may let a queued request be dispatched
 
   RequestStats request_stats_;
   LatencyStats latencies_;
--- a/src/balancer/request_stats.cpp
+++ b/src/balancer/request_stats.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-double RequestStats::RecordSubmit(const Submit& submit, Duration objective) {
+double RequestStats::RecordSubmit(const Submit& submit, Duration latency_objective) {
   const bool hinted = submit.has_hint && std::isfinite(submit.work_ms) && submit.work_ms > 0;
   const bool is_first = work_.samples() == 0;
   work_was_hinted_ |= hinted;
@@ -22,7 +22,7 @@
     work_.Add(work_ms);
     class_work_[static_cast<std::size_t>(submit.request_class)].Add(work_ms);
   }
-  objective_.Add(objective.count());
+  latency_objective_.Add(latency_objective.count());
   arrivals_.Count();
   return work_ms;
 }
--- a/src/balancer/request_stats.h
+++ b/src/balancer/request_stats.h
@@ -19,9 +19,9 @@
   /// For `class_count` request classes.
   explicit RequestStats(std::size_t class_count) : class_work_(class_count) {}
 
-  /// Counts a request of a known class, whose latency objective is `objective`, and estimates its work in ms
-  /// on a standard core: its hint, or the mean of all if it has no usable one.
-  double RecordSubmit(const Submit& submit, Duration objective);
+  /// Counts a request of a known class, whose latency objective is `latency_objective`, and estimates its
+  /// work in ms on a standard core: its hint, or the mean of all if it has no usable one.
+  double RecordSubmit(const Submit& submit, Duration latency_objective);
 
   /// Brings the arrival rate up to date; `elapsed_ms` since the last call.
   void SampleRate(double elapsed_ms) { arrivals_.Sample(elapsed_ms); }
@@ -30,7 +30,7 @@
   double mean_work_ms() const { return work_.mean(); }
 
   /// Mean latency objective of a request in ms; 0 before the first.
-  double mean_objective_ms() const { return objective_.mean(); }
+  double mean_objective_ms() const { return latency_objective_.mean(); }
 
   /// Whether any request has told its work.
   bool work_was_hinted() const { return work_was_hinted_; }
@@ -49,7 +49,7 @@
  private:
   std::vector<EwmaStats> class_work_;
   EwmaStats work_;
-  EwmaStats objective_;
+  EwmaStats latency_objective_;
   RateEstimator arrivals_;
   bool work_was_hinted_ = false;
 };
--- a/src/membership/registration.cpp
+++ b/src/membership/registration.cpp
@@ -134,7 +134,7 @@
   pb::Compare* compare = write.request.add_compare();
   compare->set_key(Key());
   compare->set_target(pb::Compare::MOD);
-  compare->set_mod_revision(present_ ? present_->mod_revision() : kAbsentKeyRevision);
+  compare->set_mod_revision(last_read_key_ ? last_read_key_->mod_revision() : kAbsentKeyRevision);
   pb::PutRequest* put = write.request.add_success()->mutable_request_put();
   put->set_key(Key());
   put->set_value(SerializeMember(settings_.member));
@@ -159,21 +159,21 @@
   if (step_ != Step::kReadKey) return;
   if (!status.ok()) return RecordFailure(now, "reading the key", status);
   ResetBackoff();
-  present_.reset();
-  if (response.kvs_size() > 0) present_ = response.kvs(0);
-  if (!present_ && is_written_) {
+  last_read_key_.reset();
+  if (response.kvs_size() > 0) last_read_key_ = response.kvs(0);
+  if (!last_read_key_ && is_written_) {
     // Removed with its lease, or by somebody's hand? Renewing the lease tells.
     is_missing_ = true;
     step_ = Step::kKeepLeaseAlive;
     return;
   }
-  step_ = CompareWithPresent();
+  step_ = ReconcileWithKey();
 }
 
 // Takes a drain over from the key as it was read, and returns the step that follows.
-Registration::Step Registration::CompareWithPresent() {
-  if (!present_) return Step::kWriteKey;
-  const Result<Member> found = ParseMember(settings_.member.name, present_->value());
+Registration::Step Registration::ReconcileWithKey() {
+  if (!last_read_key_) return Step::kWriteKey;
+  const Result<Member> found = ParseMember(settings_.member.name, last_read_key_->value());
   if (!found) return Step::kWriteKey;
   if (found->start_time_ms > settings_.member.start_time_ms) {
     Finish({ConditionReason::kNewerIncarnation, settings_.member.name, {}});
@@ -181,7 +181,7 @@
   }
   const bool is_own = found->start_time_ms == settings_.member.start_time_ms;
   if (is_own && !stopped_at_) settings_.member.state = found->state;
-  if (present_->lease() != lease_ || *found != settings_.member) return Step::kWriteKey;
+  if (last_read_key_->lease() != lease_ || *found != settings_.member) return Step::kWriteKey;
   is_written_ = true;
   return Step::kRegistered;
 }
--- a/src/membership/registration.h
+++ b/src/membership/registration.h
@@ -112,7 +112,7 @@
   Wait WaitUntil(Time until) const;
   Action MakeCall() const;
   WriteKey MakeWriteKey() const;
-  Step CompareWithPresent();
+  Step ReconcileWithKey();
   void ScheduleRetry(Time now);
   void RecordFailure(Time now, const char* operation, const etcd::Status& status);
   void ResetBackoff();
@@ -127,9 +127,9 @@
   Time next_keep_alive_{0};
   std::int64_t lease_ = 0;
   std::uint64_t grants_ = 0;
-  bool is_written_ = false;                        // under this lease
-  bool is_missing_ = false;                        // it was written, and is not there
-  std::optional<etcdserverpb::KeyValue> present_;  // the key as it was last read
+  bool is_written_ = false;                              // under this lease
+  bool is_missing_ = false;                              // it was written, and is not there
+  std::optional<etcdserverpb::KeyValue> last_read_key_;  // the key as it was last read
   std::optional<Time> stopped_at_;
   std::optional<Time> revoke_at_;
   RegistrationCondition condition_;
--- a/src/request_table/request_table.cpp
+++ b/src/request_table/request_table.cpp
@@ -88,7 +88,7 @@
   const auto found = table_.find(request);
   if (found == table_.end()) return;
   ReserveForCompletion(actions);
-  queue_.push_back(balancer::ClientDisconnected{request});
+  pending_events_.push_back(balancer::ClientDisconnected{request});
   RequestCounters& counters = Remove(found, actions);
   ++counters.failed;
   ++counters.client_disconnected;
@@ -107,7 +107,7 @@
   end.settled = !is_open || outcome == Outcome::kOk;
 
   ReserveForCompletion(actions);
-  queue_.push_back(end);
+  pending_events_.push_back(end);
   const bool is_newest = is_open && found->second.attempts == attempt.attempt + 1;
   if (is_newest) found->second.attempt_in_flight = false;
   if (outcome == Outcome::kOk) {
@@ -141,7 +141,7 @@
   const DeadlineFallback fallback{entry.deadline_fallback_at, submit.request};
   try {
     fallbacks_.insert(fallback);
-    if (notify_module) queue_.push_back(submit);
+    if (notify_module) pending_events_.push_back(submit);
   } catch (...) {
     fallbacks_.erase(fallback);
     table_.erase(inserted);
@@ -150,7 +150,7 @@
 }
 
 void RequestTable::EnqueueAndProcess(TimePoint now, balancer::Event event, Actions* actions) {
-  queue_.push_back(std::move(event));
+  pending_events_.push_back(std::move(event));
   ProcessEvents(now, actions);
 }
 
@@ -174,9 +174,9 @@
   PerformDecisions(now, actions);
   for (;;) {
     FireDueTimers(now, actions);  // before the next event, because they were due earlier
-    if (queue_.empty()) return;
-    const balancer::Event next = std::move(queue_.front());
-    queue_.pop_front();
+    if (pending_events_.empty()) return;
+    const balancer::Event next = std::move(pending_events_.front());
+    pending_events_.pop_front();
     HandleInModule(now, next, actions);
   }
 }
@@ -212,7 +212,7 @@
   while (!fallbacks_.empty() && fallbacks_.begin()->due <= now) {
     const RequestId request = fallbacks_.begin()->request;
     ReserveForCompletion(actions);
-    queue_.push_back(balancer::ClientDisconnected{request});
+    pending_events_.push_back(balancer::ClientDisconnected{request});
     // Not a rejection: the table cannot know that no attempt had an effect.
     Complete(request, RequestOutcome::kDeadlineFallback, Duration(0), actions);
   }
@@ -270,7 +270,7 @@
   end.server = action.server;
   end.outcome = Outcome::kNotSent;
   end.settled = !is_open;
-  queue_.push_back(end);
+  pending_events_.push_back(end);
   if (is_open) ++entry->second.attempts;
 }
 
--- a/src/request_table/request_table.h
+++ b/src/request_table/request_table.h
@@ -207,11 +207,11 @@
   Table table_;
   std::vector<RequestCounters> counters_;  // by request class
   balancer::RequestId last_request_ = 0;
-  std::deque<balancer::Event> queue_;        // events that the decision module has not handled yet
-  std::vector<balancer::Action> decisions_;  // what it decided in the last call
-  std::size_t decisions_performed_ = 0;      // how many of them have been carried out
-  std::set<ModuleTimer> module_timers_;      // the earliest first
-  std::set<DeadlineFallback> fallbacks_;     // one for each open request, the earliest first
+  std::deque<balancer::Event> pending_events_;  // events that the decision module has not handled yet
+  std::vector<balancer::Action> decisions_;     // what it decided in the last call
+  std::size_t decisions_performed_ = 0;         // how many of them have been carried out
+  std::set<ModuleTimer> module_timers_;         // the earliest first
+  std::set<DeadlineFallback> fallbacks_;        // one for each open request, the earliest first
 };
 
 }  // namespace badgerbridge::request_table
--- a/src/watch_cache/subscribers.cpp
+++ b/src/watch_cache/subscribers.cpp
@@ -52,7 +52,7 @@
   const auto found = subscribers_.find(id);
   if (found == subscribers_.end()) return;
   Subscriber& subscriber = found->second;
-  FinishResponse(&subscriber);
+  ClearResponse(&subscriber);
   DropBacklog(id, &subscriber);
   catching_up_.erase(id);
   const auto same_range = by_range_.find(subscriber.range);
@@ -194,7 +194,7 @@
     rest.push_back({subscriber->batch->events[subscriber->sent_events], std::move(next.previous)});
     ++subscriber->sent_events;
   }
-  FinishResponse(subscriber);
+  ClearResponse(subscriber);
   subscriber->merged = std::move(rest);
 }
 
@@ -221,7 +221,7 @@
 }
 
 void Subscribers::CancelAsCompacted(SubscriberId id, Subscriber* subscriber, std::int64_t compact_revision) {
-  FinishResponse(subscriber);
+  ClearResponse(subscriber);
   DropBacklog(id, subscriber);
   catching_up_.erase(id);
   subscriber->compacted = compact_revision;
@@ -320,7 +320,7 @@
     ++subscriber->cursor;
     subscriber->sending_revision = subscriber->batch->to;
     if (NextEvent(subscriber).event != nullptr) return true;
-    FinishResponse(subscriber);
+    ClearResponse(subscriber);
   }
   return false;
 }
@@ -361,10 +361,10 @@
     if (next.previous) *event->mutable_prev_kv() = *next.previous;
     ++subscriber->sent_events;
   }
-  FinishResponse(subscriber);
+  ClearResponse(subscriber);
 }
 
-void Subscribers::FinishResponse(Subscriber* subscriber) {
+void Subscribers::ClearResponse(Subscriber* subscriber) {
   subscriber->batch.reset();
   subscriber->merged.clear();
   subscriber->merged.shrink_to_fit();
--- a/src/watch_cache/subscribers.h
+++ b/src/watch_cache/subscribers.h
@@ -128,7 +128,7 @@
                     const CachePosition& position);
   void CancelAsCompacted(SubscriberId id, Subscriber* subscriber, std::int64_t compact_revision);
   void DropBacklog(SubscriberId id, Subscriber* subscriber);
-  static void FinishResponse(Subscriber* subscriber);
+  static void ClearResponse(Subscriber* subscriber);
   void RecountMergedEvents(Subscriber* subscriber);
   void ScheduleNotification(SubscriberId id, Subscriber* subscriber, Time due);
   bool IsLagging(const Subscriber& subscriber) const;
--- a/tests/compatibility/installation.cpp
+++ b/tests/compatibility/installation.cpp
@@ -12,7 +12,7 @@
 
 #include "compatibility/golden_file.h"
 #include "http_api/address.h"
-#include "membership/value.h"
+#include "membership/member_codec.h"
 
 namespace badgerbridge::compatibility {
 namespace {
@@ -107,8 +107,8 @@
   member.zone = backend->settings().zone;
   member.kind = backend->settings().kind;
   member.group = 1;
-  member.since_ms = since_ms;
-  etcd_->Put("/badgerbridge/converters/" + member.name, membership::ValueOf(member));
+  member.start_time_ms = since_ms;
+  etcd_->Put("/badgerbridge/converters/" + member.name, membership::SerializeMember(member));
 }
 
 void Installation::Start() {
