--- a/src/watch_cache/state.cpp
+++ b/src/watch_cache/state.cpp
@@ -82,18 +82,18 @@
          IsWithin(kv.create_revision(), request.min_create_revision(), request.max_create_revision());
 }
 
-bool IsBefore(pb::RangeRequest::SortTarget target, const pb::KeyValue& a, const pb::KeyValue& b) {
+bool IsBefore(pb::RangeRequest::SortTarget target, const pb::KeyValue& left, const pb::KeyValue& right) {
   switch (target) {
     case pb::RangeRequest::VERSION:
-      return a.version() < b.version();
+      return left.version() < right.version();
     case pb::RangeRequest::CREATE:
-      return a.create_revision() < b.create_revision();
+      return left.create_revision() < right.create_revision();
     case pb::RangeRequest::MOD:
-      return a.mod_revision() < b.mod_revision();
+      return left.mod_revision() < right.mod_revision();
     case pb::RangeRequest::VALUE:
-      return a.value() < b.value();
+      return left.value() < right.value();
     default:
-      return a.key() < b.key();
+      return left.key() < right.key();
   }
 }
 
@@ -107,8 +107,8 @@
   if (IsInKeyOrder(request)) return;
   const auto target = request.sort_target();
   const bool descending = request.sort_order() == pb::RangeRequest::DESCEND;
-  std::stable_sort(found->begin(), found->end(), [&](const auto* a, const auto* b) {
-    return descending ? IsBefore(target, *b, *a) : IsBefore(target, *a, *b);
+  std::stable_sort(found->begin(), found->end(), [&](const auto* left, const auto* right) {
+    return descending ? IsBefore(target, *right, *left) : IsBefore(target, *left, *right);
   });
 }
 
