--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -476,8 +476,10 @@
   });
   Start({EndpointJson("a", backend.address())});
   const auto client = node->Connect();
+  // Large requests, so that the exchanges that fit the buffer end well within the time that each request has.
+  const std::string padding = "X-Padding: " + std::string(400, 'x') + "\r\n";
   std::string many;
-  for (int i = 0; i < 1000; ++i) many += Get("m" + std::to_string(i));
+  for (int i = 0; i < 250; ++i) many += Get("m" + std::to_string(i), padding);
   ASSERT_GT(many.size(), 120000u);
   for (std::size_t at = 0; at < many.size(); at += 8192) {
     client->Send(many.substr(at, 8192));
@@ -489,7 +491,7 @@
   EXPECT_EQ(Count(client->in, "HTTP/1.1 400 "), 1);
   EXPECT_EQ(client->in.find("HTTP/1.1 ", client->in.find("HTTP/1.1 400 ") + 1), std::string::npos);
   EXPECT_EQ(static_cast<std::size_t>(Count(client->in, "HTTP/1.1 200 ")), backend.requests.size());
-  EXPECT_GT(backend.requests.size(), 300u);
+  EXPECT_GT(backend.requests.size(), 75u);
 }
 
 // The connection to a backend takes a second to come up. Its client leaves meanwhile: nothing is written, and
