--- a/bench/list.cpp
+++ b/bench/list.cpp
@@ -172,9 +172,9 @@
   asio::io_context io(1);
   const proxy::Config config = proxy::ParseConfig(kConfig, [](const char*) { return nullptr; });
   const proxy::ProxyClock clock;
-  proxy::Backends backends(io, clock, proxy::Backends::Limits::From(config));
+  proxy::BackendPool backends(io, clock, proxy::BackendPool::Limits::From(config));
   proxy::Proxy proxy(io, clock, backends, config);
-  operator_config::Etcd table;
+  operator_config::EtcdSettings table;
   table.endpoints = {etcd.address()};
   bool whole = false;
   std::size_t ready = 0, draining = 0;
--- a/bench/slopes_proxy.cpp
+++ b/bench/slopes_proxy.cpp
@@ -11,7 +11,7 @@
 #include <thread>
 
 #include "allocations.h"
-#include "proxy/backend.h"
+#include "proxy/backend_pool.h"
 #include "proxy/clock.h"
 #include "proxy/discovery.h"
 #include "proxy/proxy.h"
@@ -32,8 +32,8 @@
 constexpr std::chrono::seconds kMostWait{30};
 constexpr std::chrono::milliseconds kOneWait{100};
 
-proxy::Listed ListedOf(int index) {
-  proxy::Listed listed;
+proxy::ListedEndpoint ListedOf(int index) {
+  proxy::ListedEndpoint listed;
   listed.name = BackendName(index);
   listed.zone = ZoneName(index % kZones);
   listed.kind = "standard";
@@ -43,8 +43,8 @@
   return listed;
 }
 
-std::vector<proxy::Listed> ListedUpTo(int count) {
-  std::vector<proxy::Listed> listed;
+std::vector<proxy::ListedEndpoint> ListedUpTo(int count) {
+  std::vector<proxy::ListedEndpoint> listed;
   for (int i = 0; i < count; ++i) listed.push_back(ListedOf(i));
   return listed;
 }
@@ -55,18 +55,18 @@
  public:
   explicit ProxyRig(bool with_ledger, bool with_regions)
       : config_(ConfigurationOf(0)),
-        backends_(io_, clock_, proxy::Backends::Limits::From(config_)),
+        backends_(io_, clock_, proxy::BackendPool::Limits::From(config_)),
         proxy_(io_, clock_, backends_, config_),
         reader_(config_) {
     if (with_regions) {
-      operator_config::Regions settings;
+      operator_config::ZoneFailoverSettings settings;
       settings.together = false;
       settings.zones = config_.zones;
       regions_.emplace(io_, clock_, config_, settings, [](std::vector<double>) {});
-      proxy_.Watch(&*regions_);
+      proxy_.SetTrafficObserver(&*regions_);
     }
     if (!with_ledger) return;
-    operator_config::Etcd settings;
+    operator_config::EtcdSettings settings;
     settings.endpoints = {"127.0.0.1:1"};
     settings.authority = false;
     membership_.emplace(
@@ -81,7 +81,7 @@
   };
 
   // Until the pool holds `pooled` backends: what is put off, to leave the loop to others, is waited for.
-  Cost Take(bool whole, const std::vector<proxy::Listed>& listed, std::size_t pooled) {
+  Cost Take(bool whole, const std::vector<proxy::ListedEndpoint>& listed, std::size_t pooled) {
     Cost cost;
     Measure(&cost, [&] {
       const proxy::EndpointList list = reader_.Take(whole, ++index_, listed);
@@ -124,27 +124,27 @@
   boost::asio::io_context io_{1};
   proxy::ProxyClock clock_;
   proxy::Config config_;
-  proxy::Backends backends_;
+  proxy::BackendPool backends_;
   proxy::Proxy proxy_;
-  proxy::ListReader reader_;
-  std::optional<proxy_main::RegionsSource> regions_;
+  proxy::EndpointListReader reader_;
+  std::optional<proxy_main::ZoneFailoverSource> regions_;
   std::optional<proxy_main::MembershipSource> membership_;
   std::uint64_t index_ = 0;
 };
 
-double ReaderBytes(const proxy::Config& config, const std::vector<proxy::Listed>& listed) {
+double ReaderBytes(const proxy::Config& config, const std::vector<proxy::ListedEndpoint>& listed) {
   const std::size_t before = LiveBytes();
-  proxy::ListReader reader(config);
+  proxy::EndpointListReader reader(config);
   reader.Take(true, 1, listed);
   return static_cast<double>(LiveBytes() - before);
 }
 
-double PoolBytes(const proxy::Config& config, const std::vector<proxy::Listed>& listed) {
+double PoolBytes(const proxy::Config& config, const std::vector<proxy::ListedEndpoint>& listed) {
   boost::asio::io_context io(1);
   proxy::ProxyClock clock;
-  proxy::ListReader reader(config);
+  proxy::EndpointListReader reader(config);
   const proxy::EndpointList list = reader.Take(true, 1, listed);
-  proxy::Backends backends(io, clock, proxy::Backends::Limits::From(config));
+  proxy::BackendPool backends(io, clock, proxy::BackendPool::Limits::From(config));
   const std::size_t before = LiveBytes();
   backends.Update(list);
   return static_cast<double>(LiveBytes() - before);
@@ -154,7 +154,7 @@
   double took = 0;
   std::this_thread::sleep_for(kRest);
   for (int i = 0; i < kChanges; ++i) {
-    proxy::Listed one = ListedOf(i * 97 % size);
+    proxy::ListedEndpoint one = ListedOf(i * 97 % size);
     one.state = i % 2 ? proxy::BackendState::kReady : proxy::BackendState::kDraining;
     const double ms = rig.Take(false, {one}, static_cast<std::size_t>(size)).cpu_ms;
     took += ms;
@@ -185,7 +185,7 @@
   const proxy::Config config = ConfigurationOf(0);
   for (int repetition = 0; repetition < kRepetitions; ++repetition) {
     for (const int size : kSizes) {
-      const std::vector<proxy::Listed> listed = ListedUpTo(size);
+      const std::vector<proxy::ListedEndpoint> listed = ListedUpTo(size);
       reader.Add(size, ReaderBytes(config, listed));
       pool.Add(size, PoolBytes(config, listed));
       {
--- a/src/admin_api/admin_api.cpp
+++ b/src/admin_api/admin_api.cpp
@@ -47,7 +47,8 @@
 
 }  // namespace
 
-Control::Control(boost::asio::io_context& io, const operator_config::Control& settings, Subject subject)
+AdminApi::AdminApi(boost::asio::io_context& io, const operator_config::AdminApiSettings& settings,
+                   Subject subject)
     : subject_(std::move(subject)),
       started_(subject_.clock.Now()),
       server_(
@@ -57,7 +58,7 @@
             co_return Handle(request);
           }) {}
 
-http_api::Response Control::Handle(const http_api::Request& request) {
+http_api::Response AdminApi::Handle(const http_api::Request& request) {
   struct Call {
     std::string_view path, method;
   };
@@ -94,7 +95,7 @@
   return http_api::Error(404, "no such call; docs/operators/admin_api.md lists them");
 }
 
-http_api::Response Control::Drain(const http_api::Request& request) {
+http_api::Response AdminApi::Drain(const http_api::Request& request) {
   std::optional<Duration> deadline;
   if (!request.body.empty()) {
     std::string why;
@@ -119,14 +120,14 @@
   return {200, Status()};
 }
 
-std::string_view Control::State() const {
+std::string_view AdminApi::State() const {
   const auto& listener = subject_.listener;
   if (listener.stopping()) return "stopping";
   if (listener.draining()) return listener.IsIdle() ? "drained" : "draining";
   return subject_.proxy.CanServe() ? "ready" : "starting";
 }
 
-json::object Control::Status() const {
+json::object AdminApi::Status() const {
   const TimePoint now = subject_.clock.Now();
   json::object status;
   const std::string_view state = State();
@@ -159,13 +160,13 @@
     }
     status["drain"] = std::move(drain);
   }
-  const Reloads& reloads = subject_.reloads;
+  const ReloadStatus& reloads = subject_.reloads;
   status["reloads"] = json::object{
       {"applied", reloads.applied}, {"refused", reloads.refused}, {"last_error", reloads.last_error}};
   return status;
 }
 
-json::object Control::Backends() const {
+json::object AdminApi::Backends() const {
   const TimePoint now = subject_.clock.Now();
   json::array all;
   for (const balancer::BackendView& view : subject_.proxy.Inspect()) {
--- a/src/admin_api/admin_api.h
+++ b/src/admin_api/admin_api.h
@@ -13,21 +13,21 @@
 
 #include "http_api/server.h"
 #include "operator_config/operator_file.h"
-#include "proxy/client.h"
 #include "proxy/config.h"
 #include "proxy/discovery.h"
+#include "proxy/listener.h"
 #include "proxy/proxy.h"
 
 namespace badgerbridge::admin_api {
 
 constexpr std::chrono::milliseconds kMostDeadline{3600000};
 
-struct Reloads {
+struct ReloadStatus {
   std::uint64_t applied = 0, refused = 0;
   std::string last_error;  // of the newest, if that was refused
 };
 
-class Control {
+class AdminApi {
  public:
   // What it reports on; all must outlive it.
   struct Subject {
@@ -35,8 +35,8 @@
     const proxy::ProxyClock& clock;
     proxy::Proxy& proxy;
     proxy::Listener& listener;
-    const proxy::ListReader& list;
-    const Reloads& reloads;
+    const proxy::EndpointListReader& list;
+    const ReloadStatus& reloads;
     std::function<void()> stop;
     std::function<boost::json::value()> members = nullptr;  // the ledger, where there is one
     std::function<std::size_t()> release = nullptr;         // lets go what it holds; how many that were
@@ -44,7 +44,7 @@
   };
 
   // Throws std::runtime_error if it can't listen.
-  Control(boost::asio::io_context& io, const operator_config::Control& settings, Subject subject);
+  AdminApi(boost::asio::io_context& io, const operator_config::AdminApiSettings& settings, Subject subject);
 
   http_api::Response Handle(const http_api::Request& request);
 
--- a/src/cli/etcd_commands.cpp
+++ b/src/cli/etcd_commands.cpp
@@ -26,7 +26,7 @@
 constexpr int kMostSwaps = 20;  // where others write the same key all the time
 
 // What stands before a member's name in its key; with services, the name is SERVICE/NAME.
-const std::string& KeysPrefix(const operator_config::Etcd& etcd) {
+const std::string& KeysPrefix(const operator_config::EtcdSettings& etcd) {
   return etcd.services.empty() ? etcd.prefix : etcd.services_prefix;
 }
 
--- a/src/cli/etcd_commands.h
+++ b/src/cli/etcd_commands.h
@@ -21,7 +21,7 @@
 int CodeOf(const etcd::Status& status);
 
 struct EtcdCommand {
-  operator_config::Etcd etcd;  // where it is, and how it is reached
+  operator_config::EtcdSettings etcd;  // where it is, and how it is reached
   bool json = false, color = false, dry_run = false;
   std::chrono::milliseconds timeout{0};  // for each name; 0: usual
 };
--- a/src/cli/zones.h
+++ b/src/cli/zones.h
@@ -14,7 +14,8 @@
 namespace badgerbridge::cli {
 
 struct ZonesCommand {
-  operator_config::Regions regions;  // where etcd is, the zones' names and the links between them
+  operator_config::ZoneFailoverSettings
+      regions;  // where etcd is, the zones' names and the links between them
   bool json = false, color = false, dry_run = false, force = false;
   std::chrono::milliseconds timeout{0};  // 0: usual
   std::string who;                       // for the order
--- a/src/membership/etcd_settings.cpp
+++ b/src/membership/etcd_settings.cpp
@@ -11,7 +11,8 @@
 namespace badgerbridge::membership {
 namespace {
 
-std::vector<boost::asio::ip::tcp::endpoint> ParseEndpoints(const operator_config::EtcdLink& table) {
+std::vector<boost::asio::ip::tcp::endpoint> ParseEndpoints(
+    const operator_config::EtcdConnectionSettings& table) {
   std::vector<boost::asio::ip::tcp::endpoint> endpoints;
   for (const std::string& text : table.endpoints) {
     if (const auto endpoint = http_api::ParseAddress(text)) endpoints.push_back(*endpoint);
@@ -19,7 +20,7 @@
   return endpoints;
 }
 
-etcd::ChannelOptions MakeChannelOptions(const operator_config::EtcdLink& table) {
+etcd::ChannelOptions MakeChannelOptions(const operator_config::EtcdConnectionSettings& table) {
   etcd::ChannelOptions channel;
   channel.ping_every = table.ping_every;
   channel.ping_timeout = table.ping_timeout;
@@ -29,7 +30,7 @@
   return channel;
 }
 
-Result<std::string> ReadPassword(const operator_config::EtcdLink& table) {
+Result<std::string> ReadPassword(const operator_config::EtcdConnectionSettings& table) {
   std::string password;
   std::ifstream file(table.password_file);
   if (!std::getline(file, password))
@@ -39,7 +40,7 @@
 
 // Fills in what the settings of the source and of the client have in common.
 template <typename Settings>
-Result<Settings> WithLink(Settings settings, const operator_config::EtcdLink& table) {
+Result<Settings> WithLink(Settings settings, const operator_config::EtcdConnectionSettings& table) {
   settings.endpoints = ParseEndpoints(table);
   settings.channel = MakeChannelOptions(table);
   if (table.user.empty()) return settings;
@@ -52,14 +53,14 @@
 
 }  // namespace
 
-Result<EtcdSourceSettings> MakeEtcdSourceSettings(const operator_config::Etcd& table) {
+Result<EtcdSourceSettings> MakeEtcdSourceSettings(const operator_config::EtcdSettings& table) {
   EtcdSourceSettings settings;
   settings.follower.prefix = table.prefix;
   if (!table.services.empty()) settings.FollowServices(table.services_prefix, table.services);
   return WithLink(std::move(settings), table);
 }
 
-Result<etcd::ClientSettings> MakeEtcdClientSettings(const operator_config::EtcdLink& table) {
+Result<etcd::ClientSettings> MakeEtcdClientSettings(const operator_config::EtcdConnectionSettings& table) {
   return WithLink(etcd::ClientSettings(), table);
 }
 
--- a/src/membership/etcd_settings.h
+++ b/src/membership/etcd_settings.h
@@ -13,10 +13,10 @@
 namespace badgerbridge::membership {
 
 /// The settings to follow the members with. Reads the password's file. Error: kUnreadablePassword.
-Result<EtcdSourceSettings> MakeEtcdSourceSettings(const operator_config::Etcd& table);
+Result<EtcdSourceSettings> MakeEtcdSourceSettings(const operator_config::EtcdSettings& table);
 
 /// The settings for single calls. Reads the password's file. Error: kUnreadablePassword.
-Result<etcd::ClientSettings> MakeEtcdClientSettings(const operator_config::EtcdLink& table);
+Result<etcd::ClientSettings> MakeEtcdClientSettings(const operator_config::EtcdConnectionSettings& table);
 
 }  // namespace badgerbridge::membership
 
--- a/src/operator_config/operator_file.cpp
+++ b/src/operator_config/operator_file.cpp
@@ -14,8 +14,8 @@
 
 constexpr std::size_t kMostSocketPath = 107;  // sun_path, unix(7), less its end
 
-Control ReadControl(TableReader& table) {
-  Control control;
+AdminApiSettings ReadControl(TableReader& table) {
+  AdminApiSettings control;
   table.Require("socket", "the path of a Unix domain socket, as in socket = \"/run/badgerbridge/n1.sock\"");
   control.socket = table.Text("socket");
   if (table.Has("socket") && (control.socket.empty() || control.socket.front() != '/'))
@@ -61,7 +61,7 @@
 constexpr std::size_t kMaxServiceName = 128;
 
 // Which services a proxy follows.
-void ReadServices(TableReader& table, Etcd& etcd) {
+void ReadServices(TableReader& table, EtcdSettings& etcd) {
   etcd.services = table.Texts("services");
   ReadPrefix(table, etcd.services_prefix, "services_prefix");
   if (etcd.services.size() > kMaxServices)
@@ -76,8 +76,8 @@
   }
 }
 
-Etcd ReadEtcd(TableReader& table) {
-  Etcd etcd;
+EtcdSettings ReadEtcd(TableReader& table) {
+  EtcdSettings etcd;
   NeedsEtcd(table);
   table.Require("endpoints", "the members' addresses, as in endpoints = [\"127.0.0.1:2379\"]");
   ReadEtcdLink(table, etcd);
@@ -94,8 +94,8 @@
 
 constexpr std::size_t kMostZones = 64;
 
-Regions ReadRegions(TableReader& table, Problems& warnings) {
-  Regions regions;
+ZoneFailoverSettings ReadRegions(TableReader& table, Problems& warnings) {
+  ZoneFailoverSettings regions;
   NeedsEtcd(table);
   const std::string decide = table.Text("decide", "together");
   if (decide != "together" && decide != "alone")
@@ -135,7 +135,7 @@
   regions.round_trip = table.Duration("round_trip", regions.round_trip, milliseconds(0), milliseconds(10000));
   regions.price_percent = static_cast<int>(table.Whole("price_percent", regions.price_percent, 0, 1000));
   for (const auto& link : table.Tables("link")) {
-    Regions::Link one;
+    ZoneFailoverSettings::Link one;
     link->Require("from", "a zone");
     link->Require("to", "another zone");
     one.from = link->Text("from");
@@ -156,11 +156,11 @@
 
 // Where [regions] says nothing of etcd, it is the one of [etcd].
 void LinkRegions(TableReader& table, OperatorFile& file) {
-  Regions& regions = *file.regions;
+  ZoneFailoverSettings& regions = *file.regions;
   if (!regions.together || !regions.endpoints.empty()) return;
   if (file.etcd) {
-    const EtcdLink& link = *file.etcd;
-    static_cast<EtcdLink&>(regions) = link;
+    const EtcdConnectionSettings& link = *file.etcd;
+    static_cast<EtcdConnectionSettings&>(regions) = link;
     return;
   }
   table.Report("regions",
@@ -169,7 +169,7 @@
 
 }  // namespace
 
-void ReadEtcdLink(TableReader& table, EtcdLink& etcd) {
+void ReadEtcdLink(TableReader& table, EtcdConnectionSettings& etcd) {
   etcd.endpoints = table.Texts("endpoints");
   for (const std::string& endpoint : etcd.endpoints) {
     if (!GoodAddress(endpoint))
--- a/src/operator_config/operator_file.h
+++ b/src/operator_config/operator_file.h
@@ -18,7 +18,7 @@
 
 namespace badgerbridge::operator_config {
 
-struct Control {
+struct AdminApiSettings {
   std::string socket;               // path of the Unix domain socket; at most 107 bytes
   std::size_t max_connections = 8;  // at the limit, silent ones make room
   std::chrono::milliseconds request_timeout{
@@ -28,7 +28,7 @@
 };
 
 // How etcd is reached.
-struct EtcdLink {
+struct EtcdConnectionSettings {
   std::vector<std::string> endpoints;  // address:port, without names to resolve
   std::string user, password_file;
   std::string certificate, key, client_authority, server_name;  // TLS, if certificate is given
@@ -36,7 +36,7 @@
 };
 
 // Membership from etcd, beside discovery.
-struct Etcd : EtcdLink {
+struct EtcdSettings : EtcdConnectionSettings {
   std::string prefix = "/badgerbridge/converters/";
   // The services whose members are followed, and no others; empty: all members, under `prefix`. The keys are
   // services_prefix + service + "/" + name.
@@ -47,8 +47,8 @@
 };
 
 // How much goes to each zone, decided in common by all proxies (docs/zone_failover.md).
-struct Regions : EtcdLink {  // without endpoints of its own: those of [etcd]
-  struct Link {              // there and back alike
+struct ZoneFailoverSettings : EtcdConnectionSettings {  // without endpoints of its own: those of [etcd]
+  struct Link {                                         // there and back alike
     std::string from, to;
     std::chrono::milliseconds round_trip{1};
     int price_percent = 10;
@@ -63,9 +63,9 @@
 };
 
 struct OperatorFile {
-  std::optional<Control> control;
-  std::optional<Etcd> etcd;
-  std::optional<Regions> regions;
+  std::optional<AdminApiSettings> control;
+  std::optional<EtcdSettings> etcd;
+  std::optional<ZoneFailoverSettings> regions;
   Problems warnings;  // former names of keys: they go on working
 };
 
@@ -75,9 +75,9 @@
 OperatorFile Parse(std::string_view text, const std::string& file, Problems& problems);
 OperatorFile Load(const std::string& path, Problems& problems);
 
-// The keys of an EtcdLink in a table of another file; the caller finishes the table.
+// The keys of an EtcdConnectionSettings in a table of another file; the caller finishes the table.
 class TableReader;
-void ReadEtcdLink(TableReader& table, EtcdLink& link);
+void ReadEtcdLink(TableReader& table, EtcdConnectionSettings& link);
 
 }  // namespace badgerbridge::operator_config
 
--- a/src/proxy/arrival_times.h
+++ b/src/proxy/arrival_times.h
@@ -8,7 +8,7 @@
 #include <cstddef>
 #include <vector>
 
-#include "proxy/module.h"
+#include "proxy/balancer_types.h"
 
 namespace badgerbridge::proxy {
 
--- a/src/proxy/backend_connection.h
+++ b/src/proxy/backend_connection.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A connection to a backend and the attempt on it. Only node/backend.cpp, the pool, uses it.
+// A connection to a backend and the attempt on it. Only proxy/backend_pool.cpp, the pool, uses it.
 #ifndef BADGERBRIDGE_PROXY_BACKEND_CONNECTION_H_
 #define BADGERBRIDGE_PROXY_BACKEND_CONNECTION_H_
 
@@ -19,7 +19,7 @@
 
 #include "net/one_shot_timer.h"
 #include "net/read_grace.h"
-#include "proxy/backend.h"
+#include "proxy/backend_pool.h"
 
 namespace badgerbridge::proxy {
 
@@ -42,7 +42,7 @@
 
 // One connection and the attempt on it. While it stands idle, whatever can be read ends it: the backend has
 // closed it, or has said something that nobody asked for and that must not become the next answer.
-class Backends::Connection : public std::enable_shared_from_this<Connection> {
+class BackendPool::Connection : public std::enable_shared_from_this<Connection> {
  public:
   struct Attempt {
     std::shared_ptr<const Forwarded> request;
@@ -51,7 +51,7 @@
     Done done;
   };
 
-  Connection(Backends& pool, BackendId server, tcp::endpoint address)
+  Connection(BackendPool& pool, BackendId server, tcp::endpoint address)
       : pool_(&pool), server_(server), address_(std::move(address)), socket_(pool.io_), timer_(pool.io_) {
     ++pool.open_;
   }
@@ -436,7 +436,7 @@
       0.75;  // of the backend's idle limit: retired before the backend may close it
   static constexpr double kConnectShare = 0.25;  // of an attempt's time, for its connection to come up
 
-  Backends* pool_;
+  BackendPool* pool_;
   const BackendId server_;
   const tcp::endpoint address_;
   tcp::socket socket_;
@@ -460,7 +460,7 @@
   Outcome failure_ = Outcome::kUnknown;          // of an attempt given up, if it was written whole
   Outcome unwritten_ = Outcome::kConnectFailed;  // and if it was not
 
-  friend class Backends;
+  friend class BackendPool;
 };
 
 }  // namespace badgerbridge::proxy
--- a/src/proxy/backend.cpp
+++ b/src/proxy/backend_pool.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/backend.h"
+#include "proxy/backend_pool.h"
 
 #include <algorithm>
 #include <boost/asio/bind_allocator.hpp>
@@ -18,15 +18,15 @@
 
 // Whom to tell how an attempt ended, and the memory that this takes.
 struct Completion {
-  explicit Completion(Backends::Done done) : done(std::move(done)) {}
+  explicit Completion(BackendPool::Done done) : done(std::move(done)) {}
 
-  Backends::Done done;
+  BackendPool::Done done;
   net::HandlerMemory memory;
 };
 
 }  // namespace
 
-Backends::Limits Backends::Limits::From(const Config& config) {
+BackendPool::Limits BackendPool::Limits::From(const Config& config) {
   Limits limits;
   limits.connections = config.max_backend_connections;
   limits.connect_timeout = config.connect_timeout;
@@ -34,18 +34,18 @@
   return limits;
 }
 
-Backends::Backends(asio::io_context& io, const ProxyClock& clock, Limits limits)
+BackendPool::BackendPool(asio::io_context& io, const ProxyClock& clock, Limits limits)
     : io_(io), clock_(clock), limits_(limits) {
   dial_ = [](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
     socket.async_connect(address, std::move(ended));
   };
 }
 
-Backends::~Backends() {
+BackendPool::~BackendPool() {
   for (auto& [id, backend] : backends_) CloseIdle(backend);
 }
 
-void Backends::Update(const EndpointList& list) {
+void BackendPool::Update(const EndpointList& list) {
   // One that is gone is sent nothing more, and nothing of it is needed: attempts that are still out carry
   // what they need.
   if (list.snapshot) {
@@ -76,17 +76,17 @@
   }
 }
 
-bool Backends::AnyReady() const {
+bool BackendPool::AnyReady() const {
   return std::any_of(backends_.begin(), backends_.end(),
                      [](const auto& entry) { return entry.second.state == BackendState::kReady; });
 }
 
-void Backends::CloseIdle(Backend& backend) {
+void BackendPool::CloseIdle(Backend& backend) {
   for (const auto& connection : std::exchange(backend.idle, {})) connection->Close();
 }
 
 // Those that have been idle since before that: nothing has been heard on them.
-void Backends::CloseUntested(BackendId server, TimePoint since) {
+void BackendPool::CloseUntested(BackendId server, TimePoint since) {
   const auto found = backends_.find(server);
   if (found == backends_.end()) return;
   const auto idle = found->second.idle;  // a copy: each takes itself out
@@ -97,14 +97,14 @@
 
 // Nothing of the grace after a drain is used: the word may have been long on its way, and what has not begun
 // can be sent elsewhere.
-bool Backends::Takes(BackendId server, const tcp::endpoint& address) const {
+bool BackendPool::Takes(BackendId server, const tcp::endpoint& address) const {
   const auto found = backends_.find(server);
   return found != backends_.end() && found->second.address == address &&
          found->second.state == BackendState::kReady;
 }
 
 // The newest that has rested.
-std::shared_ptr<Backends::Connection> Backends::TakeIdle(Backend& backend) {
+std::shared_ptr<BackendPool::Connection> BackendPool::TakeIdle(Backend& backend) {
   const TimePoint now = clock_.Now();
   const TimePoint rested = now - unasked_at_ < kUnaskedMemory ? now - limits_.rest : now;
   for (std::size_t at = backend.idle.size(); at-- > 0;) {
@@ -118,7 +118,7 @@
 }
 
 // At the limit, the connection that has been idle the longest makes room.
-bool Backends::EvictConnection() {
+bool BackendPool::EvictConnection() {
   if (open_ < limits_.connections) return true;
   std::shared_ptr<Connection> oldest;
   for (const auto& [id, backend] : backends_) {
@@ -130,8 +130,9 @@
   return true;
 }
 
-Backends::Ticket Backends::Send(BackendId server, std::shared_ptr<const Forwarded> request, Duration timeout,
-                                TimePoint begin_before, Done done, std::shared_ptr<Requester> requester) {
+BackendPool::Ticket BackendPool::Send(BackendId server, std::shared_ptr<const Forwarded> request,
+                                      Duration timeout, TimePoint begin_before, Done done,
+                                      std::shared_ptr<Requester> requester) {
   const TimePoint deadline = clock_.Now() + timeout;
   // Through the queue of the io_context also where it ends at once: the caller is in the midst of its
   // actions.
@@ -162,15 +163,15 @@
   return {connection, connection->number_};
 }
 
-void Backends::Cancel(const Ticket& attempt) {
+void BackendPool::Cancel(const Ticket& attempt) {
   if (const auto connection = attempt.connection.lock()) connection->Cancel(attempt.number);
 }
 
-void Backends::Withdraw(const Ticket& attempt) {
+void BackendPool::Withdraw(const Ticket& attempt) {
   if (const auto connection = attempt.connection.lock()) connection->Withdraw(attempt.number);
 }
 
-void Backends::Park(std::shared_ptr<Connection> connection) {
+void BackendPool::Park(std::shared_ptr<Connection> connection) {
   const auto found = backends_.find(connection->server_);
   const bool wanted = found != backends_.end() && found->second.state == BackendState::kReady &&
                       found->second.address == connection->address_;
@@ -185,7 +186,7 @@
   if (idle.size() > limits_.idle_per_backend) std::shared_ptr(idle.front())->Close();
 }
 
-void Backends::Unpark(const Connection* connection) {
+void BackendPool::Unpark(const Connection* connection) {
   const auto found = backends_.find(connection->server_);
   if (found == backends_.end()) return;
   std::erase_if(found->second.idle, [&](const auto& other) { return other.get() == connection; });
--- a/src/proxy/backend.h
+++ b/src/proxy/backend_pool.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Connections to backends: a pool for each, and one attempt at a time on a connection.
-#ifndef BADGERBRIDGE_PROXY_BACKEND_H_
-#define BADGERBRIDGE_PROXY_BACKEND_H_
+#ifndef BADGERBRIDGE_PROXY_BACKEND_POOL_H_
+#define BADGERBRIDGE_PROXY_BACKEND_POOL_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -32,7 +32,7 @@
   std::string load = {};  // the X-Backend-Load of a whole answer, where KeepLoads asks for it
 };
 
-class Backends {
+class BackendPool {
  public:
   struct Limits {
     static Limits From(const Config& config);
@@ -51,10 +51,10 @@
   using Dial = std::function<void(boost::asio::ip::tcp::socket&, const boost::asio::ip::tcp::endpoint&,
                                   std::function<void(boost::system::error_code)>)>;
 
-  Backends(boost::asio::io_context& io, const ProxyClock& clock, Limits limits);
-  ~Backends();
-  Backends(const Backends&) = delete;
-  Backends& operator=(const Backends&) = delete;
+  BackendPool(boost::asio::io_context& io, const ProxyClock& clock, Limits limits);
+  ~BackendPool();
+  BackendPool(const BackendPool&) = delete;
+  BackendPool& operator=(const BackendPool&) = delete;
 
   void Update(const EndpointList& list);
   // From here on results bring what an answer says of its backend's load.
@@ -120,4 +120,4 @@
 
 }  // namespace badgerbridge::proxy
 
-#endif  // BADGERBRIDGE_PROXY_BACKEND_H_
+#endif  // BADGERBRIDGE_PROXY_BACKEND_POOL_H_
--- a/src/proxy/module.h
+++ b/src/proxy/balancer_types.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The decision module's names, as the node uses them.
-#ifndef BADGERBRIDGE_PROXY_MODULE_H_
-#define BADGERBRIDGE_PROXY_MODULE_H_
+#ifndef BADGERBRIDGE_PROXY_BALANCER_TYPES_H_
+#define BADGERBRIDGE_PROXY_BALANCER_TYPES_H_
 
 #include "badgerbridge/balancer.h"
 
@@ -25,4 +25,4 @@
 
 }  // namespace badgerbridge::proxy
 
-#endif  // BADGERBRIDGE_PROXY_MODULE_H_
+#endif  // BADGERBRIDGE_PROXY_BALANCER_TYPES_H_
--- a/src/proxy/clock.h
+++ b/src/proxy/clock.h
@@ -7,7 +7,7 @@
 
 #include <chrono>
 
-#include "proxy/module.h"
+#include "proxy/balancer_types.h"
 
 namespace badgerbridge::proxy {
 
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "http_api/address.h"
-#include "proxy/module.h"
+#include "proxy/balancer_types.h"
 
 namespace badgerbridge::proxy {
 
--- a/src/proxy/discovery.cpp
+++ b/src/proxy/discovery.cpp
@@ -75,7 +75,7 @@
 
 // Derived from the name, so that an id is the same at every proxy and after each restart: the module places
 // servers on its ring by id, and proxies that number them differently crowd on the same few.
-BackendId ListReader::IdOf(const std::string& name) {
+BackendId EndpointListReader::IdOf(const std::string& name) {
   const auto known = ids_.find(name);
   if (known != ids_.end()) return known->second;
   BackendId id = 2166136261u;  // FNV-1a
@@ -87,23 +87,23 @@
   return id;
 }
 
-std::string ListReader::NameOf(BackendId id) const {
+std::string EndpointListReader::NameOf(BackendId id) const {
   const auto found = names_.find(id);
   return found == names_.end() ? std::string() : found->second;
 }
 
-EndpointList ListReader::Read(const json::value& value) {
+EndpointList EndpointListReader::Read(const json::value& value) {
   const json::object& object = value.as_object();
   const auto index = object.at("index").to_number<std::uint64_t>();
   const bool snapshot = object.at("snapshot").as_bool();
-  std::vector<Listed> listed;
+  std::vector<ListedEndpoint> listed;
   for (const json::value& item : object.at("endpoints").as_array()) {
     const json::object& fields = item.as_object();
     const auto text = [&](const char* key) {
       const json::value* found = fields.if_contains(key);
       return found && found->is_string() ? TextAt(fields, key) : std::string_view();
     };
-    Listed one;
+    ListedEndpoint one;
     one.name = std::string(TextAt(fields, "name"));
     one.state = StateOf(TextAt(fields, "status"));
     one.address = ParseAddress(text("address"));
@@ -119,10 +119,11 @@
   return Take(snapshot, index, listed);
 }
 
-EndpointList ListReader::Take(bool snapshot, std::uint64_t index, const std::vector<Listed>& listed) {
+EndpointList EndpointListReader::Take(bool snapshot, std::uint64_t index,
+                                      const std::vector<ListedEndpoint>& listed) {
   EndpointList list;
   list.snapshot = snapshot;
-  for (const Listed& one : listed) {
+  for (const ListedEndpoint& one : listed) {
     Endpoint endpoint;
     endpoint.name = one.name;
     if (one.address) endpoint.address = *one.address;
@@ -141,7 +142,7 @@
 }
 
 // Backends are replaced by new ones, under new names, for as long as this node lives.
-void ListReader::Forget(const EndpointList& list) {
+void EndpointListReader::Forget(const EndpointList& list) {
   std::unordered_set<BackendId> listed;
   for (const Endpoint& endpoint : list.endpoints) {
     if (endpoint.entry.state != BackendState::kGone) listed.insert(endpoint.entry.server);
@@ -165,8 +166,9 @@
   for (const BackendId id : gone) drop(id);
 }
 
-Discovery::Discovery(asio::io_context& io, asio::ip::tcp::endpoint address, ListReader reader, bool ask,
-                     std::uint64_t seed, OnList on_list, std::function<void()> on_failed, Timing timing)
+Discovery::Discovery(asio::io_context& io, asio::ip::tcp::endpoint address, EndpointListReader reader,
+                     bool ask, std::uint64_t seed, OnList on_list, std::function<void()> on_failed,
+                     Timing timing)
     : io_(io),
       address_(std::move(address)),
       reader_(std::move(reader)),
--- a/src/proxy/discovery.h
+++ b/src/proxy/discovery.h
@@ -35,7 +35,7 @@
 };
 
 // An endpoint as a list has it, by names.
-struct Listed {
+struct ListedEndpoint {
   std::string name, zone, kind;
   std::optional<boost::asio::ip::tcp::endpoint> address;  // none: only of one that is gone
   BackendState state = BackendState::kReady;
@@ -45,14 +45,14 @@
 };
 
 // Reads lists in discovery's form; keeps the id of each name and the version of the list.
-class ListReader {
+class EndpointListReader {
  public:
-  explicit ListReader(const Config& config) : zones_(config.zones), kinds_(config.kinds) {}
-  ListReader(ListReader&&) = default;
+  explicit EndpointListReader(const Config& config) : zones_(config.zones), kinds_(config.kinds) {}
+  EndpointListReader(EndpointListReader&&) = default;
 
   // Throws std::exception if it is no list; then nothing has changed.
   EndpointList Read(const boost::json::value& list);
-  EndpointList Take(bool snapshot, std::uint64_t index, const std::vector<Listed>& listed);
+  EndpointList Take(bool snapshot, std::uint64_t index, const std::vector<ListedEndpoint>& listed);
   std::uint64_t index() const { return index_; }
   void NoChangeUpTo(std::uint64_t index) { index_ = index; }
   void Restart() { index_ = 0; }  // ask for everything again
@@ -87,8 +87,8 @@
 
   // `ask`: each call is the module's to decide; on_failed tells it when one has ended. Otherwise the watch is
   // kept up from here.
-  Discovery(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address, ListReader reader, bool ask,
-            std::uint64_t seed, OnList on_list, std::function<void()> on_failed, Timing timing);
+  Discovery(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address, EndpointListReader reader,
+            bool ask, std::uint64_t seed, OnList on_list, std::function<void()> on_failed, Timing timing);
 
   // Opens the watch, in place of one that is open. A call that waits for its answer goes on, since another
   // would only lose its turn, and so does a watch whose next word has come and is not read yet. Either ends
@@ -102,7 +102,7 @@
   // Something of the open watch has come, and nobody has read it yet.
   bool HasUnread() const;
 
-  const ListReader& reader() const { return reader_; }
+  const EndpointListReader& reader() const { return reader_; }
   const boost::asio::ip::tcp::endpoint& address() const { return address_; }
 
  private:
@@ -119,7 +119,7 @@
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
-  ListReader reader_;
+  EndpointListReader reader_;
   bool ask_;
   std::mt19937_64 random_;
   OnList on_list_;
--- a/src/proxy/client.cpp
+++ b/src/proxy/listener.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "proxy/client.h"
+#include "proxy/listener.h"
 
 #include <sys/socket.h>
 #include <unistd.h>
--- a/src/proxy/client.h
+++ b/src/proxy/listener.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The side of the clients: the listener, and a session for each connection.
-#ifndef BADGERBRIDGE_PROXY_CLIENT_H_
-#define BADGERBRIDGE_PROXY_CLIENT_H_
+#ifndef BADGERBRIDGE_PROXY_LISTENER_H_
+#define BADGERBRIDGE_PROXY_LISTENER_H_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -128,4 +128,4 @@
 
 }  // namespace badgerbridge::proxy
 
-#endif  // BADGERBRIDGE_PROXY_CLIENT_H_
+#endif  // BADGERBRIDGE_PROXY_LISTENER_H_
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -25,11 +25,12 @@
 
 }  // namespace
 
-Proxy::Proxy(boost::asio::io_context& io, const ProxyClock& clock, Backends& backends, const Config& config)
+Proxy::Proxy(boost::asio::io_context& io, const ProxyClock& clock, BackendPool& backends,
+             const Config& config)
     : clock_(clock), backends_(backends), table_(config.settings, config.seed), timer_(io) {}
 
-RequestId Proxy::Take(Submit submit, std::shared_ptr<const Forwarded> forwarded,
-                      std::shared_ptr<Requester> requester) {
+RequestId Proxy::Accept(Submit submit, std::shared_ptr<const Forwarded> forwarded,
+                        std::shared_ptr<Requester> requester) {
   const TimePoint now = clock_.Now();
   // Whatever needs memory comes first: once it is in the table, it must be in entries_.
   Entry& entry = entries_[kUnnumbered];
@@ -37,8 +38,8 @@
   entry.requester = std::move(requester);
   RequestId request = 0;
   try {
-    if (watcher_) {
-      watcher_->Taken(now, submit);
+    if (observer_) {
+      observer_->OnRequest(now, submit);
       entry.submit = submit;
     }
     request = table_.Accept(now, submit, &actions_);
@@ -53,7 +54,7 @@
   return request;
 }
 
-void Proxy::Gone(RequestId request) {
+void Proxy::ClientDisconnected(RequestId request) {
   entries_.erase(request);
   table_.ClientDisconnected(clock_.Now(), request, &actions_);
   Turn();
@@ -62,7 +63,7 @@
 void Proxy::UpdateList(EndpointListKind kind, const EndpointList& list) {
   if (kind != EndpointListKind::kCached) list_at_ = clock_.Now();
   backends_.Update(list);  // first: what the module does about it needs the addresses
-  if (watcher_) watcher_->Listed(clock_.Now(), list);
+  if (observer_) observer_->OnEndpointList(clock_.Now(), list);
   EndpointListUpdate update;
   update.kind = kind;
   for (const Endpoint& endpoint : list.endpoints) update.entries.push_back(endpoint.entry);
@@ -70,12 +71,12 @@
   Turn();
 }
 
-void Proxy::ListFailed() {
+void Proxy::EndpointListFailed() {
   table_.UpdateEndpoints(clock_.Now(), {EndpointListKind::kFailed, {}}, &actions_);
   Turn();
 }
 
-void Proxy::Shares(balancer::ZoneQuotas shares) {
+void Proxy::UpdateZoneQuotas(balancer::ZoneQuotas shares) {
   table_.UpdateZoneQuotas(clock_.Now(), std::move(shares), &actions_);
   Turn();
 }
@@ -128,7 +129,7 @@
   // Its client has left since the table said so: it never runs.
   if (found == entries_.end()) return TellEnd(out, Outcome::kNotSent);
   try {
-    if (watcher_) watcher_->Sent(clock_.Now(), action, found->second.submit);
+    if (observer_) observer_->OnAttemptSent(clock_.Now(), action, found->second.submit);
     out->second.ticket = backends_.Send(
         action.server, found->second.forwarded, action.timeout, action.begin_before,
         [this, action](AttemptResult result) { OnAttemptEnd(action, std::move(result)); },
@@ -150,7 +151,7 @@
 }
 
 void Proxy::OnAttemptEnd(const request_table::Send& attempt, AttemptResult result) {
-  if (watcher_) watcher_->Ended(clock_.Now(), attempt, result.outcome, result.load);
+  if (observer_) observer_->OnAttemptEnded(clock_.Now(), attempt, result.outcome, result.load);
   const auto found = entries_.find(attempt.request);
   if (found != entries_.end() && result.outcome == Outcome::kOk) {
     found->second.brought.body = std::move(result.body);
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "net/one_shot_timer.h"
-#include "proxy/backend.h"
+#include "proxy/backend_pool.h"
 #include "proxy/clock.h"
 #include "proxy/config.h"
 #include "proxy/discovery.h"
@@ -29,37 +29,37 @@
 using request_table::RequestCounters;
 
 // Looks on at what goes where (src/zone_failover); it changes nothing.
-class TrafficWatcher {
+class TrafficObserver {
  public:
-  virtual ~TrafficWatcher() = default;
-  virtual void Listed(TimePoint now, const EndpointList& list) = 0;
-  virtual void Taken(TimePoint now, const Submit& submit) = 0;
+  virtual ~TrafficObserver() = default;
+  virtual void OnEndpointList(TimePoint now, const EndpointList& list) = 0;
+  virtual void OnRequest(TimePoint now, const Submit& submit) = 0;
   // An attempt of a request that was taken as `submit`; its end is told exactly once.
-  virtual void Sent(TimePoint now, const request_table::Send& send, const Submit& submit) = 0;
+  virtual void OnAttemptSent(TimePoint now, const request_table::Send& send, const Submit& submit) = 0;
   // `load`: what its answer said in X-Backend-Load; empty: nothing.
-  virtual void Ended(TimePoint now, const request_table::Send& send, Outcome outcome,
-                     std::string_view load) = 0;
+  virtual void OnAttemptEnded(TimePoint now, const request_table::Send& send, Outcome outcome,
+                              std::string_view load) = 0;
 };
 
 class Proxy {
  public:
-  Proxy(boost::asio::io_context& io, const ProxyClock& clock, Backends& backends, const Config& config);
+  Proxy(boost::asio::io_context& io, const ProxyClock& clock, BackendPool& backends, const Config& config);
 
   // Where the module asks for the list.
   void OnSubscribe(std::function<void()> subscribe) { subscribe_ = std::move(subscribe); }
 
   // Takes a request, whose `request` is set here and whose `due` is when the client gives up. The requester
-  // is given its answer exactly once, before that, unless Gone comes first.
-  RequestId Take(Submit submit, std::shared_ptr<const Forwarded> forwarded,
-                 std::shared_ptr<Requester> requester);
-  void Gone(RequestId request);
+  // is given its answer exactly once, before that, unless ClientDisconnected comes first.
+  RequestId Accept(Submit submit, std::shared_ptr<const Forwarded> forwarded,
+                   std::shared_ptr<Requester> requester);
+  void ClientDisconnected(RequestId request);
   void UpdateList(EndpointListKind kind, const EndpointList& list);
-  void ListFailed();
+  void EndpointListFailed();
   // How much may go to each zone from here on.
-  void Shares(balancer::ZoneQuotas shares);
+  void UpdateZoneQuotas(balancer::ZoneQuotas shares);
   // From here on; it must outlive this. None: nothing is told, and nothing kept for it.
-  void Watch(TrafficWatcher* watcher) {
-    watcher_ = watcher;
+  void SetTrafficObserver(TrafficObserver* observer) {
+    observer_ = observer;
     backends_.KeepLoads();
   }
   // False: a list is on its way in slices, and what is there yet is too little to serve from.
@@ -75,13 +75,13 @@
     std::shared_ptr<const Forwarded> forwarded;
     std::shared_ptr<Requester> requester;
     Answer brought;  // by the attempt that served it
-    Submit submit;   // for the watcher
+    Submit submit;   // for the observer
   };
 
   // An attempt that is out, and how it ended if the table could not be told yet.
   struct Outstanding {
     request_table::Send action;
-    Backends::Ticket ticket;
+    BackendPool::Ticket ticket;
     std::optional<Outcome> ended;
   };
   static constexpr RequestId kUnnumbered = 0;  // in entries_: not in the table yet
@@ -101,10 +101,10 @@
   void Arm();
 
   const ProxyClock& clock_;
-  Backends& backends_;
+  BackendPool& backends_;
   request_table::RequestTable table_;
   std::function<void()> subscribe_;
-  TrafficWatcher* watcher_ = nullptr;
+  TrafficObserver* observer_ = nullptr;
   std::unordered_map<RequestId, Entry> entries_;  // of those that are open
   // Of the attempts that are out, one a request; one may outlast its request.
   Attempts out_;
--- a/src/proxy/requester.h
+++ b/src/proxy/requester.h
@@ -6,7 +6,7 @@
 
 #include <string>
 
-#include "proxy/module.h"
+#include "proxy/balancer_types.h"
 
 namespace badgerbridge::proxy {
 
@@ -21,11 +21,12 @@
  public:
   virtual ~Requester() = default;
 
-  /// Takes the final answer. Called at most once for each request, possibly from within Proxy::Take.
+  /// Takes the final answer. Called at most once for each request, possibly from within Proxy::Accept.
   virtual void OnAnswer(Answer answer) noexcept = 0;
 
   /// Asks the connection itself whether the client has closed or reset it, whatever events of it are still
-  /// unhandled. If so, the caller does not begin an attempt; Proxy::Gone follows from the event loop.
+  /// unhandled. If so, the caller does not begin an attempt; Proxy::ClientDisconnected follows from the event
+  /// loop.
   virtual bool HasLeft() noexcept = 0;
 };
 
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -99,7 +99,7 @@
   beast::error_code ignored;
   socket_.close(ignored);
   try {
-    if (was == State::kServing) listener_.proxy_.Gone(std::exchange(request_, 0));
+    if (was == State::kServing) listener_.proxy_.ClientDisconnected(std::exchange(request_, 0));
   } catch (const std::exception& error) {
     std::cerr << "a departure could not be noted: " << error.what() << '\n';
   }
--- a/src/proxy/session.h
+++ b/src/proxy/session.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A session of the listener: one client's connection. Only node/client.cpp and the session's own files use
+// A session of the listener: one client's connection. Only proxy/listener.cpp and the session's own files use
 // it.
 #ifndef BADGERBRIDGE_PROXY_SESSION_H_
 #define BADGERBRIDGE_PROXY_SESSION_H_
@@ -17,7 +17,7 @@
 
 #include "net/one_shot_timer.h"
 #include "proxy/arrival_times.h"
-#include "proxy/client.h"
+#include "proxy/listener.h"
 
 namespace badgerbridge::proxy {
 
--- a/src/proxy/session_request.cpp
+++ b/src/proxy/session_request.cpp
@@ -157,7 +157,7 @@
 
   listener_.last_busy_ = listener_.clock_.Now();
   state_ = State::kServing;
-  const RequestId number = listener_.proxy_.Take(checked.submit, std::move(forwarded), shared_from_this());
+  const RequestId number = listener_.proxy_.Accept(checked.submit, std::move(forwarded), shared_from_this());
   if (state_ == State::kServing) request_ = number;  // else it has been answered
 }
 
--- a/src/proxy_main/main.cpp
+++ b/src/proxy_main/main.cpp
@@ -15,11 +15,11 @@
 
 #include "admin_api/admin_api.h"
 #include "http_api/version.h"
-#include "proxy/backend.h"
-#include "proxy/client.h"
+#include "proxy/backend_pool.h"
 #include "proxy/clock.h"
 #include "proxy/config.h"
 #include "proxy/discovery.h"
+#include "proxy/listener.h"
 #ifdef BADGERBRIDGE_HAS_ETCD
 #include "proxy_main/membership_source.h"
 #include "proxy_main/zone_failover_source.h"
@@ -34,7 +34,7 @@
 
 // SIGHUP: the file may name another discovery. All else of it, and all that is under way, stays; of a file
 // that is no good nothing is taken.
-void Reload(Discovery& discovery, const Environment& environment, admin_api::Reloads* reloads) {
+void Reload(Discovery& discovery, const Environment& environment, admin_api::ReloadStatus* reloads) {
   try {
     discovery.MoveTo(RereadConfig(environment).discovery);
     ++reloads->applied;
@@ -53,10 +53,10 @@
   const ProxyClock clock;
   if (operators.control)  // its descriptors come out of the clients' share
     config.max_clients -= std::min(config.max_clients - 1, operators.control->max_connections + 1);
-  Backends backends(io, clock, Backends::Limits::From(config));
+  BackendPool backends(io, clock, BackendPool::Limits::From(config));
   Proxy proxy(io, clock, backends, config);
 
-  ListReader reader(config);
+  EndpointListReader reader(config);
   EndpointList known;
   try {
     if (!config.known.is_null()) known = reader.Read(config.known);
@@ -65,11 +65,11 @@
   }
   known.snapshot = true;
 #ifdef BADGERBRIDGE_HAS_ETCD
-  std::optional<RegionsSource> regions;
+  std::optional<ZoneFailoverSource> regions;
   if (operators.regions) {
     regions.emplace(io, clock, config, *operators.regions,
-                    [&proxy](std::vector<double> shares) { proxy.Shares({std::move(shares)}); });
-    proxy.Watch(&*regions);
+                    [&proxy](std::vector<double> shares) { proxy.UpdateZoneQuotas({std::move(shares)}); });
+    proxy.SetTrafficObserver(&*regions);
   }
   std::optional<MembershipSource> membership;
   if (operators.etcd) {
@@ -89,13 +89,13 @@
   };
   Discovery discovery(
       io, config.discovery, std::move(reader), config.settings.polls_endpoint_list, config.seed, told,
-      [&proxy] { proxy.ListFailed(); }, Discovery::Timing::For(config.settings.polls_endpoint_list));
+      [&proxy] { proxy.EndpointListFailed(); }, Discovery::Timing::For(config.settings.polls_endpoint_list));
   proxy.OnSubscribe([&discovery] { discovery.Watch(); });
   backends.PostponeWhile([&discovery] { return discovery.HasUnread(); });
   proxy.UpdateList(EndpointListKind::kCached, known);
   if (!config.settings.polls_endpoint_list) discovery.Watch();
 
-  admin_api::Reloads reloads;
+  admin_api::ReloadStatus reloads;
   std::function<void()> await_hangup = [&] {
     hangups.async_wait([&](const boost::system::error_code& error, int) {
       if (error) return;
@@ -110,12 +110,12 @@
   signals.async_wait([&](const boost::system::error_code& error, int) {
     if (!error) stop();
   });
-  std::optional<admin_api::Control> controls;
+  std::optional<admin_api::AdminApi> controls;
   if (operators.control) {
     std::function<boost::json::value()> members;
     std::function<std::size_t()> release;
     std::function<boost::json::value()> zones;
-    const ListReader* list = &discovery.reader();
+    const EndpointListReader* list = &discovery.reader();
 #ifdef BADGERBRIDGE_HAS_ETCD
     if (membership) {
       members = [&membership] { return membership->Describe(); };
@@ -125,8 +125,8 @@
     if (regions) zones = [&regions] { return regions->Describe(); };
 #endif
     controls.emplace(io, *operators.control,
-                     admin_api::Control::Subject{config, clock, proxy, listener, *list, reloads, stop,
-                                                 members, release, zones});
+                     admin_api::AdminApi::Subject{config, clock, proxy, listener, *list, reloads, stop,
+                                                  members, release, zones});
   }
 
   while (!io.stopped()) {
--- a/src/proxy_main/membership_source.cpp
+++ b/src/proxy_main/membership_source.cpp
@@ -22,7 +22,8 @@
 constexpr int kUrgentRestFor = 1;  // while drains or departures wait, or the first list: half of the loop
 constexpr std::chrono::milliseconds kMostRest{50};  // what a drain may wait for it
 
-membership::LedgerSettings MakeLedgerSettings(const operator_config::Etcd& etcd, std::size_t max_members) {
+membership::LedgerSettings MakeLedgerSettings(const operator_config::EtcdSettings& etcd,
+                                              std::size_t max_members) {
   membership::LedgerSettings settings;
   settings.sources = {{"etcd", etcd.authority, Time(5000), Time(60000)},
                       {"discovery", !etcd.authority, Time(10000), Time(60000)}};
@@ -39,7 +40,7 @@
 }  // namespace
 
 MembershipSource::MembershipSource(boost::asio::io_context& io, const Config& config,
-                                   const operator_config::Etcd& settings, OnChange on_change,
+                                   const operator_config::EtcdSettings& settings, OnChange on_change,
                                    OnComplete on_complete, std::size_t max_members)
     : zones_(config.zones),
       kinds_(config.kinds),
@@ -64,7 +65,7 @@
 }
 
 void MembershipSource::Known(const EndpointList& list) {
-  std::vector<Listed> listed;
+  std::vector<ListedEndpoint> listed;
   for (const Endpoint& endpoint : list.endpoints) {
     if (endpoint.entry.state == BackendState::kGone) continue;
     known_.push_back(endpoint.name);
@@ -160,9 +161,9 @@
 }
 
 void MembershipSource::FlushSlice() {
-  std::vector<Listed> listed;
+  std::vector<ListedEndpoint> listed;
   for (const Member& member : pending_.TakeSlice(kSliceMembers)) {
-    Listed one{member.name, member.zone, member.kind, ParseAddress(member.address)};
+    ListedEndpoint one{member.name, member.zone, member.kind, ParseAddress(member.address)};
     one.state = member.state == membership::MemberState::kReady      ? BackendState::kReady
                 : member.state == membership::MemberState::kDraining ? BackendState::kDraining
                                                                      : BackendState::kGone;
--- a/src/proxy_main/membership_source.h
+++ b/src/proxy_main/membership_source.h
@@ -34,7 +34,7 @@
   // called from within. `on_change` gets the list in slices of at most kSliceMembers. `on_complete`: the
   // authority's first whole list has been passed on; called once. `max_members`: of each source's list.
   MembershipSource(boost::asio::io_context& io, const proxy::Config& config,
-                   const operator_config::Etcd& settings, OnChange on_change,
+                   const operator_config::EtcdSettings& settings, OnChange on_change,
                    OnComplete on_complete = nullptr, std::size_t max_members = membership::kMaxMembers);
 
   // The list that the configuration gave: what the proxy works with until the authority has spoken.
@@ -42,7 +42,7 @@
   void Discovered(const proxy::EndpointList& list);
 
   // The list as it is believed: what the proxy works with.
-  const proxy::ListReader& list() const { return names_; }
+  const proxy::EndpointListReader& list() const { return names_; }
 
   // What is held back has really left: lets it go; how many there were.
   std::size_t Release();
@@ -65,8 +65,8 @@
 
   std::vector<std::string> zones_, kinds_;
   OnChange on_change_;
-  OnComplete on_complete_;   // empty once it was called
-  proxy::ListReader names_;  // of all that is believed, with the ids that discovery's reader gives
+  OnComplete on_complete_;           // empty once it was called
+  proxy::EndpointListReader names_;  // of all that is believed, with the ids that discovery's reader gives
   membership::Ledger ledger_;
   std::size_t etcd_ = 0, discovery_ = 1;
   std::vector<std::string> known_;  // of the configuration, and not spoken of by the authority yet
--- a/src/proxy_main/zone_failover_source.cpp
+++ b/src/proxy_main/zone_failover_source.cpp
@@ -28,7 +28,8 @@
 constexpr double kMeanGain = 0.02;
 constexpr milliseconds kLongestRest{250};  // between two looks: grants run out by time alone
 
-zone_failover::MemberSettings SettingsOf(const proxy::Config& config, const operator_config::Regions& table) {
+zone_failover::MemberSettings SettingsOf(const proxy::Config& config,
+                                         const operator_config::ZoneFailoverSettings& table) {
   if (table.zones != config.zones) {
     std::string theirs;
     for (const std::string& zone : config.zones) theirs += (theirs.empty() ? "" : ", ") + zone;
@@ -71,9 +72,10 @@
 
 }  // namespace
 
-RegionsSource::RegionsSource(asio::io_context& io, const proxy::ProxyClock& clock,
-                             const proxy::Config& config, const operator_config::Regions& settings,
-                             OnShares on_shares)
+ZoneFailoverSource::ZoneFailoverSource(asio::io_context& io, const proxy::ProxyClock& clock,
+                                       const proxy::Config& config,
+                                       const operator_config::ZoneFailoverSettings& settings,
+                                       OnShares on_shares)
     : io_(io),
       clock_(clock),
       prefix_(settings.prefix),
@@ -98,9 +100,9 @@
   });
 }
 
-RegionsSource::~RegionsSource() { *alive_ = false; }
+ZoneFailoverSource::~ZoneFailoverSource() { *alive_ = false; }
 
-void RegionsSource::Listed(TimePoint, const proxy::EndpointList& list) {
+void ZoneFailoverSource::OnEndpointList(TimePoint, const proxy::EndpointList& list) {
   if (list.snapshot) servers_.clear();
   for (const proxy::Endpoint& endpoint : list.endpoints) {
     if (endpoint.entry.state == balancer::BackendState::kReady) {
@@ -111,7 +113,7 @@
   }
 }
 
-std::vector<double> RegionsSource::Warm(TimePoint now) const {
+std::vector<double> ZoneFailoverSource::Warm(TimePoint now) const {
   std::vector<double> warm(zones_.size());
   for (const auto& [id, server] : servers_) {
     if (server.zone < 0 || static_cast<std::size_t>(server.zone) >= warm.size()) continue;
@@ -124,16 +126,17 @@
   return warm;
 }
 
-void RegionsSource::Taken(TimePoint now, const balancer::Submit& submit) {
+void ZoneFailoverSource::OnRequest(TimePoint now, const balancer::Submit& submit) {
   if (submit.has_hint) mean_work_ += (mean_work_ > 0 ? kMeanGain : 1) * (submit.work_ms - mean_work_);
   member_.RequestArrived(now, WorkOf(submit));
 }
 
-double RegionsSource::WorkOf(const balancer::Submit& submit) const {
+double ZoneFailoverSource::WorkOf(const balancer::Submit& submit) const {
   return submit.has_hint ? submit.work_ms : mean_work_ > 0 ? mean_work_ : 1;
 }
 
-void RegionsSource::Sent(TimePoint now, const request_table::Send& send, const balancer::Submit& submit) {
+void ZoneFailoverSource::OnAttemptSent(TimePoint now, const request_table::Send& send,
+                                       const balancer::Submit& submit) {
   const auto server = servers_.find(send.server);
   if (server == servers_.end() || server->second.zone < 0) return;  // drains, and is used as a last resort
   const Out out{++attempts_, static_cast<std::size_t>(submit.request_class), WorkOf(submit)};
@@ -141,8 +144,8 @@
   member_.AttemptStarted(now, out.number, static_cast<std::size_t>(server->second.zone));
 }
 
-void RegionsSource::Ended(TimePoint now, const request_table::Send& send, Outcome outcome,
-                          std::string_view load) {
+void ZoneFailoverSource::OnAttemptEnded(TimePoint now, const request_table::Send& send, Outcome outcome,
+                                        std::string_view load) {
   const auto found = out_.find({send.request, send.attempt});
   if (found == out_.end()) return;
   const Out out = found->second;
@@ -155,7 +158,7 @@
                         .utilization = UtilIn(load)});
 }
 
-void RegionsSource::Step() {
+void ZoneFailoverSource::Step() {
   const TimePoint now = clock_.Now();
   if (!calling_) {
     member_.UpdateWarmBackends(Warm(now));
@@ -174,7 +177,7 @@
   timer_.ArmAfter(std::chrono::ceil<milliseconds>(rest), [this] { Step(); });
 }
 
-asio::awaitable<void> RegionsSource::Carry(Member::Call call) {
+asio::awaitable<void> ZoneFailoverSource::Carry(Member::Call call) {
   const auto alive = alive_;
   Member::Reply reply;
   if (const auto* grant = std::get_if<Member::GrantLease>(&call)) {
@@ -205,7 +208,7 @@
   Step();
 }
 
-json::value RegionsSource::Describe() {
+json::value ZoneFailoverSource::Describe() {
   const TimePoint now = clock_.Now();
   const std::vector<double> shares = member_.ZoneQuotas(now);
   const auto number = [](double x) -> json::value {
--- a/src/proxy_main/zone_failover_source.h
+++ b/src/proxy_main/zone_failover_source.h
@@ -26,24 +26,24 @@
 
 namespace badgerbridge::proxy_main {
 
-class RegionsSource : public proxy::TrafficWatcher {
+class ZoneFailoverSource : public proxy::TrafficObserver {
  public:
   using OnShares = std::function<void(std::vector<double>)>;
 
   // Throws std::runtime_error, one line, where the zones are not those of the configuration, or a password
   // can't be read. `on_shares` is called when the shares are others than before, never from within this one.
-  RegionsSource(boost::asio::io_context& io, const proxy::ProxyClock& clock, const proxy::Config& config,
-                const operator_config::Regions& settings, OnShares on_shares);
-  ~RegionsSource() override;
-  RegionsSource(const RegionsSource&) = delete;
-  RegionsSource& operator=(const RegionsSource&) = delete;
+  ZoneFailoverSource(boost::asio::io_context& io, const proxy::ProxyClock& clock, const proxy::Config& config,
+                     const operator_config::ZoneFailoverSettings& settings, OnShares on_shares);
+  ~ZoneFailoverSource() override;
+  ZoneFailoverSource(const ZoneFailoverSource&) = delete;
+  ZoneFailoverSource& operator=(const ZoneFailoverSource&) = delete;
 
-  void Listed(balancer::TimePoint now, const proxy::EndpointList& list) override;
-  void Taken(balancer::TimePoint now, const balancer::Submit& submit) override;
-  void Sent(balancer::TimePoint now, const request_table::Send& send,
-            const balancer::Submit& submit) override;
-  void Ended(balancer::TimePoint now, const request_table::Send& send, balancer::Outcome outcome,
-             std::string_view load) override;
+  void OnEndpointList(balancer::TimePoint now, const proxy::EndpointList& list) override;
+  void OnRequest(balancer::TimePoint now, const balancer::Submit& submit) override;
+  void OnAttemptSent(balancer::TimePoint now, const request_table::Send& send,
+                     const balancer::Submit& submit) override;
+  void OnAttemptEnded(balancer::TimePoint now, const request_table::Send& send, balancer::Outcome outcome,
+                      std::string_view load) override;
 
   // For people: this proxy's part, and the decision as it has read it.
   boost::json::value Describe();
--- a/src/watch_cache/relay_file.cpp
+++ b/src/watch_cache/relay_file.cpp
@@ -48,7 +48,7 @@
 }
 
 void ReadUpstream(TableReader& table, const std::string& file, RelayFile* parsed) {
-  operator_config::EtcdLink link;
+  operator_config::EtcdConnectionSettings link;
   if (table.Has("endpoints")) table.Report("endpoints", "are --upstream's");
   operator_config::ReadEtcdLink(table, link);
   table.Finish();
--- a/src/zone_failover/links.h
+++ b/src/zone_failover/links.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
 /// Round trips and transfer prices between zones, from a table that lists those that differ from the default.
-/// Pure: the table is any type that has these members (operator_config::Regions), so that this package needs
-/// no file.
+/// Pure: the table is any type that has these members (operator_config::ZoneFailoverSettings), so that this
+/// package needs no file.
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_LINKS_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_LINKS_H_
 
--- a/tests/admin_api/admin_api_test.cpp
+++ b/tests/admin_api/admin_api_test.cpp
@@ -53,7 +53,7 @@
 
 // A node with a control socket, one backend that answers when it is told to, and its list.
 struct Rig {
-  explicit Rig(operator_config::Control settings = {})
+  explicit Rig(operator_config::AdminApiSettings settings = {})
       : backend(io, [this](Wire& wire) { waiting.push_back(&wire); }),
         config(TestConfig(
             {EndpointJson("s-1", backend.address()), EndpointJson("s-2", "127.0.0.1:1", "Terminating")})),
@@ -61,8 +61,8 @@
         folder(Folder()) {
     settings.socket = folder + "/c.sock";
     control.emplace(io, settings,
-                    Control::Subject{config, node.clock, node.proxy, node.listener, node.reader, reloads,
-                                     [this] { node.listener.Stop([this] { stopped = true; }); }});
+                    AdminApi::Subject{config, node.clock, node.proxy, node.listener, node.reader, reloads,
+                                      [this] { node.listener.Stop([this] { stopped = true; }); }});
   }
   ~Rig() {
     control.reset();
@@ -96,9 +96,9 @@
   Config config;
   Node node;
   std::string folder;
-  Reloads reloads;
+  ReloadStatus reloads;
   bool stopped = false;
-  std::optional<Control> control;
+  std::optional<AdminApi> control;
 };
 
 std::int64_t N(const json::value& counts, const char* key) {
@@ -111,7 +111,7 @@
       << counts;
 }
 
-TEST(Control, TotalsAddUpAtEachReadWhateverBecomesOfTheRequests) {
+TEST(AdminApi, TotalsAddUpAtEachReadWhateverBecomesOfTheRequests) {
   Rig rig;
   std::vector<std::shared_ptr<Wire>> clients;
   for (int i = 0; i < 5; ++i) {
@@ -143,7 +143,7 @@
   ExpectSum(rig.Status().at("requests"));
 }
 
-TEST(Control, BackendsAsThisProxySeesThem) {
+TEST(AdminApi, BackendsAsThisProxySeesThem) {
   Rig rig;
   const auto client = rig.node.Connect();
   client->Send(Get("a"));
@@ -162,7 +162,7 @@
   ASSERT_TRUE(RunUntil(rig.io, [&] { return rig.node.proxy.open() == 0; }));
 }
 
-TEST(Control, ADrainAnswersWhatComesAndSaysWhenItIsQuiet) {
+TEST(AdminApi, ADrainAnswersWhatComesAndSaysWhenItIsQuiet) {
   Rig rig;
   EXPECT_EQ(rig.State(), "ready");
   const auto idle = rig.node.Connect(), busy = rig.node.Connect();
@@ -195,7 +195,7 @@
   EXPECT_NE(rig.node.Ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").find(" 200 "), std::string::npos);
 }
 
-TEST(Control, StopEndsTheProxyAndNothingGoesBehindIt) {
+TEST(AdminApi, StopEndsTheProxyAndNothingGoesBehindIt) {
   Rig rig;
   EXPECT_EQ(rig.Call("POST", "/v1/stop").at("state"), "stopping");
   EXPECT_NE(rig.Raw("POST", "/v1/undrain").find("409"), std::string::npos);
@@ -203,7 +203,7 @@
   EXPECT_TRUE(RunUntil(rig.io, [&] { return rig.stopped; }));
 }
 
-TEST(Control, WhatIsNotACallIsOnePlainError) {
+TEST(AdminApi, WhatIsNotACallIsOnePlainError) {
   Rig rig;
   EXPECT_NE(rig.Raw("GET", "/v1/nothing").find(" 404 "), std::string::npos);
   // What the operator's file does not switch on says so.
@@ -225,8 +225,8 @@
   EXPECT_NE(garbage->in.find(" 400 "), std::string::npos) << garbage->in;
 }
 
-TEST(Control, SilentPeersAndHalfRequestsMakeRoomForTheNext) {
-  operator_config::Control settings;
+TEST(AdminApi, SilentPeersAndHalfRequestsMakeRoomForTheNext) {
+  operator_config::AdminApiSettings settings;
   settings.max_connections = 4;
   settings.request_timeout = std::chrono::milliseconds(60000);  // not this is what frees the places
   settings.idle_timeout = std::chrono::milliseconds(60000);
@@ -244,8 +244,8 @@
   EXPECT_TRUE(RunUntil(rig.io, [&] { return client->in.find("served") != std::string::npos; }));
 }
 
-TEST(Control, AHalfRequestAndAnIdleConnectionEndByTheirTimeouts) {
-  operator_config::Control settings;
+TEST(AdminApi, AHalfRequestAndAnIdleConnectionEndByTheirTimeouts) {
+  operator_config::AdminApiSettings settings;
   settings.request_timeout = settings.idle_timeout = std::chrono::milliseconds(100);
   Rig rig(settings);
   const auto half = rig.Open(), idle = rig.Open();
@@ -255,31 +255,31 @@
   EXPECT_NE(idle->in.find(" 200 "), std::string::npos);
 }
 
-TEST(Control, TheSocketIsForItsOwnerAndNeverTakenFromOneThatAnswers) {
+TEST(AdminApi, TheSocketIsForItsOwnerAndNeverTakenFromOneThatAnswers) {
   Rig rig;
   struct stat about {};
   ASSERT_EQ(lstat((rig.folder + "/c.sock").c_str(), &about), 0);
   EXPECT_EQ(about.st_mode & 0777, 0600u);
-  operator_config::Control same;
+  operator_config::AdminApiSettings same;
   same.socket = rig.folder + "/c.sock";
-  const Control::Subject subject{rig.config,      rig.node.clock, rig.node.proxy, rig.node.listener,
-                                 rig.node.reader, rig.reloads,    [] {}};
-  EXPECT_THROW(Control(rig.io, same, subject), std::runtime_error);
+  const AdminApi::Subject subject{rig.config,      rig.node.clock, rig.node.proxy, rig.node.listener,
+                                  rig.node.reader, rig.reloads,    [] {}};
+  EXPECT_THROW(AdminApi(rig.io, same, subject), std::runtime_error);
   same.socket = rig.folder + "/file";
   std::ofstream(same.socket) << "precious";
-  EXPECT_THROW(Control(rig.io, same, subject), std::runtime_error);
+  EXPECT_THROW(AdminApi(rig.io, same, subject), std::runtime_error);
   EXPECT_EQ(unlink(same.socket.c_str()), 0);
   same.socket = rig.folder + "/no/such/folder";
-  EXPECT_THROW(Control(rig.io, same, subject), std::runtime_error);
+  EXPECT_THROW(AdminApi(rig.io, same, subject), std::runtime_error);
   // What a killed proxy left behind is replaced.
   same.socket = rig.folder + "/left.sock";
   { Local::acceptor left(rig.io, Local::endpoint(same.socket)); }
-  Control control(rig.io, same, subject);
+  AdminApi control(rig.io, same, subject);
   EXPECT_EQ(rig.State(), "ready");
 }
 
 // Needs to be another user, which only root can.
-TEST(Control, AnotherUserIsClosedWithoutAnAnswer) {
+TEST(AdminApi, AnotherUserIsClosedWithoutAnAnswer) {
   if (geteuid() != 0) GTEST_SKIP() << "only root can try as another user";
   Rig rig;
   ASSERT_EQ(chmod(rig.folder.c_str(), 0755), 0);
--- a/tests/compatibility/operator_config_compatibility_test.cpp
+++ b/tests/compatibility/operator_config_compatibility_test.cpp
@@ -12,7 +12,7 @@
 namespace badgerbridge::compatibility {
 namespace {
 
-void AddEtcdLink(const operator_config::EtcdLink& link, KeyValueDump* dump) {
+void AddEtcdLink(const operator_config::EtcdConnectionSettings& link, KeyValueDump* dump) {
   dump->Add("endpoints", link.endpoints);
   dump->Add("user", link.user);
   dump->Add("password_file", link.password_file);
@@ -24,7 +24,7 @@
   dump->Add("ping_timeout", link.ping_timeout);
 }
 
-void AddControl(const operator_config::Control& control, KeyValueDump* dump) {
+void AddControl(const operator_config::AdminApiSettings& control, KeyValueDump* dump) {
   dump->BeginTable("control");
   dump->Add("socket", control.socket);
   dump->Add("max_connections", control.max_connections);
@@ -33,7 +33,7 @@
   dump->Add("allow_uids", control.allow_uids);
 }
 
-void AddEtcd(const operator_config::Etcd& etcd, KeyValueDump* dump) {
+void AddEtcd(const operator_config::EtcdSettings& etcd, KeyValueDump* dump) {
   dump->BeginTable("etcd");
   AddEtcdLink(etcd, dump);
   dump->Add("prefix", etcd.prefix);
@@ -43,7 +43,7 @@
   dump->Add("most_departures_percent", etcd.most_departures_percent);
 }
 
-void AddRegions(const operator_config::Regions& regions, KeyValueDump* dump) {
+void AddRegions(const operator_config::ZoneFailoverSettings& regions, KeyValueDump* dump) {
   dump->BeginTable("regions");
   dump->Add("decide = together", regions.together);
   AddEtcdLink(regions, dump);
@@ -55,7 +55,7 @@
   dump->Add("step", regions.step);
   dump->Add("round_trip", regions.round_trip);
   dump->Add("price_percent", regions.price_percent);
-  for (const operator_config::Regions::Link& link : regions.links) {
+  for (const operator_config::ZoneFailoverSettings::Link& link : regions.links) {
     dump->Add("link.from", link.from);
     dump->Add("link.to", link.to);
     dump->Add("link.round_trip", link.round_trip);
--- a/tests/compatibility/proxy_compatibility_test.cpp
+++ b/tests/compatibility/proxy_compatibility_test.cpp
@@ -98,7 +98,7 @@
 }
 
 /// The lists of a watch on discovery, one after another.
-std::string DumpOfWatch(std::string_view bytes, proxy::ListReader reader) {
+std::string DumpOfWatch(std::string_view bytes, proxy::EndpointListReader reader) {
   constexpr std::size_t kMaxListBytes = 1 << 20;
   proxy::JsonValues values(kMaxListBytes);
   KeyValueDump dump;
@@ -120,7 +120,8 @@
 TEST(DiscoveryListCompatibility, ListsOfAWatchAreReadAsBefore) {
   const std::string watch = ReadGoldenFile("proxy/discovery_watch.json");
   const proxy::Config config = ConfigOf("config_every_setting.json");
-  EXPECT_TRUE(MatchesGoldenFile("proxy/discovery_watch.txt", DumpOfWatch(watch, proxy::ListReader(config))));
+  EXPECT_TRUE(
+      MatchesGoldenFile("proxy/discovery_watch.txt", DumpOfWatch(watch, proxy::EndpointListReader(config))));
 }
 
 }  // namespace
--- a/tests/membership/etcd_settings_test.cpp
+++ b/tests/membership/etcd_settings_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 TEST(EtcdSettingsTest, AnUnreadablePasswordFileIsAnErrorAndValueThrowsItsMessage) {
-  operator_config::Etcd table;
+  operator_config::EtcdSettings table;
   table.user = "proxy";
   table.password_file = "/absent/password";
   const auto client = MakeEtcdClientSettings(table);
@@ -29,7 +29,7 @@
 TEST(EtcdSettingsTest, TheTableIsCarriedOver) {
   const std::string password_file = ::testing::TempDir() + "etcd_settings_password";
   std::ofstream(password_file) << "secret\n";
-  operator_config::Etcd table;
+  operator_config::EtcdSettings table;
   table.endpoints = {"127.0.0.1:2379"};
   table.user = "proxy";
   table.password_file = password_file;
--- a/tests/membership/membership_source_test.cpp
+++ b/tests/membership/membership_source_test.cpp
@@ -29,7 +29,7 @@
 
   /// Starts the source.
   void Start(std::size_t max_members = membership::kMaxMembers) {
-    operator_config::Etcd table;
+    operator_config::EtcdSettings table;
     table.endpoints = {"127.0.0.1:" + std::to_string(etcd.address(0).port())};
     table.services = services;
     source.emplace(
--- a/tests/operator_config/operator_file_test.cpp
+++ b/tests/operator_config/operator_file_test.cpp
@@ -29,7 +29,7 @@
   const OperatorFile file = Load(std::string(SOURCE_DIR) + "/deploy/operator.toml", problems);
   EXPECT_EQ(Lines(problems), "");
   ASSERT_TRUE(file.control);
-  const Control usual;
+  const AdminApiSettings usual;
   EXPECT_EQ(file.control->max_connections, usual.max_connections);
   EXPECT_EQ(file.control->request_timeout, usual.request_timeout);
   EXPECT_EQ(file.control->idle_timeout, usual.idle_timeout);
--- a/tests/proxy/allocation_test.cpp
+++ b/tests/proxy/allocation_test.cpp
@@ -31,7 +31,7 @@
   DiscoveryPlay()
       : server_(peer_io_, [this](Wire& wire) { Serve(wire); }),
         watch_(
-            node_io_, server_.endpoint(), ListReader(TestConfig({})), false, 7,
+            node_io_, server_.endpoint(), EndpointListReader(TestConfig({})), false, 7,
             [this](const EndpointList& list) { Told(list); }, [] {}, Discovery::Timing()) {
     begin_ = ProxyClock::Steady::now();
   }
--- a/tests/proxy/backend_test.cpp
+++ b/tests/proxy/backend_test.cpp
@@ -23,13 +23,13 @@
     return list;
   }
   // Connections need no rest, but where a test is about that.
-  static Backends::Limits WithoutRest() {
-    Backends::Limits limits;
+  static BackendPool::Limits WithoutRest() {
+    BackendPool::Limits limits;
     limits.rest = Duration(0);
     return limits;
   }
-  void Use(Peer& peer, Backends::Limits limits = WithoutRest()) {
-    backends = std::make_unique<Backends>(io, clock, limits);
+  void Use(Peer& peer, BackendPool::Limits limits = WithoutRest()) {
+    backends = std::make_unique<BackendPool>(io, clock, limits);
     backends->Update(ListOf(peer.endpoint()));
   }
   void Send(Duration timeout = Duration(10000), const std::string& body = "") {
@@ -54,7 +54,7 @@
 
   asio::io_context io;
   ProxyClock clock;
-  std::unique_ptr<Backends> backends;
+  std::unique_ptr<BackendPool> backends;
   std::vector<AttemptResult> results;
   int sent = 0;
 };
@@ -103,7 +103,7 @@
 }
 
 TEST_F(BackendTest, UnknownServerIsCouldNotConnect) {
-  backends = std::make_unique<Backends>(io, clock, Backends::Limits{});
+  backends = std::make_unique<BackendPool>(io, clock, BackendPool::Limits{});
   EXPECT_EQ(Outcome1(), Outcome::kConnectFailed);
 }
 
@@ -118,16 +118,16 @@
     fill.emplace_back(io);
     fill.back().async_connect(full.local_endpoint(), [](ErrorCode) {});
   }
-  Backends::Limits limits;
+  BackendPool::Limits limits;
   limits.connect_timeout = Duration(30);
-  backends = std::make_unique<Backends>(io, clock, limits);
+  backends = std::make_unique<BackendPool>(io, clock, limits);
   backends->Update(ListOf(full.local_endpoint()));
   RunReady(io);
   EXPECT_EQ(Outcome1(), Outcome::kConnectFailed);
 
   // Nor a quarter of the attempt's own time: the rest is for another backend.
   limits.connect_timeout = Duration(60000);
-  backends = std::make_unique<Backends>(io, clock, limits);
+  backends = std::make_unique<BackendPool>(io, clock, limits);
   backends->Update(ListOf(full.local_endpoint()));
   const TimePoint began = clock.Now();
   EXPECT_EQ(Outcome1(Duration(2000)), Outcome::kConnectFailed);
@@ -195,7 +195,7 @@
 // try.
 TEST_F(BackendTest, AnAnswerThatStopsShortIsGivenUpEarly) {
   Peer peer(io, [](Wire& wire) { wire.Send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"); });
-  Backends::Limits limits;
+  BackendPool::Limits limits;
   limits.connect_timeout = Duration(50);
   Use(peer, limits);
   EXPECT_EQ(Outcome1(Duration(60000)), Outcome::kReset) << "and no time-out, long before it";
@@ -207,7 +207,7 @@
   hasty.set_option(asio::socket_base::receive_buffer_size(4096));
   tcp::socket accepted(io);
   hasty.async_accept(accepted, [&](ErrorCode) { asio::write(accepted, asio::buffer(Reply(200, "early"))); });
-  backends = std::make_unique<Backends>(io, clock, Backends::Limits{});
+  backends = std::make_unique<BackendPool>(io, clock, BackendPool::Limits{});
   backends->Update(ListOf(hasty.local_endpoint()));
   Send(Duration(10000), std::string(32 << 20, 'x'));
   ASSERT_TRUE(RunUntil(io, [&] { return !results.empty(); }));
@@ -293,7 +293,7 @@
   silent.set_option(asio::socket_base::receive_buffer_size(4096));
   tcp::socket accepted(io);
   silent.async_accept(accepted, [](ErrorCode) {});
-  backends = std::make_unique<Backends>(io, clock, Backends::Limits{});
+  backends = std::make_unique<BackendPool>(io, clock, BackendPool::Limits{});
   backends->Update(ListOf(silent.local_endpoint()));
   Send(Duration(200), std::string(32 << 20, 'x'));
   ASSERT_TRUE(RunUntil(io, [&] { return !results.empty(); }));
@@ -335,11 +335,11 @@
     return backends->Send(kServer, request, Duration(10000), TimePoint::max(),
                           [this](AttemptResult result) { results.push_back(result); });
   };
-  const Backends::Ticket first = send();
+  const BackendPool::Ticket first = send();
   ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 1; }));
   waiting[0]->Send(Reply(200));
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 1; }));
-  const Backends::Ticket second = send();  // on the same connection
+  const BackendPool::Ticket second = send();  // on the same connection
   ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 2; }));
   backends->Cancel(first);
   RunReady(io);
@@ -386,7 +386,7 @@
 
 TEST_F(BackendTest, IdleConnectionsAreRetiredBeforeTheBackendsLimit) {
   Peer peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
-  Backends::Limits limits;
+  BackendPool::Limits limits;
   limits.idle_limit = Duration(200);
   Use(peer, limits);
   EXPECT_EQ(Outcome1(), Outcome::kOk);
@@ -400,7 +400,7 @@
 TEST_F(BackendTest, ASecondAnswerIsNotTheNextRequests) {
   std::string reply = Reply(200, "first");
   Peer peer(io, [&](Wire& wire) { wire.Send(reply); });
-  Backends::Limits limits;
+  BackendPool::Limits limits;
   Use(peer, limits);
   EXPECT_EQ(Outcome1(), Outcome::kOk);
   EXPECT_EQ(Outcome1(), Outcome::kOk);
@@ -457,7 +457,7 @@
   slow.set_option(asio::socket_base::receive_buffer_size(4096));
   tcp::socket accepted(io);
   slow.async_accept(accepted, [](ErrorCode) {});
-  backends = std::make_unique<Backends>(io, clock, Backends::Limits{});
+  backends = std::make_unique<BackendPool>(io, clock, BackendPool::Limits{});
   backends->Update(ListOf(slow.local_endpoint()));
   auto request = std::make_shared<Forwarded>();
   request->method = boost::beast::http::verb::post;
@@ -483,7 +483,7 @@
     return backends->Send(kServer, request, Duration(10000), TimePoint::max(),
                           [this](AttemptResult result) { results.push_back(result); });
   };
-  const Backends::Ticket connecting = send();
+  const BackendPool::Ticket connecting = send();
   backends->Withdraw(connecting);
   backends->Withdraw(connecting);
   EXPECT_TRUE(results.empty()) << "ended from within the call";
@@ -493,7 +493,7 @@
   EXPECT_TRUE(peer.requests.empty());
   EXPECT_EQ(backends->open(), 0u);
 
-  const Backends::Ticket whole = send();
+  const BackendPool::Ticket whole = send();
   ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 1; }));
   backends->Withdraw(whole);
   RunReady(io);
@@ -503,7 +503,7 @@
   EXPECT_EQ(results[1].outcome, Outcome::kOk);
 
   backends->Withdraw(whole);  // it has ended, and its connection has another
-  const Backends::Ticket other = send();
+  const BackendPool::Ticket other = send();
   ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 2; }));
   backends->Withdraw(whole);
   waiting[1]->Send(Reply(200));
@@ -513,7 +513,7 @@
   request->method = boost::beast::http::verb::post;
   request->body = std::string(32 << 20, 'x');
   peer.wires.back()->on_data = [](Wire&) {};
-  const Backends::Ticket half = send();
+  const BackendPool::Ticket half = send();
   backends->Withdraw(half);
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 4; }));
   EXPECT_EQ(results[3].outcome, Outcome::kNotSent);
@@ -542,7 +542,7 @@
 TEST_F(BackendTest, FewSparesAreKept) {
   std::vector<Wire*> waiting;
   Peer peer(io, [&](Wire& wire) { waiting.push_back(&wire); });
-  Backends::Limits limits;
+  BackendPool::Limits limits;
   limits.idle_per_backend = 2;
   Use(peer, limits);
   for (int i = 0; i < 5; ++i) Send();
@@ -555,7 +555,7 @@
 TEST_F(BackendTest, AtTheLimitTheOldestIdleMakesRoomAndElseItCannotConnect) {
   Peer first(io, [](Wire& wire) { wire.Send(Reply(200)); });
   Peer second(io, [](Wire&) {});
-  Backends::Limits limits;
+  BackendPool::Limits limits;
   limits.connections = 1;
   Use(first, limits);
   EXPECT_EQ(Outcome1(), Outcome::kOk);
@@ -586,7 +586,7 @@
 // read here: nothing is begun from then on, whatever the grace allows.
 TEST_F(BackendTest, NothingIsBegunOnADrainedBackend) {
   Peer peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
-  Backends::Limits limits;
+  BackendPool::Limits limits;
   Use(peer, limits);
   Send();
   backends->Update(ListOf(peer.endpoint(), BackendState::kDraining));  // told while the connection comes up
--- a/tests/proxy/config_test.cpp
+++ b/tests/proxy/config_test.cpp
@@ -47,7 +47,7 @@
 }
 
 // The platform's file says how long after a drain new requests may still go to a backend. Nothing of that
-// time is used (Backends::Takes), so the proxy starts whatever it is.
+// time is used (BackendPool::Takes), so the proxy starts whatever it is.
 TEST(NodeConfig, TheGraceAfterADrainIsAcceptedAndNotUsed) {
   const std::string with_grace = ConfigJson({});
   EXPECT_EQ(Complaint(with_grace), "");
@@ -98,7 +98,7 @@
 class ListTest : public ::testing::Test {
  protected:
   EndpointList Read(const std::string& text) { return reader.Read(boost::json::parse(text)); }
-  ListReader reader{TestConfig({})};
+  EndpointListReader reader{TestConfig({})};
 };
 
 TEST_F(ListTest, EntriesBecomeTheModules) {
@@ -132,7 +132,7 @@
   const auto b = Read(ListJson(2, false, {EndpointJson("s-2", "127.0.0.1:99")}));
   EXPECT_EQ(a.endpoints[1].entry.server, b.endpoints[0].entry.server);
   EXPECT_NE(a.endpoints[0].entry.server, a.endpoints[1].entry.server);
-  ListReader other{TestConfig({})};
+  EndpointListReader other{TestConfig({})};
   const auto c = other.Read(boost::json::parse(ListJson(1, true, {EndpointJson("s-2", "127.0.0.3:1")})));
   EXPECT_EQ(c.endpoints[0].entry.server, a.endpoints[1].entry.server);
 }
@@ -146,7 +146,7 @@
   EXPECT_EQ(reader.known(), 25u);
   const auto again = Read(ListJson(200, true, {EndpointJson("s-0", "127.0.0.1:81")}));
   EXPECT_EQ(reader.known(), 1u);
-  ListReader other{TestConfig({})};
+  EndpointListReader other{TestConfig({})};
   EXPECT_EQ(other.Read(boost::json::parse(ListJson(1, true, {EndpointJson("s-0", "127.0.0.1:81")})))
                 .endpoints[0]
                 .entry.server,
@@ -184,7 +184,7 @@
     return Start(io, peer, ask, timing);
   }
   std::unique_ptr<Discovery> Start(asio::io_context& on, Peer& peer, bool ask, Discovery::Timing timing) {
-    ListReader reader{TestConfig({})};
+    EndpointListReader reader{TestConfig({})};
     reader.Read(boost::json::parse(ListJson(41, true, {})));
     auto discovery = std::make_unique<Discovery>(
         on, peer.endpoint(), std::move(reader), ask, 1, [this](EndpointList list) { lists.push_back(list); },
@@ -311,7 +311,7 @@
       wire.Send(Head() + Chunk(ListJson(42, false, {}) + "\n"));
       if (!last_word) last_word = std::chrono::steady_clock::now();
     });
-    ListReader reader{TestConfig({})};
+    EndpointListReader reader{TestConfig({})};
     std::optional<Discovery> discovery;
     asio::steady_timer again(io);
     discovery.emplace(
--- a/tests/proxy/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -97,7 +97,7 @@
   return request.substr(at, request.find("\r\n", at) - at);
 }
 
-class Play : public TrafficWatcher {
+class Play : public TrafficObserver {
  public:
   Play(const Exchange& exchange, std::vector<At> events, Plant plant)
       : exchange_(exchange), events_(std::move(events)), plant_(plant) {
@@ -117,7 +117,7 @@
     Config config = kConfig;
     config.listen = address_;
     config.settings.classes[1].window = Duration(exchange.window);
-    pool_.emplace(io_, clock_, Backends::Limits::From(config));
+    pool_.emplace(io_, clock_, BackendPool::Limits::From(config));
     pool_->OnBegin([this](BackendId server, const Forwarded& request) { Begun(server, request); });
     if (exchange.slow_dial)
       pool_->DialBy([this](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
@@ -126,11 +126,11 @@
         });
       });
     proxy_.emplace(io_, clock_, *pool_, config);
-    proxy_->Watch(this);
+    proxy_->SetTrafficObserver(this);
     Discovery::Timing timing;
     timing.silence = std::chrono::milliseconds(20);
     watch_.emplace(
-        io_, discovery_->endpoint(), ListReader(config), false, 7,
+        io_, discovery_->endpoint(), EndpointListReader(config), false, 7,
         [this](const EndpointList& list) {
           std::set<std::string> ready;
           for (const Endpoint& endpoint : list.endpoints) {
@@ -202,12 +202,12 @@
   }
   int kept() const { return kept_; }
 
-  void Listed(TimePoint, const EndpointList&) override {}
-  void Taken(TimePoint, const Submit&) override {}
-  void Sent(TimePoint, const request_table::Send& send, const Submit&) override {
+  void OnEndpointList(TimePoint, const EndpointList&) override {}
+  void OnRequest(TimePoint, const Submit&) override {}
+  void OnAttemptSent(TimePoint, const request_table::Send& send, const Submit&) override {
     newest_server_ = send.server;
   }
-  void Ended(TimePoint, const request_table::Send&, Outcome, std::string_view) override {}
+  void OnAttemptEnded(TimePoint, const request_table::Send&, Outcome, std::string_view) override {}
 
  private:
   static constexpr std::size_t kBackends = 3;
@@ -472,7 +472,7 @@
   std::array<std::string, kBackends> names_;
   std::unique_ptr<Peer> discovery_, moved_to_;
   std::deque<std::function<void()>> dials_;
-  std::optional<Backends> pool_;
+  std::optional<BackendPool> pool_;
   std::optional<Proxy> proxy_;
   std::optional<Discovery> watch_;
   std::optional<Listener> listener_;
--- a/tests/proxy/proxy_harness.h
+++ b/tests/proxy/proxy_harness.h
@@ -19,10 +19,10 @@
 #include <utility>
 #include <vector>
 
-#include "proxy/backend.h"
-#include "proxy/client.h"
+#include "proxy/backend_pool.h"
 #include "proxy/clock.h"
 #include "proxy/config.h"
+#include "proxy/listener.h"
 #include "proxy/proxy.h"
 
 namespace badgerbridge::proxy::testing {
@@ -189,7 +189,7 @@
 struct Node {
   Node(asio::io_context& context, const Config& config, ListenerLimits limits = {})
       : io(context),
-        backends(io, clock, Backends::Limits::From(config)),
+        backends(io, clock, BackendPool::Limits::From(config)),
         proxy(io, clock, backends, config),
         reader(config),
         listener((Tell(config), io), clock, proxy, config, limits) {}
@@ -215,9 +215,9 @@
 
   asio::io_context& io;
   ProxyClock clock;
-  Backends backends;
+  BackendPool backends;
   Proxy proxy;
-  ListReader reader;
+  EndpointListReader reader;
   Listener listener;
 };
 
--- a/tests/proxy/soak_test.cpp
+++ b/tests/proxy/soak_test.cpp
@@ -53,7 +53,7 @@
   settings.key_affinity = true;
   settings.max_retry_after = Duration(500);
   RequestTable table(settings, 1);
-  proxy::ListReader reader(proxy::testing::TestConfig({}));
+  proxy::EndpointListReader reader(proxy::testing::TestConfig({}));
   std::mt19937_64 random(7);
   const auto unit = [&] { return static_cast<double>(random() >> 11) * 0x1.0p-53; };
   double now = 1e6;
@@ -62,7 +62,7 @@
   std::vector<std::pair<double, Send>> out;
   RequestTable::Actions actions;
   const auto list = [&](bool gone, const std::string& name) {
-    proxy::Listed one;
+    proxy::ListedEndpoint one;
     one.name = name;
     one.address = proxy::ParseAddress("127.0.0.1:80");
     one.state = gone ? BackendState::kGone : BackendState::kReady;
--- a/tests/races/backend_race_test.cpp
+++ b/tests/races/backend_race_test.cpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "proxy/backend.h"
+#include "proxy/backend_pool.h"
 #include "proxy/discovery.h"
 #include "proxy/proxy_harness.h"
 #include "races/turn.h"
@@ -51,11 +51,11 @@
   }
 
   ProxyClock node_clock_;
-  Backends::Limits limits_;
+  BackendPool::Limits limits_;
   BackendId server_ = kServer;
   std::string answer_ = Reply(200, "served");
   std::optional<Peer> peer_;
-  std::optional<Backends> backends_;
+  std::optional<BackendPool> backends_;
   std::vector<Outcome> results_;
 };
 
@@ -161,7 +161,7 @@
       wire.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + List(8, true, "Ready"));
     });
     discovery_.emplace(
-        io_, told_->endpoint(), ListReader(config_), false, 7,
+        io_, told_->endpoint(), EndpointListReader(config_), false, 7,
         [this](const EndpointList& list) {
           server_ = list.endpoints[0].entry.server;
           backends_->Update(list);
--- a/tests/races/discovery_race_test.cpp
+++ b/tests/races/discovery_race_test.cpp
@@ -39,7 +39,7 @@
   }
   void Watch(bool ask) {
     discovery_.emplace(
-        io_, peer_->endpoint(), ListReader(config_), ask, 7,
+        io_, peer_->endpoint(), EndpointListReader(config_), ask, 7,
         [this](const EndpointList& list) { states_.push_back(list.endpoints.at(0).entry.state); },
         [this] { ++failed_; }, timing_);
     discovery_->Watch();
--- a/tests/races/membership_race_test.cpp
+++ b/tests/races/membership_race_test.cpp
@@ -20,7 +20,7 @@
 class MembershipRaceTest : public badgerbridge::testing::TurnTest {
  protected:
   MembershipRaceTest() {
-    operator_config::Etcd table;
+    operator_config::EtcdSettings table;
     table.endpoints = {"127.0.0.1:1"};
     table.authority = false;  // discovery's lists count
     source_.emplace(io_, proxy::testing::TestConfig({}), table, [this](const proxy::EndpointList&) {
