--- a/src/http_api/address.cpp
+++ b/src/http_api/address.cpp
@@ -14,9 +14,9 @@
   std::uint16_t port = 0;
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
   if (error != std::errc() || end != digits.data() + digits.size()) return std::nullopt;
-  boost::system::error_code bad;
-  const auto address = boost::asio::ip::make_address(host, bad);
-  if (bad) return std::nullopt;
+  boost::system::error_code invalid;
+  const auto address = boost::asio::ip::make_address(host, invalid);
+  if (invalid) return std::nullopt;
   return boost::asio::ip::tcp::endpoint(address, port);
 }
 
--- a/src/http_api/message.cpp
+++ b/src/http_api/message.cpp
@@ -22,34 +22,28 @@
   return {status, boost::json::object{{"error", text}}};
 }
 
-std::int64_t QueryNumber(const Request& request, const std::string& name, std::int64_t otherwise,
-                         std::int64_t most) {
+std::int64_t QueryNumber(const Request& request, const std::string& name, std::int64_t default_value,
+                         std::int64_t max_value) {
   const auto found = request.query.find(name);
-  if (found == request.query.end()) return otherwise;
+  if (found == request.query.end()) return default_value;
+  const std::string& text = found->second;
+  const char* end = text.data() + text.size();
   std::int64_t value = 0;
-  const char* end = found->second.data() + found->second.size();
-  const auto [at, error] = std::from_chars(found->second.data(), end, value);
-  return error == std::errc() && at == end && value >= 0 && value <= most ? value : otherwise;
+  const auto [parsed_to, error] = std::from_chars(text.data(), end, value);
+  const bool is_number = error == std::errc() && parsed_to == end;
+  return is_number && value >= 0 && value <= max_value ? value : default_value;
 }
 
-std::optional<boost::json::object> ReadObject(const Request& request, std::string* why) {
+BodyResult<boost::json::object> ParseJsonObject(const Request& request) {
   boost::json::stream_parser parser;
   boost::system::error_code error;
-  const std::size_t taken = parser.write_some(request.body, error);
-  if (!error && taken < request.body.size()) {
-    *why = "the body has more after its JSON, from byte " + std::to_string(taken) + " on";
-    return std::nullopt;
-  }
+  const std::size_t parsed_bytes = parser.write_some(request.body, error);
+  if (!error && parsed_bytes < request.body.size())
+    return BodyError{BodyErrorCode::kTrailingData, parsed_bytes, ""};
   if (!error) parser.finish(error);
-  if (error) {
-    *why = "the body is no JSON: " + error.message() + " at byte " + std::to_string(taken);
-    return std::nullopt;
-  }
+  if (error) return BodyError{BodyErrorCode::kNotJson, parsed_bytes, error.message()};
   boost::json::value value = parser.release();
-  if (!value.is_object()) {
-    *why = "the body is no JSON object";
-    return std::nullopt;
-  }
+  if (!value.is_object()) return BodyError{BodyErrorCode::kNotJsonObject, 0, ""};
   return std::move(value.get_object());
 }
 
--- a/src/http_api/server.h
+++ b/src/http_api/server.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A small HTTP/1.1 server for control APIs, on the caller's io_context. Everything that a peer can make it
-// hold is bounded: connections, header, body, and the time for each. At the limit of connections, one that
-// has sent no whole request yet, else one that is idle, makes room for the next.
+// An HTTP/1.1 server (RFC 9112) for control APIs, on the caller's io_context. Everything that a peer can make
+// it hold is bounded: connections, header, body, and the time for each. At the limit of connections, one that
+// has sent no complete request yet, else one that is idle, is closed to admit the next.
 #ifndef BADGERBRIDGE_HTTP_API_SERVER_H_
 #define BADGERBRIDGE_HTTP_API_SERVER_H_
 
@@ -20,31 +20,36 @@
 
 namespace badgerbridge::http_api {
 
-// Called on the io_context, by several connections in turn; what it throws is answered 500.
+/// Answers one request. Called on the io_context, interleaved for several connections; an exception is
+/// answered with status 500.
 using Handler = std::function<boost::asio::awaitable<Response>(Request, Peer)>;
 
+/// The bounds of a server.
 struct ServerLimits {
-  std::size_t connections = 8;
-  std::size_t header = 8 << 10, body = 64 << 10;    // bytes
-  std::chrono::milliseconds request_timeout{2000};  // to be whole; the answer, to be read
-  std::chrono::milliseconds idle_timeout{30000};
-  // No connection makes room for another sooner than this: long enough for its request to come. Servers on
-  // Unix sockets, whose clients' first bytes are there at once, take less.
-  std::chrono::milliseconds young{250};
+  std::size_t max_connections = 8;                  ///< open at a time
+  std::size_t max_header_bytes = 8 << 10;           ///< of a request
+  std::size_t max_body_bytes = 64 << 10;            ///< of a request
+  std::chrono::milliseconds request_timeout{2000};  ///< for a request to be complete, and its answer read
+  std::chrono::milliseconds idle_timeout{30000};    ///< between two requests
+  /// A connection that was active less than this ago is not closed for another: long enough for its request
+  /// to come. Servers on Unix sockets, whose clients' first bytes are there at once, take less.
+  std::chrono::milliseconds min_idle{250};
 };
 
-// A Unix domain socket of mode 0600. A peer's uid (SO_PEERCRED, unix(7)) must be this process's own, root's
-// or one of `allow`; each such peer is an admin. Others are closed without an answer.
+/// A server on a Unix domain socket of mode 0600. A peer's uid (SO_PEERCRED, unix(7)) must be this process's
+/// own, root's or one of `allowed_uids`; each such peer is an admin. Others are closed without an answer.
 class UnixServer {
  public:
-  // Throws std::runtime_error, one line, if the path can't be bound. The file of a server that no longer runs
-  // is replaced; one that somebody answers on is not.
-  UnixServer(boost::asio::io_context& io, const std::string& path, std::vector<uid_t> allow,
+  /// Listens on `path`. Throws std::runtime_error, one line, if it can't. The socket of a server that no
+  /// longer runs is replaced; one on which a process answers is not.
+  UnixServer(boost::asio::io_context& io, const std::string& path, std::vector<uid_t> allowed_uids,
              ServerLimits limits, Handler handler);
-  ~UnixServer();  // ends its connections, removes the file
+  /// Closes the connections, and removes the socket's file.
+  ~UnixServer();
   UnixServer(const UnixServer&) = delete;
   UnixServer& operator=(const UnixServer&) = delete;
 
+  /// The number of open connections.
   std::size_t connections() const;
 
  private:
--- a/src/http_api/tls_context.h
+++ b/src/http_api/tls_context.h
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The TLS settings that control APIs and etcd's channels share.
 #ifndef BADGERBRIDGE_HTTP_API_TLS_CONTEXT_H_
 #define BADGERBRIDGE_HTTP_API_TLS_CONTEXT_H_
 
@@ -10,16 +12,23 @@
 
 namespace badgerbridge::http_api {
 
-// TLS 1.3 alone, the other side's certificate required. Throws std::runtime_error that names the file.
-inline boost::asio::ssl::context TlsContext(const TlsFiles& files, bool server) {
+/// Which side of a TLS connection a context is for.
+enum class TlsSide {
+  kClient,  ///< the side that connects
+  kServer,  ///< the side that accepts
+};
+
+/// A context for TLS 1.3 alone (RFC 8446) that requires the other side's certificate. Throws
+/// std::runtime_error that names the file that cannot be used.
+inline boost::asio::ssl::context MakeTlsContext(const TlsFiles& files, TlsSide side) {
   namespace ssl = boost::asio::ssl;
-  ssl::context context(server ? ssl::context::tls_server : ssl::context::tls_client);
+  ssl::context context(side == TlsSide::kServer ? ssl::context::tls_server : ssl::context::tls_client);
   boost::system::error_code error;
-  const auto check = [&](const std::string& file, const char* what) {
-    if (error) throw std::runtime_error(file + ": no " + what + " that can be used: " + error.message());
+  const auto check = [&](const std::string& file, const char* content) {
+    if (error) throw std::runtime_error(file + ": no " + content + " that can be used: " + error.message());
   };
   SSL_CTX_set_min_proto_version(context.native_handle(), TLS1_3_VERSION);
-  // A ticket would let a client come back after its certificate has run out.
+  // A session ticket (RFC 8446, section 4.6.1) would let a client resume after its certificate has expired.
   SSL_CTX_set_num_tickets(context.native_handle(), 0);
   context.use_certificate_chain_file(files.certificate, error);
   check(files.certificate, "certificate");
--- a/src/http_api/unix_server.cpp
+++ b/src/http_api/unix_server.cpp
@@ -7,7 +7,8 @@
 #include <boost/asio/local/stream_protocol.hpp>
 #include <optional>
 
-#include "http_api/serve.h"
+#include "http_api/acceptor.h"
+#include "http_api/serve_connection.h"
 #include "http_api/server.h"
 
 namespace badgerbridge::http_api {
@@ -17,10 +18,23 @@
 using Local = asio::local::stream_protocol;
 using ErrorCode = boost::system::error_code;
 
-constexpr std::chrono::milliseconds kUnixYoung{20};
+constexpr int kBacklog = 64;
+constexpr mode_t kMaskOfOthers = 0177;  // leaves mode 0600
+constexpr std::chrono::milliseconds kMaxMinIdle{20};
 
-// Somebody answers on the socket at this path.
-bool Answers(asio::io_context& io, const std::string& path) {
+// What every connection of a server needs.
+struct ServerContext {
+  std::vector<uid_t> allowed_uids;
+  ServerLimits limits;
+  Handler handler;
+};
+
+std::runtime_error ListenError(const std::string& path, const std::string& reason) {
+  return std::runtime_error("cannot listen on " + path + ": " + reason);
+}
+
+// Whether a process answers on the socket at this path.
+bool IsAnswered(asio::io_context& io, const std::string& path) {
   Local::socket socket(io);
   ErrorCode error;
   socket.connect(Local::endpoint(path), error);
@@ -35,6 +49,44 @@
   return peer.uid;
 }
 
+bool IsAllowed(uid_t uid, const std::vector<uid_t>& allowed_uids) {
+  return uid == 0 || uid == geteuid() ||
+         std::find(allowed_uids.begin(), allowed_uids.end(), uid) != allowed_uids.end();
+}
+
+// One connection, to its end.
+asio::awaitable<void> ServeClient(Local::socket socket, std::shared_ptr<detail::Connection> connection,
+                                  std::shared_ptr<const ServerContext> context) {
+  const std::optional<uid_t> uid = PeerUid(socket);
+  if (!uid || !IsAllowed(*uid, context->allowed_uids)) co_return;
+  boost::beast::basic_stream<Local> stream(std::move(socket));
+  connection->close = [&stream] { stream.close(); };
+  connection->has_unread = [&stream] { return detail::HasUnread(stream.socket()); };
+  Peer peer{"uid " + std::to_string(*uid), Role::kAdmin};
+  co_await detail::ServeConnection(stream, connection, context->limits, context->handler, std::move(peer));
+  connection->close = [] {};
+}
+
+// Removes the socket of a server that no longer runs. Throws if anything else is at the path.
+void RemoveStaleSocket(asio::io_context& io, const std::string& path) {
+  struct stat status {};
+  if (lstat(path.c_str(), &status) != 0) return;
+  if (!S_ISSOCK(status.st_mode)) throw ListenError(path, "something that is no socket is there");
+  if (IsAnswered(io, path)) throw ListenError(path, "another process answers there");
+  unlink(path.c_str());
+}
+
+void Listen(Local::acceptor& socket, const std::string& path) {
+  ErrorCode error;
+  socket.open(Local(), error);
+  // Mode 0600 from the first moment on: bind creates the file with what the mask leaves.
+  const mode_t previous_mask = umask(kMaskOfOthers);
+  if (!error) socket.bind(Local::endpoint(path), error);
+  umask(previous_mask);
+  if (!error) socket.listen(kBacklog, error);
+  if (error) throw ListenError(path, error.message());
+}
+
 }  // namespace
 
 struct UnixServer::State {
@@ -43,52 +95,30 @@
   ino_t inode = 0;  // of the file that this server made there
 };
 
-UnixServer::UnixServer(asio::io_context& io, const std::string& path, std::vector<uid_t> allow,
+UnixServer::UnixServer(asio::io_context& io, const std::string& path, std::vector<uid_t> allowed_uids,
                        ServerLimits limits, Handler handler)
     : state_(std::make_shared<State>()) {
   state_->path = path;
+  const auto context = std::make_shared<const ServerContext>(
+      ServerContext{std::move(allowed_uids), limits, std::move(handler)});
   state_->acceptor = std::make_shared<detail::Acceptor<Local>>(
-      io, limits.connections, std::min(limits.young, kUnixYoung),
-      [allow = std::move(allow), limits, handler = std::move(handler)](
-          Local::socket socket, std::shared_ptr<detail::Connection> connection) -> asio::awaitable<void> {
-        const auto uid = PeerUid(socket);
-        const bool allowed = uid && (*uid == 0 || *uid == geteuid() ||
-                                     std::find(allow.begin(), allow.end(), *uid) != allow.end());
-        if (!allowed) co_return;
-        boost::beast::basic_stream<Local> stream(std::move(socket));
-        connection->close = [&stream] { stream.close(); };
-        connection->has_unread = [&stream] { return detail::HasUnread(stream.socket()); };
-        Peer peer{"uid " + std::to_string(*uid), Role::kAdmin};
-        co_await detail::Serve(stream, connection, limits, handler, std::move(peer));
-        connection->close = [] {};
+      io, limits.max_connections, std::min(limits.min_idle, kMaxMinIdle),
+      [context](Local::socket socket, std::shared_ptr<detail::Connection> connection) {
+        return ServeClient(std::move(socket), std::move(connection), context);
       });
-  const auto fail = [&path](const std::string& why) {
-    return std::runtime_error("cannot listen on " + path + ": " + why);
-  };
-  struct stat about {};
-  if (lstat(path.c_str(), &about) == 0) {
-    if (!S_ISSOCK(about.st_mode)) throw fail("something that is no socket is there");
-    if (Answers(io, path)) throw fail("another process answers there");
-    unlink(path.c_str());
-  }
-  auto& acceptor = state_->acceptor->socket();
-  ErrorCode error;
-  acceptor.open(Local(), error);
-  // The mode from the first moment on: bind creates the file with what the mask leaves.
-  const mode_t mask = umask(0177);
-  if (!error) acceptor.bind(Local::endpoint(path), error);
-  umask(mask);
-  if (!error) acceptor.listen(64, error);
-  if (error) throw fail(error.message());
-  struct stat made {};
-  if (lstat(path.c_str(), &made) == 0) state_->inode = made.st_ino;
+  RemoveStaleSocket(io, path);
+  Listen(state_->acceptor->listening_socket(), path);
+  struct stat status {};
+  if (lstat(path.c_str(), &status) == 0) state_->inode = status.st_ino;
   state_->acceptor->Start();
 }
 
 UnixServer::~UnixServer() {
   state_->acceptor->Close();
-  struct stat about {};  // not the file of one that has taken the path over
-  if (lstat(state_->path.c_str(), &about) == 0 && about.st_ino == state_->inode) unlink(state_->path.c_str());
+  struct stat status {};
+  if (lstat(state_->path.c_str(), &status) != 0) return;
+  // Another server's file that has replaced this one's stays.
+  if (status.st_ino == state_->inode) unlink(state_->path.c_str());
 }
 
 std::size_t UnixServer::connections() const { return state_->acceptor->connections(); }
--- a/src/http_api/version.cpp
+++ b/src/http_api/version.cpp
@@ -5,15 +5,15 @@
 
 namespace badgerbridge::http_api {
 
-std::string VersionText(std::string_view program, std::initializer_list<std::string_view> built_in) {
+std::string VersionText(std::string_view program, std::initializer_list<std::string_view> features) {
   std::string text = std::string(program) + " " BADGERBRIDGE_VERSION "\nbuilt in:";
-  std::string_view before = " ";
-  for (const std::string_view name : built_in) {
-    if (name.empty()) continue;
-    text.append(before).append(name);
-    before = ", ";
+  std::string_view separator = " ";
+  for (const std::string_view feature : features) {
+    if (feature.empty()) continue;
+    text.append(separator).append(feature);
+    separator = ", ";
   }
-  if (before == " ") text += " everything";
+  if (separator == " ") text += " everything";
   return text + "; Boost " BOOST_LIB_VERSION "\n";
 }
 
--- a/src/http_api/version.h
+++ b/src/http_api/version.h
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// What the programs print for --version.
 #ifndef BADGERBRIDGE_HTTP_API_VERSION_H_
 #define BADGERBRIDGE_HTTP_API_VERSION_H_
 
@@ -8,9 +10,9 @@
 
 namespace badgerbridge::http_api {
 
-// What --version prints: the program with its version, then a line with what this build of it can do beyond
-// the rest.
-std::string VersionText(std::string_view program, std::initializer_list<std::string_view> built_in);
+/// The program with its version, then a line with the optional features of this build (an empty name is
+/// skipped) and the version of Boost.
+std::string VersionText(std::string_view program, std::initializer_list<std::string_view> features);
 
 }  // namespace badgerbridge::http_api
 
