--- a/src/operator_config/operator_file.cpp
+++ b/src/operator_config/operator_file.cpp
@@ -1,7 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The only place where the file's keys meet the names of the settings.
 #include "operator_config/operator_file.h"
 
 #include <algorithm>
+#include <cstdint>
 #include <set>
 
 #include "http_api/address.h"
@@ -10,65 +13,92 @@
 namespace badgerbridge::operator_config {
 namespace {
 
+using std::chrono::hours;
 using std::chrono::milliseconds;
+using std::chrono::minutes;
+using std::chrono::seconds;
 
-constexpr std::size_t kMostSocketPath = 107;  // sun_path, unix(7), less its end
+// Bounds of what the file may set.
+constexpr std::size_t kMaxSocketPathBytes = 107;  // sun_path, unix(7), less its terminator
+constexpr std::int64_t kMaxAdminApiConnections = 64;
+constexpr milliseconds kMinTimeout{100};
+constexpr milliseconds kMaxRequestTimeout = minutes(1);
+constexpr milliseconds kMaxIdleTimeout = hours(1);
+constexpr std::int64_t kMaxUid = 4294967294;
+constexpr std::size_t kMaxEtcdMembers = 16;
+constexpr milliseconds kMinPing{20};
+constexpr milliseconds kMaxPing = minutes(1);
+constexpr std::size_t kMaxPrefixBytes = 512;
+constexpr std::size_t kMaxServices = 256;
+constexpr std::size_t kMaxServiceName = 128;
+constexpr std::size_t kMaxZones = 64;
+constexpr milliseconds kMinLease = seconds(1);
+constexpr milliseconds kMaxLease = minutes(1);
+constexpr milliseconds kMinHeartbeat{50};
+constexpr milliseconds kMaxHeartbeat = seconds(10);
+constexpr int kMinHeartbeatsInLease = 3;
+constexpr milliseconds kMinGrantHold{500};
+constexpr milliseconds kMaxGrantHold = minutes(10);
+constexpr milliseconds kMinRecoveryStep{100};
+constexpr milliseconds kMaxRecoveryStep = minutes(1);
+constexpr milliseconds kMaxRoundTrip = seconds(10);
+constexpr std::int64_t kMaxTransferPricePercent = 1000;
 
-AdminApiSettings ReadControl(TableReader& table) {
-  AdminApiSettings control;
+void ReadSocketPath(TableReader& table, AdminApiSettings* settings) {
   table.Require("socket", "the path of a Unix domain socket, as in socket = \"/run/badgerbridge/n1.sock\"");
-  control.socket = table.Text("socket");
-  if (table.Has("socket") && (control.socket.empty() || control.socket.front() != '/'))
+  settings->socket = table.Text("socket");
+  if (table.Has("socket") && !settings->socket.starts_with('/'))
     table.Report("socket", "is no absolute path; one that begins with / would be right");
-  if (control.socket.size() > kMostSocketPath)
+  if (settings->socket.size() > kMaxSocketPathBytes)
     table.Report("socket", "is longer than the 107 bytes that a Unix socket's path may have");
-  control.max_connections = static_cast<std::size_t>(
-      table.Whole("max_connections", static_cast<std::int64_t>(control.max_connections), 1, 64));
-  control.request_timeout =
-      table.Duration("request_timeout", control.request_timeout, milliseconds(100), milliseconds(60000));
-  control.idle_timeout =
-      table.Duration("idle_timeout", control.idle_timeout, milliseconds(100), milliseconds(3600000));
-  if (control.idle_timeout < control.request_timeout)
+}
+
+AdminApiSettings ReadAdminApi(TableReader& table) {
+  AdminApiSettings settings;
+  ReadSocketPath(table, &settings);
+  settings.max_connections = static_cast<std::size_t>(table.Integer(
+      "max_connections", static_cast<std::int64_t>(settings.max_connections), 1, kMaxAdminApiConnections));
+  settings.request_timeout =
+      table.Duration("request_timeout", settings.request_timeout, kMinTimeout, kMaxRequestTimeout);
+  settings.idle_timeout = table.Duration("idle_timeout", settings.idle_timeout, kMinTimeout, kMaxIdleTimeout);
+  if (settings.idle_timeout < settings.request_timeout)
     table.Report(table.Has("idle_timeout") ? "idle_timeout" : "request_timeout",
-                 "contradicts the other time-out: idle_timeout (" + FormatDuration(control.idle_timeout) +
+                 "contradicts the other time-out: idle_timeout (" + FormatDuration(settings.idle_timeout) +
                      ") must not be shorter than request_timeout (" +
-                     FormatDuration(control.request_timeout) + ")");
-  for (const std::int64_t uid : table.Wholes("allow_uids", 0, 4294967294))
-    control.allow_uids.push_back(static_cast<uid_t>(uid));
+                     FormatDuration(settings.request_timeout) + ")");
+  for (const std::int64_t uid : table.Integers("allow_uids", 0, kMaxUid))
+    settings.allow_uids.push_back(static_cast<uid_t>(uid));
   table.Finish();
-  return control;
+  return settings;
 }
 
-bool GoodAddress(const std::string& text) {
+bool IsEndpoint(const std::string& text) {
   const auto endpoint = http_api::ParseAddress(text);
   return endpoint && endpoint->port() > 0;
 }
 
-void ReadPrefix(TableReader& table, std::string& prefix, const char* key = "prefix") {
-  const std::string usual = prefix;
-  prefix = table.Text(key, usual);
-  if (prefix.empty() || prefix.size() > 512)
-    table.Report(key, "is empty or too long; \"" + usual + "\" would be right");
+std::string ReadPrefix(TableReader& table, std::string_view key, const std::string& default_prefix) {
+  std::string prefix = table.Text(key, default_prefix);
+  if (prefix.empty() || prefix.size() > kMaxPrefixBytes)
+    table.Report(key, "is empty or too long; \"" + default_prefix + "\" would be right");
+  return prefix;
 }
 
-void NeedsEtcd([[maybe_unused]] TableReader& table) {
+// Reports a table of a subsystem that needs etcd, in a build without it.
+void RequireEtcdInBuild([[maybe_unused]] TableReader& table) {
 #ifndef BADGERBRIDGE_HAS_ETCD
   table.Report("", "names a subsystem that this build is without; build with -DBADGERBRIDGE_ETCD=ON");
 #endif
 }
 
-constexpr std::size_t kMaxServices = 256;
-constexpr std::size_t kMaxServiceName = 128;
-
-// Which services a proxy follows.
-void ReadServices(TableReader& table, EtcdSettings& etcd) {
-  etcd.services = table.Texts("services");
-  ReadPrefix(table, etcd.services_prefix, "services_prefix");
-  if (etcd.services.size() > kMaxServices)
-    table.Report("services", "names " + std::to_string(etcd.services.size()) + "; at most " +
+void ReadServices(TableReader& table, EtcdSettings* settings) {
+  settings->services = table.Texts("services");
+  settings->services_prefix = ReadPrefix(table, "services_prefix", settings->services_prefix);
+  if (settings->services.size() > kMaxServices)
+    table.Report("services", "names " + std::to_string(settings->services.size()) + "; at most " +
                                  std::to_string(kMaxServices) + " would be right");
   std::set<std::string> seen;
-  for (const std::string& service : etcd.services) {
+  for (const std::string& service : settings->services) {
     if (service.empty() || service.size() > kMaxServiceName || service.find('/') != std::string::npos)
       table.Report("services", "names \"" + service.substr(0, kMaxServiceName) + "\"; a name of 1 to " +
                                    std::to_string(kMaxServiceName) + " characters without / would be right");
@@ -77,140 +107,174 @@
 }
 
 EtcdSettings ReadEtcd(TableReader& table) {
-  EtcdSettings etcd;
-  NeedsEtcd(table);
+  EtcdSettings settings;
+  RequireEtcdInBuild(table);
   table.Require("endpoints", "the members' addresses, as in endpoints = [\"127.0.0.1:2379\"]");
-  ReadEtcdLink(table, etcd);
-  ReadPrefix(table, etcd.prefix);
-  ReadServices(table, etcd);
+  static_cast<EtcdConnectionSettings&>(settings) = ReadEtcdConnection(table);
+  settings.prefix = ReadPrefix(table, "prefix", settings.prefix);
+  ReadServices(table, &settings);
   const std::string authority = table.Text("authority", "etcd");
   if (authority != "etcd" && authority != "discovery")
     table.Report("authority", "is \"" + authority + "\"; etcd or discovery would be right");
-  etcd.authority = authority == "etcd";
-  etcd.most_departures_percent = static_cast<int>(table.Whole("most_departures_percent", 50, 1, 100));
+  settings.is_authoritative = authority == "etcd";
+  settings.max_departures_percent =
+      static_cast<int>(table.Integer("most_departures_percent", settings.max_departures_percent, 1, 100));
   table.Finish();
-  return etcd;
+  return settings;
 }
 
-constexpr std::size_t kMostZones = 64;
-
-ZoneFailoverSettings ReadRegions(TableReader& table, Problems& warnings) {
-  ZoneFailoverSettings regions;
-  NeedsEtcd(table);
+bool ReadCoordinated(TableReader& table) {
   const std::string decide = table.Text("decide", "together");
   if (decide != "together" && decide != "alone")
     table.Report("decide", "is \"" + decide + "\"; together or alone would be right");
-  regions.together = decide != "alone";
-  ReadEtcdLink(table, regions);
+  return decide != "alone";
+}
+
+EtcdConnectionSettings ReadOwnEtcdConnection(TableReader& table) {
+  EtcdConnectionSettings settings = ReadEtcdConnection(table);
+  if (table.Has("endpoints")) return settings;
   for (const char* key : {"user", "password_file", "certificate", "key", "authority_certificate",
                           "server_name", "ping_every", "ping_timeout"}) {
-    if (table.Has(key) && !table.Has("endpoints"))
+    if (table.Has(key))
       table.Report(key, "stands without endpoints: then all of the way to etcd is that of [etcd]");
   }
-  ReadPrefix(table, regions.prefix);
+  return settings;
+}
+
+std::vector<std::string> ReadZones(TableReader& table) {
   table.Require("zones",
                 "the zones in the order of the proxies' configuration, as in zones = [\"a\", \"b\"]");
-  regions.zones = table.Texts("zones");
-  if (table.Has("zones") && (regions.zones.empty() || regions.zones.size() > kMostZones))
+  std::vector<std::string> zones = table.Texts("zones");
+  if (table.Has("zones") && (zones.empty() || zones.size() > kMaxZones))
     table.Report("zones", "must name 1 to 64 zones");
-  const auto known = [&](const std::string& zone) {
-    return std::find(regions.zones.begin(), regions.zones.end(), zone) != regions.zones.end();
-  };
-  for (std::size_t i = 0; i < regions.zones.size(); ++i) {
-    if (std::find(regions.zones.begin(), regions.zones.begin() + static_cast<std::ptrdiff_t>(i),
-                  regions.zones[i]) != regions.zones.begin() + static_cast<std::ptrdiff_t>(i))
-      table.Report("zones", "names " + regions.zones[i] + " twice");
+  std::set<std::string> seen;
+  for (const std::string& zone : zones) {
+    if (!seen.insert(zone).second) table.Report("zones", "names " + zone + " twice");
   }
-  regions.lease = table.Duration("lease", regions.lease, milliseconds(1000), milliseconds(60000));
-  if (regions.lease.count() % 1000 != 0)
+  return zones;
+}
+
+// The lease and the heartbeat that must keep it alive. Returns the warning for a former name, if there is
+// one.
+std::optional<Problem> ReadLeaseAndHeartbeat(TableReader& table, ZoneFailoverSettings* settings) {
+  settings->lease = table.Duration("lease", settings->lease, kMinLease, kMaxLease);
+  if (settings->lease % seconds(1) != milliseconds(0))
     table.Report("lease", "is no whole number of seconds; \"3s\" would be right");
-  const std::string_view heartbeat = table.Spelling("heartbeat", "beat", warnings);
-  regions.heartbeat = table.Duration(heartbeat, regions.heartbeat, milliseconds(50), milliseconds(10000));
-  if (regions.heartbeat * 3 > regions.lease)
-    table.Report(table.Has(heartbeat) ? heartbeat : "lease",
-                 "contradicts the other time: three heartbeats (" + FormatDuration(regions.heartbeat) +
-                     ") must fit into a lease (" + FormatDuration(regions.lease) + ")");
-  regions.hold = table.Duration("hold", regions.hold, milliseconds(500), milliseconds(600000));
-  regions.step = table.Duration("step", regions.step, milliseconds(100), milliseconds(60000));
-  regions.round_trip = table.Duration("round_trip", regions.round_trip, milliseconds(0), milliseconds(10000));
-  regions.price_percent = static_cast<int>(table.Whole("price_percent", regions.price_percent, 0, 1000));
-  for (const auto& link : table.Tables("link")) {
-    ZoneFailoverSettings::Link one;
-    link->Require("from", "a zone");
-    link->Require("to", "another zone");
-    one.from = link->Text("from");
-    one.to = link->Text("to");
-    for (const char* end : {"from", "to"}) {
-      const std::string& zone = end == std::string("from") ? one.from : one.to;
-      if (link->Has(end) && !known(zone)) link->Report(end, "is \"" + zone + "\", which zones does not name");
-    }
-    if (link->Has("to") && one.from == one.to) link->Report("to", "is the zone itself");
-    one.round_trip = link->Duration("round_trip", regions.round_trip, milliseconds(0), milliseconds(10000));
-    one.price_percent = static_cast<int>(link->Whole("price_percent", regions.price_percent, 0, 1000));
-    link->Finish();
-    regions.links.push_back(std::move(one));
-  }
+  KeySpelling heartbeat = table.ResolveRenamedKey("heartbeat", "beat");
+  settings->heartbeat = table.Duration(heartbeat.key, settings->heartbeat, kMinHeartbeat, kMaxHeartbeat);
+  if (settings->heartbeat * kMinHeartbeatsInLease > settings->lease)
+    table.Report(table.Has(heartbeat.key) ? heartbeat.key : "lease",
+                 "contradicts the other time: three heartbeats (" + FormatDuration(settings->heartbeat) +
+                     ") must fit into a lease (" + FormatDuration(settings->lease) + ")");
+  return std::move(heartbeat.warning);
+}
+
+// Reports the zone at one end of a link if it is none of `zones`.
+void CheckLinkEnd(TableReader& table, const char* key, const std::string& zone,
+                  const std::vector<std::string>& zones) {
+  const bool is_known = std::find(zones.begin(), zones.end(), zone) != zones.end();
+  if (table.Has(key) && !is_known) table.Report(key, "is \"" + zone + "\", which zones does not name");
+}
+
+ZoneFailoverSettings::Link ReadLink(TableReader& table, const ZoneFailoverSettings& settings) {
+  ZoneFailoverSettings::Link link;
+  table.Require("from", "a zone");
+  table.Require("to", "another zone");
+  link.from = table.Text("from");
+  link.to = table.Text("to");
+  CheckLinkEnd(table, "from", link.from, settings.zones);
+  CheckLinkEnd(table, "to", link.to, settings.zones);
+  if (table.Has("to") && link.from == link.to) table.Report("to", "is the zone itself");
+  link.round_trip = table.Duration("round_trip", settings.round_trip, milliseconds(0), kMaxRoundTrip);
+  link.transfer_price_percent = static_cast<int>(
+      table.Integer("price_percent", settings.transfer_price_percent, 0, kMaxTransferPricePercent));
   table.Finish();
-  return regions;
+  return link;
 }
 
-// Where [regions] says nothing of etcd, it is the one of [etcd].
-void LinkRegions(TableReader& table, OperatorFile& file) {
-  ZoneFailoverSettings& regions = *file.regions;
-  if (!regions.together || !regions.endpoints.empty()) return;
-  if (file.etcd) {
-    const EtcdConnectionSettings& link = *file.etcd;
-    static_cast<EtcdConnectionSettings&>(regions) = link;
+ZoneFailoverSettings ReadZoneFailover(TableReader& table, Problems* warnings) {
+  ZoneFailoverSettings settings;
+  RequireEtcdInBuild(table);
+  settings.coordinated = ReadCoordinated(table);
+  static_cast<EtcdConnectionSettings&>(settings) = ReadOwnEtcdConnection(table);
+  settings.prefix = ReadPrefix(table, "prefix", settings.prefix);
+  settings.zones = ReadZones(table);
+  if (auto warning = ReadLeaseAndHeartbeat(table, &settings)) warnings->push_back(std::move(*warning));
+  settings.grant_hold = table.Duration("hold", settings.grant_hold, kMinGrantHold, kMaxGrantHold);
+  settings.recovery_step = table.Duration("step", settings.recovery_step, kMinRecoveryStep, kMaxRecoveryStep);
+  settings.round_trip = table.Duration("round_trip", settings.round_trip, milliseconds(0), kMaxRoundTrip);
+  settings.transfer_price_percent = static_cast<int>(
+      table.Integer("price_percent", settings.transfer_price_percent, 0, kMaxTransferPricePercent));
+  for (const auto& link : table.Tables("link")) settings.links.push_back(ReadLink(*link, settings));
+  table.Finish();
+  return settings;
+}
+
+// Gives [regions] the connection of [etcd], unless it has its own or needs none.
+void ShareEtcdConnection(TableReader& root, OperatorFile* file) {
+  ZoneFailoverSettings& zone_failover = *file->zone_failover;
+  if (!zone_failover.coordinated || !zone_failover.endpoints.empty()) return;
+  if (!file->etcd) {
+    root.Report("regions",
+                "needs endpoints = [\"127.0.0.1:2379\"], or an [etcd] table that says where etcd is");
     return;
   }
-  table.Report("regions",
-               "needs endpoints = [\"127.0.0.1:2379\"], or an [etcd] table that says where etcd is");
+  const EtcdConnectionSettings& shared = *file->etcd;
+  static_cast<EtcdConnectionSettings&>(zone_failover) = shared;
 }
 
 }  // namespace
 
-void ReadEtcdLink(TableReader& table, EtcdConnectionSettings& etcd) {
-  etcd.endpoints = table.Texts("endpoints");
-  for (const std::string& endpoint : etcd.endpoints) {
-    if (!GoodAddress(endpoint))
+EtcdConnectionSettings ReadEtcdConnection(TableReader& table) {
+  EtcdConnectionSettings settings;
+  settings.endpoints = table.Texts("endpoints");
+  for (const std::string& endpoint : settings.endpoints) {
+    if (!IsEndpoint(endpoint))
       table.Report("endpoints", "holds \"" + endpoint +
                                     "\", which is no address and port; \"127.0.0.1:2379\" would be right");
   }
-  if (table.Has("endpoints") && (etcd.endpoints.empty() || etcd.endpoints.size() > 16))
-    table.Report("endpoints", "must name 1 to 16 members");
-  etcd.user = table.Text("user");
-  etcd.password_file = table.Text("password_file");
-  if (etcd.user.empty() != etcd.password_file.empty())
-    table.Report(etcd.user.empty() ? "password_file" : "user",
+  const bool is_valid_count = !settings.endpoints.empty() && settings.endpoints.size() <= kMaxEtcdMembers;
+  if (table.Has("endpoints") && !is_valid_count) table.Report("endpoints", "must name 1 to 16 members");
+  settings.user = table.Text("user");
+  settings.password_file = table.Text("password_file");
+  if (settings.user.empty() != settings.password_file.empty())
+    table.Report(settings.user.empty() ? "password_file" : "user",
                  "stands alone; user and password_file belong together");
-  etcd.certificate = table.Text("certificate");
-  etcd.key = table.Text("key");
-  etcd.client_authority = table.Text("authority_certificate");
-  etcd.server_name = table.Text("server_name");
-  if (etcd.certificate.empty() != etcd.key.empty() ||
-      etcd.certificate.empty() != etcd.client_authority.empty())
+  settings.certificate = table.Text("certificate");
+  settings.key = table.Text("key");
+  settings.ca_certificate = table.Text("authority_certificate");
+  settings.server_name = table.Text("server_name");
+  if (settings.certificate.empty() != settings.key.empty() ||
+      settings.certificate.empty() != settings.ca_certificate.empty())
     table.Report("certificate", "key and authority_certificate belong together: all three for TLS, or none");
-  etcd.ping_every = table.Duration("ping_every", etcd.ping_every, milliseconds(20), milliseconds(60000));
-  etcd.ping_timeout =
-      table.Duration("ping_timeout", etcd.ping_timeout, milliseconds(20), milliseconds(60000));
-}
-
-OperatorFile Parse(std::string_view text, const std::string& file, Problems& problems) {
-  OperatorFile out;
-  const auto root = ParseToml(text, file, problems);
-  if (!root) return out;
-  TableReader reader(*root, "", file, problems);
-  if (const auto control = reader.Table("control")) out.control = ReadControl(*control);
-  if (const auto etcd = reader.Table("etcd")) out.etcd = ReadEtcd(*etcd);
-  if (const auto regions = reader.Table("regions")) out.regions = ReadRegions(*regions, out.warnings);
-  if (out.regions) LinkRegions(reader, out);
+  settings.ping_interval = table.Duration("ping_every", settings.ping_interval, kMinPing, kMaxPing);
+  settings.ping_timeout = table.Duration("ping_timeout", settings.ping_timeout, kMinPing, kMaxPing);
+  return settings;
+}
+
+OperatorFile ParseOperatorFile(std::string_view text, const std::string& file) {
+  OperatorFile parsed;
+  const Result<toml::table> root = ParseToml(text, file);
+  if (!root) {
+    parsed.problems.push_back(root.error());
+    return parsed;
+  }
+  TableReader reader(*root, "", file, parsed.problems);
+  if (const auto table = reader.Table("control")) parsed.admin_api = ReadAdminApi(*table);
+  if (const auto table = reader.Table("etcd")) parsed.etcd = ReadEtcd(*table);
+  if (const auto table = reader.Table("regions"))
+    parsed.zone_failover = ReadZoneFailover(*table, &parsed.warnings);
+  if (parsed.zone_failover) ShareEtcdConnection(reader, &parsed);
   reader.Finish();
-  return out;
+  return parsed;
 }
 
-OperatorFile Load(const std::string& path, Problems& problems) {
-  const auto text = ReadFile(path, kMostBytes, problems);
-  return text ? Parse(*text, path, problems) : OperatorFile{};
+OperatorFile LoadOperatorFile(const std::string& path) {
+  const Result<std::string> text = ReadFile(path, kMaxFileBytes);
+  if (text) return ParseOperatorFile(*text, path);
+  OperatorFile unreadable;
+  unreadable.problems.push_back(text.error());
+  return unreadable;
 }
 
 }  // namespace badgerbridge::operator_config
--- a/src/operator_config/problem.h
+++ b/src/operator_config/problem.h
@@ -1,24 +1,39 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The faults of a configuration file, with the place of each.
 #ifndef BADGERBRIDGE_OPERATOR_CONFIG_PROBLEM_H_
 #define BADGERBRIDGE_OPERATOR_CONFIG_PROBLEM_H_
 
+#include <boost/assert/source_location.hpp>
+#include <boost/system/result.hpp>
 #include <string>
 #include <vector>
 
 namespace badgerbridge::operator_config {
 
-// One thing that is wrong with a file, and what would be right.
+/// One fault of a file.
 struct Problem {
-  std::string file;
-  unsigned line = 0, column = 0;  // from 1; 0: the file as a whole
-  std::string text;
-
-  std::string Line() const;  // "file:line:column: text", without a line end
+  std::string file;     ///< the file's name
+  unsigned line = 0;    ///< from 1; 0: the file as a whole
+  unsigned column = 0;  ///< from 1; 0: the file as a whole
+  std::string text;     ///< what is wrong, and what would be right
 };
+
+/// All faults of a file, in the order in which they were found.
 using Problems = std::vector<Problem>;
 
-// In the order of the file, one line each, every line ended.
-std::string Lines(Problems problems);
+/// A value, or the one problem that prevented it.
+template <typename T>
+using Result = boost::system::result<T, Problem>;
+
+/// Called by Result::value() if there is no value: throws std::runtime_error with the formatted problem.
+[[noreturn]] void throw_exception_from_error(const Problem& problem, const boost::source_location& location);
+
+/// "file:line:column: text", without a line end.
+std::string FormatProblem(const Problem& problem);
+
+/// One line for each problem, each with its line end, in the order of the file.
+std::string FormatProblems(Problems problems);
 
 }  // namespace badgerbridge::operator_config
 
