--- a/bench/slopes_proxy.cpp
+++ b/bench/slopes_proxy.cpp
@@ -60,7 +60,7 @@
         reader_(config_) {
     if (with_regions) {
       operator_config::ZoneFailoverSettings settings;
-      settings.together = false;
+      settings.coordinated = false;
       settings.zones = config_.zones;
       regions_.emplace(io_, clock_, config_, settings, [](std::vector<double>) {});
       proxy_.SetTrafficObserver(&*regions_);
@@ -68,7 +68,7 @@
     if (!with_ledger) return;
     operator_config::EtcdSettings settings;
     settings.endpoints = {"127.0.0.1:1"};
-    settings.authority = false;
+    settings.is_authoritative = false;
     membership_.emplace(
         io_, config_, settings,
         [this](const proxy::EndpointList& list) { proxy_.UpdateList(proxy::EndpointListKind::kDelta, list); },
--- a/src/admin_api/admin_api.cpp
+++ b/src/admin_api/admin_api.cpp
@@ -98,9 +98,8 @@
 http_api::Response AdminApi::Drain(const http_api::Request& request) {
   std::optional<Duration> deadline;
   if (!request.body.empty()) {
-    std::string why;
-    const auto body = http_api::ReadObject(request, &why);
-    if (!body) return http_api::Error(400, why);
+    const auto body = http_api::ParseJsonObject(request);
+    if (!body) return http_api::Error(400, http_api::Message(body.error()));
     for (const auto& [key, value] : *body) {
       const double ms = value.is_number() ? value.to_number<double>() : -1;
       if (key != "deadline_ms")
--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -80,8 +80,8 @@
   const bool is_post = request.method == "POST";
   if (peer.role < required) {
     const bool is_write = is_post && request.path != "/v1/diff";
-    if (is_write) agent_.Audit(peer.who, "not allowed", {{"path", request.path}});
-    co_return http_api::Error(403, peer.who + " has the role " + std::string(http_api::Name(peer.role)) +
+    if (is_write) agent_.Audit(peer.name, "not allowed", {{"path", request.path}});
+    co_return http_api::Error(403, peer.name + " has the role " + std::string(http_api::Name(peer.role)) +
                                        "; this takes " + std::string(http_api::Name(required)));
   }
   if (request.method == "GET") {
@@ -148,7 +148,7 @@
     if (reply.ok() && reply.body.is_object() && reply.body.get_object().contains("converters")) {
       answer["converters"] = reply.body.get_object().at("converters");
     } else {
-      answer["converters_error"] = reply.Why();
+      answer["converters_error"] = reply.ErrorMessage();
     }
   }
   co_return http_api::Response{200, std::move(answer)};
@@ -160,15 +160,16 @@
   if (found == agent_.controller().instances().end()) co_return UnknownInstance(name);
   if (found->second.pid == 0) co_return http_api::Error(409, "the instance " + name + " does not run");
   // What changes something is in the audit log before it is done.
-  if (is_write && !agent_.Audit(peer.who, "asked", {{"instance", name}, {"path", path}}))
+  if (is_write && !agent_.Audit(peer.name, "asked", {{"instance", name}, {"path", path}}))
     co_return http_api::Error(507, "the agent cannot write its audit log, and asks nothing without it");
   const std::string socket = ParseDefinition(found->second.definition).value().control_socket;
   const std::string method = is_write ? "POST" : "GET";
   const std::string body = is_write ? "{}" : "";
   const http_api::Reply reply = co_await http_api::CallUnix(socket, method, path, body, kInstanceCallTimeout);
   if (is_write)
-    agent_.Audit(peer.who, "answered", {{"instance", name}, {"path", path}, {"status", reply.status}});
-  if (reply.status == 0) co_return http_api::Error(504, "the instance does not answer: " + reply.Why());
+    agent_.Audit(peer.name, "answered", {{"instance", name}, {"path", path}, {"status", reply.status}});
+  if (reply.status == 0)
+    co_return http_api::Error(504, "the instance does not answer: " + reply.ErrorMessage());
   co_return http_api::Response{reply.status, reply.body};
 }
 
@@ -204,9 +205,8 @@
 }
 
 http_api::Response AgentApi::PostOrder(const http_api::Request& request, const http_api::Peer& peer) {
-  std::string error;
-  const auto body = http_api::ReadObject(request, &error);
-  if (!body) return http_api::Error(400, error);
+  const auto body = http_api::ParseJsonObject(request);
+  if (!body) return http_api::Error(400, http_api::Message(body.error()));
   const Result<OrderRequest> order = ParseOrderRequest(*body, peer);
   if (!order) return http_api::Error(400, Message(order.error()));
   return SubmitOrder(*order);
@@ -214,14 +214,13 @@
 
 http_api::Response AgentApi::PostFleet(const http_api::Request& request, const http_api::Peer& peer,
                                        bool apply) {
-  std::string error;
-  const auto body = http_api::ReadObject(request, &error);
-  if (!body) return http_api::Error(400, error);
+  const auto body = http_api::ParseJsonObject(request);
+  if (!body) return http_api::Error(400, http_api::Message(body.error()));
   Result<FleetRequest> fleet = ParseFleetRequest(*body, peer);
   if (!fleet) return http_api::Error(400, Message(fleet.error()));
   operator_config::Problems problems;
   const FleetFile file = ParseFleetFile(fleet->fleet_text, fleet->file_name, problems);
-  if (!problems.empty()) return http_api::Error(400, operator_config::Lines(problems));
+  if (!problems.empty()) return http_api::Error(400, operator_config::FormatProblems(problems));
   const std::string& own_name = agent_.settings().name;
   if (file.agent.name != own_name)
     return http_api::Error(400, "the file is for agent " + file.agent.name + ", and this is " + own_name);
--- a/src/agent/agent_runtime.cpp
+++ b/src/agent/agent_runtime.cpp
@@ -103,7 +103,7 @@
   if (reply.ok()) {
     HandleEvent(CallSucceeded{instance});
   } else {
-    HandleEvent(CallFailed{instance, reply.Why()});
+    HandleEvent(CallFailed{instance, reply.ErrorMessage()});
   }
 }
 
--- a/src/agent/fleet_file.cpp
+++ b/src/agent/fleet_file.cpp
@@ -93,7 +93,7 @@
                      ") must not be shorter than first_backoff (" +
                      operator_config::FormatDuration(agent.initial_backoff) + ")");
   agent.min_uptime = table.Duration("short_life", agent.min_uptime, milliseconds(100), milliseconds(3600000));
-  agent.max_consecutive_crashes = static_cast<int>(table.Whole("most_deaths", 5, 1, 100));
+  agent.max_consecutive_crashes = static_cast<int>(table.Integer("most_deaths", 5, 1, 100));
 }
 
 AgentSettings ReadAgent(TableReader& table) {
@@ -105,11 +105,11 @@
   agent.socket = ReadAbsolutePath(table, "socket");
   if (agent.socket.size() > kMaxSocketPathLength)
     table.Report("socket", "is longer than the 107 bytes that a Unix socket's path may have");
-  for (const std::int64_t uid : table.Wholes("allow_uids", 0, 4294967294))
+  for (const std::int64_t uid : table.Integers("allow_uids", 0, 4294967294))
     agent.allow_uids.push_back(static_cast<uid_t>(uid));
-  agent.max_connections = static_cast<std::size_t>(table.Whole("max_connections", 32, 4, 1024));
+  agent.max_connections = static_cast<std::size_t>(table.Integer("max_connections", 32, 4, 1024));
   agent.poll_interval = table.Duration("poll", agent.poll_interval, milliseconds(100), milliseconds(600000));
-  agent.max_log_bytes = static_cast<std::uint64_t>(table.Whole("log_kib", 8192, 64, 4194304)) * 1024;
+  agent.max_log_bytes = static_cast<std::uint64_t>(table.Integer("log_kib", 8192, 64, 4194304)) * 1024;
   ReadRestartPolicy(table, agent);
   if (const auto tls = table.Table("tls")) agent.tls = ReadTls(*tls);
   table.Finish();
@@ -143,8 +143,9 @@
 /// The path of the control socket, from the operator's file of the instance.
 std::string ReadControlSocket(TableReader& table, const std::string& path, Problems& problems) {
   if (path.empty()) return "";
-  const auto file = operator_config::Load(path, problems);
-  if (file.control) return file.control->socket;
+  const auto file = operator_config::LoadOperatorFile(path);
+  problems.insert(problems.end(), file.problems.begin(), file.problems.end());
+  if (file.admin_api) return file.admin_api->socket;
   table.Report("operator_file",
                "has no [control] table; the agent could neither ask nor drain this instance");
   return "";
@@ -172,8 +173,8 @@
   definition.working_directory = ReadWorkingDirectory(table);
   definition.labels = table.TextMap("labels");
   if (const auto limits = table.Table("limits")) {
-    definition.max_descriptors = limits->Whole("descriptors", 0, 64, 1048576);
-    definition.max_address_space_mb = limits->Whole("address_space_mb", 0, 16, 1048576);
+    definition.max_descriptors = limits->Integer("descriptors", 0, 64, 1048576);
+    definition.max_address_space_mb = limits->Integer("address_space_mb", 0, 16, 1048576);
     limits->Finish();
   }
   table.Finish();
@@ -217,7 +218,8 @@
 
 FleetFile ParseFleetFile(std::string_view text, const std::string& file, Problems& problems) {
   FleetFile fleet;
-  const auto root = operator_config::ParseToml(text, file, problems);
+  const auto root = operator_config::ParseToml(text, file);
+  if (!root) problems.push_back(root.error());
   if (!root) return fleet;
   TableReader reader(*root, "", file, problems);
   reader.Require("agent", "an [agent] table");
@@ -228,7 +230,8 @@
 }
 
 FleetFile LoadFleetFile(const std::string& path, Problems& problems) {
-  const auto text = operator_config::ReadFile(path, kMaxFleetFileBytes, problems);
+  const auto text = operator_config::ReadFile(path, kMaxFleetFileBytes);
+  if (!text) problems.push_back(text.error());
   return text ? ParseFleetFile(*text, path, problems) : FleetFile{};
 }
 
--- a/src/agent/instance_poller.cpp
+++ b/src/agent/instance_poller.cpp
@@ -113,7 +113,7 @@
     callbacks_.on_event(Observed{instance, status->observation, requested_at});
   } else {
     callbacks_.on_event(
-        Unresponsive{instance, status ? "another process answers on its socket" : reply.Why()});
+        Unresponsive{instance, status ? "another process answers on its socket" : reply.ErrorMessage()});
   }
   const bool may_be_starting = !is_own && now - spawned_at < kMaxStartingTime;
   const bool reports_starting = is_own && status->observation.state == "starting";
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -59,7 +59,7 @@
   std::signal(SIGHUP, SIG_IGN);
   operator_config::Problems problems;
   const agent::FleetFile file = agent::LoadFleetFile(path, problems);
-  std::cerr << operator_config::Lines(problems);
+  std::cerr << operator_config::FormatProblems(problems);
   if (!problems.empty()) return 1;
   if (check_only) return 0;
   try {
--- a/src/agent/request_body.cpp
+++ b/src/agent/request_body.cpp
@@ -18,7 +18,7 @@
 Order ReadCommonMembers(RequestBody& body, const http_api::Peer& peer) {
   Order order;
   order.id = body.ReadText("id").value_or("");
-  order.author = peer.who;
+  order.author = peer.name;
   if (const auto alias = body.ReadText("as")) order.author += " (" + alias->substr(0, kMaxAliasLength) + ")";
   order.expected_generation = static_cast<std::uint64_t>(body.ReadNumber("against", INT64_MAX).value_or(0));
   order.supersede = body.ReadFlag("supersede");
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -40,7 +40,7 @@
       io_, http_api::Call(agent.target, std::move(method), std::move(target), std::move(body), timeout),
       [&](std::exception_ptr failure, http_api::Reply answer) {
         reply = std::move(answer);
-        if (failure) reply = {0, {}, "the call could not be made"};
+        if (failure) reply = {0, {}, http_api::CallError{http_api::CallErrorCode::kCallFailed, "", {}}};
       });
   io_.restart();
   io_.run();
@@ -51,11 +51,13 @@
                                             milliseconds timeout) {
   std::vector<http_api::Reply> replies(agents.size());
   for (std::size_t i = 0; i < agents.size(); ++i) {
-    boost::asio::co_spawn(io_, http_api::Call(agents[i].target, "GET", target, "", timeout),
-                          [&replies, i](std::exception_ptr failure, http_api::Reply answer) {
-                            replies[i] = std::move(answer);
-                            if (failure) replies[i] = {0, {}, "the call could not be made"};
-                          });
+    boost::asio::co_spawn(
+        io_, http_api::Call(agents[i].target, "GET", target, "", timeout),
+        [&replies, i](std::exception_ptr failure, http_api::Reply answer) {
+          replies[i] = std::move(answer);
+          if (failure)
+            replies[i] = {0, {}, http_api::CallError{http_api::CallErrorCode::kCallFailed, "", {}}};
+        });
   }
   io_.restart();
   io_.run();
@@ -63,7 +65,7 @@
 }
 
 int Commands::Complain(const std::string& agent, const http_api::Reply& reply) {
-  err_ << "badgerbridge-ctl: " << agent << ": " << reply.Why() << '\n';
+  err_ << "badgerbridge-ctl: " << agent << ": " << reply.ErrorMessage() << '\n';
   if (reply.status == 0) return kOutOfReach;
   if (reply.status == 403) return kNotAllowed;
   if (reply.status == 409) return kConflict;
--- a/src/cli/context.cpp
+++ b/src/cli/context.cpp
@@ -41,7 +41,8 @@
 std::vector<AgentTarget> ParseContext(std::string_view text, const std::string& file,
                                       operator_config::Problems& problems) {
   std::vector<AgentTarget> agents;
-  const auto root = operator_config::ParseToml(text, file, problems);
+  const auto root = operator_config::ParseToml(text, file);
+  if (!root) problems.push_back(root.error());
   if (!root) return agents;
   TableReader reader(*root, "", file, problems);
   reader.Require("agent", "at least one [[agent]] table");
@@ -56,13 +57,15 @@
 }
 
 std::vector<AgentTarget> LoadContext(const std::string& path, operator_config::Problems& problems) {
-  const auto text = operator_config::ReadFile(path, 1 << 20, problems);
+  const auto text = operator_config::ReadFile(path, 1 << 20);
+  if (!text) problems.push_back(text.error());
   return text ? ParseContext(*text, path, problems) : std::vector<AgentTarget>{};
 }
 
 std::string AgentNameIn(const std::string& fleet_text, const std::string& file,
                         operator_config::Problems& problems) {
-  const auto root = operator_config::ParseToml(fleet_text, file, problems);
+  const auto root = operator_config::ParseToml(fleet_text, file);
+  if (!root) problems.push_back(root.error());
   if (!root) return "";
   return (*root)["agent"]["name"].value_or(std::string());
 }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -33,17 +33,20 @@
 // A fleet file or an operator's file, by what stands in it.
 int Check(const std::string& path) {
   operator_config::Problems problems;
-  if (const auto text = operator_config::ReadFile(path, agent::kMaxFleetFileBytes, problems)) {
-    operator_config::Problems ignored;
-    const auto root = operator_config::ParseToml(*text, path, ignored);
+  const auto text = operator_config::ReadFile(path, agent::kMaxFleetFileBytes);
+  if (!text) problems.push_back(text.error());
+  if (text) {
+    const auto root = operator_config::ParseToml(*text, path);
     if (root && (root->contains("agent") || root->contains("instance"))) {
       root->at("agent").is_array_of_tables() ? void(cli::ParseContext(*text, path, problems))
                                              : void(agent::ParseFleetFile(*text, path, problems));
     } else {
-      std::cerr << operator_config::Lines(operator_config::Parse(*text, path, problems).warnings);
+      const auto file = operator_config::ParseOperatorFile(*text, path);
+      std::cerr << operator_config::FormatProblems(file.warnings);
+      problems = file.problems;
     }
   }
-  std::cerr << operator_config::Lines(problems);
+  std::cerr << operator_config::FormatProblems(problems);
   return problems.empty() ? cli::kAllDid : cli::kSomeDidNot;
 }
 
@@ -121,11 +124,12 @@
   }
   operator_config::Problems problems;
   if (!a.operators.empty()) {
-    const auto file = operator_config::Load(a.operators, problems);
+    const auto file = operator_config::LoadOperatorFile(a.operators);
+    problems.insert(problems.end(), file.problems.begin(), file.problems.end());
     if (problems.empty() && !file.etcd) problems.push_back({a.operators, 0, 0, "has no [etcd] table"});
     if (file.etcd) how.etcd = *file.etcd;
   }
-  std::cerr << operator_config::Lines(problems);
+  std::cerr << operator_config::FormatProblems(problems);
   if (!problems.empty()) return cli::kUsage;
   if (!a.etcd.empty()) how.etcd.endpoints = a.etcd;
   for (const std::string& endpoint : how.etcd.endpoints) {
@@ -174,14 +178,16 @@
     return cli::kUsage;
   }
   operator_config::Problems problems;
-  const auto file = operator_config::Load(a.operators, problems);
-  if (problems.empty() && !file.regions) problems.push_back({a.operators, 0, 0, "has no [regions] table"});
-  if (problems.empty() && !file.regions->together)
+  const auto file = operator_config::LoadOperatorFile(a.operators);
+  problems.insert(problems.end(), file.problems.begin(), file.problems.end());
+  if (problems.empty() && !file.zone_failover)
+    problems.push_back({a.operators, 0, 0, "has no [regions] table"});
+  if (problems.empty() && !file.zone_failover->coordinated)
     problems.push_back(
         {a.operators, 0, 0, "has each proxy decide alone: there is nothing in common to show"});
-  std::cerr << operator_config::Lines(problems);
+  std::cerr << operator_config::FormatProblems(problems);
   if (!problems.empty()) return cli::kUsage;
-  how.regions = *file.regions;
+  how.regions = *file.zone_failover;
   how.force = a.force;
   how.who = a.options.as.empty() ? "uid " + std::to_string(getuid()) : a.options.as;
   if (!ReadCommon(a, &how)) return cli::kUsage;
@@ -272,7 +278,7 @@
     operator_config::Problems problems;
     settings.agents = cli::LoadContext(path, problems);
     if (!problems.empty()) {
-      std::cerr << operator_config::Lines(problems);
+      std::cerr << operator_config::FormatProblems(problems);
       std::cerr << "badgerbridge-ctl: name the agents by --context FILE or BADGERCTL_CONTEXT, or one by "
                    "--socket PATH\n";
       return cli::kUsage;
--- a/src/cli/members.cpp
+++ b/src/cli/members.cpp
@@ -44,7 +44,7 @@
     const http_api::Reply reply =
         One(AgentOf(line), "GET", "/v1/instances/" + line.name + "/members", "", Timeout(kUsualTimeout));
     if (!reply.ok() || !Body(reply)) {
-      err_ << "badgerbridge-ctl: " << name << ": " << reply.Why() << '\n';
+      err_ << "badgerbridge-ctl: " << name << ": " << reply.ErrorMessage() << '\n';
       code = Worse(code, reply.status == 0 ? kOutOfReach : kSomeDidNot);
       continue;
     }
@@ -104,7 +104,7 @@
             Timeout(kUsualTimeout));
     const bool done = reply.ok() && Body(reply);
     const std::string text =
-        done ? std::to_string(Whole(*Body(reply), "released")) + " converters let go" : reply.Why();
+        done ? std::to_string(Whole(*Body(reply), "released")) + " converters let go" : reply.ErrorMessage();
     table.Add({line.name, "release", done ? "done" : "failed", text});
     all.push_back(
         json::object{{"instance", line.name}, {"result", done ? "done" : "failed"}, {"text", text}});
--- a/src/cli/orders.cpp
+++ b/src/cli/orders.cpp
@@ -127,7 +127,7 @@
       order.ended = options.dry_run || Flag(order.state, "ended") || !order.state.contains("id");
     } else {
       order.code = Complain(order.agent.name, reply);
-      order.error = reply.Why();
+      order.error = reply.ErrorMessage();
       order.ended = true;
     }
   }
@@ -243,7 +243,8 @@
 std::optional<int> ReadFleet(const std::string& path, const std::vector<AgentTarget>& agents,
                              std::ostream& err, std::string* text, AgentTarget* agent) {
   operator_config::Problems problems;
-  const auto read = operator_config::ReadFile(path, 1 << 20, problems);
+  const auto read = operator_config::ReadFile(path, 1 << 20);
+  if (!read) problems.push_back(read.error());
   if (read) {
     *text = *read;
     const std::string name = AgentNameIn(*text, path, problems);
@@ -258,7 +259,7 @@
     }
   }
   if (problems.empty()) return std::nullopt;
-  err << operator_config::Lines(problems);
+  err << operator_config::FormatProblems(problems);
   return kUsage;
 }
 
--- a/src/cli/relays.cpp
+++ b/src/cli/relays.cpp
@@ -67,7 +67,7 @@
   for (const RelayAnswer& answer : answers) {
     const json::object* status = answer.reply.ok() ? Body(answer.reply) : nullptr;
     if (!status) {
-      err << "badgerbridge-ctl: " << answer.socket << ": " << answer.reply.Why() << '\n';
+      err << "badgerbridge-ctl: " << answer.socket << ": " << answer.reply.ErrorMessage() << '\n';
       code = Worse(code, kOutOfReach);
       continue;
     }
--- a/src/etcd/channel.cpp
+++ b/src/etcd/channel.cpp
@@ -35,7 +35,7 @@
                  : options_.server_name,
              options_.limits, options_.tls.has_value()) {
   if (!options_.tls) return;
-  context_.emplace(http_api::TlsContext(*options_.tls, false));
+  context_.emplace(http_api::MakeTlsContext(*options_.tls, http_api::TlsSide::kClient));
   tls_.emplace(io, *context_);
   tls_->set_verify_callback(asio::ssl::host_name_verification(
       options_.server_name.empty() ? address.address().to_string() : options_.server_name));
--- a/src/etcd/server.cpp
+++ b/src/etcd/server.cpp
@@ -220,7 +220,7 @@
   state_->options = std::move(options);
   state_->on_connection = std::move(on_connection);
   if (state_->options.tls) {
-    state_->tls.emplace(http_api::TlsContext(*state_->options.tls, true));
+    state_->tls.emplace(http_api::MakeTlsContext(*state_->options.tls, http_api::TlsSide::kServer));
     SSL_CTX_set_alpn_select_cb(state_->tls->native_handle(), SelectH2, nullptr);
   }
   using Slot = std::shared_ptr<http_api::detail::Connection>;
@@ -230,7 +230,7 @@
     if (!state || !state->on_connection) co_return;
     const auto connection = std::make_shared<ServerConnection>(io, std::move(socket), state->options,
                                                                state->tls ? &*state->tls : nullptr);
-    slot->busy = true;  // none is ended to make room for another
+    slot->is_busy = true;  // none is ended to make room for another
     slot->close = [weak_connection = std::weak_ptr<ServerConnection>(connection)] {
       if (const auto one = weak_connection.lock()) one->Close("the server ends");
     };
@@ -243,7 +243,7 @@
   };
   state_->acceptor = std::make_shared<http_api::detail::Acceptor<tcp>>(io, state_->options.connections,
                                                                        milliseconds(0), run);
-  auto& acceptor = state_->acceptor->socket();
+  auto& acceptor = state_->acceptor->listening_socket();
   ErrorCode error;
   acceptor.open(address.protocol(), error);
   if (!error) acceptor.set_option(tcp::acceptor::reuse_address(true), error);
@@ -262,7 +262,7 @@
   state_->on_connection = nullptr;
 }
 
-tcp::endpoint Server::address() const { return state_->acceptor->socket().local_endpoint(); }
+tcp::endpoint Server::address() const { return state_->acceptor->listening_socket().local_endpoint(); }
 
 std::size_t Server::connections() const {
   return static_cast<std::size_t>(
--- a/src/membership/etcd_settings.cpp
+++ b/src/membership/etcd_settings.cpp
@@ -22,11 +22,11 @@
 
 etcd::ChannelOptions MakeChannelOptions(const operator_config::EtcdConnectionSettings& table) {
   etcd::ChannelOptions channel;
-  channel.ping_every = table.ping_every;
+  channel.ping_every = table.ping_interval;
   channel.ping_timeout = table.ping_timeout;
   channel.server_name = table.server_name;
   if (!table.certificate.empty())
-    channel.tls = http_api::TlsFiles{table.certificate, table.key, table.client_authority};
+    channel.tls = http_api::TlsFiles{table.certificate, table.key, table.ca_certificate};
   return channel;
 }
 
--- a/src/proxy_main/main.cpp
+++ b/src/proxy_main/main.cpp
@@ -51,8 +51,8 @@
   // First: they must not end the program at any moment, with connections in the listener's queue say.
   boost::asio::signal_set hangups(io, SIGHUP), signals(io, SIGTERM, SIGINT);
   const ProxyClock clock;
-  if (operators.control)  // its descriptors come out of the clients' share
-    config.max_clients -= std::min(config.max_clients - 1, operators.control->max_connections + 1);
+  if (operators.admin_api)  // its descriptors come out of the clients' share
+    config.max_clients -= std::min(config.max_clients - 1, operators.admin_api->max_connections + 1);
   BackendPool backends(io, clock, BackendPool::Limits::From(config));
   Proxy proxy(io, clock, backends, config);
 
@@ -66,8 +66,8 @@
   known.snapshot = true;
 #ifdef BADGERBRIDGE_HAS_ETCD
   std::optional<ZoneFailoverSource> regions;
-  if (operators.regions) {
-    regions.emplace(io, clock, config, *operators.regions,
+  if (operators.zone_failover) {
+    regions.emplace(io, clock, config, *operators.zone_failover,
                     [&proxy](std::vector<double> shares) { proxy.UpdateZoneQuotas({std::move(shares)}); });
     proxy.SetTrafficObserver(&*regions);
   }
@@ -111,7 +111,7 @@
     if (!error) stop();
   });
   std::optional<admin_api::AdminApi> controls;
-  if (operators.control) {
+  if (operators.admin_api) {
     std::function<boost::json::value()> members;
     std::function<std::size_t()> release;
     std::function<boost::json::value()> zones;
@@ -124,7 +124,7 @@
     }
     if (regions) zones = [&regions] { return regions->Describe(); };
 #endif
-    controls.emplace(io, *operators.control,
+    controls.emplace(io, *operators.admin_api,
                      admin_api::AdminApi::Subject{config, clock, proxy, listener, *list, reloads, stop,
                                                   members, release, zones});
   }
@@ -184,10 +184,11 @@
     badgerbridge::operator_config::OperatorFile operators;
     if (!path.empty()) {
       badgerbridge::operator_config::Problems problems;
-      operators = badgerbridge::operator_config::Load(path, problems);
-      std::cerr << badgerbridge::operator_config::Lines(problems);
+      operators = badgerbridge::operator_config::LoadOperatorFile(path);
+      problems = operators.problems;
+      std::cerr << badgerbridge::operator_config::FormatProblems(problems);
       if (!problems.empty()) return 1;
-      std::cerr << badgerbridge::operator_config::Lines(operators.warnings);
+      std::cerr << badgerbridge::operator_config::FormatProblems(operators.warnings);
     }
     const badgerbridge::proxy::Environment environment = [](const char* name) { return std::getenv(name); };
     badgerbridge::proxy_main::Run(badgerbridge::proxy::ReadConfig(environment), operators, environment);
--- a/src/proxy_main/membership_source.cpp
+++ b/src/proxy_main/membership_source.cpp
@@ -25,10 +25,10 @@
 membership::LedgerSettings MakeLedgerSettings(const operator_config::EtcdSettings& etcd,
                                               std::size_t max_members) {
   membership::LedgerSettings settings;
-  settings.sources = {{"etcd", etcd.authority, Time(5000), Time(60000)},
-                      {"discovery", !etcd.authority, Time(10000), Time(60000)}};
+  settings.sources = {{"etcd", etcd.is_authoritative, Time(5000), Time(60000)},
+                      {"discovery", !etcd.is_authoritative, Time(10000), Time(60000)}};
   settings.limits.max_members = max_members;
-  settings.mass_departure.max_share = etcd.most_departures_percent / 100.0;
+  settings.mass_departure.max_share = etcd.max_departures_percent / 100.0;
   return settings;
 }
 
--- a/src/proxy_main/zone_failover_source.cpp
+++ b/src/proxy_main/zone_failover_source.cpp
@@ -39,12 +39,12 @@
   settings.name = config.name;
   settings.zone = config.settings.zone;
   settings.request_classes = config.classes.size();
-  settings.coordinated = table.together;
+  settings.coordinated = table.coordinated;
   settings.lease_ttl_s = static_cast<int>(table.lease.count() / 1000);
   settings.heartbeat = table.heartbeat;
   settings.failover.zones = table.zones.size();
-  settings.failover.grant_hold = table.hold;
-  settings.failover.recovery_step = table.step;
+  settings.failover.grant_hold = table.grant_hold;
+  settings.failover.recovery_step = table.recovery_step;
   zone_failover::ZoneLinks links = zone_failover::ZoneLinksFrom(table);
   settings.failover.round_trip_ms = std::move(links.round_trip_ms);
   settings.failover.transfer_price = std::move(links.transfer_price);
@@ -82,7 +82,7 @@
       name_(config.name),
       zones_(config.zones),
       zone_(config.settings.zone),
-      together_(settings.together),
+      together_(settings.coordinated),
       call_timeout_(std::max<milliseconds>(settings.heartbeat * 2, milliseconds(500))),
       slow_start_floor_(config.settings.slow_start_floor),
       slow_start_window_(config.settings.slow_start_window),
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -219,7 +219,7 @@
   }
   operator_config::Problems problems;
   simulator::Model model = simulator::LoadScenario(path, problems);
-  std::cerr << operator_config::Lines(problems);
+  std::cerr << operator_config::FormatProblems(problems);
   if (!problems.empty()) return kUsage;
   if (check->parsed()) return kHeld;
   if (compare->parsed()) {
--- a/src/simulator/scenario.cpp
+++ b/src/simulator/scenario.cpp
@@ -39,12 +39,12 @@
 Shape ReadShape(TableReader& table, const std::string& prefix, Shape shape) {
   constexpr std::array<std::string_view, 4> kKinds = {"constant", "exponential", "lognormal", "pareto"};
   shape.kind = static_cast<Shape::Kind>(OneOf(table, prefix, kKinds, static_cast<std::size_t>(shape.kind)));
-  shape.mean = static_cast<double>(
-                   table.Whole(prefix + "_us", static_cast<std::int64_t>(shape.mean * 1000), 0, 3600000000)) /
+  shape.mean = static_cast<double>(table.Integer(prefix + "_us", static_cast<std::int64_t>(shape.mean * 1000),
+                                                 0, 3600000000)) /
                1000;
   const bool pareto = shape.kind == Shape::Kind::kPareto;
   shape.spread = static_cast<double>(
-                     table.Whole(prefix + "_spread_percent", pareto ? 250 : 100, pareto ? 101 : 1, 10000)) /
+                     table.Integer(prefix + "_spread_percent", pareto ? 250 : 100, pareto ? 101 : 1, 10000)) /
                  100;
   return shape;
 }
@@ -62,10 +62,10 @@
       Duration(Ms(table.Duration("deadline", milliseconds(1500), milliseconds(10), milliseconds(600000))));
   if (c->rules.deadline < c->rules.latency_objective)
     table.Report("deadline", "is shorter than aim; at least as long would be right");
-  c->rules.priority_weight = static_cast<double>(table.Whole("worth", 1, 0, 1000000));
-  c->rules.late_weight = static_cast<double>(table.Whole("late_worth_percent", 30, 0, 100)) / 100;
-  c->share = static_cast<double>(table.Whole("share", 1, 1, 1000000));
-  c->hinted = table.Flag("hinted", true);
+  c->rules.priority_weight = static_cast<double>(table.Integer("worth", 1, 0, 1000000));
+  c->rules.late_weight = static_cast<double>(table.Integer("late_worth_percent", 30, 0, 100)) / 100;
+  c->share = static_cast<double>(table.Integer("share", 1, 1, 1000000));
+  c->hinted = table.Boolean("hinted", true);
   c->work = ReadShape(table, "work", {Shape::Kind::kLognormal, 20, 1, {}});
 }
 
@@ -82,16 +82,16 @@
   table.Require("what", "what happens");
   h->at = Ms(table.Duration("at", milliseconds(0), milliseconds(0), kDay));
   h->kind = static_cast<Happening::Kind>(OneOf(table, "what", kKinds, 0));
-  h->zone = static_cast<int>(table.Whole("zone", -1, -1, model.zones - 1));
+  h->zone = static_cast<int>(table.Integer("zone", -1, -1, model.zones - 1));
   h->way = ReadWay(table);
-  h->share = static_cast<double>(table.Whole("share_percent", 100, 1, 100)) / 100;
+  h->share = static_cast<double>(table.Integer("share_percent", 100, 1, 100)) / 100;
   const bool pause = h->kind == Happening::Kind::kPause, wrong = h->kind == Happening::Kind::kWrong;
   if (pause) {
     h->value = Ms(table.Duration("for", milliseconds(1000), milliseconds(0), kDay));
   } else {
     h->value =
-        static_cast<double>(table.Whole("by_percent", 100, wrong || h->kind == Happening::Kind::kLoad ? 0 : 1,
-                                        wrong ? 100 : 100000)) /
+        static_cast<double>(table.Integer(
+            "by_percent", 100, wrong || h->kind == Happening::Kind::kLoad ? 0 : 1, wrong ? 100 : 100000)) /
         100;
   }
 }
@@ -100,23 +100,25 @@
 
 Model ParseScenario(std::string_view text, const std::string& file, Problems& problems) {
   Model model;
-  const auto root = operator_config::ParseToml(text, file, problems);
+  const auto root = operator_config::ParseToml(text, file);
+  if (!root) problems.push_back(root.error());
   if (!root) return model;
   TableReader top(*root, "", file, problems);
   model.name = top.Text("name", file);
   model.length = Ms(top.Duration("length", milliseconds(60000), milliseconds(1), kDay));
   if (const auto table = top.Table("installation")) {
-    model.zones = static_cast<int>(table->Whole("zones", 1, 1, kMostZones));
-    model.proxies = static_cast<int>(table->Whole("proxies", 3, 1, kMostProxies));
-    model.backends = static_cast<int>(table->Whole("converters", 10, 1, kMostBackends));
-    model.groups = static_cast<int>(table->Whole("groups", 2, 1, kMostBackends));
-    model.max_attempts = static_cast<int>(table->Whole("max_attempts", 4, 1, 4));
+    model.zones = static_cast<int>(table->Integer("zones", 1, 1, kMostZones));
+    model.proxies = static_cast<int>(table->Integer("proxies", 3, 1, kMostProxies));
+    model.backends = static_cast<int>(table->Integer("converters", 10, 1, kMostBackends));
+    model.groups = static_cast<int>(table->Integer("groups", 2, 1, kMostBackends));
+    model.max_attempts = static_cast<int>(table->Integer("max_attempts", 4, 1, 4));
     model.max_retry_after = Duration(
         Ms(table->Duration("max_retry_after", milliseconds(600), milliseconds(0), milliseconds(60000))));
     model.drain_grace =
         Duration(Ms(table->Duration("drain_grace", milliseconds(500), milliseconds(0), milliseconds(60000))));
-    model.cross_zone_cost = static_cast<double>(table->Whole("price_cross_zone_percent", 10, 0, 1000)) / 100;
-    model.regions = static_cast<int>(table->Whole("regions", 1, 1, model.zones));
+    model.cross_zone_cost =
+        static_cast<double>(table->Integer("price_cross_zone_percent", 10, 0, 1000)) / 100;
+    model.regions = static_cast<int>(table->Integer("regions", 1, 1, model.zones));
     model.far = Duration(Ms(table->Duration("far", milliseconds(0), milliseconds(0), milliseconds(60000))));
     table->Finish();
   } else if (!top.Has("installation")) {
@@ -124,24 +126,24 @@
   }
   if (const auto table = top.Table("converter")) {
     BackendModel& c = model.backend;
-    c.slots = static_cast<int>(table->Whole("slots", 8, 1, 10000));
-    c.queue = static_cast<int>(table->Whole("queue", 64, 0, 1000000));
-    c.speed = static_cast<double>(table->Whole("speed_percent", 100, 1, 100000)) / 100;
-    c.slow_start_floor = static_cast<double>(table->Whole("cold_from_percent", 16, 1, 100)) / 100;
+    c.slots = static_cast<int>(table->Integer("slots", 8, 1, 10000));
+    c.queue = static_cast<int>(table->Integer("queue", 64, 0, 1000000));
+    c.speed = static_cast<double>(table->Integer("speed_percent", 100, 1, 100000)) / 100;
+    c.slow_start_floor = static_cast<double>(table->Integer("cold_from_percent", 16, 1, 100)) / 100;
     c.slow_start_window =
         Duration(Ms(table->Duration("warm_up", milliseconds(24000), milliseconds(0), milliseconds(3600000))));
-    c.overload_factor = static_cast<double>(table->Whole("fall_multiple_percent", 250, 0, 100000)) / 100;
+    c.overload_factor = static_cast<double>(table->Integer("fall_multiple_percent", 250, 0, 100000)) / 100;
     c.overload_duration = Duration(
         Ms(table->Duration("overload_for", milliseconds(3000), milliseconds(100), milliseconds(600000))));
     table->Finish();
   }
   if (const auto table = top.Table("clients")) {
     model.clients.per_second =
-        static_cast<double>(table->Whole("per_second", 100, 1, static_cast<std::int64_t>(kMostPerSecond)));
-    model.clients.tries = static_cast<int>(table->Whole("tries", 1, 1, 100));
-    model.clients.honours_retry_after = table->Flag("honours_retry_after", true);
+        static_cast<double>(table->Integer("per_second", 100, 1, static_cast<std::int64_t>(kMostPerSecond)));
+    model.clients.tries = static_cast<int>(table->Integer("tries", 1, 1, 100));
+    model.clients.honours_retry_after = table->Boolean("honours_retry_after", true);
     model.clients.pause = ReadShape(*table, "pause", model.clients.pause);
-    model.clients.leaves = static_cast<double>(table->Whole("leaves_percent", 0, 0, 100)) / 100;
+    model.clients.leaves = static_cast<double>(table->Integer("leaves_percent", 0, 0, 100)) / 100;
     table->Finish();
   }
   if (const auto table = top.Table("network")) {
@@ -151,23 +153,23 @@
         Ms(table->Duration("connect_timeout", milliseconds(250), milliseconds(1), milliseconds(60000))));
     model.network.front_notices = Duration(
         Ms(table->Duration("front_notices", milliseconds(2000), milliseconds(0), milliseconds(600000))));
-    model.network.reset_share = static_cast<double>(table->Whole("reset_percent", 0, 0, 100)) / 100;
+    model.network.reset_share = static_cast<double>(table->Integer("reset_percent", 0, 0, 100)) / 100;
     table->Finish();
   }
   if (const auto table = top.Table("regions")) {
     constexpr std::array<std::string_view, 4> kDecide = {"off", "alone", "cliff", "together"};
     model.decision.decide = static_cast<RegionsModel::Decide>(OneOf(*table, "decide", kDecide, 3));
-    model.decision.reports = table->Flag("reports", true);
+    model.decision.reports = table->Boolean("reports", true);
     model.decision.etcd = ReadShape(*table, "etcd", model.decision.etcd);
     table->Finish();
   }
   if (const auto table = top.Table("together")) {
-    model.together.etcd_members = static_cast<int>(table->Whole("etcd_members", 0, 0, 9));
-    model.together.regions = table->Flag("regions", false);
-    model.together.relays = static_cast<int>(table->Whole("relays", 0, 0, kMaxRelays));
-    model.together.stalls = table->Flag("stalls", false);
-    model.together.raw_clients = static_cast<int>(table->Whole("raw_clients", 0, 0, kMaxRawClients));
-    model.together.sockets = static_cast<int>(table->Whole("sockets", 1024, kLeastSockets, 65536));
+    model.together.etcd_members = static_cast<int>(table->Integer("etcd_members", 0, 0, 9));
+    model.together.regions = table->Boolean("regions", false);
+    model.together.relays = static_cast<int>(table->Integer("relays", 0, 0, kMaxRelays));
+    model.together.stalls = table->Boolean("stalls", false);
+    model.together.raw_clients = static_cast<int>(table->Integer("raw_clients", 0, 0, kMaxRawClients));
+    model.together.sockets = static_cast<int>(table->Integer("sockets", 1024, kLeastSockets, 65536));
     if (model.together.relays > 0 && model.together.etcd_members == 0)
       table->Report("relays", "needs etcd_members: relays follow etcd");
     if (model.together.relays > 0 && model.together.relays <= model.regions)
@@ -175,7 +177,8 @@
                     "must be more than regions: one a region follows etcd, the others follow those");
     if (model.together.regions && model.together.etcd_members == 0)
       table->Report("regions", "needs etcd_members: members decide through etcd");
-    model.together.least_worth_percent = static_cast<double>(table->Whole("least_worth_percent", 0, 0, 100));
+    model.together.least_worth_percent =
+        static_cast<double>(table->Integer("least_worth_percent", 0, 0, 100));
     for (const auto& fault : table->Tables("fault")) {
       constexpr std::array<std::string_view, 22> kFaults = {
           "freeze",     "thaw",           "reset",        "half_close",     "swallow",      "delay",
@@ -187,9 +190,9 @@
       fault->Require("what", "what happens");
       one.at = Ms(fault->Duration("at", milliseconds(0), milliseconds(0), kDay));
       one.what = kFaults[OneOf(*fault, "what", kFaults, 0)];
-      one.zone = static_cast<int>(fault->Whole("zone", -1, -1, model.zones - 1));
-      one.share = static_cast<double>(fault->Whole("share_percent", 100, 1, 100)) / 100;
-      one.value = static_cast<double>(fault->Whole("value", 0, 0, 1000000000));
+      one.zone = static_cast<int>(fault->Integer("zone", -1, -1, model.zones - 1));
+      one.share = static_cast<double>(fault->Integer("share_percent", 100, 1, 100)) / 100;
+      one.value = static_cast<double>(fault->Integer("value", 0, 0, 1000000000));
       one.way = ReadWay(*fault);
       if (one.what.rfind("relay_", 0) == 0 && (one.value < 1 || one.value > model.together.relays))
         fault->Report("value", "is no relay's number");
@@ -219,7 +222,8 @@
 }
 
 Model LoadScenario(const std::string& path, Problems& problems) {
-  const auto text = operator_config::ReadFile(path, kMostScenarioBytes, problems);
+  const auto text = operator_config::ReadFile(path, kMostScenarioBytes);
+  if (!text) problems.push_back(text.error());
   return text ? ParseScenario(*text, path, problems) : Model{};
 }
 
--- a/src/watch_cache/main.cpp
+++ b/src/watch_cache/main.cpp
@@ -89,7 +89,7 @@
 int Run(const watch_cache::Arguments& arguments) {
   watch_cache::RelayFile file;
   if (!arguments.config.empty()) file = watch_cache::LoadRelayFile(arguments.config);
-  std::cerr << operator_config::Lines(file.problems);
+  std::cerr << operator_config::FormatProblems(file.problems);
   if (!file.ok()) return 1;
   auto settings = watch_cache::ApplyArguments(arguments, std::move(file.settings));
   if (!settings) {
--- a/src/watch_cache/relay_file.cpp
+++ b/src/watch_cache/relay_file.cpp
@@ -39,18 +39,18 @@
 constexpr milliseconds kMaxProgressInterval = minutes(10);
 
 std::size_t ReadCount(TableReader& table, std::string_view key, std::size_t otherwise, std::int64_t max) {
-  return static_cast<std::size_t>(table.Whole(key, static_cast<std::int64_t>(otherwise), 1, max));
+  return static_cast<std::size_t>(table.Integer(key, static_cast<std::int64_t>(otherwise), 1, max));
 }
 
 std::size_t ReadBytes(TableReader& table, std::string_view key, std::size_t otherwise) {
   return static_cast<std::size_t>(
-      table.Whole(key, static_cast<std::int64_t>(otherwise), kMinBytes, kMaxBytes));
+      table.Integer(key, static_cast<std::int64_t>(otherwise), kMinBytes, kMaxBytes));
 }
 
 void ReadUpstream(TableReader& table, const std::string& file, RelayFile* parsed) {
   operator_config::EtcdConnectionSettings link;
   if (table.Has("endpoints")) table.Report("endpoints", "are --upstream's");
-  operator_config::ReadEtcdLink(table, link);
+  link = operator_config::ReadEtcdConnection(table);
   table.Finish();
   if (!parsed->ok()) return;
   const auto client = membership::MakeEtcdClientSettings(link);
@@ -106,7 +106,8 @@
 
 RelayFile ParseRelayFile(std::string_view text, const std::string& file) {
   RelayFile parsed;
-  const auto root = operator_config::ParseToml(text, file, parsed.problems);
+  const auto root = operator_config::ParseToml(text, file);
+  if (!root) parsed.problems.push_back(root.error());
   if (!root) return parsed;
   TableReader reader(*root, "", file, parsed.problems);
   Settings& cache = parsed.settings.cache;
@@ -122,7 +123,8 @@
 
 RelayFile LoadRelayFile(const std::string& path) {
   RelayFile unreadable;
-  const auto text = operator_config::ReadFile(path, operator_config::kMostBytes, unreadable.problems);
+  const auto text = operator_config::ReadFile(path, operator_config::kMaxFileBytes);
+  if (!text) unreadable.problems.push_back(text.error());
   if (!text) return unreadable;
   return ParseRelayFile(*text, path);
 }
--- a/src/zone_failover/links.h
+++ b/src/zone_failover/links.h
@@ -25,7 +25,7 @@
 ZoneLinks ZoneLinksFrom(const Table& table) {
   const std::size_t zones = table.zones.size();
   ZoneLinks links{Matrix(zones, static_cast<double>(table.round_trip.count())),
-                  Matrix(zones, table.price_percent / 100.0)};
+                  Matrix(zones, table.transfer_price_percent / 100.0)};
   for (std::size_t zone = 0; zone < zones; ++zone) {
     links.round_trip_ms.at(zone, zone) = 0;
     links.transfer_price.at(zone, zone) = 0;
@@ -39,7 +39,7 @@
     const std::size_t to = index_of(link.to);
     if (from >= zones || to >= zones) continue;
     const double round_trip_ms = static_cast<double>(link.round_trip.count());
-    const double price = link.price_percent / 100.0;
+    const double price = link.transfer_price_percent / 100.0;
     links.round_trip_ms.at(from, to) = round_trip_ms;
     links.round_trip_ms.at(to, from) = round_trip_ms;
     links.transfer_price.at(from, to) = price;
--- a/tests/agent/agent_robustness_test.cpp
+++ b/tests/agent/agent_robustness_test.cpp
@@ -108,7 +108,7 @@
         std::pair("[1]", "the body is no JSON object")}) {
     const http_api::Reply reply = site->Call("POST", "/v1/orders", body);
     EXPECT_EQ(reply.status, 400u);
-    EXPECT_EQ(reply.Why(), says) << body;
+    EXPECT_EQ(reply.ErrorMessage(), says) << body;
   }
 }
 
--- a/tests/agent/agent_test.cpp
+++ b/tests/agent/agent_test.cpp
@@ -163,15 +163,15 @@
   Start(2);
   operator_config::Problems problems;
   const FleetFile file = LoadFleetFile(site->folder() + "/fleet.toml", problems);
-  ASSERT_EQ(operator_config::Lines(problems), "");
+  ASSERT_EQ(operator_config::FormatProblems(problems), "");
   const auto disk = std::make_shared<BadDisk>();
   const std::unique_ptr<Agent> agent = std::move(Agent::Create(io, file, disk).value());
   ASSERT_TRUE(site->Until([&] { return site->All("ready"); }));
   disk->bad = true;
   const std::string order = R"({"id":"o1","verb":"drain","instances":["n1"]})";
   http_api::Reply reply = site->Call("POST", "/v1/orders", order);
-  EXPECT_EQ(reply.status, 507u) << reply.Why();
-  EXPECT_NE(reply.Why().find("No space left"), std::string::npos);
+  EXPECT_EQ(reply.status, 507u) << reply.ErrorMessage();
+  EXPECT_NE(reply.ErrorMessage().find("No space left"), std::string::npos);
   EXPECT_EQ(agent->controller().generation(), 0u);
   EXPECT_EQ(agent->controller().FindOrder("o1"), nullptr);
   const pid_t pid = site->PidOf("n2");
--- a/tests/agent/agent_tls_test.cpp
+++ b/tests/agent/agent_tls_test.cpp
@@ -44,7 +44,7 @@
     site->Write("fleet.toml", text);
     operator_config::Problems problems;
     const FleetFile file = LoadFleetFile(folder + "/fleet.toml", problems);
-    ASSERT_EQ(operator_config::Lines(problems), "");
+    ASSERT_EQ(operator_config::FormatProblems(problems), "");
     agent = std::move(Agent::Create(io, file).value());
     ASSERT_TRUE(site->Until([&] { return site->All("ready"); }));
   }
@@ -73,7 +73,7 @@
   EXPECT_EQ(As("reader", "GET", "/v1/status").status, 200u);
   const http_api::Reply refused = As("reader", "POST", "/v1/orders", kDrain);
   EXPECT_EQ(refused.status, 403u);
-  EXPECT_EQ(refused.Why(), "cn reader has the role reader; this takes operator");
+  EXPECT_EQ(refused.ErrorMessage(), "cn reader has the role reader; this takes operator");
   EXPECT_EQ(As("stranger", "GET", "/v1/status").status, 403u);
   EXPECT_EQ(As("operator", "POST", "/v1/apply", "{}").status, 403u);
   EXPECT_EQ(As("reader", "POST", "/v1/instances/n1/members/release", "{}").status, 403u);
@@ -89,7 +89,7 @@
   for (const char* who : {"expired", "forged"}) {
     const http_api::Reply reply = As(who, "POST", "/v1/orders", kDrain);
     EXPECT_EQ(reply.status, 0u) << who;
-    EXPECT_FALSE(reply.error.empty());
+    EXPECT_TRUE(reply.error.has_value());
   }
   // Without any, and with an older TLS.
   for (const bool old : {false, true}) {
--- a/tests/agent/fleet_file_test.cpp
+++ b/tests/agent/fleet_file_test.cpp
@@ -32,7 +32,7 @@
   std::string Check(const std::string& text) const {
     operator_config::Problems problems;
     ParseFleetFile(text, "f", problems);
-    return operator_config::Lines(problems);
+    return operator_config::FormatProblems(problems);
   }
 
   std::string folder_;
@@ -48,7 +48,7 @@
                    "listen = \"127.0.0.1:8080\"\nlabels = { zone = \"a\" }\nenvironment = { X = \"1\" }\n"
                    "limits = { descriptors = 1024 }\n"),
       "f", problems);
-  EXPECT_EQ(operator_config::Lines(problems), "");
+  EXPECT_EQ(operator_config::FormatProblems(problems), "");
   ASSERT_EQ(file.instances.size(), 1u);
   const InstanceDefinition& one = file.instances[0];
   EXPECT_EQ(one.control_socket, "/run/n1.sock");
@@ -72,7 +72,7 @@
     } else {
       cli::ParseContext(text, name, problems);
     }
-    EXPECT_EQ(operator_config::Lines(problems), "");
+    EXPECT_EQ(operator_config::FormatProblems(problems), "");
   }
 }
 
@@ -118,7 +118,7 @@
   const auto check = [](const std::string& text) {
     operator_config::Problems problems;
     cli::ParseContext(text, "c", problems);
-    return operator_config::Lines(problems);
+    return operator_config::FormatProblems(problems);
   };
   EXPECT_EQ(check("[[agent]]\nname = \"a\"\nsocket = \"/s\"\n"), "");
   EXPECT_NE(check("").find("agent is missing"), std::string::npos);
--- a/tests/compatibility/operator_config_compatibility_test.cpp
+++ b/tests/compatibility/operator_config_compatibility_test.cpp
@@ -18,9 +18,9 @@
   dump->Add("password_file", link.password_file);
   dump->Add("certificate", link.certificate);
   dump->Add("key", link.key);
-  dump->Add("authority_certificate", link.client_authority);
+  dump->Add("authority_certificate", link.ca_certificate);
   dump->Add("server_name", link.server_name);
-  dump->Add("ping_every", link.ping_every);
+  dump->Add("ping_every", link.ping_interval);
   dump->Add("ping_timeout", link.ping_timeout);
 }
 
@@ -39,44 +39,43 @@
   dump->Add("prefix", etcd.prefix);
   dump->Add("services", etcd.services);
   dump->Add("services_prefix", etcd.services_prefix);
-  dump->Add("authority = etcd", etcd.authority);
-  dump->Add("most_departures_percent", etcd.most_departures_percent);
+  dump->Add("authority = etcd", etcd.is_authoritative);
+  dump->Add("most_departures_percent", etcd.max_departures_percent);
 }
 
 void AddRegions(const operator_config::ZoneFailoverSettings& regions, KeyValueDump* dump) {
   dump->BeginTable("regions");
-  dump->Add("decide = together", regions.together);
+  dump->Add("decide = together", regions.coordinated);
   AddEtcdLink(regions, dump);
   dump->Add("prefix", regions.prefix);
   dump->Add("zones", regions.zones);
   dump->Add("lease", regions.lease);
   dump->Add("heartbeat", regions.heartbeat);
-  dump->Add("hold", regions.hold);
-  dump->Add("step", regions.step);
+  dump->Add("hold", regions.grant_hold);
+  dump->Add("step", regions.recovery_step);
   dump->Add("round_trip", regions.round_trip);
-  dump->Add("price_percent", regions.price_percent);
+  dump->Add("price_percent", regions.transfer_price_percent);
   for (const operator_config::ZoneFailoverSettings::Link& link : regions.links) {
     dump->Add("link.from", link.from);
     dump->Add("link.to", link.to);
     dump->Add("link.round_trip", link.round_trip);
-    dump->Add("link.price_percent", link.price_percent);
+    dump->Add("link.price_percent", link.transfer_price_percent);
   }
 }
 
 std::string DumpOf(const operator_config::OperatorFile& file) {
   KeyValueDump dump;
-  if (file.control) AddControl(*file.control, &dump);
+  if (file.admin_api) AddControl(*file.admin_api, &dump);
   if (file.etcd) AddEtcd(*file.etcd, &dump);
-  if (file.regions) AddRegions(*file.regions, &dump);
+  if (file.zone_failover) AddRegions(*file.zone_failover, &dump);
   return dump.text();
 }
 
 /// What is read from operator files that stand in golden/operator_config, without problems.
 std::string DumpOfOperatorFile(const std::string& name) {
-  operator_config::Problems problems;
   const operator_config::OperatorFile file =
-      operator_config::Parse(ReadGoldenFile("operator_config/" + name), name, problems);
-  EXPECT_EQ(operator_config::Lines(problems), "");
+      operator_config::ParseOperatorFile(ReadGoldenFile("operator_config/" + name), name);
+  EXPECT_EQ(operator_config::FormatProblems(file.problems), "");
   return DumpOf(file);
 }
 
@@ -96,11 +95,12 @@
 }
 
 TEST(OperatorFileCompatibility, UnknownKeysAreReportedAsBefore) {
-  operator_config::Problems problems;
-  operator_config::Parse(ReadGoldenFile("operator_config/operator_unknown_keys.toml"), "operator.toml",
-                         problems);
-  EXPECT_TRUE(
-      MatchesGoldenFile("operator_config/operator_unknown_keys.txt", operator_config::Lines(problems)));
+  const operator_config::Problems problems =
+      operator_config::ParseOperatorFile(ReadGoldenFile("operator_config/operator_unknown_keys.toml"),
+                                         "operator.toml")
+          .problems;
+  EXPECT_TRUE(MatchesGoldenFile("operator_config/operator_unknown_keys.txt",
+                                operator_config::FormatProblems(problems)));
 }
 
 void AddAgent(const agent::AgentSettings& agent, KeyValueDump* dump) {
@@ -152,7 +152,7 @@
     EXPECT_EQ(instance.operator_file, operator_path);
     AddInstance(instance, &dump);
   }
-  return dump.text() + operator_config::Lines(problems);
+  return dump.text() + operator_config::FormatProblems(problems);
 }
 
 std::string PathOfInstancesOperatorFile() { return GoldenPath("operator_config/operator_defaults.toml"); }
--- a/tests/compatibility/simulator_compatibility_test.cpp
+++ b/tests/compatibility/simulator_compatibility_test.cpp
@@ -132,7 +132,7 @@
   operator_config::Problems problems;
   const simulator::Model model =
       simulator::ParseScenario(ReadGoldenFile("simulator/" + name), "scenario.toml", problems);
-  return DumpOf(model) + operator_config::Lines(problems);
+  return DumpOf(model) + operator_config::FormatProblems(problems);
 }
 
 TEST(ScenarioFileCompatibility, FileWithEveryKeyAndWordIsReadAsBefore) {
@@ -147,7 +147,8 @@
 TEST(ScenarioFileCompatibility, UnknownKeysAreReportedAsBefore) {
   operator_config::Problems problems;
   simulator::ParseScenario(ReadGoldenFile("simulator/scenario_unknown_keys.toml"), "scenario.toml", problems);
-  EXPECT_TRUE(MatchesGoldenFile("simulator/scenario_unknown_keys.txt", operator_config::Lines(problems)));
+  EXPECT_TRUE(
+      MatchesGoldenFile("simulator/scenario_unknown_keys.txt", operator_config::FormatProblems(problems)));
 }
 
 }  // namespace
--- a/tests/compatibility/watch_cache_compatibility_test.cpp
+++ b/tests/compatibility/watch_cache_compatibility_test.cpp
@@ -70,7 +70,7 @@
   if (placeholder != std::string::npos)
     text.replace(placeholder, kPlaceholder.size(), GoldenPath("watch_cache/password"));
   const watch_cache::RelayFile file = watch_cache::ParseRelayFile(text, "relay.toml");
-  return DumpOf(file.settings) + operator_config::Lines(file.problems);
+  return DumpOf(file.settings) + operator_config::FormatProblems(file.problems);
 }
 
 TEST(WatchCacheFileCompatibility, FileWithEveryKeyIsReadAsBefore) {
--- a/tests/docs/runbook_test.cpp
+++ b/tests/docs/runbook_test.cpp
@@ -29,7 +29,7 @@
   std::string_view row;
 };
 constexpr Composed kComposed[] = {
-    {"Lines(", "FILE:LINE:COLUMN: …"},      // faults of a file that an operator wrote
+    {"FormatProblems(", "FILE:LINE:COLUMN: …"},  // faults of a file that an operator wrote
     {"NameOfSource(source)", "SOURCE: …"},  // why a source of members is not taken whole: etcd or discovery
     {"std::perror(", "PATH: …"},            // a system call on a file
     {"action.text", ""},                    // a Log action of the decision module or of the table of requests
--- a/tests/fingerprint/simulator_fingerprint_test.cpp
+++ b/tests/fingerprint/simulator_fingerprint_test.cpp
@@ -33,7 +33,7 @@
 simulator::Model SmallerModel(const std::string& scenario) {
   operator_config::Problems problems;
   simulator::Model model = simulator::LoadScenario(SOURCE_DIR "/scenarios/" + scenario + ".toml", problems);
-  EXPECT_TRUE(problems.empty()) << operator_config::Lines(problems);
+  EXPECT_TRUE(problems.empty()) << operator_config::FormatProblems(problems);
   const int slots_before = model.backends * model.backend.slots;
   model.proxies = std::max(model.zones, model.proxies / kSmaller);
   model.backends = std::max(2 * model.zones, model.backends / kSmaller);
--- a/tests/membership/members_command_test.cpp
+++ b/tests/membership/members_command_test.cpp
@@ -54,7 +54,7 @@
   // The state of a member at one proxy, with " held" where its departure is held back; "": not in its list.
   std::string StateAt(const std::string& instance, const std::string& name) {
     const http_api::Reply reply = site->Call("GET", "/v1/instances/" + instance + "/members");
-    if (!reply.ok()) return reply.Why();
+    if (!reply.ok()) return reply.ErrorMessage();
     for (const json::value& member : reply.body.at("members").as_array()) {
       if (member.at("name").as_string() == name)
         return std::string(member.at("state").as_string()) + (member.at("held").as_bool() ? " held" : "");
--- a/tests/multiprocess/main.cpp
+++ b/tests/multiprocess/main.cpp
@@ -140,7 +140,7 @@
   for (const std::string& path : paths) {
     operator_config::Problems problems;
     const simulator::Model model = simulator::LoadScenario(path, problems);
-    std::cerr << operator_config::Lines(problems);
+    std::cerr << operator_config::FormatProblems(problems);
     if (!problems.empty()) return kUsage;
     code = std::max(code, Play(model, seed, self, verbose));
   }
--- a/tests/races/api_race_test.cpp
+++ b/tests/races/api_race_test.cpp
@@ -27,7 +27,7 @@
  protected:
   ApiRaceTest() : path_(::testing::TempDir() + "api_race_" + std::to_string(getpid())) {
     ServerLimits limits;
-    limits.connections = 1;
+    limits.max_connections = 1;
     server_.emplace(io_, path_, std::vector<uid_t>{}, limits, [](Request, Peer) -> asio::awaitable<Response> {
       co_return Response{200, boost::json::object{{"state", "ready"}}};
     });
--- a/tests/races/membership_race_test.cpp
+++ b/tests/races/membership_race_test.cpp
@@ -22,7 +22,7 @@
   MembershipRaceTest() {
     operator_config::EtcdSettings table;
     table.endpoints = {"127.0.0.1:1"};
-    table.authority = false;  // discovery's lists count
+    table.is_authoritative = false;  // discovery's lists count
     source_.emplace(io_, proxy::testing::TestConfig({}), table, [this](const proxy::EndpointList&) {
       ++slices_;
       clock_.Advance(kSliceTime);
--- a/tests/simulator/world_test.cpp
+++ b/tests/simulator/world_test.cpp
@@ -236,7 +236,7 @@
       "[[class]]\nname = \"a\"\neffect = \"quantum\"\naim = \"2s\"\ndeadline = \"1s\"\n"
       "[[happening]]\nat = \"1s\"\nwhat = \"flood\"\n",
       "s.toml", problems);
-  const std::string lines = operator_config::Lines(problems);
+  const std::string lines = operator_config::FormatProblems(problems);
   for (const char* part :
        {"s.toml:1:", "s.toml:3:", "s.toml:4:", "bogus", "s.toml:8:", "quantum", "s.toml:10:", "s.toml:13:"})
     EXPECT_NE(lines.find(part), std::string::npos) << part << " in\n" << lines;
@@ -254,7 +254,7 @@
     const bool fine = problems.empty();
     EXPECT_FALSE(fine) << text;
     if (!fine) {
-      EXPECT_NE(operator_config::Lines(problems).find("s.toml"), std::string::npos);
+      EXPECT_NE(operator_config::FormatProblems(problems).find("s.toml"), std::string::npos);
     }
   }
 }
--- a/tests/standins/tls_front.h
+++ b/tests/standins/tls_front.h
@@ -25,7 +25,7 @@
   TlsFront(boost::asio::io_context& io, const http_api::TlsFiles& files,
            boost::asio::ip::tcp::endpoint behind)
       : io_(io),
-        context_(http_api::TlsContext(files, true)),
+        context_(http_api::MakeTlsContext(files, http_api::TlsSide::kServer)),
         behind_(behind),
         acceptor_(io, {boost::asio::ip::address_v4::loopback(), 0}) {
     SSL_CTX_set_alpn_select_cb(
--- a/tests/watch_cache/program_test.cpp
+++ b/tests/watch_cache/program_test.cpp
@@ -181,7 +181,7 @@
   // Each key of it stands there with its default.
   const ServiceSettings defaults;
   const RelayFile file = LoadRelayFile(SOURCE_DIR "/deploy/relay.toml");
-  EXPECT_TRUE(file.ok()) << operator_config::Lines(file.problems);
+  EXPECT_TRUE(file.ok()) << operator_config::FormatProblems(file.problems);
   const ServiceSettings& from_file = file.settings;
   EXPECT_EQ(from_file.cache.drain_period, defaults.cache.drain_period);
   EXPECT_EQ(from_file.cache.max_window_bytes, defaults.cache.max_window_bytes);
