--- a/src/etcd/channel.cpp
+++ b/src/etcd/channel.cpp
@@ -9,7 +9,7 @@
 #include <boost/asio/ssl.hpp>
 #include <boost/asio/ssl/host_name_verification.hpp>
 #include <boost/asio/use_awaitable.hpp>
-#include <boost/asio/write.hpp>
+#include <utility>
 
 #include "http_api/tls_context.h"
 
@@ -20,6 +20,22 @@
 using ErrorCode = boost::system::error_code;
 using Clock = std::chrono::steady_clock;
 
+namespace {
+
+constexpr std::size_t kReadBytes = 16384;  // at a time
+
+std::optional<asio::ssl::context> MakeTlsContext(const ChannelOptions& options) {
+  if (!options.tls) return std::nullopt;
+  return http_api::TlsContext(*options.tls, false);
+}
+
+std::string Authority(const ChannelOptions& options, const tcp::endpoint& address) {
+  if (!options.server_name.empty()) return options.server_name;
+  return address.address().to_string() + ":" + std::to_string(address.port());
+}
+
+}  // namespace
+
 Channel::Channel(asio::io_context& io, tcp::endpoint address, ChannelOptions options, OnOpen on_open,
                  OnClosed on_closed)
     : io_(io),
@@ -27,20 +43,16 @@
       options_(std::move(options)),
       on_open_(std::move(on_open)),
       on_closed_(std::move(on_closed)),
-      plain_(io),
+      tls_context_(MakeTlsContext(options_)),
+      transport_(tcp::socket(io), tls_context_ ? &*tls_context_ : nullptr),
       connect_timer_(io),
-      pause_(io),
-      http2_(options_.server_name.empty()
-                 ? address.address().to_string() + ":" + std::to_string(address.port())
-                 : options_.server_name,
-             options_.limits, options_.tls.has_value()) {
-  if (!options_.tls) return;
-  context_.emplace(http_api::TlsContext(*options_.tls, false));
-  tls_.emplace(io, *context_);
-  tls_->set_verify_callback(asio::ssl::host_name_verification(
-      options_.server_name.empty() ? address.address().to_string() : options_.server_name));
-  constexpr unsigned char kH2[] = {2, 'h', '2'};
-  SSL_set_alpn_protos(tls_->native_handle(), kH2, sizeof kH2);
+      liveness_timer_(io),
+      http2_(Authority(options_, address_), options_.limits, options_.tls ? Scheme::kHttps : Scheme::kHttp) {
+  Transport::TlsStream* tls = transport_.tls();
+  if (!tls) return;
+  tls->set_verify_callback(asio::ssl::host_name_verification(
+      options_.server_name.empty() ? address_.address().to_string() : options_.server_name));
+  SSL_set_alpn_protos(tls->native_handle(), kAlpnHttp2, sizeof kAlpnHttp2);
 }
 
 Channel::~Channel() = default;
@@ -55,97 +67,103 @@
 
 asio::awaitable<void> Channel::Run() {
   const auto self = shared_from_this();
-  ErrorCode error;
-  auto token = asio::redirect_error(asio::use_awaitable, error);
-  connect_timer_.ArmAfter(options_.connect_timeout,
-                          [this] { Close("no connection within the time for it"); });
-  auto& socket = tls_ ? tls_->next_layer() : plain_;
-  co_await socket.async_connect(address_, token);
-  if (!error) {
-    ErrorCode ignored;
-    socket.set_option(tcp::no_delay(true), ignored);
-    if (tls_) co_await tls_->async_handshake(asio::ssl::stream_base::client, token);
-  }
-  if (closed_) co_return;
+  connect_timer_.ArmAfter(options_.connect_timeout, [this] {
+    CloseWith({ConnectionErrorCode::kConnectTimeout, ""});
+  });
+  const ErrorCode error = co_await Connect();
+  if (is_closed_) co_return;
   if (error) {
-    Close("cannot connect: " + error.message());
+    CloseWith({ConnectionErrorCode::kConnectFailed, error.message()});
     co_return;
   }
-  open_ = true;
-  heard_ = Clock::now();
+  is_open_ = true;
+  last_received_at_ = Clock::now();
   connect_timer_.Disarm();
-  asio::co_spawn(io_, Watch(), [self](std::exception_ptr) {});
+  asio::co_spawn(io_, MonitorLiveness(), [self](std::exception_ptr) {});
   if (on_open_) on_open_();
   Flush();
-  std::array<char, 16384> piece;
-  while (!closed_) {
-    std::size_t n = 0;
-    if (tls_) {
-      n = co_await tls_->async_read_some(asio::buffer(piece), token);
-    } else {
-      n = co_await plain_.async_read_some(asio::buffer(piece), token);
-    }
-    if (closed_) co_return;
+  co_await Read();
+}
+
+asio::awaitable<ErrorCode> Channel::Connect() {
+  ErrorCode error;
+  auto token = asio::redirect_error(asio::use_awaitable, error);
+  co_await transport_.socket().async_connect(address_, token);
+  if (error) co_return error;
+  transport_.DisableNagle();
+  if (transport_.tls()) co_await transport_.tls()->async_handshake(asio::ssl::stream_base::client, token);
+  co_return error;
+}
+
+asio::awaitable<void> Channel::Read() {
+  ErrorCode error;
+  auto token = asio::redirect_error(asio::use_awaitable, error);
+  std::array<char, kReadBytes> buffer;
+  while (!is_closed_) {
+    const std::size_t size = co_await transport_.AsyncReadSome(asio::buffer(buffer), token);
+    if (is_closed_) co_return;
     if (error) {
-      Close("the connection ended: " + error.message());
+      CloseWith({ConnectionErrorCode::kTransportFailed, error.message()});
       co_return;
     }
-    heard_ = Clock::now();
-    const bool good = http2_.Feed({piece.data(), n});
-    Flush();  // also what says goodbye
-    if (!good) {
-      Close(http2_.error());
+    last_received_at_ = Clock::now();
+    const ConnectionResult fed = http2_.Feed({buffer.data(), size});
+    Flush();  // after an error too: nghttp2 sends GOAWAY
+    if (!fed) {
+      CloseWith(fed.error());
       co_return;
     }
   }
 }
 
-// What has arrived is read first, in case this process was held up: true if there was something.
-asio::awaitable<bool> Channel::HeardAfterAll() {
+// For a PING whose time is over: whether bytes have arrived that were not read yet, as in a process that was
+// not scheduled for a while.
+asio::awaitable<bool> Channel::ReceivesUnreadBytes() {
   ErrorCode error;
   auto token = asio::redirect_error(asio::use_awaitable, error);
-  const auto heard = heard_;
+  const auto last_received_at = last_received_at_;
   net::ReadGrace grace;
   do {
-    pause_.expires_after(net::ReadGrace::kPause);
-    co_await pause_.async_wait(token);
-  } while (heard_ == heard && Postpones(&grace));
-  co_return heard_ != heard;
+    liveness_timer_.expires_after(net::ReadGrace::kPause);
+    co_await liveness_timer_.async_wait(token);
+  } while (last_received_at_ == last_received_at && Postpones(&grace));
+  co_return last_received_at_ != last_received_at;
 }
 
-// Pings when nothing has come for a while; no answer ends the connection. The time for an answer begins with
-// the ping: where this process itself was held up, the other side is still asked before it is given up.
-asio::awaitable<void> Channel::Watch() {
+// Sends a PING after a while without bytes, and closes the connection if nothing comes within ping_timeout of
+// it. That time starts with the PING, so that a delay of this process does not count against the server.
+asio::awaitable<void> Channel::MonitorLiveness() {
   const auto self = shared_from_this();
   ErrorCode error;
   auto token = asio::redirect_error(asio::use_awaitable, error);
   std::optional<Clock::time_point> pinged_at;
-  while (!closed_) {
-    const auto due = pinged_at ? *pinged_at + options_.ping_timeout : heard_ + options_.ping_every;
-    if (Clock::now() >= due) {
-      if (pinged_at) {
-        if (co_await HeardAfterAll()) {
-          pinged_at.reset();
-          continue;
-        }
-        Close("the link is silent: no answer to a ping");
-        co_return;
-      }
+  while (!is_closed_) {
+    const auto due =
+        pinged_at ? *pinged_at + options_.ping_timeout : last_received_at_ + options_.ping_interval;
+    if (Clock::now() < due) {
+      const auto last_received_at = last_received_at_;
+      liveness_timer_.expires_at(due);
+      co_await liveness_timer_.async_wait(token);
+      if (last_received_at_ != last_received_at) pinged_at.reset();
+      continue;
+    }
+    if (!pinged_at) {
       pinged_at = Clock::now();
       http2_.Ping();
       Flush();
       continue;
     }
-    const auto heard = heard_;
-    pause_.expires_at(due);
-    co_await pause_.async_wait(token);
-    if (heard_ != heard) pinged_at.reset();
+    if (!co_await ReceivesUnreadBytes()) {
+      CloseWith({ConnectionErrorCode::kServerUnresponsive, ""});
+      co_return;
+    }
+    pinged_at.reset();
   }
 }
 
 void Channel::Flush() {
-  if (!open_ || closed_ || writing_) return;
-  writing_ = true;
+  if (!is_open_ || is_closed_ || is_writing_) return;
+  is_writing_ = true;
   asio::co_spawn(io_, Write(), [self = shared_from_this()](std::exception_ptr) {});
 }
 
@@ -153,83 +171,79 @@
   const auto self = shared_from_this();
   ErrorCode error;
   auto token = asio::redirect_error(asio::use_awaitable, error);
-  while (!closed_) {
-    const std::string out = http2_.TakeOutput();
-    if (out.empty()) break;
-    if (tls_) {
-      co_await asio::async_write(*tls_, asio::buffer(out), token);
-    } else {
-      co_await asio::async_write(plain_, asio::buffer(out), token);
-    }
-    if (error && !closed_) Close("the connection ended: " + error.message());
+  while (!is_closed_) {
+    const std::string output = http2_.TakeOutput();
+    if (output.empty()) break;
+    co_await transport_.AsyncWrite(asio::buffer(output), token);
+    if (error && !is_closed_) CloseWith({ConnectionErrorCode::kTransportFailed, error.message()});
   }
-  writing_ = false;
+  is_writing_ = false;
 }
 
-CallId Channel::Begin(const std::string& path,
-                      const std::vector<std::pair<std::string, std::string>>& metadata,
-                      std::string_view message, bool last, CallHandler handler) {
-  if (closed_) return -1;
-  const CallId id = http2_.Begin(path, metadata, message, last, std::move(handler));
+std::optional<CallId> Channel::BeginCall(const std::string& path, const HeaderFields& metadata,
+                                         std::string_view message, bool last, CallHandler handler) {
+  if (is_closed_) return std::nullopt;
+  const auto call = http2_.BeginCall(path, metadata, message, last, std::move(handler));
   Flush();
-  return id;
+  return call;
 }
 
-bool Channel::Send(CallId call, std::string_view message, bool last) {
-  const bool sent = http2_.Send(call, message, last);
+bool Channel::SendMessage(CallId call, std::string_view message, bool last) {
+  const bool is_sent = http2_.SendMessage(call, message, last);
   Flush();
-  return sent;
+  return is_sent;
 }
 
-void Channel::Cancel(CallId call, Ending ending) {
-  http2_.Cancel(call, ending);
+void Channel::CancelCall(CallId call, Ending ending) {
+  http2_.CancelCall(call, ending);
   Flush();
 }
 
-void Channel::Unary(const std::string& path, const std::vector<std::pair<std::string, std::string>>& metadata,
-                    std::string_view message, std::chrono::milliseconds timeout,
-                    std::function<void(Status, std::string)> done) {
-  const auto answer = std::make_shared<std::string>();
+void Channel::CallUnary(const std::string& path, const HeaderFields& metadata, std::string_view message,
+                        std::chrono::milliseconds timeout, OnUnaryCompleted on_completed) {
+  const auto response = std::make_shared<std::string>();
   const auto timer = std::make_shared<net::OneShotTimer>(io_);
   CallHandler handler;
-  handler.on_message = [answer](std::string_view text) { *answer = text; };
-  handler.on_end = [answer, timer, done](const Status& status) {
+  handler.on_message = [response](std::string_view received) { *response = received; };
+  handler.on_end = [response, timer, on_completed](const Status& status) {
     timer->Disarm();
-    done(status, std::move(*answer));
+    on_completed(status, std::move(*response));
   };
-  const CallId id = Begin(path, metadata, message, true, std::move(handler));
-  if (id < 0) {
-    done({Code::kUnavailable, Ending::kRefused, "the connection takes no more calls"}, "");
+  const auto call = BeginCall(path, metadata, message, true, std::move(handler));
+  if (!call) {
+    on_completed({Code::kUnavailable, Ending::kRefused, "the connection takes no more calls"}, "");
     return;
   }
-  AwaitAnswer(timer, timeout, id);
+  ArmCallTimer(timer, timeout, *call);
 }
 
-// The timer is the call's, and ends with it.
-void Channel::AwaitAnswer(const std::shared_ptr<net::OneShotTimer>& timer, std::chrono::milliseconds timeout,
-                          CallId call, net::ReadGrace grace) {
-  timer->ArmAfter(
-      timeout, [weak_channel = weak_from_this(), weak_timer = std::weak_ptr(timer), call, grace]() mutable {
-        const auto self = weak_channel.lock();
-        const auto own_timer = weak_timer.lock();
-        if (!self || !own_timer) return;
-        if (self->Postpones(&grace)) return self->AwaitAnswer(own_timer, net::ReadGrace::kPause, call, grace);
-        self->Cancel(call, Ending::kTimeout);
-      });
+// The timer is owned by the call's handler, and ends with the call.
+void Channel::ArmCallTimer(const std::shared_ptr<net::OneShotTimer>& timer, std::chrono::milliseconds timeout,
+                           CallId call, net::ReadGrace grace) {
+  const auto on_timeout = [weak_channel = weak_from_this(), weak_timer = std::weak_ptr(timer), call,
+                           grace]() mutable {
+    const auto self = weak_channel.lock();
+    const auto own_timer = weak_timer.lock();
+    if (!self || !own_timer) return;
+    if (self->Postpones(&grace)) return self->ArmCallTimer(own_timer, net::ReadGrace::kPause, call, grace);
+    self->CancelCall(call, Ending::kTimeout);
+  };
+  timer->ArmAfter(timeout, on_timeout);
 }
 
-void Channel::Close(const std::string& why) {
-  if (closed_) return;
-  closed_ = true;
+void Channel::Close(const std::string& reason) { CloseWith({ConnectionErrorCode::kClosed, reason}); }
+
+void Channel::CloseWith(const ConnectionError& error) {
+  if (is_closed_) return;
+  is_closed_ = true;
   const auto self = shared_from_this();
-  ErrorCode ignored;
-  (tls_ ? tls_->next_layer() : plain_).close(ignored);
+  transport_.Close();
   connect_timer_.Disarm();
-  pause_.cancel();
-  http2_.Lost(why);
+  liveness_timer_.cancel();
+  http2_.ConnectionLost(error);
   const OnClosed on_closed = std::exchange(on_closed_, nullptr);
   on_open_ = nullptr;
-  if (on_closed) asio::post(io_, [on_closed, why] { on_closed(why); });
+  if (on_closed) asio::post(io_, [on_closed, error] { on_closed(error); });
 }
 
 }  // namespace badgerbridge::etcd
--- a/src/etcd/channel.h
+++ b/src/etcd/channel.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// One connection to one etcd endpoint, with the calls on it: Http2Client on a socket of the caller's
-// io_context, in cleartext or with TLS. It is used until it ends, and never made again; whoever wants another
-// opens one.
+
+/// \file
+/// One connection to an etcd endpoint, and the gRPC calls on it: Http2Client on a TCP socket, in cleartext or
+/// with TLS. It is used until it ends; to reconnect, open another one.
 #ifndef BADGERBRIDGE_ETCD_CHANNEL_H_
 #define BADGERBRIDGE_ETCD_CHANNEL_H_
 
@@ -10,83 +10,99 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/ssl/context.hpp>
-#include <boost/asio/ssl/stream.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
 #include <functional>
 #include <memory>
+#include <optional>
 #include <string>
+#include <string_view>
 
-#include "etcd/http2.h"
+#include "etcd/error.h"
+#include "etcd/http2_client.h"
+#include "etcd/transport.h"
 #include "http_api/tls.h"
 #include "net/one_shot_timer.h"
 #include "net/read_grace.h"
 
 namespace badgerbridge::etcd {
 
+/// Configuration of a channel.
 struct ChannelOptions {
-  std::chrono::milliseconds connect_timeout{500};  // with the TLS handshake
-  // A link on which nothing came for ping_every is asked; one that does not answer within ping_timeout is
-  // silent, and ended. Together they bound how long a silent link can go unnoticed.
-  std::chrono::milliseconds ping_every{150}, ping_timeout{100};
-  std::optional<http_api::TlsFiles> tls;
-  std::string server_name;  // that the certificate must be for; empty: the address
-  Http2Limits limits;
+  std::chrono::milliseconds connect_timeout{500};  ///< With the TLS handshake.
+  /// After this time without any byte received a PING is sent. With ping_timeout it bounds how long a dead
+  /// connection goes unnoticed.
+  std::chrono::milliseconds ping_interval{150};
+  std::chrono::milliseconds ping_timeout{100};  ///< For the answer to a PING; then the connection is closed.
+  std::optional<http_api::TlsFiles> tls;        ///< None: cleartext.
+  std::string server_name;  ///< The name in the server's certificate (RFC 9525); empty: the address.
+  Http2Limits limits;       ///< Of the connection.
 };
 
+/// One connection. To be used on the io_context's thread only.
 class Channel : public std::enable_shared_from_this<Channel> {
  public:
+  /// Called once the connection takes calls.
   using OnOpen = std::function<void()>;
-  using OnClosed = std::function<void(const std::string& why)>;  // exactly once, after every call has ended
+  /// Called exactly once, after all calls have ended.
+  using OnClosed = std::function<void(const ConnectionError& error)>;
+  /// Receives the status and, if it is ok, the response message of a call.
+  using OnUnaryCompleted = std::function<void(Status, std::string)>;
 
-  // Throws std::runtime_error for TLS files that can't be used. Neither function is called from within this
-  // one.
+  /// Starts to connect. Throws std::runtime_error for TLS files that cannot be used. Calls neither function
+  /// from within. `io` must outlive the channel; the channel lives at least until it is closed.
   static std::shared_ptr<Channel> Open(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
                                        ChannelOptions options, OnOpen on_open, OnClosed on_closed);
   ~Channel();
 
-  CallId Begin(const std::string& path, const std::vector<std::pair<std::string, std::string>>& metadata,
-               std::string_view message, bool last, CallHandler handler);
-  bool Send(CallId call, std::string_view message, bool last);
-  void Cancel(CallId call, Ending ending = Ending::kCancelled);
-  // One message there, one back. `done` is called exactly once; never from within, unless the call can't be
-  // begun.
-  void Unary(const std::string& path, const std::vector<std::pair<std::string, std::string>>& metadata,
-             std::string_view message, std::chrono::milliseconds timeout,
-             std::function<void(Status, std::string)> done);
-  void Close(const std::string& why);
+  /// See Http2Client::BeginCall. Nothing also if the channel is closed.
+  std::optional<CallId> BeginCall(const std::string& path, const HeaderFields& metadata,
+                                  std::string_view message, bool last, CallHandler handler);
+  /// See Http2Client::SendMessage.
+  bool SendMessage(CallId call, std::string_view message, bool last);
+  /// See Http2Client::CancelCall.
+  void CancelCall(CallId call, Ending ending = Ending::kCancelled);
+  /// A call with one message each way. `on_completed` is called exactly once: within `timeout`, with
+  /// Ending::kTimeout at its end; from within only if the channel takes no more calls.
+  void CallUnary(const std::string& path, const HeaderFields& metadata, std::string_view message,
+                 std::chrono::milliseconds timeout, OnUnaryCompleted on_completed);
+  /// Closes the connection. `reason` is for people.
+  void Close(const std::string& reason);
 
-  bool is_open() const { return open_ && !closed_; }
-  bool going_away() const { return http2_.going_away(); }
-  std::size_t calls() const { return http2_.open(); }
-  // For a time-out of what is awaited on this channel; see net::ReadGrace.
-  bool Postpones(net::ReadGrace* grace) const { return grace->Postpones(socket()); }
+  bool is_open() const { return is_open_ && !is_closed_; }        ///< Connected, and not closed.
+  bool going_away() const { return http2_.going_away(); }         ///< The server takes no further calls.
+  std::size_t open_calls() const { return http2_.open_calls(); }  ///< Calls that have not ended.
+  /// For a timeout of what is awaited on this channel: see net::ReadGrace::Postpones.
+  bool Postpones(net::ReadGrace* grace) const { return grace->Postpones(transport_.socket()); }
 
  private:
   Channel(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address, ChannelOptions options,
           OnOpen on_open, OnClosed on_closed);
   boost::asio::awaitable<void> Run();
+  boost::asio::awaitable<boost::system::error_code> Connect();
+  boost::asio::awaitable<void> Read();
   boost::asio::awaitable<void> Write();
-  boost::asio::awaitable<void> Watch();
-  boost::asio::awaitable<bool> HeardAfterAll();
-  void AwaitAnswer(const std::shared_ptr<net::OneShotTimer>& timer, std::chrono::milliseconds timeout,
-                   CallId call, net::ReadGrace grace = {});
+  boost::asio::awaitable<void> MonitorLiveness();
+  boost::asio::awaitable<bool> ReceivesUnreadBytes();
+  void ArmCallTimer(const std::shared_ptr<net::OneShotTimer>& timer, std::chrono::milliseconds timeout,
+                    CallId call, net::ReadGrace grace = {});
   void Flush();
-  const boost::asio::ip::tcp::socket& socket() const { return tls_ ? tls_->next_layer() : plain_; }
+  void CloseWith(const ConnectionError& error);
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
   ChannelOptions options_;
   OnOpen on_open_;
   OnClosed on_closed_;
-  std::optional<boost::asio::ssl::context> context_;
-  std::optional<boost::asio::ssl::stream<boost::asio::ip::tcp::socket>> tls_;
-  boost::asio::ip::tcp::socket plain_;
+  std::optional<boost::asio::ssl::context> tls_context_;
+  Transport transport_;
   net::OneShotTimer connect_timer_;
-  boost::asio::steady_timer pause_;  // of Watch
+  boost::asio::steady_timer liveness_timer_;
   Http2Client http2_;
-  std::chrono::steady_clock::time_point heard_{};
-  bool open_ = false, closed_ = false, writing_ = false;
+  std::chrono::steady_clock::time_point last_received_at_{};
+  bool is_open_ = false;
+  bool is_closed_ = false;
+  bool is_writing_ = false;
 };
 
 }  // namespace badgerbridge::etcd
--- a/src/etcd/client.cpp
+++ b/src/etcd/client.cpp
@@ -1,10 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "etcd/client.h"
 
-#include <boost/asio/post.hpp>
+#include <algorithm>
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/steady_timer.hpp>
-#include <boost/asio/this_coro.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
 #include "etcd.pb.h"
@@ -16,24 +15,33 @@
 using std::chrono::milliseconds;
 using Clock = std::chrono::steady_clock;
 
-// A callback that a coroutine waits for: whoever holds it may call it once the waiter is gone.
-struct Waiter {
-  explicit Waiter(asio::io_context& io) : timer(io, Clock::time_point::max()) {}
-  asio::steady_timer timer;
-  bool done = false;
-  Status status;
-  std::string answer;
-  void Done(Status how) {
-    done = true;
-    status = std::move(how);
+constexpr milliseconds kMinTimeout{1};
+
+// The result of a callback that a coroutine waits for. The callback may come when the coroutine is gone.
+struct PendingResult {
+  explicit PendingResult(asio::io_context& io) : timer(io, Clock::time_point::max()) {}
+
+  void Complete(Status result, std::string body = "") {
+    is_complete = true;
+    status = std::move(result);
+    response = std::move(body);
     timer.cancel();
   }
+
+  asio::steady_timer timer;  // never expires; cancelled on completion
+  bool is_complete = false;
+  Status status;
+  std::string response;
 };
 
-asio::awaitable<void> Await(std::shared_ptr<Waiter> waiter) {
+asio::awaitable<void> WaitFor(std::shared_ptr<PendingResult> pending) {
   boost::system::error_code ignored;
   auto token = asio::redirect_error(asio::use_awaitable, ignored);
-  while (!waiter->done) co_await waiter->timer.async_wait(token);
+  while (!pending->is_complete) co_await pending->timer.async_wait(token);
+}
+
+milliseconds TimeUntil(Clock::time_point due) {
+  return std::max(kMinTimeout, std::chrono::duration_cast<milliseconds>(due - Clock::now()));
 }
 
 }  // namespace
@@ -48,100 +56,110 @@
 }
 
 asio::awaitable<Status> Client::Connect(milliseconds timeout) {
-  const auto waiter = std::make_shared<Waiter>(io_);
+  const auto pending = std::make_shared<PendingResult>(io_);
   if (channel_) channel_->Close("another connection is tried");
   channel_.reset();
   token_.clear();
-  ++connects_;
-  Status status;
+  ++connection_attempts_;
   ChannelOptions options = settings_.channel;
   options.connect_timeout = std::min(options.connect_timeout, timeout);
+  Status status;
   try {
     channel_ = Channel::Open(
-        io_, settings_.endpoints[endpoint_], options, [waiter] { waiter->Done({}); },
-        [waiter](const std::string& why) {
-          waiter->Done({Code::kUnavailable, Ending::kLost, why});
+        io_, settings_.endpoints[endpoint_], options, [pending] { pending->Complete({}); },
+        [pending](const ConnectionError& error) {
+          pending->Complete({Code::kUnavailable, Ending::kLost, Message(error)});
         });
-  } catch (const std::exception& bad) {  // the files for TLS: no other member can help
-    status = {Code::kFailedPrecondition, Ending::kStatus, bad.what()};
+  } catch (const std::exception& error) {  // unusable TLS files: no other member can help
+    status = {Code::kFailedPrecondition, Ending::kStatus, error.what()};
   }
   if (!channel_) co_return status;
-  co_await Await(waiter);
-  co_return waiter->status;
+  co_await WaitFor(pending);
+  co_return pending->status;
 }
 
-asio::awaitable<Status> Client::One(std::string path, std::string request, std::string* answer,
-                                    milliseconds timeout) {
-  const auto waiter = std::make_shared<Waiter>(io_);
-  std::vector<std::pair<std::string, std::string>> metadata;
-  if (!token_.empty()) metadata.emplace_back("token", token_);
-  channel_->Unary(path, metadata, request, timeout, [waiter](Status status, std::string body) {
-    waiter->answer = std::move(body);
-    waiter->Done(std::move(status));
+asio::awaitable<Result<std::string>> Client::CallOnChannel(std::string path, std::string request,
+                                                           milliseconds timeout) {
+  const auto pending = std::make_shared<PendingResult>(io_);
+  HeaderFields metadata;
+  if (!token_.empty()) metadata.push_back({"token", token_});
+  channel_->CallUnary(path, metadata, request, timeout, [pending](Status status, std::string body) {
+    pending->Complete(std::move(status), std::move(body));
   });
-  co_await Await(waiter);
-  *answer = std::move(waiter->answer);
-  co_return waiter->status;
+  co_await WaitFor(pending);
+  if (!pending->status.ok()) co_return pending->status;
+  co_return std::move(pending->response);
 }
 
-// At the member of the moment: a connection, a token, the call; all of it within `timeout`.
-asio::awaitable<Status> Client::Try(std::string path, std::string request, std::string* answer,
-                                    milliseconds timeout) {
+// Requests a token (etcd.proto, service Auth) for the calls on this connection.
+asio::awaitable<Status> Client::Authenticate(milliseconds timeout) {
+  etcdserverpb::AuthenticateRequest request;
+  request.set_name(settings_.user);
+  request.set_password(settings_.password);
+  const Result<std::string> body =
+      co_await CallOnChannel("/etcdserverpb.Auth/Authenticate", request.SerializeAsString(), timeout);
+  if (!body) co_return body.error();
+  etcdserverpb::AuthenticateResponse response;
+  if (!response.ParseFromString(*body)) co_return MalformedResponse();
+  token_ = response.token();
+  co_return Status{};
+}
+
+// One attempt: a connection and a token, if there is none, and the call; all of it within `timeout`.
+asio::awaitable<Result<std::string>> Client::CallCurrentEndpoint(std::string path, std::string request,
+                                                                 milliseconds timeout) {
   const auto due = Clock::now() + timeout;
-  const auto left = [&] {
-    return std::max(milliseconds(1), std::chrono::duration_cast<milliseconds>(due - Clock::now()));
-  };
-  Status status;
   if (!channel_ || !channel_->is_open() || channel_->going_away()) {
-    status = co_await Connect(timeout);
-    if (!status.ok()) co_return status;
+    Status connected = co_await Connect(timeout);
+    if (!connected.ok()) co_return connected;
   }
   if (!settings_.user.empty() && token_.empty()) {
-    etcdserverpb::AuthenticateRequest login;
-    login.set_name(settings_.user);
-    login.set_password(settings_.password);
-    std::string text;
-    status = co_await One("/etcdserverpb.Auth/Authenticate", login.SerializeAsString(), &text, left());
-    etcdserverpb::AuthenticateResponse token;
-    if (status.ok() && !token.ParseFromString(text))
-      status = {Code::kInternal, Ending::kMalformed, "no such message"};
-    if (!status.ok()) co_return status;
-    token_ = token.token();
+    Status authenticated = co_await Authenticate(TimeUntil(due));
+    if (!authenticated.ok()) co_return authenticated;
   }
-  status = co_await One(std::move(path), std::move(request), answer, left());
-  co_return status;
+  co_return co_await CallOnChannel(std::move(path), std::move(request), TimeUntil(due));
 }
 
-asio::awaitable<Status> Client::Raw(std::string path, std::string request, std::string* answer,
-                                    milliseconds timeout) {
+void Client::SelectNextEndpoint() {
+  if (channel_) channel_->Close("another member is tried");
+  channel_.reset();
+  endpoint_ = (endpoint_ + 1) % settings_.endpoints.size();
+}
+
+// A pause from the upper half of the backoff, which doubles.
+milliseconds Client::DrawBackoff(milliseconds* backoff) {
+  const auto half = static_cast<std::uint64_t>(backoff->count() / 2);
+  const milliseconds pause(static_cast<std::int64_t>(half + random_() % (half + 1)));
+  *backoff = std::min(settings_.max_backoff, *backoff * 2);
+  return pause;
+}
+
+asio::awaitable<Result<std::string>> Client::CallWithFailover(std::string path, std::string request,
+                                                              milliseconds timeout) {
   const auto due = Clock::now() + timeout;
   milliseconds backoff = settings_.first_backoff;
-  bool renewed = false;
-  for (std::size_t failed = 0;;) {
-    const auto left = std::chrono::duration_cast<milliseconds>(due - Clock::now());
-    Status status = co_await Try(path, request, answer,
-                                 std::max(milliseconds(1), std::min(settings_.call_timeout, left)));
-    const bool old_token = status.code == Code::kUnauthenticated && !token_.empty();
-    if (old_token && !renewed) {  // it ran out, or the member was started again
-      renewed = true;
+  bool token_was_renewed = false;
+  std::size_t failures = 0;
+  for (;;) {
+    const milliseconds attempt_timeout =
+        std::max(kMinTimeout, std::min(settings_.call_timeout, TimeUntil(due)));
+    Result<std::string> response = co_await CallCurrentEndpoint(path, request, attempt_timeout);
+    if (response) co_return response;
+    const bool token_expired = response.error().code == Code::kUnauthenticated && !token_.empty();
+    if (token_expired && !token_was_renewed) {  // by time, or as the member was restarted
+      token_was_renewed = true;
       token_.clear();
       continue;
     }
-    if (status.ok() || !status.Retriable()) co_return status;
-    if (channel_) channel_->Close("another member is tried");
-    channel_.reset();
-    endpoint_ = (endpoint_ + 1) % settings_.endpoints.size();
-    milliseconds wait{0};
-    if (++failed % settings_.endpoints.size() == 0) {
-      const auto half = static_cast<std::uint64_t>(backoff.count() / 2);
-      wait = milliseconds(static_cast<std::int64_t>(half + random_() % (half + 1)));
-      backoff = std::min(settings_.most_backoff, backoff * 2);
-    }
-    if (Clock::now() + wait >= due) co_return status;
-    asio::steady_timer pause(io_, wait);
+    if (!response.error().IsRetriable()) co_return response;
+    SelectNextEndpoint();
+    ++failures;
+    const bool all_failed = failures % settings_.endpoints.size() == 0;
+    const milliseconds pause = all_failed ? DrawBackoff(&backoff) : milliseconds(0);
+    if (Clock::now() + pause >= due) co_return response;
+    asio::steady_timer timer(io_, pause);
     boost::system::error_code ignored;
-    auto token = asio::redirect_error(asio::use_awaitable, ignored);
-    co_await pause.async_wait(token);
+    co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 }
 
--- a/src/etcd/follower.cpp
+++ b/src/etcd/follower.cpp
@@ -24,10 +24,13 @@
   std::shuffle(endpoint_order_.begin(), endpoint_order_.end(), random_);
 }
 
+// ---- state
+
 std::int64_t Follower::revision() const {
-  const auto lowest = std::min_element(sections_.begin(), sections_.end(),
-                                       [](const auto& a, const auto& b) { return a.revision < b.revision; });
-  return lowest->revision;
+  const auto has_lower_revision = [](const Section& left, const Section& right) {
+    return left.revision < right.revision;
+  };
+  return std::min_element(sections_.begin(), sections_.end(), has_lower_revision)->revision;
 }
 
 std::string_view Follower::state() const {
@@ -36,54 +39,59 @@
   return kNames[static_cast<int>(state_)];
 }
 
+std::string Follower::last_error_message() const { return last_error_ ? Message(*last_error_) : ""; }
+
+// ---- connections
+
 void Follower::StartConnecting(Time now, Actions* actions) {
-  state_ = State::kConnecting;
-  wake_ = now + step_timeout_;
-  step_began_ = now;
+  EnterStep(now, State::kConnecting);
+  step_began_at_ = now;
   longest_step_ = Time(0);
-  progress_requested_ = false;
-  established_ = false;
+  is_progress_requested_ = false;
+  is_established_ = false;
   actions->push_back(Connect{endpoint_order_[endpoint_]});
 }
 
-// How long to wait before the next endpoint is tried.
+// The pause before the next endpoint is tried.
 Follower::Time Follower::DrawPause(Code code) {
-  const bool overloaded = code == Code::kResourceExhausted;
-  if (established_ && !overloaded)
+  const bool is_overloaded = code == Code::kResourceExhausted;
+  if (is_established_ && !is_overloaded)
     return Time(DrawUpTo(static_cast<std::uint64_t>(settings_.reconnect_spread.count())));
-  if (overloaded) backoff_ = std::max(backoff_, settings_.overload_backoff);
+  if (is_overloaded) backoff_ = std::max(backoff_, settings_.overload_backoff);
   const auto half = static_cast<std::uint64_t>(backoff_.count() / 2);
   backoff_ = std::min(settings_.max_backoff, backoff_ * 2);
   return Time(half + DrawUpTo(half));
 }
 
-void Follower::Fail(Time now, const std::string& why, Actions* actions, Code code) {
-  last_error_ = why;
-  if (state_ != State::kWaiting && state_ != State::kConnecting) actions->push_back(Close{why});
-  actions->push_back(Disconnected{why});
+void Follower::Fail(Time now, FollowerError error, Actions* actions) {
+  last_error_ = error;
+  const Code code = error.status.code;
+  if (state_ != State::kWaiting && state_ != State::kConnecting) actions->push_back(Close{error});
+  actions->push_back(Disconnected{std::move(error)});
   state_ = State::kWaiting;
   endpoint_ = (endpoint_ + 1) % settings_.endpoints;
-  wake_ = now + DrawPause(code);
-  established_ = false;
-  const bool all_failed = ++failures_ % settings_.endpoints == 0;
+  wake_at_ = now + DrawPause(code);
+  is_established_ = false;
+  ++failures_;
+  const bool all_failed = failures_ % settings_.endpoints == 0;
   if (all_failed) step_timeout_ = std::min(settings_.call_timeout, step_timeout_ * 2);
 }
 
-// A step towards the watch may take step_timeout_: an endpoint that is up and doesn't answer must cost
-// little, since a drain may be waiting. The timeout grows while all endpoints fail, and is never less than
-// twice the longest step of the last success.
+// Each step towards the watch may take step_timeout_: an endpoint that is up and does not answer must cost
+// little time, since a drain may be waiting. The timeout grows while all endpoints fail, and is never less
+// than twice the longest step of the last success.
 void Follower::EnterStep(Time now, State state) {
   state_ = state;
-  wake_ = now + step_timeout_;
+  wake_at_ = now + step_timeout_;
 }
 
-void Follower::StepCompleted(Time now) {
-  longest_step_ = std::max(longest_step_, now - step_began_);
-  step_began_ = now;
+void Follower::CompleteStep(Time now) {
+  longest_step_ = std::max(longest_step_, now - step_began_at_);
+  step_began_at_ = now;
 }
 
 void Follower::Tick(Time now, Actions* actions) {
-  if (now < wake_) return;
+  if (now < wake_at_) return;
   switch (state_) {
     case State::kWaiting:
       return StartConnecting(now, actions);
@@ -91,39 +99,52 @@
     case State::kAuthenticating:
     case State::kProbing:
     case State::kListing:
-      if (state_ == State::kConnecting) actions->push_back(Close{"no connection in time"});
-      return Fail(now, "no answer in time", actions);
+      if (state_ == State::kConnecting) actions->push_back(Close{{FollowerErrorCode::kConnectTimeout}});
+      return Fail(now, {FollowerErrorCode::kStepTimeout}, actions);
     case State::kWatching:
-      if (progress_requested_) return Fail(now, "the watch says nothing, not even when asked", actions);
-      progress_requested_ = true;
-      wake_ = now + settings_.call_timeout;
+      if (is_progress_requested_) return Fail(now, {FollowerErrorCode::kWatchUnresponsive}, actions);
+      is_progress_requested_ = true;
+      wake_at_ = now + settings_.call_timeout;
       actions->push_back(RequestProgress{});
   }
 }
 
 void Follower::Opened(Time now, Actions* actions) {
   if (state_ != State::kConnecting) return;
-  StepCompleted(now);
-  if (settings_.authenticate) {
-    EnterStep(now, State::kAuthenticating);
-    actions->push_back(Authenticate{});
-    return;
-  }
-  Authenticated(now, {}, actions);
+  CompleteStep(now);
+  if (!settings_.authenticate) return Authenticated(now, {}, actions);
+  EnterStep(now, State::kAuthenticating);
+  actions->push_back(Authenticate{});
 }
 
 void Follower::Authenticated(Time now, const Status& status, Actions* actions) {
   if (state_ != State::kConnecting && state_ != State::kAuthenticating) return;
   if (!status.ok()) {
     state_ = State::kAuthenticating;
-    return Fail(now, "authentication: " + status.Text(), actions, status.code);
+    return Fail(now, {FollowerErrorCode::kAuthenticationFailed, status}, actions);
   }
-  StepCompleted(now);
-  if (known_) return StartProbe(now, actions);
+  CompleteStep(now);
+  if (has_snapshot_) return StartProbe(now, actions);
   StartSnapshot(now, actions);
 }
 
-// What is committed, by a linearizable read of a single key.
+void Follower::Closed(Time now, const ConnectionError& error, Actions* actions) {
+  if (state_ == State::kWaiting) return;
+  state_ = State::kConnecting;  // nothing is left to close
+  Fail(now, {FollowerErrorCode::kConnectionLost, {}, Message(error)}, actions);
+}
+
+void Follower::Reject(Time now, const std::string& reason, Actions* actions) {
+  has_snapshot_ = false;
+  if (state_ == State::kWaiting) return;
+  const FollowerError error{FollowerErrorCode::kRejected, {}, reason};
+  if (state_ == State::kConnecting) actions->push_back(Close{error});
+  Fail(now, error, actions);
+}
+
+// ---- snapshots
+
+// Reads what is committed, by a linearizable read of a single key.
 void Follower::StartProbe(Time now, Actions* actions) {
   EnterStep(now, State::kProbing);
   Range range;
@@ -133,102 +154,116 @@
   actions->push_back(std::move(range));
 }
 
+void Follower::ProbeCompleted(Time now, const pb::ResponseHeader& header, Actions* actions) {
+  CompleteStep(now);
+  const bool is_behind = std::any_of(sections_.begin(), sections_.end(), [&](const Section& section) {
+    return header.revision() < section.revision;
+  });
+  if (header.cluster_id() != cluster_id_ || is_behind) return StartSnapshot(now, actions);
+  ++resumes_;
+  StartWatch(now, actions);
+}
+
 void Follower::StartSnapshot(Time now, Actions* actions) {
   state_ = State::kListing;
-  known_ = false;  // pages of it may be given, and the rest not: then only another snapshot will do
-  snapshot_revision_ = 0;
-  snapshot_bytes_ = 0;
-  snapshot_section_ = 0;
+  has_snapshot_ = false;  // some pages may be delivered and the rest not: then only another snapshot will do
+  pending_ = PendingSnapshot{};
   RequestFirstPage(now, actions);
 }
 
 // Of the section.
 void Follower::RequestFirstPage(Time now, Actions* actions) {
-  RequestPage(now, sections_[snapshot_section_].prefix, actions);
+  RequestPage(now, sections_[pending_.section].prefix, actions);
 }
 
-// The page that starts at `key`: the first at the newest revision, the others at the first one's.
-void Follower::RequestPage(Time now, std::string key, Actions* actions) {
-  wake_ = now + settings_.call_timeout;
+// The first page is read at the current revision, and the others at that of the first.
+void Follower::RequestPage(Time now, std::string first_key, Actions* actions) {
+  wake_at_ = now + settings_.call_timeout;
   Range range;
-  range.request.set_key(std::move(key));
-  range.request.set_range_end(PrefixRangeEnd(sections_[snapshot_section_].prefix));
+  range.request.set_key(std::move(first_key));
+  range.request.set_range_end(PrefixRangeEnd(sections_[pending_.section].prefix));
   range.request.set_limit(settings_.page_size);
-  range.request.set_revision(snapshot_revision_);
+  range.request.set_revision(pending_.revision);
   actions->push_back(std::move(range));
 }
 
 void Follower::RangeCompleted(Time now, const Status& status, pb::RangeResponse response, Actions* actions) {
   if (state_ != State::kProbing && state_ != State::kListing) return;
-  if (!status.ok()) {
-    // The revision of the pages was compacted while they were read.
-    if (state_ == State::kListing && snapshot_revision_ != 0 && status.code == Code::kOutOfRange)
-      return StartSnapshot(now, actions);
-    return Fail(now, std::string(state()) + ": " + status.Text(), actions, status.code);
-  }
-  if (state_ == State::kListing) return TakePage(now, std::move(response), actions);
-  StepCompleted(now);
-  const pb::ResponseHeader& header = response.header();
-  const bool replaced = header.cluster_id() != cluster_id_ ||
-                        std::any_of(sections_.begin(), sections_.end(), [&](const Section& section) {
-                          return header.revision() < section.revision;
-                        });
-  if (replaced) return StartSnapshot(now, actions);
-  ++resumes_;
-  StartWatch(now, actions);
+  if (!status.ok()) return RangeFailed(now, status, actions);
+  if (state_ == State::kProbing) return ProbeCompleted(now, response.header(), actions);
+  ApplyPage(now, std::move(response), actions);
 }
 
-void Follower::TakePage(Time now, pb::RangeResponse response, Actions* actions) {
-  const bool first = snapshot_revision_ == 0;
-  if (response.header().revision() <= 0) return Fail(now, "a list without a revision", actions);
-  if (first) {
-    snapshot_revision_ = response.header().revision();
-    snapshot_cluster_id_ = response.header().cluster_id();
-  } else if (response.header().cluster_id() != snapshot_cluster_id_) {
-    return Fail(now, "another cluster answers in the midst of a list", actions);
-  }
-  for (const pb::KeyValue& kv : response.kvs()) snapshot_bytes_ += kv.key().size() + kv.value().size();
-  if (snapshot_bytes_ > settings_.max_snapshot_bytes) {
-    return Fail(now, "a list of more than " + std::to_string(settings_.max_snapshot_bytes) + " bytes",
-                actions);
+void Follower::RangeFailed(Time now, const Status& status, Actions* actions) {
+  if (state_ == State::kProbing) return Fail(now, {FollowerErrorCode::kProbeFailed, status}, actions);
+  const bool is_compacted = pending_.revision != 0 && status.code == Code::kOutOfRange;
+  if (is_compacted) return StartSnapshot(now, actions);
+  Fail(now, {FollowerErrorCode::kSnapshotFailed, status}, actions);
+}
+
+std::optional<FollowerError> Follower::AddToSnapshot(const pb::RangeResponse& response) {
+  if (response.header().revision() <= 0) return FollowerError{FollowerErrorCode::kMissingRevision};
+  if (pending_.revision == 0) {
+    pending_.revision = response.header().revision();
+    pending_.cluster_id = response.header().cluster_id();
+  } else if (response.header().cluster_id() != pending_.cluster_id) {
+    return FollowerError{FollowerErrorCode::kClusterChangedInSnapshot};
   }
-  const Section& section = sections_[snapshot_section_];
+  for (const pb::KeyValue& kv : response.kvs()) pending_.bytes += kv.key().size() + kv.value().size();
+  if (pending_.bytes > settings_.max_snapshot_bytes)
+    return FollowerError{FollowerErrorCode::kSnapshotTooLarge, {}, {}, settings_.max_snapshot_bytes};
+  return std::nullopt;
+}
+
+void Follower::ApplyPage(Time now, pb::RangeResponse response, Actions* actions) {
+  const bool is_first = pending_.revision == 0;
+  if (auto error = AddToSnapshot(response)) return Fail(now, std::move(*error), actions);
+  const Section& section = sections_[pending_.section];
   const bool ends_section = !response.more() || response.kvs_size() == 0;
-  const bool last = ends_section && snapshot_section_ + 1 == sections_.size();
+  const bool is_last = ends_section && pending_.section + 1 == sections_.size();
   std::string next_key;
   if (!ends_section) next_key = response.kvs(response.kvs_size() - 1).key() + std::string(1, '\0');
-  SnapshotPage page{snapshot_cluster_id_, snapshot_revision_, first, last, {},
-                    snapshot_section_,    ends_section};
+  SnapshotPage page{.cluster_id = pending_.cluster_id,
+                    .revision = pending_.revision,
+                    .first = is_first,
+                    .last = is_last,
+                    .kvs = {},
+                    .section = pending_.section,
+                    .ends_section = ends_section};
   page.kvs.reserve(static_cast<std::size_t>(response.kvs_size()));
   for (pb::KeyValue& kv : *response.mutable_kvs()) {
-    if (section.Holds(kv.key())) page.kvs.push_back(std::move(kv));
+    if (section.Contains(kv.key())) page.kvs.push_back(std::move(kv));
   }
   actions->push_back(std::move(page));
   if (!ends_section) return RequestPage(now, std::move(next_key), actions);
-  if (!last) {
-    ++snapshot_section_;
-    return RequestFirstPage(now, actions);
-  }
+  if (is_last) return CompleteSnapshot(now, actions);
+  ++pending_.section;
+  RequestFirstPage(now, actions);
+}
+
+void Follower::CompleteSnapshot(Time now, Actions* actions) {
   ++snapshots_;
-  known_ = true;
-  cluster_id_ = snapshot_cluster_id_;
-  for (Section& each : sections_) each.revision = snapshot_revision_;
+  has_snapshot_ = true;
+  cluster_id_ = pending_.cluster_id;
+  for (Section& section : sections_) section.revision = pending_.revision;
   StartWatch(now, actions);
 }
 
+// ---- watches
+
 void Follower::StartWatch(Time now, Actions* actions) {
   state_ = State::kWatching;
-  wake_ = now + settings_.max_silence;
-  progress_requested_ = false;
+  wake_at_ = now + settings_.max_silence;
+  is_progress_requested_ = false;
   for (Section& section : sections_) {
     section.fragments.clear();
-    section.watched = false;
+    section.is_watched = false;
   }
-  actions->push_back(Watch{CreateRequest(0)});
-  for (std::size_t i = 1; i < sections_.size(); ++i) actions->push_back(AddWatch{CreateRequest(i)});
+  actions->push_back(Watch{MakeCreateRequest(0)});
+  for (std::size_t i = 1; i < sections_.size(); ++i) actions->push_back(AddWatch{MakeCreateRequest(i)});
 }
 
-pb::WatchRequest Follower::CreateRequest(std::size_t section) const {
+pb::WatchRequest Follower::MakeCreateRequest(std::size_t section) const {
   pb::WatchRequest request;
   auto* create = request.mutable_create_request();
   create->set_key(sections_[section].prefix);
@@ -236,13 +271,13 @@
   create->set_start_revision(sections_[section].revision + 1);
   create->set_progress_notify(true);
   create->set_fragment(true);
-  // A single watch takes whatever id the server gives.
+  // For a single watch the server chooses the id.
   if (sections_.size() > 1) create->set_watch_id(static_cast<std::int64_t>(section) + 1);
   return request;
 }
 
-// Null: none of ours.
-Follower::Section* Follower::SectionOf(std::int64_t watch_id) {
+// Null: none of the watches that were requested.
+Follower::Section* Follower::FindWatchedSection(std::int64_t watch_id) {
   if (sections_.size() == 1) return &sections_.front();
   if (watch_id < 1 || watch_id > static_cast<std::int64_t>(sections_.size())) return nullptr;
   return &sections_[static_cast<std::size_t>(watch_id - 1)];
@@ -251,64 +286,70 @@
 void Follower::WatchReceived(Time now, pb::WatchResponse response, Actions* actions) {
   if (state_ != State::kWatching) return;
   if (response.header().cluster_id() != cluster_id_)
-    return Fail(now, "another cluster answers a watch", actions);
-  wake_ = now + settings_.max_silence;
-  progress_requested_ = false;
-  if (response.canceled()) {
-    if (response.compact_revision() > 0) {
-      last_error_ = "history is compacted up to " + std::to_string(response.compact_revision());
-      // On this connection still; the watch's stream stays open and is of no more use.
-      return StartSnapshot(now, actions);
-    }
-    return Fail(now, "the watch was cancelled: " + response.cancel_reason(), actions);
-  }
-  Section* section = SectionOf(response.watch_id());
+    return Fail(now, {FollowerErrorCode::kClusterChangedInWatch}, actions);
+  wake_at_ = now + settings_.max_silence;
+  is_progress_requested_ = false;
+  if (response.canceled()) return WatchCancelled(now, response, actions);
+  Section* section = FindWatchedSection(response.watch_id());
   if (section && response.created()) return WatchCreated(*section, actions);
-  const bool progress =
+  const bool is_progress =
       response.events_size() == 0 && !response.fragment() && (!section || section->fragments.empty());
-  if (progress) return TakeProgress(response.watch_id(), response.header().revision(), actions);
-  if (!section) return Fail(now, "events of a watch that was not asked for", actions);
-  const std::size_t buffered = section->fragments.size() + static_cast<std::size_t>(response.events_size());
-  if (buffered > settings_.max_buffered_events)
-    return Fail(now, "more events of one revision than are taken", actions);
-  std::move(response.mutable_events()->begin(), response.mutable_events()->end(),
-            std::back_inserter(section->fragments));
-  if (!response.fragment()) ApplyEvents(now, *section, actions);
+  if (is_progress) return ApplyProgress(response.watch_id(), response.header().revision(), actions);
+  if (!section) return Fail(now, {FollowerErrorCode::kUnknownWatch}, actions);
+  BufferEvents(now, *section, std::move(response), actions);
+}
+
+void Follower::WatchCancelled(Time now, const pb::WatchResponse& response, Actions* actions) {
+  if (response.compact_revision() <= 0)
+    return Fail(now, {FollowerErrorCode::kWatchCancelled, {}, response.cancel_reason()}, actions);
+  last_error_ = FollowerError{FollowerErrorCode::kCompacted, {}, {}, 0, response.compact_revision()};
+  // On the same connection; the watch's stream stays open and is of no more use.
+  StartSnapshot(now, actions);
 }
 
 void Follower::WatchCreated(Section& section, Actions* actions) {
-  section.watched = true;
-  const bool all =
-      std::all_of(sections_.begin(), sections_.end(), [](const Section& each) { return each.watched; });
-  if (!all) return;
-  established_ = true;
+  section.is_watched = true;
+  const bool all_are_watched =
+      std::all_of(sections_.begin(), sections_.end(), [](const Section& each) { return each.is_watched; });
+  if (!all_are_watched) return;
+  is_established_ = true;
   backoff_ = settings_.first_backoff;
   failures_ = 0;
   step_timeout_ = std::clamp(longest_step_ * 2, settings_.min_step_timeout, settings_.call_timeout);
   actions->push_back(Progress{revision()});
 }
 
-// Nothing up to the revision is under way: for one watch, or, where the id is none of ours, for all of them.
-void Follower::TakeProgress(std::int64_t watch_id, std::int64_t revision, Actions* actions) {
-  const Section* one = SectionOf(watch_id);
+// For one watch, or, where the id is none of ours, for all of them.
+void Follower::ApplyProgress(std::int64_t watch_id, std::int64_t revision, Actions* actions) {
+  const Section* only = FindWatchedSection(watch_id);
   for (Section& section : sections_) {
-    const bool meant = !one || one == &section;
-    if (meant && section.watched && section.fragments.empty())
+    const bool is_concerned = !only || only == &section;
+    if (is_concerned && section.is_watched && section.fragments.empty())
       section.revision = std::max(section.revision, revision);
   }
   actions->push_back(Progress{this->revision()});
 }
 
-// All that has come, up to the end of a revision.
+void Follower::BufferEvents(Time now, Section& section, pb::WatchResponse response, Actions* actions) {
+  const std::size_t buffered = section.fragments.size() + static_cast<std::size_t>(response.events_size());
+  if (buffered > settings_.max_buffered_events)
+    return Fail(now, {FollowerErrorCode::kTooManyBufferedEvents, {}, {}, settings_.max_buffered_events},
+                actions);
+  std::move(response.mutable_events()->begin(), response.mutable_events()->end(),
+            std::back_inserter(section.fragments));
+  if (!response.fragment()) ApplyEvents(now, section, actions);
+}
+
+// Delivers what is buffered, up to the end of a revision.
 void Follower::ApplyEvents(Time now, Section& section, Actions* actions) {
   const auto index = static_cast<std::size_t>(&section - sections_.data());
-  Events applied{cluster_id_, section.revision, {}, index};
+  Events applied{.cluster_id = cluster_id_, .revision = section.revision, .events = {}, .section = index};
   for (pb::Event& event : std::exchange(section.fragments, {})) {
     const std::int64_t revision = event.kv().mod_revision();
-    if (revision < applied.revision) return Fail(now, "events out of their order", actions);
-    if (revision <= section.revision) continue;  // known already
+    if (revision < applied.revision) return Fail(now, {FollowerErrorCode::kEventsOutOfOrder}, actions);
+    if (revision <= section.revision) continue;  // delivered before
     applied.revision = revision;
-    if (section.Holds(event.kv().key())) applied.events.push_back(std::move(event));
+    if (section.Contains(event.kv().key())) applied.events.push_back(std::move(event));
   }
   if (applied.revision == section.revision) {
     actions->push_back(Progress{revision()});
@@ -320,20 +361,7 @@
 
 void Follower::WatchEnded(Time now, const Status& status, Actions* actions) {
   if (state_ != State::kWatching) return;
-  Fail(now, "the watch ended: " + status.Text(), actions, status.code);
-}
-
-void Follower::Closed(Time now, const std::string& why, Actions* actions) {
-  if (state_ == State::kWaiting) return;
-  state_ = State::kConnecting;  // there is nothing to close
-  Fail(now, why, actions);
-}
-
-void Follower::Reject(Time now, const std::string& why, Actions* actions) {
-  known_ = false;
-  if (state_ == State::kWaiting) return;
-  if (state_ == State::kConnecting) actions->push_back(Close{why});
-  Fail(now, why, actions);
+  Fail(now, {FollowerErrorCode::kWatchEnded, status}, actions);
 }
 
 }  // namespace badgerbridge::etcd
--- a/src/etcd/follower_link.cpp
+++ b/src/etcd/follower_link.cpp
@@ -6,6 +6,7 @@
 #include <algorithm>
 #include <boost/asio/post.hpp>
 #include <iterator>
+#include <utility>
 
 namespace badgerbridge::etcd {
 
@@ -20,17 +21,15 @@
   return follower;
 }
 
-Status Malformed() { return {Code::kInternal, Ending::kMalformed, "no such message"}; }
-
 }  // namespace
 
 template <typename Step>
-auto FollowerLink::Guarded(Step step) {
-  return [this, alive = alive_, number = channel_number_, step = std::move(step)](auto&&... arguments) {
-    if (!*alive || number != channel_number_) return;
+auto FollowerLink::GuardedCallback(Step step) {
+  return [this, is_alive = is_alive_, number = channel_number_, step = std::move(step)](auto&&... arguments) {
+    if (!*is_alive || number != channel_number_) return;
     Follower::Actions actions;
     step(&actions, std::forward<decltype(arguments)>(arguments)...);
-    Perform(std::move(actions));
+    PerformAll(std::move(actions));
   };
 }
 
@@ -41,11 +40,12 @@
       callbacks_(std::move(callbacks)),
       follower_(CompleteSettings(settings_), seed),
       timer_(io) {
-  boost::asio::post(io_, Guarded([this](auto* actions) { follower_.Tick(Now(), actions); }));
+  boost::asio::post(io_,
+                    GuardedCallback([this](Follower::Actions* actions) { follower_.Tick(Now(), actions); }));
 }
 
 FollowerLink::~FollowerLink() {
-  *alive_ = false;
+  *is_alive_ = false;
   if (channel_) channel_->Close("it is not wanted any more");
 }
 
@@ -55,16 +55,17 @@
   return Time(now.tv_sec * 1000 + now.tv_nsec / 1000000);
 }
 
-void FollowerLink::Perform(Follower::Actions actions) {
+// An action may cause inputs, whose actions are queued behind it.
+void FollowerLink::PerformAll(Follower::Actions actions) {
   std::move(actions.begin(), actions.end(), std::back_inserter(queue_));
-  if (performing_) return;
-  performing_ = true;
+  if (is_performing_) return;
+  is_performing_ = true;
   while (!queue_.empty()) {
     Follower::Action next = std::move(queue_.front());
     queue_.pop_front();
-    std::visit([this](auto& action) { Do(action); }, next);
+    std::visit([this](auto& action) { Perform(action); }, next);
   }
-  performing_ = false;
+  is_performing_ = false;
   ArmTimer();
 }
 
@@ -73,112 +74,125 @@
 }
 
 void FollowerLink::OnTimer() {
-  if (channel_ && channel_->Postpones(&unread_))
+  if (channel_ && channel_->Postpones(&read_grace_))
     return timer_.ArmAfter(net::ReadGrace::kPause, [this] { OnTimer(); });
   Follower::Actions actions;
   follower_.Tick(Now(), &actions);
-  Perform(std::move(actions));
+  PerformAll(std::move(actions));
 }
 
 template <typename Response>
 void FollowerLink::Call(const std::string& path, const std::string& request,
-                        std::function<void(Status, Response)> completed) {
-  channel_->Unary(path, metadata_, request, settings_.follower.call_timeout,
-                  [completed = std::move(completed)](Status status, const std::string& body) {
-                    Response response;
-                    if (status.ok() && !response.ParseFromString(body)) status = Malformed();
-                    completed(std::move(status), std::move(response));
-                  });
+                        std::function<void(Status, Response)> on_completed) {
+  const auto parse = [on_completed = std::move(on_completed)](Status status, const std::string& body) {
+    Response response;
+    if (status.ok() && !response.ParseFromString(body)) status = MalformedResponse();
+    on_completed(std::move(status), std::move(response));
+  };
+  channel_->CallUnary(path, metadata_, request, settings_.follower.call_timeout, parse);
 }
 
-void FollowerLink::Do(Follower::Connect& action) {
-  if (channel_) channel_->Close("another connection is tried");
+void FollowerLink::ForgetChannel() {
   ++channel_number_;
-  watch_ = -1;
-  ready_for_calls_ = false;
+  watch_.reset();
+  is_ready_for_calls_ = false;
+}
+
+void FollowerLink::Perform(Follower::Connect& action) {
+  if (channel_) channel_->Close("another connection is tried");
+  ForgetChannel();
   metadata_.clear();
-  channel_ = Channel::Open(
-      io_, settings_.endpoints[action.endpoint], settings_.channel, Guarded([this](auto* actions) {
-        ready_for_calls_ = settings_.user.empty();
-        follower_.Opened(Now(), actions);
-      }),
-      Guarded([this](auto* actions, const std::string& why) { follower_.Closed(Now(), why, actions); }));
+  const auto on_open = GuardedCallback([this](Follower::Actions* actions) {
+    is_ready_for_calls_ = settings_.user.empty();
+    follower_.Opened(Now(), actions);
+  });
+  const auto on_closed = GuardedCallback([this](Follower::Actions* actions, const ConnectionError& error) {
+    follower_.Closed(Now(), error, actions);
+  });
+  channel_ = Channel::Open(io_, settings_.endpoints[action.endpoint], settings_.channel, on_open, on_closed);
 }
 
-void FollowerLink::Do(Follower::Authenticate&) {
+void FollowerLink::Perform(Follower::Authenticate&) {
   pb::AuthenticateRequest request;
   request.set_name(settings_.user);
   request.set_password(settings_.password);
-  Call<pb::AuthenticateResponse>(
-      "/etcdserverpb.Auth/Authenticate", request.SerializeAsString(),
-      Guarded([this](auto* actions, const Status& status, const pb::AuthenticateResponse& response) {
+  const auto on_completed = GuardedCallback(
+      [this](Follower::Actions* actions, const Status& status, const pb::AuthenticateResponse& response) {
         if (status.ok()) metadata_ = {{"token", response.token()}};
-        ready_for_calls_ = status.ok();
+        is_ready_for_calls_ = status.ok();
         follower_.Authenticated(Now(), status, actions);
-      }));
+      });
+  Call<pb::AuthenticateResponse>("/etcdserverpb.Auth/Authenticate", request.SerializeAsString(),
+                                 on_completed);
 }
 
-void FollowerLink::Do(Follower::Range& action) {
-  Call<pb::RangeResponse>("/etcdserverpb.KV/Range", action.request.SerializeAsString(),
-                          Guarded([this](auto* actions, const Status& status, pb::RangeResponse response) {
-                            follower_.RangeCompleted(Now(), status, std::move(response), actions);
-                          }));
+void FollowerLink::Perform(Follower::Range& action) {
+  const auto on_completed =
+      GuardedCallback([this](Follower::Actions* actions, const Status& status, pb::RangeResponse response) {
+        follower_.RangeCompleted(Now(), status, std::move(response), actions);
+      });
+  Call<pb::RangeResponse>("/etcdserverpb.KV/Range", action.request.SerializeAsString(), on_completed);
 }
 
-void FollowerLink::Do(Follower::Watch& action) {
-  if (watch_ >= 0) channel_->Cancel(std::exchange(watch_, -1));
-  const auto current = std::make_shared<bool>(true);  // until this watch has ended or was replaced
+void FollowerLink::OnWatchMessage(std::string_view message, Follower::Actions* actions) {
+  pb::WatchResponse response;
+  if (response.ParseFromArray(message.data(), static_cast<int>(message.size()))) {
+    follower_.WatchReceived(Now(), std::move(response), actions);
+  } else {
+    follower_.WatchEnded(Now(), MalformedResponse(), actions);
+  }
+}
+
+void FollowerLink::Perform(Follower::Watch& action) {
+  if (watch_) channel_->CancelCall(*std::exchange(watch_, std::nullopt));
+  const auto is_current = std::make_shared<bool>(true);  // until this watch has ended or was replaced
+  const auto on_message = GuardedCallback(
+      [this](Follower::Actions* actions, std::string_view message) { OnWatchMessage(message, actions); });
+  const auto on_end = GuardedCallback([this](Follower::Actions* actions, const Status& status) {
+    follower_.WatchEnded(Now(), status, actions);
+  });
   CallHandler handler;
-  handler.on_message = [current, received = Guarded([this](auto* actions, std::string_view text) {
-                                   pb::WatchResponse response;
-                                   if (response.ParseFromArray(text.data(), static_cast<int>(text.size()))) {
-                                     follower_.WatchReceived(Now(), std::move(response), actions);
-                                   } else {
-                                     follower_.WatchEnded(Now(), Malformed(), actions);
-                                   }
-                                 })](std::string_view text) {
-    if (*current) received(text);
+  handler.on_message = [is_current, on_message](std::string_view message) {
+    if (*is_current) on_message(message);
   };
-  const auto ended =
-      Guarded([this](auto* actions, const Status& status) { follower_.WatchEnded(Now(), status, actions); });
-  handler.on_end = [current, ended](const Status& status) {
-    *current = false;
-    if (status.ending != Ending::kCancelled) ended(status);
+  handler.on_end = [is_current, on_end](const Status& status) {
+    *is_current = false;
+    if (status.ending != Ending::kCancelled) on_end(status);
   };
-  watch_ = channel_->Begin("/etcdserverpb.Watch/Watch", metadata_, action.request.SerializeAsString(), false,
-                           std::move(handler));
-  if (watch_ >= 0) return;
+  watch_ = channel_->BeginCall("/etcdserverpb.Watch/Watch", metadata_, action.request.SerializeAsString(),
+                               false, std::move(handler));
+  if (watch_) return;
   const Status refused{Code::kUnavailable, Ending::kRefused, "the connection takes no more calls"};
-  boost::asio::post(io_, [ended, refused] { ended(refused); });
+  boost::asio::post(io_, [on_end, refused] { on_end(refused); });
 }
 
-void FollowerLink::Do(Follower::AddWatch& action) {
-  if (channel_ && watch_ >= 0) channel_->Send(watch_, action.request.SerializeAsString(), false);
+void FollowerLink::SendOnWatch(const pb::WatchRequest& request) {
+  if (channel_ && watch_) channel_->SendMessage(*watch_, request.SerializeAsString(), false);
 }
 
-void FollowerLink::Do(Follower::RequestProgress&) { RequestProgress(); }
+void FollowerLink::Perform(Follower::AddWatch& action) { SendOnWatch(action.request); }
+
+void FollowerLink::Perform(Follower::RequestProgress&) { RequestProgress(); }
 
 void FollowerLink::RequestProgress() {
   pb::WatchRequest request;
   request.mutable_progress_request();
-  if (channel_ && watch_ >= 0) channel_->Send(watch_, request.SerializeAsString(), false);
+  SendOnWatch(request);
 }
 
-void FollowerLink::Reject(const std::string& why) {
+void FollowerLink::Reject(const std::string& reason) {
   Follower::Actions actions;
-  follower_.Reject(Now(), why, &actions);
-  Perform(std::move(actions));
+  follower_.Reject(Now(), reason, &actions);
+  PerformAll(std::move(actions));
 }
 
-void FollowerLink::Do(Follower::Close& action) {
-  ++channel_number_;
-  watch_ = -1;
-  ready_for_calls_ = false;
-  if (channel_) channel_->Close(action.why);
+void FollowerLink::Perform(Follower::Close& action) {
+  ForgetChannel();
+  if (channel_) channel_->Close(Message(action.error));
   channel_.reset();
 }
 
-void FollowerLink::Do(Follower::SnapshotPage& action) {
+void FollowerLink::Perform(Follower::SnapshotPage& action) {
   if (callbacks_.on_snapshot_page) return callbacks_.on_snapshot_page(std::move(action));
   if (!callbacks_.on_snapshot) return;
   if (action.first) snapshot_.clear();
@@ -186,30 +200,30 @@
   if (action.last) callbacks_.on_snapshot(action.cluster_id, action.revision, std::exchange(snapshot_, {}));
 }
 
-void FollowerLink::Do(Follower::Events& action) {
+void FollowerLink::Perform(Follower::Events& action) {
   if (callbacks_.on_section_events) return callbacks_.on_section_events(std::move(action));
   if (callbacks_.on_events)
     callbacks_.on_events(action.cluster_id, action.revision, std::move(action.events));
 }
 
-void FollowerLink::Do(Follower::Progress& action) {
+void FollowerLink::Perform(Follower::Progress& action) {
   if (callbacks_.on_progress) callbacks_.on_progress(action.revision);
 }
 
-void FollowerLink::Do(Follower::Disconnected& action) {
-  ready_for_calls_ = false;
-  if (callbacks_.on_disconnected) callbacks_.on_disconnected(action.why);
+void FollowerLink::Perform(Follower::Disconnected& action) {
+  is_ready_for_calls_ = false;
+  if (callbacks_.on_disconnected) callbacks_.on_disconnected(action.error);
 }
 
-// Its result is posted: a connection that ends here ends its calls from within.
+// The result is posted, since a connection that ends within this function ends its calls from within.
 void FollowerLink::Confirm(OnConfirmed done) {
-  auto post_result = [&io = io_, alive = alive_, done = std::move(done)](Status status,
-                                                                         pb::RangeResponse response) {
-    boost::asio::post(io, [alive, done, status, header = response.header()] {
-      if (*alive) done(status, header);
+  auto post_result = [&io = io_, is_alive = is_alive_, done = std::move(done)](Status status,
+                                                                               pb::RangeResponse response) {
+    boost::asio::post(io, [is_alive, done, status, header = response.header()] {
+      if (*is_alive) done(status, header);
     });
   };
-  if (!channel_ || !channel_->is_open() || !ready_for_calls_) {
+  if (!channel_ || !channel_->is_open() || !is_ready_for_calls_) {
     post_result({Code::kUnavailable, Ending::kStatus, "no connection to confirm a revision"}, {});
     return;
   }
--- a/src/etcd/grpc.cpp
+++ b/src/etcd/grpc.cpp
@@ -3,15 +3,19 @@
 
 #include <algorithm>
 #include <charconv>
+#include <cstdint>
 #include <cstdio>
 
 namespace badgerbridge::etcd {
 namespace {
 
-constexpr std::size_t kPrefix = 5;
+constexpr std::size_t kPrefixBytes = 5;           // PROTOCOL-HTTP2, "Length-Prefixed-Message"
+constexpr std::size_t kHeaderOverheadBytes = 32;  // of each field; RFC 9113, section 6.5.2
+constexpr std::size_t kMaxStatusMessageBytes = 1024;
+constexpr int kHttpOk = 200;
 
 // "HTTP to gRPC Status Code Mapping" of the gRPC documentation.
-Code FromHttp(int status) {
+Code CodeFromHttpStatus(int status) {
   switch (status) {
     case 400:
       return Code::kInternal;
@@ -31,50 +35,29 @@
   }
 }
 
-int HexDigit(char c) {
-  if (c >= '0' && c <= '9') return c - '0';
-  if (c >= 'a' && c <= 'f') return c - 'a' + 10;
-  if (c >= 'A' && c <= 'F') return c - 'A' + 10;
+int HexDigitValue(char digit) {
+  if (digit >= '0' && digit <= '9') return digit - '0';
+  if (digit >= 'a' && digit <= 'f') return digit - 'a' + 10;
+  if (digit >= 'A' && digit <= 'F') return digit - 'A' + 10;
   return -1;
 }
 
-}  // namespace
-
-std::string_view Name(Code code) {
-  constexpr std::string_view kNames[] = {
-      "OK",        "CANCELLED",      "UNKNOWN",           "INVALID_ARGUMENT",   "DEADLINE_EXCEEDED",
-      "NOT_FOUND", "ALREADY_EXISTS", "PERMISSION_DENIED", "RESOURCE_EXHAUSTED", "FAILED_PRECONDITION",
-      "ABORTED",   "OUT_OF_RANGE",   "UNIMPLEMENTED",     "INTERNAL",           "UNAVAILABLE",
-      "DATA_LOSS", "UNAUTHENTICATED"};
-  return kNames[static_cast<int>(code)];
+// False if the text is not a number and nothing else.
+bool ParseNumber(std::string_view text, int* number) {
+  const char* const text_end = text.data() + text.size();
+  const auto [end, error] = std::from_chars(text.data(), text_end, *number);
+  return error == std::errc() && end == text_end;
 }
 
-std::string_view Name(Ending ending) {
-  constexpr std::string_view kNames[] = {
-      "status",          "no status", "HTTP status", "stream reset",      "refused",
-      "connection lost", "too large", "malformed",   "no answer in time", "given up"};
-  return kNames[static_cast<int>(ending)];
+bool IsGrpcContentType(std::string_view value) {
+  return value == "application/grpc" || value.rfind("application/grpc+", 0) == 0 ||
+         value.rfind("application/grpc;", 0) == 0;
 }
 
-bool Status::Retriable() const {
-  switch (ending) {
-    case Ending::kStatus:
-      return code == Code::kUnavailable || code == Code::kAborted || code == Code::kDeadlineExceeded;
-    case Ending::kCancelled:
-      return false;
-    default:
-      return true;
-  }
-}
-
-std::string Status::Text() const {
-  std::string text(Name(code));
-  if (ending != Ending::kStatus) text += " (" + std::string(Name(ending)) + ")";
-  return message.empty() ? text : text + ": " + message;
-}
+}  // namespace
 
-std::string Frame(std::string_view message) {
-  std::string framed(kPrefix, '\0');
+std::string FrameMessage(std::string_view message) {
+  std::string framed(kPrefixBytes, '\0');
   const auto size = static_cast<std::uint32_t>(message.size());
   for (int i = 0; i < 4; ++i)
     framed[static_cast<std::size_t>(4 - i)] = static_cast<char>(size >> (8 * i) & 0xff);
@@ -82,98 +65,107 @@
   return framed;
 }
 
-bool Unframer::Feed(std::string_view bytes, const std::function<void(std::string_view)>& each) {
-  if (error_.code != Code::kOk) return false;
-  while (!bytes.empty() || pending_.size() >= kPrefix) {
-    if (pending_.size() < kPrefix) {
-      const std::size_t take = std::min(kPrefix - pending_.size(), bytes.size());
-      pending_.append(bytes.substr(0, take));
-      bytes.remove_prefix(take);
-      if (pending_.size() < kPrefix) return true;
-    }
-    if (pending_[0] != 0) {
-      error_ = {Code::kInternal, Ending::kMalformed, "a compressed message, though none was asked for"};
-      return false;
-    }
-    std::size_t size = 0;
-    for (std::size_t i = 1; i < kPrefix; ++i) size = size << 8 | static_cast<unsigned char>(pending_[i]);
-    if (size > most_) {
-      error_ = {
-          Code::kResourceExhausted, Ending::kTooLarge,
-          "a message of " + std::to_string(size) + " bytes; at most " + std::to_string(most_) + " are taken"};
-      return false;
-    }
-    const std::size_t take = std::min(kPrefix + size - pending_.size(), bytes.size());
-    pending_.append(bytes.substr(0, take));
-    bytes.remove_prefix(take);
-    if (pending_.size() < kPrefix + size) return true;
-    const std::string whole = std::move(pending_);
+Result<void> MessageDeframer::Feed(std::string_view bytes,
+                                   const std::function<void(std::string_view)>& on_message) {
+  if (!error_.ok()) return error_;
+  while (!bytes.empty() || pending_.size() >= kPrefixBytes) {
+    if (!FillPendingTo(kPrefixBytes, &bytes)) return {};
+    error_ = CheckPrefix();
+    if (!error_.ok()) return error_;
+    if (!FillPendingTo(kPrefixBytes + PendingMessageBytes(), &bytes)) return {};
+    const std::string framed = std::move(pending_);
     pending_.clear();
-    each(std::string_view(whole).substr(kPrefix));
+    on_message(std::string_view(framed).substr(kPrefixBytes));
   }
-  return true;
+  return {};
+}
+
+// Moves bytes to the pending message until it has that size; false if there are too few.
+bool MessageDeframer::FillPendingTo(std::size_t size, std::string_view* bytes) {
+  if (pending_.size() >= size) return true;
+  const std::size_t taken = std::min(size - pending_.size(), bytes->size());
+  pending_.append(bytes->substr(0, taken));
+  bytes->remove_prefix(taken);
+  return pending_.size() == size;
+}
+
+Status MessageDeframer::CheckPrefix() const {
+  if (pending_[0] != 0)
+    return {Code::kInternal, Ending::kMalformed, "a compressed message, though none was asked for"};
+  const std::size_t size = PendingMessageBytes();
+  if (size > max_message_bytes_)
+    return {Code::kResourceExhausted, Ending::kTooLarge,
+            "a message of " + std::to_string(size) + " bytes; at most " + std::to_string(max_message_bytes_) +
+                " are taken"};
+  return {};
+}
+
+std::size_t MessageDeframer::PendingMessageBytes() const {
+  std::size_t size = 0;
+  for (std::size_t i = 1; i < kPrefixBytes; ++i) size = size << 8 | static_cast<unsigned char>(pending_[i]);
+  return size;
 }
 
-bool StatusReader::Header(std::string_view name, std::string_view value) {
-  size_ += name.size() + value.size() + 32;  // as RFC 9113, section 6.5.2, counts
-  if (size_ > kMostHeaders) return false;
+bool ResponseStatus::AddHeader(std::string_view name, std::string_view value) {
+  header_list_bytes_ += name.size() + value.size() + kHeaderOverheadBytes;
+  if (header_list_bytes_ > kMaxHeaderListBytes) return false;
   if (name == ":status") {
-    const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), http_status_);
-    if (error != std::errc() || end != value.data() + value.size()) bad_ = true;
+    if (!ParseNumber(value, &http_status_)) is_malformed_ = true;
   } else if (name == "content-type") {
-    grpc_type_ = value == "application/grpc" || value.rfind("application/grpc+", 0) == 0 ||
-                 value.rfind("application/grpc;", 0) == 0;
+    has_grpc_content_type_ = IsGrpcContentType(value);
   } else if (name == "grpc-status") {
-    const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), grpc_status_);
-    if (error != std::errc() || end != value.data() + value.size() || grpc_status_ < 0) bad_ = true;
+    if (!ParseNumber(value, &grpc_status_) || grpc_status_ < 0) is_malformed_ = true;
   } else if (name == "grpc-message") {
-    message_ = DecodeMessage(value).substr(0, 1024);
+    message_ = DecodeStatusMessage(value).substr(0, kMaxStatusMessageBytes);
   }
   return true;
 }
 
-Status StatusReader::AtEnd(bool whole, std::size_t messages, bool unary) const {
-  if (bad_) return {Code::kUnknown, Ending::kMalformed, "a status that is no number"};
-  if (http_status_ != 200)
-    return {FromHttp(http_status_), Ending::kHttpStatus, "HTTP " + std::to_string(http_status_)};
-  // A status counts also where the content type is missing: trailers alone.
-  if (grpc_status_ < 0 && !grpc_type_) return {Code::kUnknown, Ending::kHttpStatus, "the answer is no gRPC"};
+Status ResponseStatus::AtEndOfStream(const ReceivedBody& body) const {
+  if (is_malformed_) return {Code::kUnknown, Ending::kMalformed, "a status that is no number"};
+  if (http_status_ != kHttpOk)
+    return {CodeFromHttpStatus(http_status_), Ending::kHttpStatus, "HTTP " + std::to_string(http_status_)};
+  // A status counts also where the content type is missing: Trailers-Only.
+  if (grpc_status_ < 0 && !has_grpc_content_type_)
+    return {Code::kUnknown, Ending::kHttpStatus, "the answer is no gRPC"};
   if (grpc_status_ < 0) return {Code::kUnknown, Ending::kNoStatus, "the stream ended without a status"};
-  const Code code = grpc_status_ <= 16 ? static_cast<Code>(grpc_status_) : Code::kUnknown;
-  if (code == Code::kOk && !whole)
+  const Code code = grpc_status_ <= kMaxCode ? static_cast<Code>(grpc_status_) : Code::kUnknown;
+  if (code == Code::kOk && body.ends_within_message)
     return {Code::kInternal, Ending::kMalformed, "the stream ended within a message"};
-  if (code == Code::kOk && unary && messages != 1)
+  if (code == Code::kOk && body.is_unary && body.messages != 1)
     return {Code::kInternal, Ending::kMalformed,
-            messages == 0 ? "a status and no message" : "more than one message for one call"};
+            body.messages == 0 ? "a status and no message" : "more than one message for one call"};
   return {code, Ending::kStatus, message_};
 }
 
-std::string DecodeMessage(std::string_view text) {
-  std::string out;
+std::string DecodeStatusMessage(std::string_view text) {
+  std::string decoded;
   for (std::size_t i = 0; i < text.size(); ++i) {
-    if (text[i] == '%' && i + 2 < text.size() + 0 && HexDigit(text[i + 1]) >= 0 &&
-        HexDigit(text[i + 2]) >= 0) {
-      out += static_cast<char>(HexDigit(text[i + 1]) * 16 + HexDigit(text[i + 2]));
-      i += 2;
-    } else {
-      out += text[i];
+    const bool is_escape = text[i] == '%' && i + 2 < text.size() && HexDigitValue(text[i + 1]) >= 0 &&
+                           HexDigitValue(text[i + 2]) >= 0;
+    if (!is_escape) {
+      decoded += text[i];
+      continue;
     }
+    decoded += static_cast<char>(HexDigitValue(text[i + 1]) * 16 + HexDigitValue(text[i + 2]));
+    i += 2;
   }
-  return out;
+  return decoded;
 }
 
-std::string EncodeMessage(std::string_view text) {
-  std::string out;
-  for (const char c : text) {
-    if (c >= ' ' && c <= '~' && c != '%') {
-      out += c;
-    } else {
-      char hex[4];
-      std::snprintf(hex, sizeof hex, "%%%02X", static_cast<unsigned>(static_cast<unsigned char>(c)));
-      out += hex;
+std::string EncodeStatusMessage(std::string_view text) {
+  std::string encoded;
+  for (const char character : text) {
+    if (character >= ' ' && character <= '~' && character != '%') {
+      encoded += character;
+      continue;
     }
+    char escape[4];
+    std::snprintf(escape, sizeof escape, "%%%02X",
+                  static_cast<unsigned>(static_cast<unsigned char>(character)));
+    encoded += escape;
   }
-  return out;
+  return encoded;
 }
 
 }  // namespace badgerbridge::etcd
--- /dev/null
+++ b/src/etcd/http2_client.h
@@ -0,0 +1,104 @@
+// SPDX-License-Identifier: Apache-2.0
+
+/// \file
+/// The client's side of an HTTP/2 connection (RFC 9113) that carries gRPC calls (PROTOCOL-HTTP2 of the gRPC
+/// documentation), without a socket: received bytes go in, bytes to send come out. nghttp2 implements HTTP/2.
+#ifndef BADGERBRIDGE_ETCD_HTTP2_CLIENT_H_
+#define BADGERBRIDGE_ETCD_HTTP2_CLIENT_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "etcd/error.h"
+#include "etcd/grpc.h"
+#include "etcd/header_field.h"
+#include "etcd/http2_session_ptr.h"
+
+namespace badgerbridge::etcd {
+
+/// A call on a connection: its stream identifier (RFC 9113, section 5.1.1).
+using CallId = std::int32_t;
+
+/// What a call delivers. Both functions may use the client, and may cancel this very call.
+struct CallHandler {
+  /// Called for each message of the response.
+  std::function<void(std::string_view)> on_message;
+  /// Called exactly once; neither function is called after it.
+  std::function<void(const Status&)> on_end;
+};
+
+/// Limits of a client's connection.
+struct Http2Limits {
+  std::size_t max_message_bytes = 4 << 20;  ///< Of one message of a response.
+  std::size_t max_unsent_bytes = 8 << 20;   ///< Of messages that wait for the server's windows, in all.
+  std::size_t max_concurrent_calls = 64;    ///< Further calls are not begun.
+};
+
+/// Whether a request's `:scheme` is "http" or "https" (RFC 9113, section 8.3.1).
+enum class Scheme {
+  kHttp,   ///< Cleartext.
+  kHttps,  ///< TLS carries the connection.
+};
+
+/// One connection. Not thread-safe.
+class Http2Client {
+ public:
+  /// `authority` is the requests' `:authority`.
+  explicit Http2Client(std::string authority, Http2Limits limits = {}, Scheme scheme = Scheme::kHttp);
+  /// Ends every open call as lost.
+  ~Http2Client();
+  Http2Client(const Http2Client&) = delete;
+  Http2Client& operator=(const Http2Client&) = delete;
+
+  /// Begins a call of `path`, "/package.Service/Method", with its first message. With `last` that is the
+  /// only message of the request, and exactly one is due in response. Nothing if the connection takes no more
+  /// calls; the handler is not used then.
+  std::optional<CallId> BeginCall(const std::string& path, const HeaderFields& metadata,
+                                  std::string_view message, bool last, CallHandler handler);
+  /// Sends a further message of a call begun without `last`. False if the call has ended, its last message
+  /// was sent, or too much is unsent.
+  bool SendMessage(CallId call, std::string_view message, bool last);
+  /// Ends the call at once, as kCancelled or kTimeout, and calls its handler, unless it has ended.
+  void CancelCall(CallId call, Ending ending = Ending::kCancelled);
+
+  /// Processes received bytes; handlers run within. After an error the connection cannot be used further.
+  ConnectionResult Feed(std::string_view bytes);
+  /// All bytes that can be sent now.
+  std::string TakeOutput();
+  /// Sends a PING (RFC 9113, section 6.7).
+  void Ping();
+  /// Ends all calls, as the connection has ended.
+  void ConnectionLost(const ConnectionError& error);
+
+  std::uint64_t pongs() const { return pongs_; }            ///< Answers to PINGs.
+  bool going_away() const { return going_away_; }           ///< GOAWAY was received: no further calls.
+  std::size_t open_calls() const { return calls_.size(); }  ///< Calls that have not ended.
+
+ private:
+  struct Call;
+  struct Callbacks;
+
+  void EndCall(CallId id, const Status& status);
+  Status StatusAtClose(CallId id, const Call& call, std::uint32_t http2_error) const;
+
+  Http2SessionPtr session_;
+  std::string authority_;
+  std::string scheme_;
+  Http2Limits limits_;
+  std::map<CallId, std::unique_ptr<Call>> calls_;
+  std::size_t unsent_bytes_ = 0;  // of all calls
+  std::uint64_t pongs_ = 0;
+  bool going_away_ = false;
+  CallId last_processed_ = INT32_MAX;  // by the server, as its GOAWAY says
+  std::optional<ConnectionError> error_;
+};
+
+}  // namespace badgerbridge::etcd
+
+#endif  // BADGERBRIDGE_ETCD_HTTP2_CLIENT_H_
--- a/src/etcd/http2_server.h
+++ b/src/etcd/http2_server.h
@@ -1,11 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// The server's side of an HTTP/2 connection (RFC 9113) that carries gRPC calls, without a socket: the twin of
-// Http2Client. Bytes that came are fed, bytes to send are asked for; nghttp2 does the protocol. What a peer
-// can make it hold is bounded: calls, header bytes, the size of a message, and what waits to be sent.
+
+/// \file
+/// The server's side of an HTTP/2 connection (RFC 9113) that carries gRPC calls (PROTOCOL-HTTP2 of the gRPC
+/// documentation), without a socket: received bytes go in, bytes to send come out. nghttp2 implements HTTP/2.
+/// What a peer can make it hold is bounded: calls, header bytes, the size of a message, and unsent bytes.
 #ifndef BADGERBRIDGE_ETCD_HTTP2_SERVER_H_
 #define BADGERBRIDGE_ETCD_HTTP2_SERVER_H_
 
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -13,114 +15,132 @@
 #include <optional>
 #include <string>
 #include <string_view>
-#include <utility>
-#include <vector>
 
+#include "etcd/error.h"
 #include "etcd/grpc.h"
-
-struct nghttp2_session;
+#include "etcd/header_field.h"
+#include "etcd/http2_session_ptr.h"
 
 namespace badgerbridge::etcd {
 
+/// A call on a connection: its stream identifier (RFC 9113, section 5.1.1).
 using StreamId = std::int32_t;
 
-// The headers of a call that servers of etcd's API ask for; those that did not come are empty.
-struct CallHead {
-  std::string method, path, content_type, te, token;
+/// The headers of a call that matter to servers of etcd's API. Those that were not sent are empty.
+struct CallHeaders {
+  std::string method;        ///< `:method`.
+  std::string path;          ///< `:path`, "/package.Service/Method".
+  std::string content_type;  ///< `content-type`.
+  std::string te;            ///< `te`.
+  std::string token;         ///< `token`: etcd's authentication token.
 
-  // As gRPC wants it: POST, application/grpc, trailers taken.
+  /// Whether it is a gRPC request, as PROTOCOL-HTTP2 defines it: POST, application/grpc, te: trailers.
   bool IsGrpc() const;
 };
 
-// What is told of a connection's calls. Each runs within Feed, TakeOutput or Lost; it may use the server, but
-// for those three.
+/// Callbacks for the calls of a connection. Each runs within Feed, TakeOutput or ConnectionLost; it may use
+/// the server, except for these three.
 struct Http2ServerHandler {
-  std::function<void(StreamId, const CallHead&)> on_call;
+  /// A call has begun.
+  std::function<void(StreamId, const CallHeaders&)> on_call;
+  /// A message of the request is complete.
   std::function<void(StreamId, std::string_view)> on_message;
-  std::function<void(StreamId)> on_half_closed;  // the client sends nothing more
-  // The call is over, answered or given up; nothing comes after it. Once for each on_call.
+  /// The client sends nothing more in this call.
+  std::function<void(StreamId)> on_half_closed;
+  /// The call is over, answered or not. Exactly once for each on_call; nothing is called for it afterwards.
   std::function<void(StreamId)> on_closed;
-  std::function<void(const std::string& why)> on_violation;  // of the protocol, by the client
+  /// The client has violated the protocol. Its call is reset, or the connection is lost.
+  std::function<void(const ProtocolError&)> on_protocol_error;
 };
 
+/// Limits of a server's connection.
 struct Http2ServerLimits {
-  std::size_t message = 4 << 20;        // bytes of one message of the client's
-  std::size_t header_bytes = 16 << 10;  // of one call's headers
-  std::size_t calls = 100;              // at once
-  // Bytes that wait for the client's windows, in all: at the bound nothing more is taken, so that at most one
-  // message goes beyond it.
-  std::size_t unsent = 8 << 20;
+  std::size_t max_message_bytes = 4 << 20;  ///< Of one message of a request.
+  std::size_t max_header_bytes = 16 << 10;  ///< Of the headers of one call.
+  std::size_t max_concurrent_calls = 100;   ///< Announced as SETTINGS_MAX_CONCURRENT_STREAMS.
+  /// Of messages that wait for the client's windows, in all. At the limit no further message is accepted, so
+  /// that at most one goes beyond it.
+  std::size_t max_unsent_bytes = 8 << 20;
 };
 
-// RFC 9113, section 7.
+/// Error codes of HTTP/2 that are used here (RFC 9113, section 7).
 enum class Http2Error : std::uint32_t {
-  kNone = 0x0,
-  kProtocol = 0x1,
-  kInternal = 0x2,
-  kRefusedStream = 0x7,
-  kCancel = 0x8,
-  kEnhanceYourCalm = 0xb,
+  kNone = 0x0,             ///< NO_ERROR.
+  kProtocol = 0x1,         ///< PROTOCOL_ERROR.
+  kInternal = 0x2,         ///< INTERNAL_ERROR.
+  kRefusedStream = 0x7,    ///< REFUSED_STREAM: the call was not processed.
+  kCancel = 0x8,           ///< CANCEL.
+  kEnhanceYourCalm = 0xb,  ///< ENHANCE_YOUR_CALM: excessive load.
 };
 
+/// One connection. Not thread-safe.
 class Http2Server {
  public:
+  /// Sends its settings with the first output.
   Http2Server(Http2ServerLimits limits, Http2ServerHandler handler);
-  ~Http2Server();  // tells nobody; Lost does
+  /// Calls no handler; ConnectionLost does.
+  ~Http2Server();
   Http2Server(const Http2Server&) = delete;
   Http2Server& operator=(const Http2Server&) = delete;
 
-  // ---- an answer: messages, then a status in the trailers
-  // False if the call is over or finished, or too much is unsent.
-  bool Send(StreamId stream, std::string_view message);
-  // The same for bytes that are framed already (grpc.h, Frame).
-  bool SendFrames(StreamId stream, std::string frames);
-  // After what was sent before. Without a message before it, the status goes with the headers.
+  // ---- a response: messages, then a status in the trailers
+
+  /// Sends a message. False if the call is over or finished, or too much is unsent.
+  bool SendMessage(StreamId stream, std::string_view message);
+  /// The same for messages that are already framed (FrameMessage).
+  bool SendFramedMessages(StreamId stream, std::string frames);
+  /// Ends the response with a status, after the messages. Without messages it is Trailers-Only.
   void Finish(StreamId stream, const Status& status);
-  // Headers and nothing else: what is no gRPC answer.
-  void AnswerHeaders(StreamId stream, const std::vector<std::pair<std::string, std::string>>& fields);
-  // Ends the body without a status, as no gRPC server may: a fault for tests of clients.
+  /// A response of headers alone, which is not gRPC's.
+  void SendHeadersOnly(StreamId stream, const HeaderFields& fields);
+  /// Ends the body without a status, which gRPC does not allow: a fault for tests of clients.
   void FinishWithoutStatus(StreamId stream);
+  /// Ends the call with RST_STREAM (RFC 9113, section 6.4).
   void Reset(StreamId stream, Http2Error error);
 
   // ---- the connection
-  // False: the connection can't be gone on with, and error() says why.
-  bool Feed(std::string_view bytes);
-  // At most about `enough` bytes, a frame more; empty if nothing can be sent now.
+
+  /// Processes received bytes. After an error the connection cannot be used further.
+  ConnectionResult Feed(std::string_view bytes);
+  /// Bytes to send, at least `enough` unless there are fewer; the last frame may go beyond it. Empty if
+  /// nothing can be sent now.
   std::string TakeOutput(std::size_t enough = kOutputBytes);
+  /// Sends a PING (RFC 9113, section 6.7).
   void Ping();
-  std::uint64_t pongs() const { return pongs_; }
-  // Takes no further calls; those up to `last`, else those that have begun, go on. What comes later is known
-  // to its client as never processed.
+  /// Sends GOAWAY (RFC 9113, section 6.8): accepts no further calls. Those up to stream `last`, by default
+  /// all that have begun, continue; the client learns that later ones were never processed.
   void GoAway(std::optional<StreamId> last = std::nullopt);
-  // The connection has ended: so has every call.
-  void Lost(const std::string& why);
+  /// Ends all calls, as the connection has ended.
+  void ConnectionLost(const ConnectionError& error);
 
-  std::size_t unsent() const { return unsent_; }  // bytes, of all calls
-  std::size_t unsent(StreamId stream) const;
-  std::size_t open() const { return calls_.size(); }
-  // Both sides are done with the connection, all is sent.
-  bool done() const;
-  const std::string& error() const { return error_; }
+  std::uint64_t pongs() const { return pongs_; }              ///< Answers to PINGs.
+  std::size_t unsent_bytes() const { return unsent_bytes_; }  ///< Of messages, in all calls.
+  std::size_t unsent_bytes(StreamId stream) const;            ///< Of messages of one call.
+  std::size_t open_calls() const { return calls_.size(); }    ///< Calls that are not over.
+  /// Whether both sides are done with the connection and everything is sent.
+  bool IsDone() const;
 
-  static constexpr std::size_t kOutputBytes = 64 << 10;
+  static constexpr std::size_t kOutputBytes = 64 << 10;  ///< See TakeOutput.
 
  private:
   struct Call;
   struct Callbacks;
 
-  Call* Find(StreamId stream) const;
-  void BeginAnswer(StreamId stream, Call& call);
-  void Resume(StreamId stream, Call& call);
-  void Violation(StreamId stream, Call& call, Http2Error error, const std::string& why);
+  Call* FindCall(StreamId stream) const;
+  void BeginResponse(StreamId stream, Call& call);
+  void SubmitHeadersOnly(StreamId stream, Call& call, const HeaderFields& fields);
+  void ResumeOutput(StreamId stream, Call& call);
+  void RejectCall(StreamId stream, Call& call, Http2Error http2_error, const ProtocolError& error);
+  void SubmitReset(StreamId stream, Http2Error error);
 
-  nghttp2_session* session_ = nullptr;
+  Http2SessionPtr session_;
   Http2ServerLimits limits_;
   Http2ServerHandler handler_;
   std::map<StreamId, std::unique_ptr<Call>> calls_;
-  std::size_t unsent_ = 0;
+  std::size_t unsent_bytes_ = 0;
   std::uint64_t pongs_ = 0;
-  StreamId last_taken_ = INT32_MAX;  // no call beyond it, by GoAway
-  std::string error_;
+  StreamId last_accepted_ = INT32_MAX;  // by GoAway
+  std::optional<ConnectionError> error_;
 };
 
 }  // namespace badgerbridge::etcd
