--- a/tests/standins/etcd_store_test.cpp
+++ b/tests/standins/etcd_store_test.cpp
@@ -42,7 +42,7 @@
   pb::RangeResponse response;
 };
 
-TEST_F(EtcdStoreTest, SortsByEachTargetBothWaysBeforeTheLimit) {
+TEST_F(EtcdStoreTest, Sort_AppliesToEachTargetBeforeLimit) {
   Put("k/c", "1");  // revision 2
   Put("k/a", "3");  // 3
   Put("k/b", "2");  // 4
@@ -72,7 +72,7 @@
   EXPECT_EQ(store.Range(request, &response).code, Code::kInvalidArgument);
 }
 
-TEST_F(EtcdStoreTest, BoundsOfRevisionsChooseAndTheCountIsOfAll) {
+TEST_F(EtcdStoreTest, RevisionLimits_SelectKeysAndCountIsOfAll) {
   for (const char* key : {"k/a", "k/b", "k/c"}) Put(key, "v");  // 2, 3, 4
   Put("k/a", "w");                                              // 5
   pb::RangeRequest request = All("k/");
@@ -88,7 +88,7 @@
   EXPECT_EQ(Keys(request), "k/b");
 }
 
-TEST_F(EtcdStoreTest, APutCanLeaveValueOrLeaseAsTheyAre) {
+TEST_F(EtcdStoreTest, PutThatIgnoresValueOrLease_KeepsThem) {
   pb::LeaseGrantRequest grant;
   grant.set_ttl(10);
   pb::LeaseGrantResponse lease;
@@ -119,7 +119,7 @@
   EXPECT_EQ(store.Put(request, &put).message, "etcdserver: key not found");
 }
 
-TEST_F(EtcdStoreTest, TransactionsNestReadTheirOwnWritesAndAreWhole) {
+TEST_F(EtcdStoreTest, Transactions_NestAndReadTheirOwnWritesAtomically) {
   Put("a", "1");
   pb::TxnRequest txn;
   auto* compare = txn.add_compare();  // over a range: each key of it
@@ -158,7 +158,7 @@
   EXPECT_EQ(store.Txn(txn, &answer).message, "etcdserver: duplicate key given in txn request");
 }
 
-TEST_F(EtcdStoreTest, AFieldThatItDoesNotKnowIsSeenAtAnyDepth) {
+TEST_F(EtcdStoreTest, UnknownField_IsFoundAtAnyDepth) {
   pb::TxnRequest txn;
   auto* inner = txn.add_success()->mutable_request_txn();
   inner->add_failure()->mutable_request_range()->set_key("a");
@@ -174,7 +174,7 @@
   EXPECT_EQ(FieldsOf("/etcdserverpb.KV/Unheard"), nullptr);
 }
 
-TEST_F(EtcdStoreTest, LeasesTellWhatIsLeftAndWhatTheyHold) {
+TEST_F(EtcdStoreTest, TimeToLive_GivesRemainingTimeAndKeys) {
   pb::LeaseGrantRequest grant;
   grant.set_ttl(10);
   grant.set_id(5);
--- a/tests/standins/ledger_test.cpp
+++ b/tests/standins/ledger_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The ledger of what the stand-in backends ran.
 #include <gtest/gtest.h>
 
 #include "standins/backends.h"
@@ -6,12 +8,13 @@
 namespace badgerbridge::standins {
 namespace {
 
+/// A run that begins now.
 Ledger::Run RunOf(const std::string& id, const std::string& key, const std::string& backend,
-                  const std::string& group, bool safe) {
-  return {id, key, backend, group, std::chrono::steady_clock::now(), safe, false};
+                  const std::string& group, bool is_idempotent) {
+  return {id, key, backend, group, std::chrono::steady_clock::now(), is_idempotent, false};
 }
 
-TEST(StandinLedger, AnUnsafeRequestThatRunsTwiceIsDoubled) {
+TEST(StandinLedger, NonIdempotentRequestRunTwice_IsCountedAsDoubled) {
   Ledger ledger;
   EXPECT_TRUE(ledger.Begin(RunOf("a", "", "c1", "g1", false)));
   EXPECT_TRUE(ledger.Begin(RunOf("a", "", "c1", "g1", false)));
@@ -20,14 +23,14 @@
   EXPECT_EQ(ledger.doubled(), 2u);
 }
 
-TEST(StandinLedger, ASafeOneMayRunAgainAndIsCounted) {
+TEST(StandinLedger, IdempotentRequestRunAgain_IsCountedAsRepeat) {
   Ledger ledger;
   for (int i = 0; i < 3; ++i) EXPECT_TRUE(ledger.Begin(RunOf("a", "", "c1", "g1", true)));
   EXPECT_EQ(ledger.doubled(), 0u);
   EXPECT_EQ(ledger.safe_repeats(), 2u);
 }
 
-TEST(StandinLedger, AKeyIsDroppedInItsGroupAndDoubledInAnother) {
+TEST(StandinLedger, SameIdempotencyKey_IsDroppedInItsGroupAndDoubledInAnother) {
   Ledger ledger;
   EXPECT_TRUE(ledger.Begin(RunOf("a", "k", "c1", "g1", false)));
   EXPECT_FALSE(ledger.Begin(RunOf("a.1", "k", "c2", "g1", false)));
