--- a/bench/scale_rig/hollow_process.cpp
+++ b/bench/scale_rig/hollow_process.cpp
@@ -9,7 +9,7 @@
 #include <map>
 #include <stdexcept>
 
-#include "etcd/http2.h"
+#include "etcd/http2_client.h"
 #include "etcd/key_range.h"
 #include "http_api/address.h"
 #include "membership/member_codec.h"
@@ -34,7 +34,7 @@
 class SlowReader {
  public:
   SlowReader(asio::io_context& io, const tcp::endpoint& endpoint, const std::string& prefix)
-      : socket_(io), http2_(http_api::ToText(endpoint), {}, false) {
+      : socket_(io), http2_(http_api::ToText(endpoint)) {
     socket_.open(tcp::v4());
     socket_.set_option(asio::socket_base::receive_buffer_size(4096));  // so that it is slow soon
     socket_.connect(endpoint);
@@ -42,7 +42,7 @@
     auto* create = request.mutable_create_request();
     create->set_key(prefix);
     create->set_range_end(etcd::PrefixRangeEnd(prefix));
-    http2_.Begin("/etcdserverpb.Watch/Watch", {}, request.SerializeAsString(), false, {});
+    http2_.BeginCall("/etcdserverpb.Watch/Watch", {}, request.SerializeAsString(), false, {});
     asio::write(socket_, asio::buffer(http2_.TakeOutput()));
   }
 
--- a/bench/scale_rig/hollow_proxy.cpp
+++ b/bench/scale_rig/hollow_proxy.cpp
@@ -144,7 +144,8 @@
 
 std::string HollowProxy::last_trouble() const {
   for (const auto& follow : follows_) {
-    if (!follow->source->follower().last_error().empty()) return follow->source->follower().last_error();
+    if (!follow->source->follower().last_error_message().empty())
+      return follow->source->follower().last_error_message();
   }
   return "";
 }
--- a/bench/slopes_wire.cpp
+++ b/bench/slopes_wire.cpp
@@ -3,9 +3,10 @@
 // What gRPC over HTTP/2 adds to messages, in bytes and CPU, on either side: the product's client and server
 // with no socket between them. TCP, IP, TLS and system calls are not in it.
 #include <algorithm>
+#include <optional>
 #include <string>
 
-#include "etcd/http2.h"
+#include "etcd/http2_client.h"
 #include "etcd/http2_server.h"
 #include "slopes.h"
 
@@ -32,7 +33,7 @@
   Cost Call(const std::string& question, const std::string& answer) {
     answer_ = answer;
     return Repeated([&] {
-      client_.Begin(
+      client_.BeginCall(
           "/etcdserverpb.KV/Txn", {}, question, true,
           {[](std::string_view) {}, [this](const etcd::Status& status) { answered_ += status.ok(); }});
     });
@@ -40,17 +41,17 @@
 
   // The messages of a stream that is open, such as a watch's; its own start is not counted.
   Cost Stream(const std::string& message) {
-    const etcd::CallId call =
-        client_.Begin("/etcdserverpb.Watch/Watch", {}, "", false,
-                      {[this](std::string_view) { ++answered_; }, [](const etcd::Status&) {}});
+    const std::optional<etcd::CallId> call =
+        client_.BeginCall("/etcdserverpb.Watch/Watch", {}, "", false,
+                          {[this](std::string_view) { ++answered_; }, [](const etcd::Status&) {}});
     streaming_ = true;
     Exchange();
     const Cost cost = Repeated([&] {
       const double before = ThreadCpuMs();
-      server_.Send(stream_, message);
+      server_.SendMessage(stream_, message);
       server_ms_ += ThreadCpuMs() - before;
     });
-    client_.Cancel(call);
+    client_.CancelCall(*call);
     Exchange();
     streaming_ = false;
     return cost;
@@ -65,15 +66,15 @@
  private:
   etcd::Http2ServerHandler Handler() {
     etcd::Http2ServerHandler handler;
-    handler.on_call = [this](etcd::StreamId stream, const etcd::CallHead&) { stream_ = stream; };
+    handler.on_call = [this](etcd::StreamId stream, const etcd::CallHeaders&) { stream_ = stream; };
     handler.on_message = [](etcd::StreamId, std::string_view) {};
     handler.on_half_closed = [this](etcd::StreamId stream) {
       if (streaming_) return;
-      server_.Send(stream, answer_);
+      server_.SendMessage(stream, answer_);
       server_.Finish(stream, {});
     };
     handler.on_closed = [](etcd::StreamId) {};
-    handler.on_violation = [](const std::string&) {};
+    handler.on_protocol_error = [](const etcd::ProtocolError&) {};
     return handler;
   }
 
--- a/src/cli/etcd_commands.cpp
+++ b/src/cli/etcd_commands.cpp
@@ -37,7 +37,7 @@
 
 Outcome Failed(int code, std::string text) { return {"failed", std::move(text), code}; }
 
-Outcome Failed(const etcd::Status& status) { return Failed(CodeOf(status), "etcd: " + status.Text()); }
+Outcome Failed(const etcd::Status& status) { return Failed(CodeOf(status), "etcd: " + status.ToString()); }
 
 asio::awaitable<Outcome> Change(etcd::Client& client, std::string key, membership::MemberState state,
                                 bool dry_run, milliseconds timeout) {
@@ -79,7 +79,7 @@
 int CodeOf(const etcd::Status& status) {
   const bool denied =
       status.code == etcd::Code::kUnauthenticated || status.code == etcd::Code::kPermissionDenied;
-  return denied ? kNotAllowed : status.Retriable() ? kOutOfReach : kSomeDidNot;
+  return denied ? kNotAllowed : status.IsRetriable() ? kOutOfReach : kSomeDidNot;
 }
 
 int ChangeMembers(const EtcdCommand& command, const std::vector<std::string>& names,
--- a/src/cli/zones.cpp
+++ b/src/cli/zones.cpp
@@ -45,7 +45,7 @@
   std::string text;
 };
 
-Failure Of(const etcd::Status& status) { return {CodeOf(status), "etcd: " + status.Text()}; }
+Failure Of(const etcd::Status& status) { return {CodeOf(status), "etcd: " + status.ToString()}; }
 
 // All that the proxies hold in common, as of one revision.
 struct Common {
--- a/src/http_api/acceptor.h
+++ b/src/http_api/acceptor.h
@@ -42,8 +42,9 @@
 inline bool MakeRoom(Connections& connections, std::chrono::milliseconds young) {
   const auto now = std::chrono::steady_clock::now();
   for (const bool asked : {false, true}) {
-    const auto found = std::find_if(connections.begin(), connections.end(), [&](const auto& c) {
-      return c->asked == asked && !c->busy && !c->has_unread() && now - c->since >= young;
+    const auto found = std::find_if(connections.begin(), connections.end(), [&](const auto& connection) {
+      return connection->asked == asked && !connection->busy && !connection->has_unread() &&
+             now - connection->since >= young;
     });
     if (found == connections.end()) continue;
     const auto connection = *found;
--- a/src/membership/etcd_settings.cpp
+++ b/src/membership/etcd_settings.cpp
@@ -22,7 +22,7 @@
 
 etcd::ChannelOptions MakeChannelOptions(const operator_config::EtcdConnectionSettings& table) {
   etcd::ChannelOptions channel;
-  channel.ping_every = table.ping_every;
+  channel.ping_interval = table.ping_every;
   channel.ping_timeout = table.ping_timeout;
   channel.server_name = table.server_name;
   if (!table.certificate.empty())
--- a/src/membership/registration_condition.cpp
+++ b/src/membership/registration_condition.cpp
@@ -8,7 +8,7 @@
     case ConditionReason::kNone:
       return "";
     case ConditionReason::kCallFailed:
-      return condition.subject + ": " + condition.status.Text();
+      return condition.subject + ": " + condition.status.ToString();
     case ConditionReason::kLeaseLost:
       return "the lease was lost";
     case ConditionReason::kStopped:
--- a/src/proxy_main/membership_source.cpp
+++ b/src/proxy_main/membership_source.cpp
@@ -243,7 +243,7 @@
                                             {"revision", source_->follower().revision()},
                                             {"lists", source_->follower().snapshots()},
                                             {"resumes", source_->follower().resumes()},
-                                            {"last_trouble", source_->follower().last_error()}}}};
+                                            {"last_trouble", source_->follower().last_error_message()}}}};
 }
 
 }  // namespace badgerbridge::proxy_main
--- a/src/watch_cache/read_queue.cpp
+++ b/src/watch_cache/read_queue.cpp
@@ -76,7 +76,7 @@
   const Confirmation confirmed = *std::exchange(confirmation_, std::nullopt);
   if (!status.ok()) {
     for (const ArrivalNumber arrival : confirmed.reads) {
-      Fail(arrival, Code::kUnavailable, "the upstream does not confirm a revision: " + status.Text(),
+      Fail(arrival, Code::kUnavailable, "the upstream does not confirm a revision: " + status.ToString(),
            actions);
     }
     IssueConfirmation(now, position, actions);
--- a/src/watch_cache/relay_file.cpp
+++ b/src/watch_cache/relay_file.cpp
@@ -76,10 +76,10 @@
 void ReadReaders(TableReader& table, ServiceSettings* settings) {
   etcd::ServerOptions& server = settings->server;
   ReadReaderTls(table, &server);
-  server.connections = ReadCount(table, "connections", server.connections, kMaxConnections);
+  server.max_connections = ReadCount(table, "connections", server.max_connections, kMaxConnections);
   settings->max_watches_per_connection = ReadCount(
       table, "watches_per_connection", settings->max_watches_per_connection, kMaxWatchesPerConnection);
-  server.ping_every = table.Duration("ping_every", server.ping_every, kMinPing, kMaxPing);
+  server.ping_interval = table.Duration("ping_every", server.ping_interval, kMinPing, kMaxPing);
   server.ping_timeout = table.Duration("ping_timeout", server.ping_timeout, kMinPing, kMaxPing);
   server.idle_timeout = table.Duration("idle_timeout", server.idle_timeout, kMinTimeout, kMaxTimeout);
   server.stall_timeout = table.Duration("stall_timeout", server.stall_timeout, kMinTimeout, kMaxTimeout);
--- a/src/watch_cache/service.cpp
+++ b/src/watch_cache/service.cpp
@@ -30,8 +30,8 @@
 
 etcd::ServerOptions ServiceSettings::DefaultServerOptions() {
   etcd::ServerOptions options;
-  options.limits.message = 64 << 10;
-  options.limits.unsent = 32 << 20;
+  options.limits.max_message_bytes = 64 << 10;
+  options.limits.max_unsent_bytes = 32 << 20;
   return options;
 }
 
@@ -63,8 +63,8 @@
   callbacks.on_progress = [this](std::int64_t revision) {
     RunCore([&](auto* actions) { cache_.UpstreamProgress(Now(), revision, actions); });
   };
-  callbacks.on_disconnected = [this](const std::string& reason) {
-    RunCore([&](auto* actions) { cache_.UpstreamLost(Now(), reason, actions); });
+  callbacks.on_disconnected = [this](const etcd::FollowerError& error) {
+    RunCore([&](auto* actions) { cache_.UpstreamLost(Now(), Message(error), actions); });
   };
   return callbacks;
 }
@@ -77,11 +77,11 @@
   link->on_progress = [this, weak] {
     if (const auto connection = weak.lock()) SendPending(*connection);
   };
-  link->on_disconnected = [this, weak](const std::string&) {
+  link->on_disconnected = [this, weak](const etcd::ConnectionError&) {
     if (const auto connection = weak.lock()) connections_.erase(connection);
   };
   etcd::Http2ServerHandler handler;
-  handler.on_call = [this, weak](StreamId stream, const etcd::CallHead& head) {
+  handler.on_call = [this, weak](StreamId stream, const etcd::CallHeaders& head) {
     if (const auto connection = weak.lock()) OnCall(*connection, stream, head);
   };
   handler.on_message = [this, weak](StreamId stream, std::string_view message) {
@@ -93,7 +93,7 @@
   handler.on_closed = [this, weak](StreamId stream) {
     if (const auto connection = weak.lock()) OnCallClosed(*connection, stream);
   };
-  handler.on_violation = [this](const std::string&) { ++protocol_violations_; };
+  handler.on_protocol_error = [this](const etcd::ProtocolError&) { ++protocol_violations_; };
   return handler;
 }
 
@@ -123,7 +123,7 @@
   const auto call = connection->calls.find(read.stream);
   if (call != connection->calls.end()) call->second.read = 0;
   etcd::Status status = std::move(action.status);
-  if (status.ok() && !connection->http2().Send(read.stream, action.response.SerializeAsString())) {
+  if (status.ok() && !connection->http2().SendMessage(read.stream, action.response.SerializeAsString())) {
     status = Error(Code::kResourceExhausted, "answers before this one are not read yet");
   }
   connection->http2().Finish(read.stream, status);
@@ -171,8 +171,8 @@
 void Service::Perform(WatchCache::RejectUpstream& action) { upstream_->Reject(action.reason); }
 
 void Service::SendPending(Connection& connection) {
-  if (connection.link->closed()) return;
-  while (!connection.awake.empty() && connection.http2().unsent() < settings_.max_unsent_bytes) {
+  if (connection.link->is_closed()) return;
+  while (!connection.awake.empty() && connection.http2().unsent_bytes() < settings_.max_unsent_bytes) {
     const SubscriberId subscriber = connection.awake.front();
     connection.awake.pop_front();
     if (SendNextMessage(connection, subscriber)) connection.awake.push_back(subscriber);
@@ -188,7 +188,7 @@
       cache_.NextMessage(Now(), subscriber, settings_.max_message_bytes);
   if (!response) return false;
   response->set_watch_id(found->second.watch_id);
-  connection.http2().Send(found->second.stream, response->SerializeAsString());
+  connection.http2().SendMessage(found->second.stream, response->SerializeAsString());
   if (!response->canceled()) return true;
   ForgetWatch(connection, subscriber);
   return false;
@@ -220,7 +220,7 @@
   if (!on_drained_) return;
   const bool has_no_calls =
       std::all_of(connections_.begin(), connections_.end(),
-                  [](const ConnectionPtr& connection) { return connection->http2().open() == 0; });
+                  [](const ConnectionPtr& connection) { return connection->http2().open_calls() == 0; });
   const bool is_drained = cache_.drained() && has_no_calls;
   if (is_drained || Now() >= *drain_deadline_) {
     std::exchange(on_drained_, nullptr)();
--- a/src/watch_cache/service.h
+++ b/src/watch_cache/service.h
@@ -88,7 +88,7 @@
   etcd::FollowerLinkCallbacks UpstreamCallbacks();
 
   // ---- a reader's calls (service_calls.cpp)
-  void OnCall(Connection& connection, etcd::StreamId stream, const etcd::CallHead& head);
+  void OnCall(Connection& connection, etcd::StreamId stream, const etcd::CallHeaders& head);
   void RejectCall(Connection& connection, etcd::StreamId stream, const std::string& path);
   void OnMessage(const ConnectionPtr& connection, etcd::StreamId stream, std::string_view message);
   void OnHalfClosed(const ConnectionPtr& connection, etcd::StreamId stream);
--- a/src/watch_cache/service_calls.cpp
+++ b/src/watch_cache/service_calls.cpp
@@ -37,9 +37,9 @@
 
 }  // namespace
 
-void Service::OnCall(Connection& connection, StreamId stream, const etcd::CallHead& head) {
+void Service::OnCall(Connection& connection, StreamId stream, const etcd::CallHeaders& head) {
   if (!head.IsGrpc()) {
-    connection.http2().AnswerHeaders(stream, {{":status", "415"}});
+    connection.http2().SendHeadersOnly(stream, {{":status", "415"}});
     return;
   }
   Call call{};
@@ -146,7 +146,7 @@
   response.set_raftindex(static_cast<std::uint64_t>(status.revision));
   response.set_raftappliedindex(static_cast<std::uint64_t>(status.revision));
   response.set_islearner(true);  // it replicates and does not vote
-  connection.http2().Send(stream, response.SerializeAsString());
+  connection.http2().SendMessage(stream, response.SerializeAsString());
   connection.http2().Finish(stream, {});
 }
 
@@ -208,7 +208,7 @@
   response.set_created(true);
   response.set_canceled(true);
   response.set_cancel_reason("mvcc: duplicate watch ID provided on the WatchStream");
-  connection.http2().Send(stream, response.SerializeAsString());
+  connection.http2().SendMessage(stream, response.SerializeAsString());
 }
 
 void Service::CancelWatch(Connection& connection, StreamId stream, std::int64_t watch_id) {
@@ -222,7 +222,7 @@
   *response.mutable_header() = Header();
   response.set_watch_id(watch_id);
   response.set_canceled(true);
-  connection.http2().Send(stream, response.SerializeAsString());
+  connection.http2().SendMessage(stream, response.SerializeAsString());
 }
 
 void Service::ForgetWatch(Connection& connection, SubscriberId subscriber) {
--- a/tests/compatibility/watch_cache_compatibility_test.cpp
+++ b/tests/compatibility/watch_cache_compatibility_test.cpp
@@ -19,7 +19,7 @@
 
 void AddUpstream(const etcd::FollowerLinkSettings& upstream, KeyValueDump* dump) {
   dump->BeginTable("upstream");
-  dump->Add("ping_every", upstream.channel.ping_every);
+  dump->Add("ping_every", upstream.channel.ping_interval);
   dump->Add("ping_timeout", upstream.channel.ping_timeout);
   dump->Add("user", upstream.user);
   dump->Add("password_file's first line", upstream.password);
@@ -30,9 +30,9 @@
 void AddReaders(const watch_cache::ServiceSettings& settings, KeyValueDump* dump) {
   dump->BeginTable("readers");
   AddTls(settings.server.tls, "client_authority", dump);
-  dump->Add("connections", settings.server.connections);
+  dump->Add("connections", settings.server.max_connections);
   dump->Add("watches_per_connection", settings.max_watches_per_connection);
-  dump->Add("ping_every", settings.server.ping_every);
+  dump->Add("ping_every", settings.server.ping_interval);
   dump->Add("ping_timeout", settings.server.ping_timeout);
   dump->Add("idle_timeout", settings.server.idle_timeout);
   dump->Add("stall_timeout", settings.server.stall_timeout);
--- a/tests/fingerprint/follower_fingerprint_test.cpp
+++ b/tests/fingerprint/follower_fingerprint_test.cpp
@@ -241,7 +241,9 @@
   void Cut(const char* why) {
     if (!open_) return;
     LoseConnection();
-    Act([this, why](Follower::Actions* actions) { follower_.Closed(now_, why, actions); });
+    Act([this, why](Follower::Actions* actions) {
+      follower_.Closed(now_, {etcd::ConnectionErrorCode::kClosed, why}, actions);
+    });
   }
 
   pb::WatchResponse NewResponse(const Watch& watch) const {
@@ -365,7 +367,7 @@
     if (random_.Chance(0.9)) SendProgress();
   }
   void Perform(const Follower::Close& action) {
-    fingerprint_.digest().Add(7, !action.why.empty());
+    fingerprint_.digest().Add(7, !Message(action.error).empty());
     ++coverage_->closes;
     LoseConnection();
   }
@@ -387,7 +389,7 @@
     ++coverage_->progress;
   }
   void Perform(const Follower::Disconnected& action) {
-    fingerprint_.digest().Add(11, !action.why.empty());
+    fingerprint_.digest().Add(11, !Message(action.error).empty());
     ++coverage_->disconnects;
   }
 
@@ -410,7 +412,7 @@
   void AddState() {
     fingerprint_.digest().Add(follower_.NextWake(), follower_.cluster_id(), follower_.revision());
     fingerprint_.digest().Add(follower_.snapshots(), follower_.resumes(), follower_.watching());
-    fingerprint_.digest().Add(!follower_.last_error().empty());
+    fingerprint_.digest().Add(!follower_.last_error_message().empty());
   }
 
   Random random_;
--- a/tests/membership/feed_random_test.cpp
+++ b/tests/membership/feed_random_test.cpp
@@ -190,7 +190,9 @@
     if (!is_open_) return;
     ++breaks_;
     DropConnection();
-    Act([&](Follower::Actions* actions) { follower_.Closed(now_, "cut", actions); });
+    Act([&](Follower::Actions* actions) {
+      follower_.Closed(now_, {etcd::ConnectionErrorCode::kClosed, "cut"}, actions);
+    });
   }
   /// Forgets the connection and what is under way on it.
   void DropConnection() {
@@ -247,7 +249,9 @@
     AnswerLater([this, refused] {
       if (refused) {
         DropConnection();
-        Act([&](Follower::Actions* actions) { follower_.Closed(now_, "refused", actions); });
+        Act([&](Follower::Actions* actions) {
+          follower_.Closed(now_, {etcd::ConnectionErrorCode::kClosed, "refused"}, actions);
+        });
       } else {
         Act([&](Follower::Actions* actions) { follower_.Opened(now_, actions); });
       }
@@ -382,8 +386,8 @@
       }
     }
     world.EndFaultsAndSettle();
-    ASSERT_TRUE(world.ViewEqualsStore())
-        << "seed " << seed << ": " << world.follower().state() << ", " << world.follower().last_error();
+    ASSERT_TRUE(world.ViewEqualsStore()) << "seed " << seed << ": " << world.follower().state() << ", "
+                                         << world.follower().last_error_message();
     bad_keys += world.bad_keys();
     reports += world.reports(), breaks += world.breaks(), compactions += world.compactions();
     restores += world.restores(), lists += world.follower().snapshots(),
--- a/tests/membership/registrar_test.cpp
+++ b/tests/membership/registrar_test.cpp
@@ -90,14 +90,14 @@
   }
   // What no other member could better ends at once.
   put.set_lease(99);
-  const auto connects = one.connects();
+  const auto connects = one.connection_attempts();
   EXPECT_EQ(Call(one, "/etcdserverpb.KV/Put", put, &done).code, etcd::Code::kNotFound);
-  EXPECT_EQ(one.connects(), connects);
+  EXPECT_EQ(one.connection_attempts(), connects);
   for (std::size_t i = 0; i < 3; ++i) etcd->Down(i);
   const auto began = Clock::now();
-  EXPECT_TRUE(Call(one, "/etcdserverpb.KV/Put", put, &done, milliseconds(300)).Retriable());
+  EXPECT_TRUE(Call(one, "/etcdserverpb.KV/Put", put, &done, milliseconds(300)).IsRetriable());
   EXPECT_LT(Clock::now() - began, milliseconds(2500));  // on a busy machine; 300 by itself
-  EXPECT_GT(one.connects(), connects + 3) << "it went round";
+  EXPECT_GT(one.connection_attempts(), connects + 3) << "it went round";
   for (std::size_t i = 0; i < 3; ++i) etcd->Up(i);
   put.set_lease(0);
   EXPECT_TRUE(Call(one, "/etcdserverpb.KV/Put", put, &done).ok());
@@ -192,9 +192,10 @@
     EtcdSource source(
         io, settings, 1, [&](Time, const Report& report) { members = report.members.size(); }, [](Time) {},
         [](const std::string&, const std::string&) {});
-    EXPECT_TRUE(Until(
-        [&] { return source.follower().state() == "watching" || !source.follower().last_error().empty(); }));
-    if (source.follower().state() != "watching") return source.follower().last_error();
+    EXPECT_TRUE(Until([&] {
+      return source.follower().state() == "watching" || !source.follower().last_error_message().empty();
+    }));
+    if (source.follower().state() != "watching") return source.follower().last_error_message();
     EXPECT_EQ(members, 1u);
     return "";
   }
@@ -210,17 +211,17 @@
   member.address = "127.0.0.1:1";
   etcd->Put(kPrefix + "a", SerializeMember(member));
   EXPECT_EQ(Follow(Files("client")), "");
-  EXPECT_EQ(front->taken(), 1u);
+  EXPECT_EQ(front->accepted(), 1u);
   EXPECT_EQ(etcd->protocol_errors(), 0u);
   // The server's is of another authority, or for another name: this side refuses, in one line.
   EXPECT_NE(Follow(Files("client", "other")).find("certificate verify failed"), std::string::npos);
   EXPECT_NE(Follow(Files("client"), "another.example").find("certificate verify failed"), std::string::npos);
   // This side's has run out, or is a stranger's: the server refuses.
-  const std::size_t refused = front->refused();
+  const std::size_t refused = front->rejected();
   EXPECT_NE(Follow(Files("old")), "");
   EXPECT_NE(Follow(Files("strange")), "");
-  EXPECT_GT(front->refused(), refused);
-  EXPECT_EQ(front->taken(), 1u);
+  EXPECT_GT(front->rejected(), refused);
+  EXPECT_EQ(front->accepted(), 1u);
   // Cleartext against TLS fails as well, and the message names a file that does not exist.
   etcd::ClientSettings plain = client;
   plain.endpoints = {front->address()};
@@ -232,7 +233,7 @@
   plain.channel.tls = Files("absent");
   etcd::Client without(io, plain, 1);
   const etcd::Status status = Call(without, "/etcdserverpb.KV/Range", request, &response, milliseconds(300));
-  EXPECT_NE(status.message.find("absent.pem"), std::string::npos) << status.Text();
+  EXPECT_NE(status.message.find("absent.pem"), std::string::npos) << status.ToString();
 }
 
 TEST_F(TlsTest, ADrainIsFollowedOverTlsAcrossABreak) {
--- a/tests/races/etcd_race_test.cpp
+++ b/tests/races/etcd_race_test.cpp
@@ -48,12 +48,13 @@
 class ChannelRaceTest : public EtcdRaceTest {
  protected:
   ChannelRaceTest() : acceptor_(io_, {asio::ip::address_v4::loopback(), 0}) {
-    options_.ping_every = milliseconds(150);
+    options_.ping_interval = milliseconds(150);
     options_.ping_timeout = milliseconds(100);
   }
   void Open() {
     channel_ = Channel::Open(
-        io_, acceptor_.local_endpoint(), options_, [] {}, [this](const std::string& why) { why_ = why; });
+        io_, acceptor_.local_endpoint(), options_, [] {},
+        [this](const ConnectionError& error) { why_ = Message(error); });
     ASSERT_TRUE(Until([&] { return channel_->is_open(); }));
     acceptor_.accept(peer_);
     RunReady();
@@ -61,7 +62,7 @@
   }
   // Up to the moment in which the channel would give the link up.
   void RunUntilThePingIsOverdue() {
-    AdvanceAndRun(options_.ping_every);
+    AdvanceAndRun(options_.ping_interval);
     ASSERT_NE(Take(peer_), "") << "no ping";
     AdvanceAndRun(options_.ping_timeout);
     ASSERT_TRUE(channel_->is_open());
@@ -82,7 +83,7 @@
   EXPECT_TRUE(channel_->is_open()) << why_;
   // And it is asked again before it is given up.
   Take(peer_);
-  AdvanceAndRun(options_.ping_every);
+  AdvanceAndRun(options_.ping_interval);
   EXPECT_NE(Take(peer_), "");
 }
 
@@ -98,7 +99,8 @@
 // Its connection comes up in the turn in which the time for it is over.
 TEST_F(ChannelRaceTest, AConnectionThatComesUpAtTheEndOfItsTimeStays) {
   channel_ = Channel::Open(
-      io_, acceptor_.local_endpoint(), options_, [] {}, [this](const std::string& why) { why_ = why; });
+      io_, acceptor_.local_endpoint(), options_, [] {},
+      [this](const ConnectionError& error) { why_ = Message(error); });
   clock_.Advance(options_.connect_timeout);
   RunReady();
   RunReady();
@@ -108,7 +110,7 @@
 class ServerRaceTest : public EtcdRaceTest {
  protected:
   ServerRaceTest() {
-    options_.ping_every = milliseconds(100);
+    options_.ping_interval = milliseconds(100);
     options_.ping_timeout = milliseconds(40);
     options_.idle_timeout = options_.stall_timeout = milliseconds(0);
   }
@@ -116,7 +118,7 @@
     server_.emplace(io_, tcp::endpoint(asio::ip::address_v4::loopback(), 0), options_,
                     [this](const std::shared_ptr<ServerConnection>&) {
                       Http2ServerHandler handler;
-                      handler.on_call = [this](StreamId, const CallHead&) { ++calls_; };
+                      handler.on_call = [this](StreamId, const CallHeaders&) { ++calls_; };
                       return handler;
                     });
     client_.connect(server_->address());
@@ -160,7 +162,7 @@
 // A call on an idle connection crosses the end of the idle time of a server that was held up.
 TEST_F(ServerRaceTest, ACallThatIsUnreadWhenTheIdleTimeIsOverIsTaken) {
   options_.idle_timeout = milliseconds(400);
-  options_.ping_every = milliseconds(0);
+  options_.ping_interval = milliseconds(0);
   Connect();
   // RFC 7541: POST, http, the path /x, the authority h; END_HEADERS on stream 1.
   std::string call = Frame(kHeaders, kEndHeaders, std::string("\x83\x86\x04\x02") + "/x" + "\x01\x01" + "h");
@@ -175,7 +177,7 @@
 
 TEST_F(ServerRaceTest, AnIdleConnectionEnds) {
   options_.idle_timeout = milliseconds(400);
-  options_.ping_every = milliseconds(0);
+  options_.ping_interval = milliseconds(0);
   Connect();
   EXPECT_TRUE(Until([&] { return server_->connections() == 0; }));
   EXPECT_EQ(calls_, 0);
@@ -192,16 +194,16 @@
                       handler.on_half_closed = [this](StreamId stream) { call_ = stream; };
                       return handler;
                     });
-    options_.ping_every = milliseconds(10000);
+    options_.ping_interval = milliseconds(10000);
   }
   ~HeldAnswers() override {
     if (channel_) channel_->Close("the test is over");
   }
   void Ask() {
     channel_ = Channel::Open(
-        io_, server_->address(), options_, [] {}, [](const std::string&) {});
+        io_, server_->address(), options_, [] {}, [](const ConnectionError&) {});
     ASSERT_TRUE(Until([&] { return channel_->is_open(); }));
-    channel_->Unary("/x.X/X", {}, "question", kTimeout, [this](Status how, std::string text) {
+    channel_->CallUnary("/x.X/X", {}, "question", kTimeout, [this](Status how, std::string text) {
       status_ = std::move(how);
       answer_ = std::move(text);
     });
@@ -210,7 +212,7 @@
   }
   void Answer(const std::string& message) {
     ASSERT_TRUE(call_.has_value());
-    connection_->http2().Send(*call_, message);
+    connection_->http2().SendMessage(*call_, message);
     connection_->http2().Finish(*call_, {});
     connection_->Flush();
   }
@@ -232,7 +234,7 @@
   TimersAheadOf([&] { Answer("answer"); }, kTimeout);
   AdvanceAndRun(milliseconds(1));
   ASSERT_TRUE(status_.has_value());
-  EXPECT_TRUE(status_->ok()) << status_->Text();
+  EXPECT_TRUE(status_->ok()) << status_->ToString();
   EXPECT_EQ(answer_, "answer");
 }
 
@@ -253,7 +255,7 @@
   callbacks.on_snapshot = [&](std::uint64_t, std::int64_t, const std::vector<etcdserverpb::KeyValue>&) {
     ++snapshots;
   };
-  callbacks.on_disconnected = [&](const std::string&) { ++losses; };
+  callbacks.on_disconnected = [&](const FollowerError&) { ++losses; };
   FollowerLink link(io_, settings, 7, callbacks);
   ASSERT_TRUE(Until([&] { return call_.has_value(); }));
   RunReady();
--- a/tests/watch_cache/program_test.cpp
+++ b/tests/watch_cache/program_test.cpp
@@ -194,13 +194,13 @@
   EXPECT_EQ(from_file.cache.progress_interval, defaults.cache.progress_interval);
   EXPECT_EQ(from_file.cache.list_bytes_per_second, defaults.cache.list_bytes_per_second);
   EXPECT_EQ(from_file.cache.list_burst_bytes, defaults.cache.list_burst_bytes);
-  EXPECT_EQ(from_file.server.connections, defaults.server.connections);
-  EXPECT_EQ(from_file.server.ping_every, defaults.server.ping_every);
+  EXPECT_EQ(from_file.server.max_connections, defaults.server.max_connections);
+  EXPECT_EQ(from_file.server.ping_interval, defaults.server.ping_interval);
   EXPECT_EQ(from_file.server.ping_timeout, defaults.server.ping_timeout);
   EXPECT_EQ(from_file.server.idle_timeout, defaults.server.idle_timeout);
   EXPECT_EQ(from_file.server.stall_timeout, defaults.server.stall_timeout);
   EXPECT_EQ(from_file.max_watches_per_connection, defaults.max_watches_per_connection);
-  EXPECT_EQ(from_file.upstream.channel.ping_every, defaults.upstream.channel.ping_every);
+  EXPECT_EQ(from_file.upstream.channel.ping_interval, defaults.upstream.channel.ping_interval);
   EXPECT_EQ(from_file.upstream.channel.ping_timeout, defaults.upstream.channel.ping_timeout);
 }
 
@@ -303,7 +303,7 @@
   settings.endpoints = {*program->Address()};
   settings.follower.prefix = kPrefix;
   settings.follower.min_step_timeout = milliseconds(500);
-  settings.channel.ping_every = settings.channel.ping_timeout = milliseconds(1000);
+  settings.channel.ping_interval = settings.channel.ping_timeout = milliseconds(1000);
   settings.channel.tls =
       http_api::TlsFiles{directory + "/reader.pem", directory + "/reader.key", directory + "/authority.pem"};
   std::size_t keys = 0;
@@ -312,7 +312,7 @@
     keys = kvs.size();
   };
   const etcd::FollowerLink link(io, settings, 1, callbacks);
-  ASSERT_TRUE(Until([&] { return keys == 4; })) << link.follower().last_error() << program->Log();
+  ASSERT_TRUE(Until([&] { return keys == 4; })) << link.follower().last_error_message() << program->Log();
   // In cleartext, nothing.
   const auto plain = MakeReader({*program->Address()});
   ASSERT_TRUE(Until([&] { return plain->disconnects >= 2; }));
--- a/tests/watch_cache/reads_test.cpp
+++ b/tests/watch_cache/reads_test.cpp
@@ -30,7 +30,7 @@
 TEST_F(WatchCacheReadsTest, SerializableReadIsAnsweredAtOnceAtSourceRevision) {
   LoadSnapshot();
   const auto answer = harness_.ReadNow(ListAll());
-  ASSERT_TRUE(answer.status.ok()) << answer.status.Text();
+  ASSERT_TRUE(answer.status.ok()) << answer.status.ToString();
   EXPECT_EQ(Text(answer.response), "a=1 b=2 c=3");
   EXPECT_EQ(answer.response.count(), 3);
   EXPECT_EQ(answer.response.header().revision(), 10);
@@ -129,7 +129,7 @@
     pb::RangeResponse expected;
     ASSERT_TRUE(store_.Range(request, &expected).ok());
     auto answer = harness_->ReadNow(request);
-    ASSERT_TRUE(answer.status.ok()) << answer.status.Text();
+    ASSERT_TRUE(answer.status.ok()) << answer.status.ToString();
     answer.response.clear_header();
     ASSERT_EQ(answer.response.SerializeAsString(), expected.SerializeAsString());
   }
--- a/tests/watch_cache/service_harness.h
+++ b/tests/watch_cache/service_harness.h
@@ -51,7 +51,7 @@
     settings.follower.page_size = page_size;
     settings.follower.call_timeout = milliseconds(1000);
     settings.follower.min_step_timeout = milliseconds(500);
-    settings.channel.ping_every = settings.channel.ping_timeout = milliseconds(1000);
+    settings.channel.ping_interval = settings.channel.ping_timeout = milliseconds(1000);
     etcd::FollowerLinkCallbacks callbacks;
     callbacks.on_snapshot = [this](std::uint64_t cluster, std::int64_t at, std::vector<pb::KeyValue> kvs) {
       keys.clear();
@@ -70,9 +70,9 @@
       Reached(cluster, at);
     };
     callbacks.on_progress = [this](std::int64_t) { ++progress; };
-    callbacks.on_disconnected = [this](const std::string& reason) {
+    callbacks.on_disconnected = [this](const etcd::FollowerError& error) {
       ++disconnects;
-      last_error = reason;
+      last_error = Message(error);
     };
     link = std::make_unique<etcd::FollowerLink>(io, settings, seed, std::move(callbacks));
   }
@@ -111,7 +111,7 @@
     ServiceSettings settings;
     settings.listen = tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0);
     settings.upstream.endpoints = std::move(upstream);
-    settings.upstream.channel.ping_every = settings.upstream.channel.ping_timeout = milliseconds(1000);
+    settings.upstream.channel.ping_interval = settings.upstream.channel.ping_timeout = milliseconds(1000);
     settings.upstream.follower.min_step_timeout = milliseconds(500);
     settings.cache.prefix = kPrefix;
     settings.cache.member_id = 77;
@@ -169,7 +169,7 @@
                     std::string* answer = nullptr) {
     std::optional<etcd::Status> ended;
     const auto channel = OpenChannel(address);
-    channel->Unary(path, {}, message, milliseconds(10000), [&](etcd::Status status, std::string text) {
+    channel->CallUnary(path, {}, message, milliseconds(10000), [&](etcd::Status status, std::string text) {
       ended = std::move(status);
       if (answer) *answer = std::move(text);
     });
@@ -180,10 +180,10 @@
   std::shared_ptr<etcd::Channel> OpenChannel(const tcp::endpoint& address) {
     etcd::ChannelOptions options;
     options.connect_timeout = milliseconds(10000);
-    options.ping_every = options.ping_timeout = milliseconds(10000);
+    options.ping_interval = options.ping_timeout = milliseconds(10000);
     bool open = false;
     const auto channel = etcd::Channel::Open(
-        io, address, options, [&open] { open = true; }, [](const std::string&) {});
+        io, address, options, [&open] { open = true; }, [](const etcd::ConnectionError&) {});
     EXPECT_TRUE(Until([&] { return open; }));
     return channel;
   }
--- a/tests/watch_cache/service_limits_test.cpp
+++ b/tests/watch_cache/service_limits_test.cpp
@@ -34,7 +34,7 @@
   mute.connect(cache->address());
   mute.set_option(tcp::socket::receive_buffer_size(4096));
   etcd::Http2Client client("mute");
-  client.Begin(kWatchPath, {}, CreateRequest(etcd->store().revision() + 1), false, {});
+  client.BeginCall(kWatchPath, {}, CreateRequest(etcd->store().revision() + 1), false, {});
   const std::string opening = client.TakeOutput();
   boost::asio::write(mute, boost::asio::buffer(opening));
   ASSERT_TRUE(Until([&] { return cache->status().subscribers == 1; }));
@@ -62,7 +62,7 @@
   tcp::socket mute(io);
   mute.connect(cache->address());
   etcd::Http2Client client("mute");
-  client.Begin(kRangePath, {}, ListRequest().SerializeAsString(), true, {});
+  client.BeginCall(kRangePath, {}, ListRequest().SerializeAsString(), true, {});
   const std::string opening = client.TakeOutput();
   boost::asio::write(mute, boost::asio::buffer(opening));
   ASSERT_TRUE(Until([&] { return cache->status().lists == 1 && cache->connections() == 1; }));
@@ -74,7 +74,7 @@
   const std::string large(64 << 10, 'x');
   for (int i = 0; i < 40; ++i) etcd->Put(kPrefix + "large" + std::to_string(i), large);
   ServiceSettings settings = CacheSettings({etcd->address(0)});
-  settings.server.limits.unsent = 100 << 10;
+  settings.server.limits.max_unsent_bytes = 100 << 10;
   const auto cache = MakeCacheWith(settings);
   ASSERT_TRUE(Until([&] { return Follows(*cache); }));
   tcp::socket socket(io);
@@ -86,7 +86,7 @@
     etcd::CallHandler handler;
     handler.on_message = [&](std::string_view text) { received += text.size(); };
     handler.on_end = [&](const etcd::Status& status) { ends.push_back(status); };
-    client.Begin(kRangePath, {}, ListRequest().SerializeAsString(), true, std::move(handler));
+    client.BeginCall(kRangePath, {}, ListRequest().SerializeAsString(), true, std::move(handler));
   }
   boost::asio::write(socket, boost::asio::buffer(client.TakeOutput()));
   ASSERT_TRUE(Until([&] { return cache->status().lists == 2 && cache->status().waiting_reads == 0; }));
@@ -100,7 +100,7 @@
   }));
   EXPECT_EQ(ends[0].ok() + ends[1].ok(), 1);
   const etcd::Status& refused = ends[0].ok() ? ends[1] : ends[0];
-  EXPECT_EQ(refused.code, Code::kResourceExhausted) << refused.Text();
+  EXPECT_EQ(refused.code, Code::kResourceExhausted) << refused.ToString();
   EXPECT_GT(received, 40 * large.size());
 }
 
@@ -128,7 +128,7 @@
   const std::string create = CreateRequest(etcd->store().revision() + 1);
   WatchStream first, second;
   first.Open(channel, create);
-  first.channel->Send(first.call, create, false);
+  first.channel->SendMessage(*first.call, create, false);
   ASSERT_TRUE(Until([&] { return first.responses.size() == 2; }));
   second.Open(channel, create);
   ASSERT_TRUE(Until([&] { return second.ended.has_value(); }));
@@ -141,7 +141,7 @@
 TEST_F(ServiceLimitsTest, SilentClientIsPingedAndClosed) {
   StartEtcd();
   ServiceSettings settings = CacheSettings({etcd->address(0)});
-  settings.server.ping_every = settings.server.ping_timeout = milliseconds(100);
+  settings.server.ping_interval = settings.server.ping_timeout = milliseconds(100);
   const auto cache = MakeCacheWith(settings);
   tcp::socket mute(io);
   mute.connect(cache->address());
@@ -173,7 +173,7 @@
 TEST_F(ServiceLimitsTest, ConnectionBeyondBoundWaits) {
   StartEtcd();
   ServiceSettings settings = CacheSettings({etcd->address(0)});
-  settings.server.connections = 1;
+  settings.server.max_connections = 1;
   const auto cache = MakeCacheWith(settings);
   auto first = MakeReader({cache->address()});
   ASSERT_TRUE(Until([&] { return Holds(*first); }));
@@ -210,8 +210,8 @@
   EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::seconds(20));
   EXPECT_EQ(leaving->status().subscribers, 0u);
   ASSERT_TRUE(Until([&] { return stream.ended.has_value(); }));
-  EXPECT_EQ(stream.ended->code, Code::kUnavailable) << stream.ended->Text();
-  EXPECT_TRUE(stream.ended->Retriable());
+  EXPECT_EQ(stream.ended->code, Code::kUnavailable) << stream.ended->ToString();
+  EXPECT_TRUE(stream.ended->IsRetriable());
   for (const auto& reader : readers) EXPECT_TRUE(Until([&] { return reader->disconnects > 0; }));
 }
 
--- a/tests/watch_cache/service_requests.h
+++ b/tests/watch_cache/service_requests.h
@@ -46,7 +46,7 @@
   std::vector<pb::WatchResponse> responses;
   std::optional<etcd::Status> ended;
   std::shared_ptr<etcd::Channel> channel;
-  etcd::CallId call = -1;
+  std::optional<etcd::CallId> call;
 
   void Open(std::shared_ptr<etcd::Channel> on, const std::string& first) {
     channel = std::move(on);
@@ -56,12 +56,12 @@
       EXPECT_TRUE(responses.back().ParseFromArray(text.data(), static_cast<int>(text.size())));
     };
     handler.on_end = [this](const etcd::Status& status) { ended = status; };
-    call = channel->Begin(kWatchPath, {}, first, false, std::move(handler));
+    call = channel->BeginCall(kWatchPath, {}, first, false, std::move(handler));
   }
   ~WatchStream() {
     if (channel) channel->Close("done");
   }
-  void Send(const std::string& request) { channel->Send(call, request, false); }
+  void Send(const std::string& request) { channel->SendMessage(*call, request, false); }
   std::ptrdiff_t CountCreated() const {
     return std::count_if(responses.begin(), responses.end(),
                          [](const auto& response) { return response.created() && !response.canceled(); });
--- a/tests/watch_cache/service_test.cpp
+++ b/tests/watch_cache/service_test.cpp
@@ -81,7 +81,7 @@
   etcd->Put("/elsewhere", "x");  // the watches of the prefix are told nothing of it
   std::string text;
   const auto status = Call(zone->address(), kRangePath, ListRequest().SerializeAsString(), &text);
-  ASSERT_TRUE(status.ok()) << status.Text();
+  ASSERT_TRUE(status.ok()) << status.ToString();
   pb::RangeResponse response;
   ASSERT_TRUE(response.ParseFromString(text));
   EXPECT_EQ(response.header().revision(), etcd->store().revision());
@@ -97,7 +97,7 @@
                            "/etcdserverpb.KV/Compact", "/etcdserverpb.Lease/LeaseGrant",
                            "/etcdserverpb.Lease/LeaseKeepAlive", "/etcdserverpb.Auth/UserAdd"}) {
     const auto status = Call(cache->address(), path, std::string(100000, 'x'));
-    EXPECT_EQ(status.code, Code::kPermissionDenied) << path << ": " << status.Text();
+    EXPECT_EQ(status.code, Code::kPermissionDenied) << path << ": " << status.ToString();
     EXPECT_EQ(status.message, "badgerbridge-relay serves reads of " + kPrefix + " only; write to etcd")
         << path;
   }
@@ -106,7 +106,7 @@
   pb::RangeRequest elsewhere;
   elsewhere.set_key("/elsewhere/a");
   const auto status = Call(cache->address(), kRangePath, elsewhere.SerializeAsString());
-  EXPECT_EQ(status.code, Code::kPermissionDenied) << status.Text();
+  EXPECT_EQ(status.code, Code::kPermissionDenied) << status.ToString();
   EXPECT_EQ(Call(cache->address(), kRangePath, "\xff\xff").code, Code::kInternal);
   EXPECT_EQ(etcd->calls(), before);  // nothing of it went up
 }
@@ -199,7 +199,7 @@
   ServiceSettings SettingsWithCut() {
     ServiceSettings settings = CacheSettings({etcd->address(0)});
     settings.max_message_bytes = 300;  // so that two events do not fit, and come in fragments
-    settings.server.written = [this](const etcd::ServerConnection&, std::string* bytes) {
+    settings.server.faults.filter_output = [this](const etcd::ServerConnection&, std::string* bytes) {
       if (!bytes_until_cut) return true;
       if (bytes->size() < *bytes_until_cut) {
         *bytes_until_cut -= bytes->size();
--- a/tests/watch_cache/service_upstream_test.cpp
+++ b/tests/watch_cache/service_upstream_test.cpp
@@ -188,7 +188,7 @@
       kv->set_value(MemberValue("lie"));
       kv->set_mod_revision(1001);
       etcd::Http2Server& http2 = link.lock()->http2();
-      http2.Send(stream, list.SerializeAsString());
+      http2.SendMessage(stream, list.SerializeAsString());
       http2.Finish(stream, {});
       ++lies_;
     };
--- a/tests/watch_cache/simulation_client.cpp
+++ b/tests/watch_cache/simulation_client.cpp
@@ -62,7 +62,9 @@
   if (!session_) return;
   ++world_.count().cuts;
   Drop();
-  Act([&](auto* actions) { follower_.Closed(world_.now(), "cut", actions); });
+  Act([&](auto* actions) {
+    follower_.Closed(world_.now(), {etcd::ConnectionErrorCode::kClosed, "cut"}, actions);
+  });
 }
 
 void Client::Stall(bool stalled) {
@@ -111,7 +113,9 @@
       Act([&](auto* actions) { follower_.Opened(world_.now(), actions); });
     } else {
       Drop();
-      Act([&](auto* actions) { follower_.Closed(world_.now(), "refused", actions); });
+      Act([&](auto* actions) {
+        follower_.Closed(world_.now(), {etcd::ConnectionErrorCode::kClosed, "refused"}, actions);
+      });
     }
   });
 }
--- a/tests/watch_cache/simulation_client.h
+++ b/tests/watch_cache/simulation_client.h
@@ -88,7 +88,7 @@
   void Perform(const etcd::Follower::SnapshotPage& action);
   void Perform(const etcd::Follower::Events& action) { events_.events(action); }
   void Perform(const etcd::Follower::Progress& action) { events_.progress(action.revision); }
-  void Perform(const etcd::Follower::Disconnected& action) { events_.lost(action.why); }
+  void Perform(const etcd::Follower::Disconnected& action) { events_.lost(Message(action.error)); }
 
   void Drop();
   template <typename Step>
--- a/tests/watch_cache/simulation_source.h
+++ b/tests/watch_cache/simulation_source.h
@@ -36,7 +36,7 @@
     const std::int64_t before = store_.revision();
     pb::TxnResponse response;
     const Status status = store_.Txn(request, &response);
-    if (!status.ok()) return world_.AddViolation("the store refuses a write: " + status.Text());
+    if (!status.ok()) return world_.AddViolation("the store refuses a write: " + status.ToString());
     RecordStates(before);
     SendPendingToAll();
   }
