--- a/src/proxy/listener.h
+++ b/src/proxy/listener.h
@@ -1,127 +1,109 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The side of the clients: the listener, and a session for each connection.
+// The client side of the proxy: accepts connections, each of which is a session (proxy/session.h), and ends
+// them in a drain or a stop.
 #ifndef BADGERBRIDGE_PROXY_LISTENER_H_
 #define BADGERBRIDGE_PROXY_LISTENER_H_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
-#include <boost/beast/core/error.hpp>
 #include <chrono>
-#include <deque>
+#include <cstddef>
+#include <cstdint>
 #include <functional>
-#include <list>
-#include <memory>
-#include <string>
-#include <string_view>
-#include <unordered_map>
-#include <unordered_set>
-#include <utility>
-#include <vector>
 
 #include "net/one_shot_timer.h"
 #include "proxy/config.h"
+#include "proxy/connection_acceptor.h"
+#include "proxy/listener_limits.h"
 #include "proxy/proxy.h"
+#include "proxy/recent_ids.h"
+#include "proxy/request_validator.h"
+#include "proxy/session_list.h"
+#include "proxy/stop_schedule.h"
 
 namespace badgerbridge::proxy {
 
-struct ListenerLimits {
-  // From the stop: until no new connection is accepted (clients' front goes on for up to 0.4 s), until
-  // requests on open connections are not waited for any more, and, beyond the longest deadline, until all is
-  // answered (the process may be killed 0.7 s after that deadline, counted from a signal that it may have
-  // handled 0.4 s late).
-  std::chrono::milliseconds accept_grace{500};
-  std::chrono::milliseconds serving{700};
-  std::chrono::milliseconds last_answer{300};
-  std::chrono::milliseconds handshake{20};  // of connections that have begun to come up when no more may
-  std::chrono::milliseconds linger{1000};   // for a client to read an answer and close
-  std::size_t remembered = 32 << 10;        // ids of requests taken lately
-};
-
+/// Listens for clients. Runs on one thread, that of the io_context; must outlive its sessions' handlers.
 class Listener {
  public:
-  // Binds and listens; throws boost::system::system_error if it can't.
+  /// How long a draining proxy has to be without a request to count as idle.
+  static constexpr Duration kDrainIdleTime{1000};
+
+  /// Binds, listens and begins to accept; throws boost::system::system_error. The references must outlive
+  /// this.
   Listener(boost::asio::io_context& io, const ProxyClock& clock, Proxy& proxy, const Config& config,
            ListenerLimits limits = {});
-  ~Listener();
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
+  /// The address that it listens on. Throws boost::system::system_error once the listening socket is closed.
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
-  // Goes on accepting for a while, answers all that was taken, then calls `stopped`.
+  /// Begins a graceful stop: accepts for a while longer, answers all accepted requests, then calls `stopped`
+  /// from the event loop. A second call has no effect.
   void Stop(std::function<void()> stopped);
 
-  // Asks to be left out: GET /ready answers 503, each answer closes its connection, and connections between
-  // requests are closed. What still comes is served as ever. Until Undrain; a stop goes before both.
+  /// Begins a drain, until Undrain(): GET /ready is answered 503, each answer ends its connection, and idle
+  /// connections are ended. Requests that still come are served as before. Stop() may follow at any time.
   void Drain();
+  /// Ends a drain.
   void Undrain();
+  /// Whether a drain has begun and not ended.
   bool draining() const { return draining_; }
-  bool stopping() const { return stopping_; }
-  std::size_t connections() const { return sessions_.size(); }
-  std::uint64_t rejected() const { return rejected_; }  // malformed: never taken
-  std::size_t remembered() const { return ids_.size(); }
-  // Drained: no request is open or on its way in, and none has come for kDrainQuiet.
+  /// Whether a stop has begun.
+  bool stopping() const { return stop_schedule_.has_begun(); }
+  /// Whether no request is open or on its way in, and none has been accepted for kDrainIdleTime.
   bool IsIdle() const;
-  static constexpr Duration kDrainIdleTime{1000};
+
+  /// Open connections, those included that wait for their client to close.
+  std::size_t connections() const { return sessions_.size(); }
+  /// Requests that were rejected before they entered the table of requests.
+  std::uint64_t rejected() const { return rejected_; }
+  /// Ids of recent requests that are kept to reject duplicates.
+  std::size_t remembered() const { return recent_ids_.size(); }
 
  private:
-  class Session;
-  using Sessions = std::list<std::shared_ptr<Session>>;
+  friend class Session;  // the sessions' own state is theirs, what they share is here
 
-  enum class AcceptResult {
-    kAccepted,   // or it had gone by itself
-    kNoneWaits,  // in the kernel's queue
-    kFailed,     // one waits
-  };
-  static constexpr int kNoDescriptor = -1;
+  using AcceptResult = ConnectionAcceptor::AcceptResult;
 
+  // Accepting.
   void Accept() noexcept;
   void AwaitConnection();
   void OnConnection();
-  AcceptResult AcceptOne();
   void AcceptAfter(std::chrono::milliseconds wait) noexcept;
   void Admit(int descriptor);
-  void CloseUnadmitted();
-  bool EvictConnection();
-  std::shared_ptr<Session> FirstOf(const std::function<bool(const Session&)>& which) const;
-  void CloseOneThatHasEnded();
-  std::vector<std::shared_ptr<Session>> Snapshot() const { return {sessions_.begin(), sessions_.end()}; }
-  bool NoteId(std::string_view id);
-  void EndHandshakes();
+  void Remove(SessionList::Position position) noexcept;
+
+  // Drain.
+  void SweepIdleSessions();
+
+  // Stop.
+  void StopHandshakes();
   void CloseListenerAfter(std::chrono::milliseconds wait);
   void CloseListener();
-  bool AcceptAllThatWait();
-  void StopIfDone() noexcept;
-  // The stop's times; far away while there is none.
-  bool PastLastAnswer() const;
-  std::chrono::milliseconds UntilPastServing() const;
-  TimePoint LastAnswer() const;
-  std::chrono::milliseconds UntilLastAnswer() const;
-  void SweepWhileDraining();
-  void Remove(Sessions::iterator at) noexcept;
+  void FinishStopIfDone() noexcept;
+  bool IsPastLastAnswer() const;
 
   boost::asio::io_context& io_;
   const ProxyClock& clock_;
   Proxy& proxy_;
-  std::vector<ClassSettings> class_settings_;
-  std::unordered_map<std::string, int> classes_, tenants_;
+  RequestValidator validator_;
   std::size_t max_clients_;
   boost::asio::ip::tcp protocol_;
   ListenerLimits limits_;
-  boost::asio::ip::tcp::acceptor acceptor_;
-  net::OneShotTimer stop_timer_, accept_pause_, drain_sweep_;
-  std::array<char, 16384> dropped_;      // what is read only to be dropped, of all sessions
-  std::unordered_set<std::size_t> ids_;  // hashes of those taken lately
-  std::deque<std::pair<TimePoint, std::size_t>> ids_by_age_;
-  Sessions sessions_;  // the one that was idle the longest comes first
-  bool awaiting_connection_ = false, stopping_ = false, door_closed_ = false, draining_ = false;
-  int unadmitted_ = kNoDescriptor;  // a connection accepted, and for want of memory no session yet
-  std::size_t ending_ = 0;          // of the sessions, those that are shut and wait for their client's close
-  Duration longest_deadline_{0};    // of all classes
-  TimePoint stop_began_{};
-  TimePoint last_busy_{};  // when a request was last taken or answered
+  StopSchedule stop_schedule_;
+  RecentIds recent_ids_;
+  ConnectionAcceptor acceptor_;
+  net::OneShotTimer stop_timer_;
+  net::OneShotTimer accept_pause_;
+  net::OneShotTimer drain_sweep_;
+  std::array<char, 16384> discarded_;  // input that is read only to be dropped, of all sessions
+  SessionList sessions_;
+  bool draining_ = false;
+  TimePoint last_request_at_{};  // when one was last accepted, or the drain began
   std::uint64_t rejected_ = 0;
   std::function<void()> stopped_;
 };
--- /dev/null
+++ b/src/proxy/request_error.cpp
@@ -0,0 +1,59 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/request_error.h"
+
+namespace badgerbridge::proxy {
+
+// A table of texts: longer than other functions.
+Rejection RejectionOf(RequestError error) {  // NOLINT(readability-function-size)
+  switch (error) {
+    case RequestError::kSeveralBodyLengths:
+      return {400, "more than one Content-Length or Transfer-Encoding\n"};
+    case RequestError::kMalformedContentLength:
+      return {400, "malformed Content-Length\n"};
+    case RequestError::kUnknownTransferEncoding:
+      return {400, "Transfer-Encoding is not chunked\n"};
+    case RequestError::kGetWithBody:
+      return {400, "GET with a body\n"};
+    case RequestError::kRepeatedHeader:
+      return {400, "a header twice\n"};
+    case RequestError::kMalformedTarget:
+      return {400, "malformed target\n"};
+    case RequestError::kUnknownClass:
+      return {400, "X-Service-Class names no known class\n"};
+    case RequestError::kPathNotOfClass:
+      return {400, "the path does not begin with the class\n"};
+    case RequestError::kUnknownTenant:
+      return {400, "X-Account names no known tenant\n"};
+    case RequestError::kMethodNotOfClass:
+      return {405, "this class does not take this method\n"};
+    case RequestError::kReadyNotGet:
+      return {405, ""};
+    case RequestError::kIdempotencyKeyNotOfClass:
+      return {400, "Idempotency-Key does not fit the class\n"};
+    case RequestError::kMalformedTimeLeft:
+      return {400, "X-Time-Left-Ms is no whole number\n"};
+    case RequestError::kMalformedWeightHint:
+      return {400, "X-Weight-Hint is not a number\n"};
+    case RequestError::kMalformedCorrelationId:
+      return {400, "X-Correlation-Id is absent or malformed\n"};
+    case RequestError::kCorrelationIdInUse:
+      return {409, "this X-Correlation-Id is in use, or was a moment ago\n"};
+    case RequestError::kIncompleteAtClientLimit:
+      return {503, "no room for a request that is not whole\n"};
+    case RequestError::kIncompleteInTime:
+      return {408, "the request is not whole\n"};
+    case RequestError::kBodyTooLarge:
+      return {413, "the body is too large\n"};
+    case RequestError::kHeaderTooLarge:
+      return {431, "the header is too large\n"};
+    case RequestError::kTooMuchSentAhead:
+      return {400, "too much was sent ahead\n"};
+    case RequestError::kMalformed:
+      return {400, "malformed request\n"};
+    case RequestError::kInternal:
+      break;
+  }
+  return {500, ""};
+}
+
+}  // namespace badgerbridge::proxy
--- /dev/null
+++ b/src/proxy/request_validator.cpp
@@ -0,0 +1,170 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/request_validator.h"
+
+#include <algorithm>
+#include <boost/url/parse.hpp>
+#include <boost/url/url_view.hpp>
+#include <charconv>
+#include <cmath>
+#include <cstdint>
+#include <functional>
+#include <optional>
+#include <string_view>
+
+namespace badgerbridge::proxy {
+
+namespace beast = boost::beast;
+namespace http = boost::beast::http;
+
+namespace {
+
+constexpr std::size_t kMaxIdLength = 128;
+constexpr std::size_t kMaxContentLengthDigits = 19;  // fits 64 bits
+constexpr std::size_t kMaxTimeLeftDigits = 9;
+constexpr unsigned kHttp11 = 11;
+constexpr double kWeightHintUnitsPerMs = 1000;
+
+// Of each of these the value counts, here or at a backend.
+constexpr const char* kSingleHeaders[] = {"Host",          "X-Correlation-Id", "X-Service-Class",
+                                          "X-Account",     "X-Time-Left-Ms",   "Idempotency-Key",
+                                          "X-Weight-Hint", "X-Repeat"};
+
+bool IsDigit(char symbol) { return symbol >= '0' && symbol <= '9'; }
+
+bool IsIdCharacter(char symbol) {
+  const bool is_letter = (symbol >= 'a' && symbol <= 'z') || (symbol >= 'A' && symbol <= 'Z');
+  return IsDigit(symbol) || is_letter || symbol == '-' || symbol == '_' || symbol == '.';
+}
+
+bool IsDigits(beast::string_view text, std::size_t max_length) {
+  return !text.empty() && text.size() <= max_length && std::all_of(text.begin(), text.end(), IsDigit);
+}
+
+bool IsId(beast::string_view text) {
+  return !text.empty() && text.size() <= kMaxIdLength && std::all_of(text.begin(), text.end(), IsIdCharacter);
+}
+
+// A finite number that is not below 0.
+std::optional<double> ParseNumber(beast::string_view text) {
+  double value = 0;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
+  if (!std::isfinite(value) || value < 0) return std::nullopt;
+  return value;
+}
+
+// The affinity key of the object that the request is about; 0: none. From the encoded parameters: Boost.URL
+// decodes the others within functions that may not throw, and ends the process where memory is short.
+std::uint64_t ObjectKey(const boost::urls::url_view& url) {
+  const auto params = url.encoded_params();
+  const auto found = params.find("obj");
+  if (found == params.end() || !(*found).has_value) return 0;
+  std::string value;
+  (*found).value.decode({}, boost::urls::string_token::assign_to(value));
+  if (value.empty()) return 0;
+  return std::max<std::uint64_t>(1, std::hash<std::string>()(value));
+}
+
+bool HasBody(const ClientRequest& request) {
+  if (request.count(http::field::transfer_encoding) > 0) return true;
+  if (request.count(http::field::content_length) == 0) return false;
+  return request[http::field::content_length].find_first_not_of('0') != beast::string_view::npos;
+}
+
+RequestResult<void> CheckMethodAndKey(const ClientRequest& request, const ClassSettings& settings) {
+  const bool idempotent = settings.effect == Idempotency::kIdempotent;
+  if (request.method() != (idempotent ? http::verb::get : http::verb::post))
+    return RequestError::kMethodNotOfClass;
+  // Without its key a repetition would not be dropped at the backend, and the balancer counts on that.
+  const auto key = request["Idempotency-Key"];
+  const bool needs_key = settings.effect == Idempotency::kIdempotencyKey;
+  if (needs_key == key.empty() || key.size() > kMaxIdLength) return RequestError::kIdempotencyKeyNotOfClass;
+  return {};
+}
+
+// The time that the client has left, at most the class's deadline; from when the request began.
+RequestResult<Duration> TimeLeft(const ClientRequest& request, const ClassSettings& settings) {
+  const Duration deadline(settings.deadline.count());
+  if (request.count("X-Time-Left-Ms") == 0) return deadline;
+  const beast::string_view text = request["X-Time-Left-Ms"];
+  if (!IsDigits(text, kMaxTimeLeftDigits)) return RequestError::kMalformedTimeLeft;
+  return std::min(deadline, Duration(ParseNumber(text).value_or(deadline.count())));
+}
+
+RequestResult<void> ReadWeightHint(const ClientRequest& request, Submit& submit) {
+  if (request.count("X-Weight-Hint") == 0) return {};
+  const std::optional<double> hint = ParseNumber(request["X-Weight-Hint"]);
+  if (!hint) return RequestError::kMalformedWeightHint;
+  submit.has_hint = true;
+  submit.work_ms = *hint / kWeightHintUnitsPerMs;
+  return {};
+}
+
+}  // namespace
+
+// Beast 1.81 rejects some of these; it takes a transfer coding that it does not know as none, the same length
+// twice, and the trailers of chunks as headers.
+RequestResult<void> CheckFraming(const ClientRequest& request) {
+  const auto lengths = request.count(http::field::content_length);
+  const auto encodings = request.count(http::field::transfer_encoding);
+  if (lengths + encodings > 1) return RequestError::kSeveralBodyLengths;
+  if (lengths == 1 && !IsDigits(request[http::field::content_length], kMaxContentLengthDigits))
+    return RequestError::kMalformedContentLength;
+  if (encodings == 1 &&
+      (request.version() < kHttp11 || !beast::iequals(request[http::field::transfer_encoding], "chunked")))
+    return RequestError::kUnknownTransferEncoding;
+  if (request.method() == http::verb::get && HasBody(request)) return RequestError::kGetWithBody;
+  for (const char* name : kSingleHeaders) {
+    if (request.count(name) > 1) return RequestError::kRepeatedHeader;
+  }
+  return {};
+}
+
+RequestValidator::RequestValidator(const Config& config) : class_settings_(config.settings.classes) {
+  for (std::size_t i = 0; i < config.classes.size(); ++i) classes_.emplace(config.classes[i], i);
+  for (std::size_t i = 0; i < config.tenants.size(); ++i) tenants_.emplace(config.tenants[i], i);
+}
+
+Duration RequestValidator::longest_deadline() const {
+  Duration longest{0};
+  for (const ClassSettings& settings : class_settings_)
+    longest = std::max(longest, Duration(settings.deadline));
+  return longest;
+}
+
+RequestResult<ValidRequest> RequestValidator::Validate(const ClientRequest& request, TimePoint began_at,
+                                                       TimePoint latest_due) const {
+  const auto url = boost::urls::parse_origin_form({request.target().data(), request.target().size()});
+  if (!url) return RequestError::kMalformedTarget;
+  const auto named_class = classes_.find(std::string(request["X-Service-Class"]));
+  if (named_class == classes_.end()) return RequestError::kUnknownClass;
+  const auto segments = url->encoded_segments();
+  if (segments.empty() || std::string_view(segments.front()) != named_class->first)
+    return RequestError::kPathNotOfClass;
+
+  ValidRequest valid;
+  valid.service_class = named_class->first;
+  valid.submit.request_class = named_class->second;
+  if (const auto checked = CheckTenant(request, valid.submit); !checked) return checked.error();
+  const ClassSettings& settings = class_settings_[static_cast<std::size_t>(named_class->second)];
+  if (const auto checked = CheckMethodAndKey(request, settings); !checked) return checked.error();
+  const RequestResult<Duration> time_left = TimeLeft(request, settings);
+  if (!time_left) return time_left.error();
+  if (const auto checked = ReadWeightHint(request, valid.submit); !checked) return checked.error();
+  if (!IsId(request["X-Correlation-Id"])) return RequestError::kMalformedCorrelationId;
+
+  valid.submit.due = std::min(began_at + *time_left, latest_due);
+  valid.submit.client_retry = request["X-Repeat"] == "1";
+  valid.submit.key = ObjectKey(*url);
+  return valid;
+}
+
+RequestResult<void> RequestValidator::CheckTenant(const ClientRequest& request, Submit& submit) const {
+  if (!has_tenants()) return {};
+  const auto tenant = tenants_.find(std::string(request["X-Account"]));
+  if (tenant == tenants_.end()) return RequestError::kUnknownTenant;
+  submit.tenant = tenant->second;
+  return {};
+}
+
+}  // namespace badgerbridge::proxy
--- a/src/proxy/requester.h
+++ b/src/proxy/requester.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Whoever a request is served for, as the proxy sees it: a client's connection.
+// The receiver of a request's answer, as the proxy sees it: a client's connection.
 #ifndef BADGERBRIDGE_PROXY_REQUESTER_H_
 #define BADGERBRIDGE_PROXY_REQUESTER_H_
 
@@ -12,11 +12,13 @@
 
 /// The final answer to a request.
 struct Answer {
-  unsigned status = 500;
-  std::string body, content_type;
-  Duration retry_after{0};  // 0: no advice
+  unsigned status = 500;     ///< of HTTP
+  std::string body;          ///< may be empty
+  std::string content_type;  ///< empty: no Content-Type
+  Duration retry_after{0};   ///< of Retry-After; 0: none
 };
 
+/// Receives the answer to one request at a time.
 class Requester {
  public:
   virtual ~Requester() = default;
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -1,13 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A session's start and its end: time limits, the place that it gives up, and the close.
+// A session's beginning and end: time limits, eviction, and the close.
 #include "proxy/session.h"
 
 #include <algorithm>
-#include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/post.hpp>
-#include <chrono>
-#include <exception>
 #include <iostream>
 #include <utility>
 
@@ -18,139 +15,156 @@
 namespace asio = boost::asio;
 namespace beast = boost::beast;
 using asio::ip::tcp;
+using std::chrono::milliseconds;
 
 namespace {
 
-constexpr Duration kUsualFirstRequest{250};  // from the connection to a usual client's whole request
-constexpr Duration kUsualReader{1000};       // from the answer to a usual client's having read it
-// Of a client that has not read its answer yet, while unread bytes would make the close a reset.
-constexpr int kMostLingerExtensions = 3;
+// A client sends a request at once: one that takes longer will not be complete. Also for the first bytes.
+constexpr milliseconds kRequestTimeout{2200};
+// Between requests: more than the 2 s that clients may count on.
+constexpr milliseconds kKeepAliveTimeout{2200};
+constexpr Duration kTypicalFirstRequestTime{250};  // from the connection to a typical client's whole request
+constexpr Duration kTypicalReadTime{1000};         // of an answer, by a typical client
+// For a client that has not read its answer yet, while unread bytes would make the close a reset.
+constexpr int kMaxLingerExtensions = 3;
 
 }  // namespace
 
-Listener::Session::Session(Listener& listener)
-    : listener_(listener), socket_(listener.io_), timer_(listener.io_), pause_(listener.io_) {}
+Session::Session(Listener& listener)
+    : listener_(listener), socket_(listener.io_), timer_(listener.io_), discard_pause_(listener.io_) {}
 
-void Listener::Session::Adopt(const tcp& protocol, int descriptor) { socket_.assign(protocol, descriptor); }
+void Session::Adopt(const tcp& protocol, int descriptor) { socket_.assign(protocol, descriptor); }
 
-// After an exception. What is owed is still given: the table answers what it holds, an answer that is being
-// written is written on, and what has been read of a request is answered. A second exception here ends the
-// connection.
-void Listener::Session::Recover(const std::exception& cause) noexcept {
-  std::cerr << "a connection's event could not be handled: " << cause.what() << '\n';
-  try {
-    switch (state_) {
-      case State::kReceiving:
-        if (begun_ || buffer_.size() > 0) return Reject({500, ""});
-        if (!timer_.armed()) ArmReceiveTimeout();
-        return AwaitInput();
-      case State::kServing:
-        return AwaitInput();
-      case State::kAnswering:
-        return WriteSome();
-      case State::kEnding:
-        if (!timer_.armed()) SetTimer(listener_.limits_.linger);
-        return AwaitInput();
-      case State::kClosed:
-        return;
-    }
-  } catch (const std::exception&) {
-    if (state_ != State::kServing) Close();
-  }
-}
-
-void Listener::Session::Start(Sessions::iterator at) noexcept {
-  at_ = at;
+void Session::Start(SessionList::Position position) noexcept {
+  position_ = position;
   Guarded([this] {
     beast::error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
     socket_.non_blocking(true, ignored);
     since_ = listener_.clock_.Now();
-    ResetParser();
-    SetTimer(kSlowRequest);  // also for one that says nothing at all
+    input_.Reset();
+    ArmTimer(kRequestTimeout);
     AwaitInput();
   });
 }
 
-bool Listener::Session::HasBeenIdleFor(Duration silent) const {
-  return state_ == State::kReceiving && asked_ && !begun_ && listener_.clock_.Now() - since_ >= silent &&
+// After an exception. What is owed is still given; a second exception here ends the connection.
+void Session::Recover(const std::exception& cause) noexcept {
+  std::cerr << "a connection's event could not be handled: " << cause.what() << '\n';
+  try {
+    ResumeState();
+  } catch (const std::exception&) {
+    if (state_ != State::kServing) Close();
+  }
+}
+
+// The table answers the requests that it holds, an answer that is being written is written on, and what has
+// been read of a request is answered.
+void Session::ResumeState() {
+  switch (state_) {
+    case State::kAwaitingFirst:
+    case State::kIdle:
+    case State::kReceiving:
+      if (input_.has_begun() || input_.buffered_bytes() > 0) return Reject(RequestError::kInternal);
+      if (!timer_.armed()) ArmReceiveTimeout();
+      return AwaitInput();
+    case State::kServing:
+      return AwaitInput();
+    case State::kAnswering:
+      return WriteSome();
+    case State::kLingering:
+      if (!timer_.armed()) ArmTimer(listener_.limits_.linger);
+      return AwaitInput();
+    case State::kClosed:
+      return;
+  }
+}
+
+bool Session::IsBeforeServing() const {
+  return state_ == State::kAwaitingFirst || state_ == State::kIdle || state_ == State::kReceiving;
+}
+
+bool Session::IsIdle() const {
+  return state_ == State::kAwaitingFirst || state_ == State::kIdle || state_ == State::kLingering;
+}
+
+bool Session::HasBeenIdleFor(Duration min_idle) const {
+  return state_ == State::kIdle && listener_.clock_.Now() - since_ >= min_idle &&
          net::UnreadBytes(socket_) == 0;
 }
 
-bool Listener::Session::NeverAsked() const {
-  return state_ == State::kReceiving && !asked_ && !begun_ &&
-         listener_.clock_.Now() - since_ >= kUsualFirstRequest && net::UnreadBytes(socket_) == 0;
+bool Session::HasSentNothing() const {
+  return state_ == State::kAwaitingFirst && listener_.clock_.Now() - since_ >= kTypicalFirstRequestTime &&
+         net::UnreadBytes(socket_) == 0;
+}
+
+bool Session::IsSlowToSend() const {
+  return state_ == State::kReceiving && listener_.clock_.Now() - since_ >= kTypicalFirstRequestTime;
 }
 
-bool Listener::Session::SlowToSend() const {
-  return state_ == State::kReceiving && begun_ && listener_.clock_.Now() - since_ >= kUsualFirstRequest;
+bool Session::IsSlowToRead() const {
+  return state_ == State::kAnswering && listener_.clock_.Now() - since_ >= kTypicalReadTime;
 }
 
-bool Listener::Session::SlowToRead() const {
-  return state_ == State::kAnswering && listener_.clock_.Now() - since_ >= kUsualReader;
+bool Session::EndedCleanly() const {
+  return is_lingering() && net::UnreadBytes(socket_) == 0 && net::UnacknowledgedBytes(socket_) == 0;
 }
 
-void Listener::Session::Close() noexcept {
+void Session::Close() noexcept {
   if (state_ == State::kClosed) return;
-  const State was = std::exchange(state_, State::kClosed);
-  if (was == State::kEnding) --listener_.ending_;
+  const State former = std::exchange(state_, State::kClosed);
+  if (former == State::kLingering) listener_.sessions_.RemoveLingering();
   timer_.Disarm();
-  pause_.Disarm();
+  discard_pause_.Disarm();
   beast::error_code ignored;
   socket_.close(ignored);
   try {
-    if (was == State::kServing) listener_.proxy_.ClientDisconnected(std::exchange(request_, 0));
+    if (former == State::kServing) listener_.proxy_.ClientDisconnected(std::exchange(request_, 0));
   } catch (const std::exception& error) {
     std::cerr << "a departure could not be noted: " << error.what() << '\n';
   }
-  listener_.Remove(at_);
+  listener_.Remove(position_);
 }
 
-void Listener::Session::ShutdownIfIdle() noexcept {
+void Session::ShutdownIfIdle() noexcept {
   Guarded([this] {
-    if (state_ == State::kReceiving && !begun_ && net::UnreadBytes(socket_) == 0)
-      ShutdownSend(Input::kLeftUnread);
+    const bool between_requests = state_ == State::kAwaitingFirst || state_ == State::kIdle;
+    if (between_requests && net::UnreadBytes(socket_) == 0) BeginLinger(InputMode::kLeaveUnread);
   });
 }
 
-void Listener::Session::RejectPartialRequest() noexcept {
+void Session::RejectPartialRequest() noexcept {
   Guarded([this] {
-    if (state_ != State::kReceiving) return;
     ReadAllUnread();
-    if (state_ == State::kReceiving && begun_) Reject({503, "no room for a request that is not whole\n"});
+    if (state_ == State::kReceiving) Reject(RequestError::kIncompleteAtClientLimit);
   });
 }
 
-void Listener::Session::EndIfDrained() noexcept {
-  if (asked_) ShutdownIfIdle();
+void Session::EndIfDrained() noexcept {
+  if (state_ == State::kIdle) ShutdownIfIdle();
 }
 
-void Listener::Session::BeginDrain() noexcept {
+void Session::BeginDrain() noexcept {
   Guarded([this] {
-    if (state_ != State::kReceiving) return;
-    if (asked_) ShutdownIfIdle();
-    if (state_ == State::kReceiving) ArmReceiveTimeout();
+    EndIfDrained();
+    if (IsBeforeServing()) ArmReceiveTimeout();
   });
 }
 
 // From here on nothing is read that could be a request.
-void Listener::Session::ShutdownSend(Input what_still_comes) {
-  state_ = State::kEnding;
-  input_ = what_still_comes;
-  ++listener_.ending_;
-  dropped_ = 0;
+void Session::BeginLinger(InputMode mode) {
+  state_ = State::kLingering;
+  input_mode_ = mode;
+  listener_.sessions_.AddLingering();
+  discarded_bytes_ = 0;
   linger_extensions_ = 0;
   beast::error_code ignored;
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
-  SetTimer(listener_.limits_.linger);
+  ArmTimer(listener_.limits_.linger);
   AwaitInput();
 }
 
-bool Listener::Session::EndedCleanly() const {
-  return ending() && net::UnreadBytes(socket_) == 0 && net::UnacknowledgedBytes(socket_) == 0;
-}
-
-bool Listener::Session::HasLeft() noexcept {
+bool Session::HasLeft() noexcept {
   if (state_ == State::kClosed) return true;
   if (!net::PeerHasClosed(socket_)) return false;
   try {
@@ -161,13 +175,15 @@
   return true;
 }
 
-void Listener::Session::OnTimer() {
+void Session::OnTimer() {
   switch (state_) {
+    case State::kAwaitingFirst:
+    case State::kIdle:
     case State::kReceiving:
       return OnReceiveTimeout();
     case State::kAnswering:
       return Close();  // a client that does not read must not hold the connection for ever
-    case State::kEnding:
+    case State::kLingering:
       return OnLingerTimeout();
     case State::kServing:
     case State::kClosed:
@@ -176,23 +192,36 @@
 }
 
 // The rest of the request, or the next one, may have come in the same turn of the loop.
-void Listener::Session::OnReceiveTimeout() {
+void Session::OnReceiveTimeout() {
   ReadAllUnread();
-  if (state_ != State::kReceiving || timer_.armed()) return;
-  if (begun_) return Reject({408, "the request is not whole\n"});
-  ShutdownSend(Input::kLeftUnread);
+  if (!IsBeforeServing() || timer_.armed()) return;
+  if (state_ == State::kReceiving) return Reject(RequestError::kIncompleteInTime);
+  BeginLinger(InputMode::kLeaveUnread);
 }
 
 // A close over unread bytes is a reset, which would take away what the client has not got yet.
-void Listener::Session::OnLingerTimeout() {
+void Session::OnLingerTimeout() {
   const bool would_lose = net::UnreadBytes(socket_) > 0 && net::UnacknowledgedBytes(socket_) > 0;
-  if (!would_lose || ++linger_extensions_ > kMostLingerExtensions) return Close();
-  SetTimer(listener_.limits_.linger);
+  if (!would_lose || ++linger_extensions_ > kMaxLingerExtensions) return Close();
+  ArmTimer(listener_.limits_.linger);
 }
 
-void Listener::Session::SetTimer(std::chrono::milliseconds wait) {
+void Session::ArmTimer(milliseconds wait) {
   timer_.ArmAfter(wait,
                   [self = shared_from_this()] { self->Guarded([&session = *self] { session.OnTimer(); }); });
 }
 
+void Session::ArmReceiveTimeout() {
+  milliseconds wait = state_ == State::kIdle ? kKeepAliveTimeout : kRequestTimeout;
+  if (listener_.acceptor_.is_closed()) {
+    const StopSchedule& schedule = listener_.stop_schedule_;
+    const TimePoint now = listener_.clock_.Now();
+    const milliseconds rest = state_ == State::kReceiving
+                                  ? std::min(listener_.limits_.linger, schedule.UntilLastAnswer(now))
+                                  : schedule.UntilServingEnds(now);
+    wait = std::min(wait, rest);
+  }
+  ArmTimer(wait);
+}
+
 }  // namespace badgerbridge::proxy
--- a/tests/proxy/arrival_times_test.cpp
+++ b/tests/proxy/arrival_times_test.cpp
@@ -11,18 +11,18 @@
 
 TimePoint At(double ms) { return TimePoint(Duration(ms)); }
 
-TEST(ArrivalTimes, TellsOfTheOldestByte) {
+TEST(ArrivalTimes, OldestIsTheArrivalOfTheOldestByte) {
   ArrivalTimes times;
   EXPECT_TRUE(times.empty());
-  times.Added(10, At(1));
-  times.Added(0, At(2));
-  times.Added(5, At(3));
+  times.Add(10, At(1));
+  times.Add(0, At(2));
+  times.Add(5, At(3));
   EXPECT_EQ(times.Oldest(), At(1));
-  times.Consumed(9);
+  times.Consume(9);
   EXPECT_EQ(times.Oldest(), At(1));
-  times.Consumed(1);
+  times.Consume(1);
   EXPECT_EQ(times.Oldest(), At(3));
-  times.Consumed(5);
+  times.Consume(5);
   EXPECT_TRUE(times.empty());
 }
 
@@ -37,11 +37,11 @@
     for (int step = 0; step < 2000; ++step) {
       const std::size_t added = random() % (many ? 3 : 20);
       for (std::size_t i = 0; i < added; ++i) bytes.push_back(At(step));
-      times.Added(added, At(step));
+      times.Add(added, At(step));
       if (!many || random() % 400 == 0) {
         const std::size_t consumed = random() % (bytes.size() + 1);
         bytes.erase(bytes.begin(), bytes.begin() + static_cast<std::ptrdiff_t>(consumed));
-        times.Consumed(consumed);
+        times.Consume(consumed);
       }
       ASSERT_EQ(times.empty(), bytes.empty());
       if (bytes.empty()) continue;
