--- a/src/proxy/request_validator.cpp
+++ b/src/proxy/request_validator.cpp
@@ -29,6 +29,12 @@
                                           "X-Account",     "X-Time-Left-Ms",   "Idempotency-Key",
                                           "X-Weight-Hint", "X-Repeat"};
 
+// The value of the first header of that name; empty if there is none.
+std::string_view HeaderOf(const ClientRequest& request, std::string_view name) {
+  const beast::string_view value = request[beast::string_view(name.data(), name.size())];
+  return {value.data(), value.size()};
+}
+
 bool IsDigit(char symbol) { return symbol >= '0' && symbol <= '9'; }
 
 bool IsIdCharacter(char symbol) {
@@ -36,16 +42,16 @@
   return IsDigit(symbol) || is_letter || symbol == '-' || symbol == '_' || symbol == '.';
 }
 
-bool IsDigits(beast::string_view text, std::size_t max_length) {
+bool IsDigits(std::string_view text, std::size_t max_length) {
   return !text.empty() && text.size() <= max_length && std::all_of(text.begin(), text.end(), IsDigit);
 }
 
-bool IsId(beast::string_view text) {
+bool IsId(std::string_view text) {
   return !text.empty() && text.size() <= kMaxIdLength && std::all_of(text.begin(), text.end(), IsIdCharacter);
 }
 
 // A finite number that is not below 0.
-std::optional<double> ParseNumber(beast::string_view text) {
+std::optional<double> ParseNumber(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
@@ -76,7 +82,7 @@
   if (request.method() != (idempotent ? http::verb::get : http::verb::post))
     return RequestError::kMethodNotOfClass;
   // Without its key a repetition would not be dropped at the backend, and the balancer counts on that.
-  const auto key = request["Idempotency-Key"];
+  const auto key = HeaderOf(request, "Idempotency-Key");
   const bool needs_key = settings.effect == Idempotency::kIdempotencyKey;
   if (needs_key == key.empty() || key.size() > kMaxIdLength) return RequestError::kIdempotencyKeyNotOfClass;
   return {};
@@ -86,14 +92,14 @@
 RequestResult<Duration> TimeLeft(const ClientRequest& request, const ClassSettings& settings) {
   const Duration deadline(settings.deadline.count());
   if (request.count("X-Time-Left-Ms") == 0) return deadline;
-  const beast::string_view text = request["X-Time-Left-Ms"];
+  const std::string_view text = HeaderOf(request, "X-Time-Left-Ms");
   if (!IsDigits(text, kMaxTimeLeftDigits)) return RequestError::kMalformedTimeLeft;
   return std::min(deadline, Duration(ParseNumber(text).value_or(deadline.count())));
 }
 
 RequestResult<void> ReadWeightHint(const ClientRequest& request, Submit& submit) {
   if (request.count("X-Weight-Hint") == 0) return {};
-  const std::optional<double> hint = ParseNumber(request["X-Weight-Hint"]);
+  const std::optional<double> hint = ParseNumber(HeaderOf(request, "X-Weight-Hint"));
   if (!hint) return RequestError::kMalformedWeightHint;
   submit.has_hint = true;
   submit.work_ms = *hint / kWeightHintUnitsPerMs;
@@ -108,7 +114,7 @@
   const auto lengths = request.count(http::field::content_length);
   const auto encodings = request.count(http::field::transfer_encoding);
   if (lengths + encodings > 1) return RequestError::kSeveralBodyLengths;
-  if (lengths == 1 && !IsDigits(request[http::field::content_length], kMaxContentLengthDigits))
+  if (lengths == 1 && !IsDigits(HeaderOf(request, "Content-Length"), kMaxContentLengthDigits))
     return RequestError::kMalformedContentLength;
   if (encodings == 1 &&
       (request.version() < kHttp11 || !beast::iequals(request[http::field::transfer_encoding], "chunked")))
@@ -136,7 +142,7 @@
                                                        TimePoint latest_due) const {
   const auto url = boost::urls::parse_origin_form({request.target().data(), request.target().size()});
   if (!url) return RequestError::kMalformedTarget;
-  const auto named_class = classes_.find(std::string(request["X-Service-Class"]));
+  const auto named_class = classes_.find(std::string(HeaderOf(request, "X-Service-Class")));
   if (named_class == classes_.end()) return RequestError::kUnknownClass;
   const auto segments = url->encoded_segments();
   if (segments.empty() || std::string_view(segments.front()) != named_class->first)
@@ -145,25 +151,28 @@
   ValidRequest valid;
   valid.service_class = named_class->first;
   valid.submit.request_class = named_class->second;
-  if (const auto checked = CheckTenant(request, valid.submit); !checked) return checked.error();
+  if (const auto tenant = ReadTenant(request, valid); !tenant) return tenant.error();
   const ClassSettings& settings = class_settings_[static_cast<std::size_t>(named_class->second)];
   if (const auto checked = CheckMethodAndKey(request, settings); !checked) return checked.error();
   const RequestResult<Duration> time_left = TimeLeft(request, settings);
   if (!time_left) return time_left.error();
   if (const auto checked = ReadWeightHint(request, valid.submit); !checked) return checked.error();
-  if (!IsId(request["X-Correlation-Id"])) return RequestError::kMalformedCorrelationId;
+  valid.correlation_id = HeaderOf(request, "X-Correlation-Id");
+  if (!IsId(valid.correlation_id)) return RequestError::kMalformedCorrelationId;
 
+  valid.idempotency_key = HeaderOf(request, "Idempotency-Key");
   valid.submit.due = std::min(began_at + *time_left, latest_due);
-  valid.submit.client_retry = request["X-Repeat"] == "1";
+  valid.submit.client_retry = HeaderOf(request, "X-Repeat") == "1";
   valid.submit.key = ObjectKey(*url);
   return valid;
 }
 
-RequestResult<void> RequestValidator::CheckTenant(const ClientRequest& request, Submit& submit) const {
-  if (!has_tenants()) return {};
-  const auto tenant = tenants_.find(std::string(request["X-Account"]));
+RequestResult<void> RequestValidator::ReadTenant(const ClientRequest& request, ValidRequest& valid) const {
+  if (tenants_.empty()) return {};
+  valid.account = HeaderOf(request, "X-Account");
+  const auto tenant = tenants_.find(std::string(valid.account));
   if (tenant == tenants_.end()) return RequestError::kUnknownTenant;
-  submit.tenant = tenant->second;
+  valid.submit.tenant = tenant->second;
   return {};
 }
 
--- a/src/proxy/request_validator.h
+++ b/src/proxy/request_validator.h
@@ -5,6 +5,7 @@
 #define BADGERBRIDGE_PROXY_REQUEST_VALIDATOR_H_
 
 #include <string>
+#include <string_view>
 #include <unordered_map>
 #include <vector>
 
@@ -15,10 +16,13 @@
 
 namespace badgerbridge::proxy {
 
-/// What a valid request asks for.
+/// What a valid request asks for. The views are of the request's own headers.
 struct ValidRequest {
-  Submit submit;              ///< for the table of requests; without an id
-  std::string service_class;  ///< the class's name
+  Submit submit;                     ///< for the table of requests; without an id
+  std::string service_class;         ///< the class's name
+  std::string_view correlation_id;   ///< the request's id
+  std::string_view idempotency_key;  ///< empty: none
+  std::string_view account;          ///< the tenant's name; empty where requests name none
 };
 
 /// Checks how the length of the body is stated, and that no header that counts here is repeated. Where the
@@ -38,15 +42,13 @@
   RequestResult<ValidRequest> Validate(const ClientRequest& request, TimePoint began_at,
                                        TimePoint latest_due) const;
 
-  /// Whether requests name a tenant.
-  bool has_tenants() const { return !tenants_.empty(); }
   /// The longest deadline of all classes.
   Duration longest_deadline() const;
 
  private:
   using IndexByName = std::unordered_map<std::string, int>;
 
-  RequestResult<void> CheckTenant(const ClientRequest& request, Submit& submit) const;
+  RequestResult<void> ReadTenant(const ClientRequest& request, ValidRequest& valid) const;
 
   std::vector<ClassSettings> class_settings_;
   IndexByName classes_;
--- a/src/proxy/session.h
+++ b/src/proxy/session.h
@@ -145,7 +145,7 @@
   void ServeNext();
   RequestResult<void> Serve(ClientRequest& request, TimePoint began_at);
   RequestResult<void> ServeReady(const ClientRequest& request);
-  void BeginServing(ClientRequest& request, ValidRequest valid);
+  void BeginServing(ClientRequest& request, ValidRequest& valid);
 
   // session_write.cpp: answers.
   void Reject(RequestError error);
--- a/src/proxy/session_request.cpp
+++ b/src/proxy/session_request.cpp
@@ -39,9 +39,9 @@
       listener_.validator_.Validate(request, began_at, listener_.stop_schedule_.LastAnswer());
   if (!valid) return valid.error();
   // Last, so that only the ids of accepted requests are kept.
-  if (!listener_.recent_ids_.Add(request["X-Correlation-Id"], listener_.clock_.Now()))
+  if (!listener_.recent_ids_.Add(valid->correlation_id, listener_.clock_.Now()))
     return RequestError::kCorrelationIdInUse;
-  BeginServing(request, std::move(*valid));
+  BeginServing(request, *valid);
   return {};
 }
 
@@ -56,15 +56,15 @@
   return {};
 }
 
-void Session::BeginServing(ClientRequest& request, ValidRequest valid) {
+void Session::BeginServing(ClientRequest& request, ValidRequest& valid) {
   auto forwarded = std::make_shared<Forwarded>();
   forwarded->method = request.method();
   forwarded->target = std::string(request.target());
   forwarded->body = std::move(request.body());
-  forwarded->correlation_id = std::string(request["X-Correlation-Id"]);
-  forwarded->idempotency_key = std::string(request["Idempotency-Key"]);
+  forwarded->correlation_id = valid.correlation_id;
+  forwarded->idempotency_key = valid.idempotency_key;
   forwarded->service_class = std::move(valid.service_class);
-  if (listener_.validator_.has_tenants()) forwarded->account = std::string(request["X-Account"]);
+  forwarded->account = valid.account;
 
   listener_.last_request_at_ = listener_.clock_.Now();
   state_ = State::kServing;
