--- a/tests/proxy/deadline_test.cpp
+++ b/tests/proxy/deadline_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The deadline that a backend is told, where a request has waited before the proxy read it: its client counts
+// The deadline that a backend is sent, where a request has waited before the proxy read it: its client counts
 // from when it sent it. By the real clock, since the kernel's own figures count.
 #include <gtest/gtest.h>
 
@@ -10,6 +10,7 @@
 #include <string>
 #include <thread>
 
+#include "proxy/http_text.h"
 #include "proxy/proxy_harness.h"
 
 namespace badgerbridge::proxy::testing {
@@ -18,18 +19,11 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-constexpr milliseconds kTimeLeft{900};  // of the harness's requests
-constexpr milliseconds kWaited{300};    // for which the process does not run
-constexpr milliseconds kTooMuch{150};   // that a backend may be told beyond what the client has left
-constexpr milliseconds kTooLittle{
-    50};  // that it may be told less: the proxy's margins, and the kernel's ticks
-
-std::string TextOf(const std::string& request, const std::string& header) {
-  const std::size_t at = request.find(header + ": ");
-  if (at == std::string::npos) return "";
-  const std::size_t begin = at + header.size() + 2;
-  return request.substr(begin, request.find("\r\n", begin) - begin);
-}
+constexpr milliseconds kTimeLeft{900};   // of the harness's requests
+constexpr milliseconds kWaited{300};     // for which the process does not run
+constexpr milliseconds kMaxExcess{150};  // that a backend may be sent beyond what the client has left
+constexpr milliseconds kMaxShortfall{
+    50};  // that it may be sent less: the proxy's margins, and the kernel's ticks
 
 std::string WithTimeLeft(std::string request, milliseconds left) {
   const std::string usual = ": " + std::to_string(kTimeLeft.count());
@@ -67,13 +61,13 @@
     EXPECT_TRUE(RunUntil(io_, [&] { return Answers(client) == answers; })) << client.in;
   }
 
-  std::size_t served() const { return told_.size(); }
+  std::size_t served() const { return deadline_sent_.size(); }
 
-  // What the backend was told fits what the client had left then, less than it had at first.
-  void ExpectHonest(const std::string& id) {
-    ASSERT_EQ(told_.count(id), 1u) << id;
-    EXPECT_LE(told_[id], left_[id] + kTooMuch) << id;
-    EXPECT_GE(told_[id], left_[id] - kTooLittle) << id;
+  // The deadline that the backend was sent fits what the client had left then, less than it had at first.
+  void ExpectDeadlineFitsClient(const std::string& id) {
+    ASSERT_EQ(deadline_sent_.count(id), 1u) << id;
+    EXPECT_LE(deadline_sent_[id], left_[id] + kMaxExcess) << id;
+    EXPECT_GE(deadline_sent_[id], left_[id] - kMaxShortfall) << id;
     EXPECT_LE(left_[id], kTimeLeft - kWaited) << id;
   }
 
@@ -86,8 +80,8 @@
  private:
   void Serve(Wire& wire) {
     const std::string& request = backend_.requests.back();
-    const std::string id = TextOf(request, "X-Correlation-Id");
-    told_[id] = milliseconds(std::stoi(TextOf(request, "X-Time-Left-Ms")));
+    const std::string id = HeaderIn(request, "X-Correlation-Id");
+    deadline_sent_[id] = milliseconds(std::stoi(HeaderIn(request, "X-Time-Left-Ms")));
     left_[id] = kTimeLeft - std::chrono::duration_cast<milliseconds>(steady_clock::now() - sent_[id]);
     if (hold_) {
       held_ = &wire;
@@ -97,7 +91,8 @@
   }
 
   std::map<std::string, steady_clock::time_point> sent_;
-  std::map<std::string, milliseconds> told_, left_;  // to the backend; to the client when it was told
+  std::map<std::string, milliseconds> deadline_sent_;  // to the backend
+  std::map<std::string, milliseconds> left_;           // to the client at that time
 };
 
 TEST_F(DeadlineTest, CountsTheWaitInTheReceiveBufferOfANewConnection) {
@@ -105,17 +100,17 @@
   Send(*client, "a");
   Block();
   RunUntilAnswered(*client, 1);
-  ExpectHonest("a");
+  ExpectDeadlineFitsClient("a");
 }
 
-TEST_F(DeadlineTest, CountsTheWaitInTheReceiveBufferOfAConnectionAtRest) {
+TEST_F(DeadlineTest, CountsTheWaitInTheReceiveBufferOfAnIdleConnection) {
   const auto client = ConnectAndAccept();
   Send(*client, "first");
   RunUntilAnswered(*client, 1);
   Send(*client, "a");
   Block();
   RunUntilAnswered(*client, 2);
-  ExpectHonest("a");
+  ExpectDeadlineFitsClient("a");
 }
 
 TEST_F(DeadlineTest, CountsTheWaitInTheAcceptQueue) {
@@ -123,7 +118,7 @@
   Send(*client, "a");
   Block();
   RunUntilAnswered(*client, 1);
-  ExpectHonest("a");
+  ExpectDeadlineFitsClient("a");
 }
 
 TEST_F(DeadlineTest, CountsTheWaitOfEachOfTwoRequestsInOneRead) {
@@ -132,8 +127,8 @@
   Send(*client, "b");
   Block();
   RunUntilAnswered(*client, 2);
-  ExpectHonest("a");
-  ExpectHonest("b");
+  ExpectDeadlineFitsClient("a");
+  ExpectDeadlineFitsClient("b");
 }
 
 TEST_F(DeadlineTest, CountsTheWaitBehindAnotherRequest) {
@@ -147,7 +142,7 @@
   RunReady(io_);
   held_->Send(Reply(200, "a"));
   RunUntilAnswered(*client, 2);
-  ExpectHonest("b");
+  ExpectDeadlineFitsClient("b");
 }
 
 TEST_F(DeadlineTest, CountsTheWaitBehindARequestThatIsAnsweredWhileTheProcessDoesNotRun) {
@@ -160,10 +155,10 @@
   held_->Send(Reply(200, "a"));
   Block();
   RunUntilAnswered(*client, 2);
-  ExpectHonest("b");
+  ExpectDeadlineFitsClient("b");
 }
 
-TEST_F(DeadlineTest, WhatHasNoTimeLeftWhenItIsReadIsTurnedAwayAndNotSent) {
+TEST_F(DeadlineTest, ARequestWithoutTimeLeftWhenReadIsRejectedAndNotForwarded) {
   const auto accepted = ConnectAndAccept();
   const auto waiting = node_->Connect();
   for (const auto& client : {accepted, waiting})
--- /dev/null
+++ b/tests/proxy/session_play_backend.cpp
@@ -0,0 +1,96 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// The backend of a play, and the connections to it.
+#include <string_view>
+#include <utility>
+
+#include "proxy/session_play.h"
+#include "proxy/session_play_times.h"
+
+namespace badgerbridge::proxy::testing {
+
+namespace {
+
+int TimeLeftIn(const std::string& request) {
+  constexpr std::string_view kName = "X-Time-Left-Ms: ";
+  const std::size_t at = request.find(kName);
+  return at == std::string::npos ? 0 : std::stoi(request.substr(at + kName.size()));
+}
+
+}  // namespace
+
+SessionPlay::ClientAndRequest SessionPlay::FindRequest(const std::string& id) {
+  for (Client& client : clients_) {
+    for (Request& request : client.requests) {
+      if (request.id == id) return {&client, &request};
+    }
+  }
+  return {};
+}
+
+void SessionPlay::Dial(tcp::socket& socket, const tcp::endpoint& address,
+                       std::function<void(ErrorCode)> ended) {
+  // It may have been given up by the time it is let go: then it has been closed.
+  socket.open(tcp::v4());
+  if (hold_reads_) socket.set_option(asio::socket_base::send_buffer_size(kSmallBuffer));
+  auto dial = [&socket, address, ended = std::move(ended)] { socket.async_connect(address, ended); };
+  if (hold_connects_) {
+    held_.push_back(std::move(dial));
+  } else {
+    dial();
+  }
+}
+
+// The proxy is about to write the first byte of an attempt.
+void SessionPlay::OnAttemptBegun(const Forwarded& forwarded) {
+  const auto [client, request] = FindRequest(forwarded.correlation_id);
+  if (!request) return Report(&Found::lost, "an attempt of no client's request");
+  ++request->attempts;
+  if (request->unsafe && request->attempts > 1) Report(&Found::twice, "an unsafe request was sent twice");
+  if (client->left && steady_clock::now() - *client->left > kMaxAttemptDelay)
+    Report(&Found::late, "an attempt was begun after its client had left");
+}
+
+void SessionPlay::AcceptAtBackend() {
+  backend_->async_accept([this](ErrorCode error, tcp::socket socket) {
+    if (error) return;
+    const auto wire = std::make_shared<Wire>(std::move(socket));
+    backend_wires_.push_back(wire);
+    wire->on_data = [this](Wire& with_data) {
+      if (Whole(with_data.in)) Serve(with_data);
+    };
+    if (hold_reads_) {
+      held_.push_back([wire] { wire->Start(); });
+    } else {
+      wire->Start();
+    }
+    AcceptAtBackend();
+  });
+}
+
+void SessionPlay::Serve(Wire& wire) {
+  const std::string text = std::exchange(wire.in, {});
+  const std::string id = IdIn(text);
+  const Request* request = FindRequest(id).request;
+  if (request && request->written && !hold_reads_) {
+    const auto left =
+        (id.starts_with('t') ? milliseconds(0) : kTimeLeft) - (steady_clock::now() - *request->written);
+    if (milliseconds(TimeLeftIn(text)) > left + kMaxExcessDeadline)
+      Report(&Found::late, "the backend was given more time than the client has left");
+  }
+  const auto answer = [this, id, weak = std::weak_ptr(wire.shared_from_this())] {
+    if (const auto held = weak.lock()) held->Send(Reply(200, BodyFor(id)));
+  };
+  if (hold_answers_) {
+    held_.push_back(answer);
+  } else {
+    answer();
+  }
+}
+
+std::string SessionPlay::BodyFor(const std::string& id) const {
+  const bool large = large_answers_ && id == clients_.front().requests.front().id;
+  return large ? id + std::string(kLargeBody, 'x') : id;
+}
+
+}  // namespace badgerbridge::proxy::testing
--- a/tests/proxy/session_plays.cpp
+++ b/tests/proxy/session_plays.cpp
@@ -17,9 +17,9 @@
 using Plays = std::vector<Work<SessionTotals>>;
 
 constexpr SessionState kStates[] = {SessionState::kNewSilent,       SessionState::kNewHalfRead,
-                                    SessionState::kNewWholeUnread,  SessionState::kRest,
-                                    SessionState::kRestHalfRead,    SessionState::kRestHalfUnread,
-                                    SessionState::kRestWholeUnread, SessionState::kDialling,
+                                    SessionState::kNewWholeUnread,  SessionState::kIdle,
+                                    SessionState::kIdleHalfRead,    SessionState::kIdleHalfUnread,
+                                    SessionState::kIdleWholeUnread, SessionState::kConnecting,
                                     SessionState::kWriting,         SessionState::kWaiting,
                                     SessionState::kAnswering,       SessionState::kAnsweredWithClose,
                                     SessionState::kLingering};
@@ -33,32 +33,31 @@
 constexpr nanoseconds kSleeps[] = {milliseconds(0), milliseconds(250)};
 
 // Handlers between the events in the forced orders: one after the other, until no more are ready.
-constexpr std::size_t kMostBetween = 20;
+constexpr std::size_t kMaxHandlersBetween = 20;
 
-void Play(const PlayPlan& plan, std::size_t* ran_between, SessionTotals* totals) {
-  std::string why;
-  totals->found.Add(PlayOnce(plan, ran_between, &why));
+// Returns the number of handlers that ran between the events.
+std::size_t Play(const PlayPlan& plan, SessionTotals* totals) {
+  const PlayResult result = PlayOnce(plan);
+  totals->found.Add(result.found);
   ++totals->plays;
-  std::cout << why << std::flush;
+  std::cout << result.violations << std::flush;
+  return result.ran_between;
 }
 
 void PlayAtOnce(PlayPlan plan, SessionTotals* totals) {
-  std::size_t ran_between = 0;
   for (const nanoseconds asleep : kSleeps) {
     plan.asleep = asleep;
-    Play(plan, &ran_between, totals);
+    Play(plan, totals);
   }
 }
 
 // Where no more handlers are ready the kernel may only have been late to hand over what was sent: the play is
 // made once more, which counts as one with the first, before that is believed.
 void PlayForced(PlayPlan plan, SessionTotals* totals) {
-  for (std::size_t handlers = 1; handlers <= kMostBetween; ++handlers) {
-    std::size_t ran_between = 0;
+  for (std::size_t handlers = 1; handlers <= kMaxHandlersBetween; ++handlers) {
     plan.handlers_between = handlers;
-    Play(plan, &ran_between, totals);
-    if (ran_between == handlers) continue;
-    Play(plan, &ran_between, totals);
+    if (Play(plan, totals) == handlers) continue;
+    const std::size_t ran_between = Play(plan, totals);
     --totals->plays;
     if (ran_between < handlers) return;
   }
@@ -91,7 +90,7 @@
 
 void AddTimers(SessionState state, Plays* plays) {
   constexpr Stimulus kTimers[] = {Stimulus::kSessionTimer, Stimulus::kListenerClose, Stimulus::kDrainSweep,
-                                  Stimulus::kRoomTick};
+                                  Stimulus::kEvictionRetryTimer};
   constexpr Stimulus kEvents[] = {Stimulus::kRequest, Stimulus::kHalfRequest, Stimulus::kTwoRequests,
                                   Stimulus::kClientFin, Stimulus::kClientReset};
   for (const Stimulus timer : kTimers) {
@@ -101,16 +100,22 @@
 }
 
 void AddEvents(SessionState state, Plays* plays) {
-  constexpr std::array<Stimulus, 2> kPairs[] = {
-      {Stimulus::kTerm, Stimulus::kRequest},       {Stimulus::kTerm, Stimulus::kClientFin},
-      {Stimulus::kDrain, Stimulus::kRequest},      {Stimulus::kDrain, Stimulus::kClientFin},
-      {Stimulus::kDialDone, Stimulus::kClientFin}, {Stimulus::kDialDone, Stimulus::kClientReset},
-      {Stimulus::kDialDone, Stimulus::kTerm},      {Stimulus::kDialDone, Stimulus::kRequest},
-      {Stimulus::kTerm, Stimulus::kHalfRequest},   {Stimulus::kDrain, Stimulus::kHalfRequest},
-      {Stimulus::kTerm, Stimulus::kTwoRequests},   {Stimulus::kDrain, Stimulus::kTwoRequests},
-      {Stimulus::kTerm, Stimulus::kDrain},         {Stimulus::kNewcomer, Stimulus::kTerm}};
+  constexpr std::array<Stimulus, 2> kPairs[] = {{Stimulus::kTerm, Stimulus::kRequest},
+                                                {Stimulus::kTerm, Stimulus::kClientFin},
+                                                {Stimulus::kDrain, Stimulus::kRequest},
+                                                {Stimulus::kDrain, Stimulus::kClientFin},
+                                                {Stimulus::kConnectDone, Stimulus::kClientFin},
+                                                {Stimulus::kConnectDone, Stimulus::kClientReset},
+                                                {Stimulus::kConnectDone, Stimulus::kTerm},
+                                                {Stimulus::kConnectDone, Stimulus::kRequest},
+                                                {Stimulus::kTerm, Stimulus::kHalfRequest},
+                                                {Stimulus::kDrain, Stimulus::kHalfRequest},
+                                                {Stimulus::kTerm, Stimulus::kTwoRequests},
+                                                {Stimulus::kDrain, Stimulus::kTwoRequests},
+                                                {Stimulus::kTerm, Stimulus::kDrain},
+                                                {Stimulus::kNewcomer, Stimulus::kTerm}};
   for (const auto& [one, other] : kPairs) {
-    if ((one == Stimulus::kDialDone) && state != SessionState::kDialling) continue;
+    if ((one == Stimulus::kConnectDone) && state != SessionState::kConnecting) continue;
     plays->push_back([=, one = one, other = other](SessionTotals* totals) {
       PlayEvents(state, one, other, milliseconds(20), totals);
     });
--- a/tests/proxy/session_race_test.cpp
+++ b/tests/proxy/session_race_test.cpp
@@ -26,11 +26,11 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kKeepAlive{2200};
-constexpr milliseconds kDoorOpen{500};  // as ListenerLimits has it
-constexpr milliseconds kUsualFirstRequest{250};
+constexpr milliseconds kAcceptGrace{500};  // as ListenerLimits has it
+constexpr milliseconds kTypicalFirstRequestTime{250};
 constexpr int kManyDescriptors = 1024;
-constexpr int kFewDescriptors = 64;
-constexpr std::size_t kFewClients = 8;  // that these descriptors leave room for
+constexpr int kScarceDescriptors = 64;
+constexpr std::size_t kMaxClientsOfScarceDescriptors = 8;  // that these descriptors leave room for
 
 class SessionRaceTest : public ::testing::Test {
  protected:
@@ -59,8 +59,8 @@
   // if it does not hold within 20 virtual seconds.
   template <typename Condition>
   bool RunUntilVirtual(Condition holds) {
-    constexpr int kMostSteps = 20000;
-    for (int step = 0; step < kMostSteps; ++step) {
+    constexpr int kMaxSteps = 20000;
+    for (int step = 0; step < kMaxSteps; ++step) {
       if (holds()) return true;
       io_.restart();
       if (io_.poll() == 0) clock_.Advance(milliseconds(1));
@@ -68,7 +68,7 @@
     return holds();
   }
 
-  std::shared_ptr<Wire> ConnectAtRest() {
+  std::shared_ptr<Wire> ConnectIdle() {
     auto client = node_->Connect();
     client->Send(Get("first"));
     EXPECT_TRUE(RunUntilVirtual([&] { return client->in.find("served") != std::string::npos; }));
@@ -85,8 +85,8 @@
 };
 
 // The whole request and the end of the keep-alive time become ready in one turn.
-TEST_F(SessionRaceTest, ARequestThatMeetsTheEndOfTheKeepAliveTimeIsAnswered) {
-  const auto client = ConnectAtRest();
+TEST_F(SessionRaceTest, ARequestThatMeetsTheKeepAliveTimeoutIsAnswered) {
+  const auto client = ConnectIdle();
   client->Send(Get("second"));
   clock_.Advance(kKeepAlive);
   EXPECT_TRUE(
@@ -105,7 +105,7 @@
     clients.push_back(node_->Connect());
     clients.back()->Send(Get("queued-" + std::to_string(i)));
   }
-  clock_.Advance(kDoorOpen);
+  clock_.Advance(kAcceptGrace);
   EXPECT_TRUE(RunUntilVirtual([&] { return stopped; }));
   for (const auto& client : clients) {
     EXPECT_TRUE(RunUntilVirtual([&] { return client->closed; }));
@@ -115,7 +115,7 @@
 
 // The second half of a request and the end of the time that a request may take to come. It is whole, and too
 // late to be sent on: its client waits 0.9 s.
-TEST_F(SessionRaceTest, ARequestWhoseRestMeetsTheEndOfItsTimeIsNoHalfRequest) {
+TEST_F(SessionRaceTest, ARequestCompletedAtItsTimeoutIsNotIncomplete) {
   const std::string request = Get("halves");
   const auto client = node_->Connect();
   client->Send(request.substr(0, 40));
@@ -127,53 +127,56 @@
   EXPECT_FALSE(client->closed);
 }
 
-// At the limit of clients a new connection whose request waits in the kernel is no silent one.
-TEST_F(SessionRaceTest, AConnectionWhoseRequestWaitsMakesNoRoom) {
-  StartNode(kFewDescriptors);
+// At the limit of clients a new connection whose request waits in the kernel does not count as silent.
+TEST_F(SessionRaceTest, AConnectionWithAnUnreadRequestIsNotEvicted) {
+  StartNode(kScarceDescriptors);
   hold_answers_ = true;
   std::vector<std::shared_ptr<Wire>> busy;
-  for (std::size_t i = 0; i + 1 < kFewClients; ++i) {
+  for (std::size_t i = 0; i + 1 < kMaxClientsOfScarceDescriptors; ++i) {
     busy.push_back(node_->Connect());
     busy.back()->Send(Get("busy-" + std::to_string(i)));
   }
   const auto young = node_->Connect();
-  ASSERT_TRUE(RunUntilVirtual(
-      [&] { return node_->proxy.open() == busy.size() && node_->listener.connections() == kFewClients; }));
+  ASSERT_TRUE(RunUntilVirtual([&] {
+    return node_->proxy.open() == busy.size() &&
+           node_->listener.connections() == kMaxClientsOfScarceDescriptors;
+  }));
   hold_answers_ = false;
-  clock_.Advance(kUsualFirstRequest);
+  clock_.Advance(kTypicalFirstRequestTime);
   const auto next = node_->Connect();
-  // Between the look for events and the handler of the pause after which room is made.
+  // Between the look for events and the handler of the pause after which one is evicted.
   asio::post(io_, [&] { young->Send(Get("young")); });
   EXPECT_TRUE(RunUntilVirtual([&] { return young->closed || Answered(*young); }));
   EXPECT_TRUE(Answered(*young)) << "closed: " << young->closed;
 }
 
-// One that sends slowly gives its place up, and is told so.
-TEST_F(SessionRaceTest, AHalfRequestThatMakesRoomIsAnswered) {
-  StartNode(kFewDescriptors);
+// A connection that sends slowly is evicted, and gets an answer.
+TEST_F(SessionRaceTest, AnEvictedIncompleteRequestIsAnswered) {
+  StartNode(kScarceDescriptors);
   std::vector<std::shared_ptr<Wire>> slow;
-  for (std::size_t i = 0; i < kFewClients; ++i) {
+  for (std::size_t i = 0; i < kMaxClientsOfScarceDescriptors; ++i) {
     slow.push_back(node_->Connect());
     slow.back()->Send("GET /preview HTTP/1.1\r\n");
   }
-  ASSERT_TRUE(RunUntilVirtual([&] { return node_->listener.connections() == kFewClients; }));
-  clock_.Advance(kUsualFirstRequest);
+  ASSERT_TRUE(
+      RunUntilVirtual([&] { return node_->listener.connections() == kMaxClientsOfScarceDescriptors; }));
+  clock_.Advance(kTypicalFirstRequestTime);
   const auto next = node_->Connect();
   next->Send(Get("next"));
   EXPECT_TRUE(RunUntilVirtual([&] { return Answered(*next); }));
   EXPECT_TRUE(Served(*next)) << next->in;
-  std::size_t told = 0;
+  std::size_t rejected = 0;
   for (const auto& wire : slow) {
-    if (wire->in.rfind("HTTP/1.1 503 ", 0) == 0) ++told;
+    if (wire->in.rfind("HTTP/1.1 503 ", 0) == 0) ++rejected;
     EXPECT_TRUE(!wire->closed || !wire->in.empty()) << "ended without an answer";
   }
-  EXPECT_GE(told, 1u);
+  EXPECT_GE(rejected, 1u);
 }
 
 // Before the listener closes nothing may come up that its close would reset: a SYN gets no answer.
 TEST_F(SessionRaceTest, NoConnectionComesUpRightBeforeTheListenerCloses) {
   node_->listener.Stop([] {});
-  clock_.Advance(kDoorOpen);
+  clock_.Advance(kAcceptGrace);
   RunAllReady();
   const tcp::endpoint address = node_->listener.address();  // throws if it has closed
   tcp::socket late(io_);
@@ -189,10 +192,10 @@
 }
 
 // Connected in the last moment, and its request is still on its way when the listener closes.
-TEST_F(SessionRaceTest, ANewConnectionMayStillAskWhenTheListenerHasClosed) {
+TEST_F(SessionRaceTest, ANewConnectionMayStillSendARequestWhenTheListenerHasClosed) {
   bool stopped = false;
   node_->listener.Stop([&] { stopped = true; });
-  clock_.Advance(kDoorOpen - milliseconds(1));
+  clock_.Advance(kAcceptGrace - milliseconds(1));
   const auto client = node_->Connect();
   RunAllReady();
   for (milliseconds waited(0); waited < milliseconds(150); waited += milliseconds(10)) {
@@ -274,7 +277,7 @@
 
 // The drain's sweep runs in the turn in which a request has come.
 TEST_F(SessionRaceTest, ARequestThatMeetsTheDrainIsAnswered) {
-  const auto client = ConnectAtRest();
+  const auto client = ConnectIdle();
   client->Send(Get("second"));
   node_->listener.Drain();
   EXPECT_TRUE(RunUntilVirtual([&] { return client->closed; }));
