--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -3,104 +3,30 @@
 // badgerbridge as a process: bad configurations, too few descriptors, signals.
 #include <elf.h>
 #include <gtest/gtest.h>
-#include <sys/resource.h>
-#include <sys/wait.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <boost/asio/steady_timer.hpp>
+#include <chrono>
 #include <csignal>
+#include <cstdint>
 #include <cstdlib>
 #include <cstring>
-#include <filesystem>
 #include <fstream>
+#include <iterator>
 #include <map>
+#include <memory>
 #include <set>
-#include <sstream>
+#include <string>
 #include <thread>
+#include <vector>
 
 #include "proxy/proxy_harness.h"
+#include "proxy/proxy_program.h"
 
 namespace badgerbridge::proxy::testing {
 namespace {
 
-// An address that no other test process uses.
-std::string OwnAddress() {
-  const int pid = getpid();
-  return "127.77." + std::to_string(pid >> 8 & 127) + "." + std::to_string(pid % 250 + 1) + ":8080";
-}
-
-class Program {
- public:
-  Program(const std::string& config, const std::string& listen, rlim_t descriptors = 0,
-          const std::string& operators = "")
-      : folder_(::testing::TempDir() + "badgerbridge_XXXXXX") {
-    EXPECT_NE(mkdtemp(folder_.data()), nullptr);
-    std::ofstream(folder_ + "/config.json") << config;
-    std::ofstream(folder_ + "/op.toml") << operators;
-    pid_ = fork();
-    if (pid_ != 0) return;
-    setenv("ROUTER_CONFIG", (folder_ + "/config.json").c_str(), 1);
-    setenv("ROUTER_LISTEN", listen.c_str(), 1);
-    if (!operators.empty()) setenv("BADGERBRIDGE_OPERATOR", (folder_ + "/op.toml").c_str(), 1);
-    if (descriptors == 0) {
-      for (int number = 3; number < 1024; ++number) close(number);  // the test's are not its own
-    }
-    if (descriptors > 0) {
-      const rlimit limit{descriptors, descriptors};
-      setrlimit(RLIMIT_NOFILE, &limit);
-    }
-    if (!std::freopen((folder_ + "/err").c_str(), "w", stderr)) _exit(126);
-    execl(NODE_PATH, NODE_PATH, static_cast<char*>(nullptr));
-    _exit(127);
-  }
-  ~Program() {
-    if (pid_ > 0) {
-      kill(pid_, SIGKILL);
-      waitpid(pid_, nullptr, 0);
-    }
-    for (const char* name : {"/config.json", "/err", "/op.toml"}) unlink((folder_ + name).c_str());
-    rmdir(folder_.c_str());
-  }
-  void Signal(int signal) const { kill(pid_, signal); }
-  void Rewrite(const std::string& config) const { std::ofstream(folder_ + "/config.json") << config; }
-  int Wait() {  // the exit code; -1 for another end
-    int status = 0;
-    waitpid(std::exchange(pid_, -1), &status, 0);
-    return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-  }
-  std::size_t Entries(const char* what) const {  // "fd" or "task", proc(5)
-    const std::filesystem::directory_iterator all("/proc/" + std::to_string(pid_) + "/" + what);
-    return static_cast<std::size_t>(std::distance(begin(all), end(all)));
-  }
-  std::string Log() const {
-    std::ifstream in(folder_ + "/err");
-    std::ostringstream text;
-    text << in.rdbuf();
-    return text.str();
-  }
-
- private:
-  std::string folder_;
-  pid_t pid_ = -1;
-};
-
-std::shared_ptr<Wire> ConnectTo(asio::io_context& io, const std::string& address) {
-  std::shared_ptr<Wire> wire;
-  RunUntil(io, [&] {
-    tcp::socket socket(io);
-    ErrorCode error;
-    socket.connect(*ParseAddress(address), error);
-    if (error) {
-      std::this_thread::yield();
-      return false;
-    }
-    wire = std::make_shared<Wire>(std::move(socket));
-    wire->Start();
-    return true;
-  });
-  return wire;
-}
-
 TEST(NodeProcess, ABadConfigurationIsOnePlainLineAndANonZeroExit) {
   const std::string bad_list = [] {
     std::string text = ConfigJson({"7"});
@@ -137,12 +63,18 @@
   EXPECT_EQ(program.Log().rfind("badgerbridge: ", 0), 0u);
 }
 
+struct HeldResources {
+  std::size_t descriptors = 0;
+  std::size_t threads = 0;
+  bool operator==(const HeldResources&) const = default;
+};
+
 // What the operator's file does not name holds no descriptor and no thread.
-TEST(NodeProcess, WhatIsOffCostsNeitherDescriptorNorThread) {
+TEST(NodeProcess, AFeatureThatIsOffHoldsNeitherDescriptorNorThread) {
   asio::io_context io;
   Peer backend(io, [](Wire&) {});
   const std::string socket = ::testing::TempDir() + "off_" + std::to_string(getpid()) + ".sock";
-  std::map<std::string, std::pair<std::size_t, std::size_t>> held;
+  std::map<std::string, HeldResources> held;
   for (const auto& [name, operators] : std::map<std::string, std::string>{
            {"none", ""}, {"empty", "# nothing\n"}, {"control", "[control]\nsocket = \"" + socket + "\"\n"}}) {
     Program program(ConfigJson({EndpointJson("a", backend.address())}), OwnAddress(), 0, operators);
@@ -150,7 +82,7 @@
     ASSERT_TRUE(client);
     client->Send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(RunUntil(io, [&] { return client->in.find("200") != std::string::npos; })) << client->in;
-    // The least of several looks: its try to reach discovery comes and goes.
+    // The least of several samples: its connection to discovery comes and goes.
     std::size_t descriptors = SIZE_MAX;
     for (int i = 0; i < 40; ++i) {
       descriptors = std::min(descriptors, program.Entries("fd"));
@@ -159,16 +91,21 @@
     held[name] = {descriptors, program.Entries("task")};
   }
   EXPECT_EQ(held["empty"], held["none"]);
-  EXPECT_EQ(held["none"].second, 1u) << "one thread";
-  EXPECT_EQ(held["control"].first, held["none"].first + 1) << "a listening socket";
-  EXPECT_EQ(held["control"].second, 1u);
+  EXPECT_EQ(held["none"].threads, 1u) << "one thread";
+  EXPECT_EQ(held["control"].descriptors, held["none"].descriptors + 1) << "a listening socket";
+  EXPECT_EQ(held["control"].threads, 1u);
 }
 
 // The names that the program takes from shared libraries, and the loader that it asks for (elf(5)).
-std::pair<std::set<std::string>, std::string> Imports(const std::string& path) {
+struct ImportedNames {
+  std::set<std::string> names;
+  std::string loader;
+};
+
+ImportedNames Imports(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-  std::pair<std::set<std::string>, std::string> out;
+  ImportedNames imported;
   const auto at = [&](std::size_t offset, auto* to) {
     if (offset + sizeof *to <= text.size()) std::memcpy(to, text.data() + offset, sizeof *to);
   };
@@ -177,20 +114,22 @@
   for (unsigned i = 0; i < head.e_phnum; ++i) {
     Elf64_Phdr part{};
     at(head.e_phoff + i * sizeof part, &part);
-    if (part.p_type == PT_INTERP) out.second = text.substr(part.p_offset, part.p_filesz);
+    if (part.p_type == PT_INTERP) imported.loader = text.substr(part.p_offset, part.p_filesz);
   }
   for (unsigned i = 0; i < head.e_shnum; ++i) {
-    Elf64_Shdr symbols{}, names{};
+    Elf64_Shdr symbols{};
+    Elf64_Shdr names{};
     at(head.e_shoff + i * sizeof symbols, &symbols);
     if (symbols.sh_type != SHT_DYNSYM) continue;
     at(head.e_shoff + symbols.sh_link * sizeof names, &names);
     for (std::size_t offset = 0; offset < symbols.sh_size; offset += sizeof(Elf64_Sym)) {
       Elf64_Sym symbol{};
       at(symbols.sh_offset + offset, &symbol);
-      if (symbol.st_shndx == SHN_UNDEF) out.first.insert(text.c_str() + names.sh_offset + symbol.st_name);
+      if (symbol.st_shndx == SHN_UNDEF)
+        imported.names.insert(text.c_str() + names.sh_offset + symbol.st_name);
     }
   }
-  return out;
+  return imported;
 }
 
 // The operators play hundreds of proxies on one machine, by a library in each that is loaded before the C
@@ -229,9 +168,9 @@
   ASSERT_TRUE(RunUntil(
       io, [&] { return client->in.find("200") != std::string::npos && !discovery.requests.empty(); }));
   // Longer than its housekeeping and any pause between two probes would be.
-  asio::steady_timer quiet(io, std::chrono::milliseconds(1200));
+  asio::steady_timer observation(io, std::chrono::milliseconds(1200));
   bool over = false;
-  quiet.async_wait([&](ErrorCode) { over = true; });
+  observation.async_wait([&](ErrorCode) { over = true; });
   ASSERT_TRUE(RunUntil(io, [&] { return over; }));
   EXPECT_TRUE(backend.wires.empty());
   EXPECT_EQ(discovery.wires.size(), 1u);
@@ -239,7 +178,7 @@
   EXPECT_EQ(program.Entries("task"), 1u);
 }
 
-TEST(NodeProcess, TermAnswersWhatWasTakenAndExitsWithZero) {
+TEST(NodeProcess, TermAnswersAcceptedRequestsAndExitsWithZero) {
   asio::io_context io;
   Wire* waiting = nullptr;
   Peer backend(io, [&](Wire& wire) { waiting = &wire; });
@@ -263,7 +202,8 @@
   Wire* waiting = nullptr;
   Peer backend(io, [&](Wire& wire) { waiting = &wire; });
   const auto watch = [](Wire& wire) { wire.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); };
-  Peer first(io, watch), second(io, watch);
+  Peer first(io, watch);
+  Peer second(io, watch);
   const std::string address = OwnAddress();
   const std::string config = ConfigJson({EndpointJson("a", backend.address())});
   const auto with = [&](const Peer& discovery) {
@@ -299,8 +239,8 @@
 }
 
 // Whenever it comes: it ends by the signal before it listens, and with 0 from then on; a client whose request
-// it had taken has its answer.
-TEST(NodeProcess, TermAtAnyMomentOfItsStart) {
+// was accepted has its answer.
+TEST(NodeProcess, TermAtAnyMomentOfTheStartLosesNoAcceptedRequest) {
   asio::io_context io;
   Peer backend(io, [](Wire& wire) { wire.Send(Reply(200, "ok")); });
   const std::string address = OwnAddress();
@@ -342,7 +282,7 @@
   client->Send(Get("c1"));
   ASSERT_TRUE(RunUntil(io, [&] { return waiting != nullptr; }));
   for (const int signal : {SIGTERM, SIGHUP, SIGTERM, SIGINT, SIGHUP}) program.Signal(signal);
-  // In the half second of the door:
+  // While the listener still accepts:
   const auto late = ConnectTo(io, address);
   ASSERT_TRUE(late);
   waiting->Send(Reply(200, "ok"));
@@ -359,63 +299,87 @@
   EXPECT_EQ(program.Wait(), 0) << program.Log();
 }
 
-// Idle clients fill their share of the descriptors while discovery is down, and more of them wait in the
-// queue. When it is back, there is one for it, and those to backends have theirs; so it is in the stop.
-TEST(NodeProcess, AtTheLimitOfDescriptorsDiscoveryAndBackendsHaveTheirs) {
-  asio::io_context io;
-  std::vector<std::unique_ptr<Peer>> backends;
-  std::vector<std::string> endpoints;
-  std::set<std::string> asked;
-  std::vector<Wire*> waiting;
-  for (int i = 0; i < 7; ++i) {
-    backends.push_back(std::make_unique<Peer>(io, [&](Wire& wire) { waiting.push_back(&wire); }));
-    endpoints.push_back(EndpointJson("s-" + std::to_string(i), backends.back()->address()));
+// A proxy with 64 descriptors, backends that do not answer yet, and a place for discovery, which is down.
+class DescriptorLimitTest : public ::testing::Test {
+ protected:
+  static constexpr int kDescriptors = 64;
+  static constexpr std::size_t kBackends = 7;
+
+  DescriptorLimitTest() {
+    for (std::size_t i = 0; i < kBackends; ++i) {
+      backends_.push_back(std::make_unique<Peer>(io_, [this](Wire& wire) { waiting_.push_back(&wire); }));
+      endpoints_.push_back(EndpointJson("s-" + std::to_string(i), backends_.back()->address()));
+    }
+    {
+      tcp::acceptor unused(io_, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+      discovery_address_ = unused.local_endpoint();
+    }
+    std::string config = ConfigJson({endpoints_[0]}, kDescriptors);
+    config.replace(config.find("127.0.0.1:1\""), 12,
+                   "127.0.0.1:" + std::to_string(discovery_address_.port()) + "\"");
+    program_ = std::make_unique<Program>(config, address_, kDescriptors);
   }
-  std::unique_ptr<Peer> discovery;
-  tcp::endpoint place;
-  {
-    tcp::acceptor free(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-    place = free.local_endpoint();
+
+  // More clients than their share of the descriptors.
+  void ConnectIdleClients() {
+    constexpr int kIdleClients = 40;
+    for (int i = 0; i < kIdleClients; ++i) {
+      idle_clients_.push_back(ConnectTo(io_, address_));
+      ASSERT_TRUE(idle_clients_.back());
+      idle_clients_.back()->Send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
+    }
+    ASSERT_TRUE(RunUntil(io_, [&] { return idle_clients_[0]->in.find("200") != std::string::npos; }));
   }
-  const std::string address = OwnAddress();
-  std::string config = ConfigJson({endpoints[0]}, 64);
-  config.replace(config.find("127.0.0.1:1\""), 12, "127.0.0.1:" + std::to_string(place.port()) + "\"");
-  Program program(config, address, 64);
-  std::vector<std::shared_ptr<Wire>> crowd;
-  for (int i = 0; i < 40; ++i) {
-    crowd.push_back(ConnectTo(io, address));
-    ASSERT_TRUE(crowd.back());
-    crowd.back()->Send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
+
+  void StartDiscovery() {
+    const auto send_list = [this](Wire& wire) {
+      const std::string list = ListJson(50, true, endpoints_) + "\n";
+      char size[16];
+      std::snprintf(size, sizeof size, "%zx\r\n", list.size());
+      wire.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + (size + list) + "\r\n");
+    };
+    discovery_ = std::make_unique<Peer>(io_, send_list, discovery_address_);
+    ASSERT_TRUE(RunUntil(io_, [&] { return !discovery_->requests.empty(); })) << program_->Log();
   }
-  ASSERT_TRUE(RunUntil(io, [&] { return crowd[0]->in.find("200") != std::string::npos; }));
-  discovery = std::make_unique<Peer>(
-      io,
-      [&](Wire& wire) {
-        const std::string list = ListJson(50, true, endpoints) + "\n";
-        char size[16];
-        std::snprintf(size, sizeof size, "%zx\r\n", list.size());
-        wire.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + (size + list) + "\r\n");
-      },
-      place);
-  ASSERT_TRUE(RunUntil(io, [&] { return !discovery->requests.empty(); })) << program.Log();
-  std::vector<std::shared_ptr<Wire>> clients;
-  for (int i = 0; i < 6; ++i) {
-    clients.push_back(ConnectTo(io, address));
-    clients.back()->Send(Get("c" + std::to_string(i)));
-    ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == clients.size(); })) << i << program.Log();
+
+  // On a connection of its own; waits until a backend has it.
+  void SendRequest(const std::string& id) {
+    clients_.push_back(ConnectTo(io_, address_));
+    clients_.back()->Send(Get(id));
+    ASSERT_TRUE(RunUntil(io_, [&] { return waiting_.size() == clients_.size(); })) << id << program_->Log();
   }
-  program.Signal(SIGTERM);
-  const auto late = ConnectTo(io, address);
-  late->Send(Get("late"));
-  ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 7; })) << program.Log();
-  for (Wire* wire : waiting) wire->Send(Reply(200, "ok"));
-  clients.push_back(late);
-  for (const auto& client : clients) {
-    ASSERT_TRUE(RunUntil(io, [&] { return client->in.ends_with("ok"); })) << program.Log();
-    client->Close();
+
+  void AnswerAll() {
+    for (Wire* wire : waiting_) wire->Send(Reply(200, "ok"));
+    for (const auto& client : clients_) {
+      ASSERT_TRUE(RunUntil(io_, [&] { return client->in.ends_with("ok"); })) << program_->Log();
+      client->Close();
+    }
   }
-  for (const auto& client : crowd) client->Close();
-  EXPECT_EQ(program.Wait(), 0) << program.Log();
+
+  const std::string address_ = OwnAddress();
+  asio::io_context io_;
+  std::vector<std::unique_ptr<Peer>> backends_;
+  std::vector<std::string> endpoints_;
+  tcp::endpoint discovery_address_;
+  std::unique_ptr<Peer> discovery_;
+  std::unique_ptr<Program> program_;
+  std::vector<std::shared_ptr<Wire>> idle_clients_;
+  std::vector<std::shared_ptr<Wire>> clients_;
+  std::vector<Wire*> waiting_;  // requests at the backends
+};
+
+// Idle clients fill their share of the descriptors while discovery is down, and more of them wait in the
+// queue. When it is back, there is a descriptor for it, and for those to backends; so it is in the stop.
+TEST_F(DescriptorLimitTest, DiscoveryAndBackendsHaveTheirShare) {
+  ASSERT_NO_FATAL_FAILURE(ConnectIdleClients());
+  ASSERT_NO_FATAL_FAILURE(StartDiscovery());
+  for (int i = 0; i < 6; ++i) ASSERT_NO_FATAL_FAILURE(SendRequest("c" + std::to_string(i)));
+  program_->Signal(SIGTERM);
+  ASSERT_NO_FATAL_FAILURE(SendRequest("late"));
+  ASSERT_NO_FATAL_FAILURE(AnswerAll());
+  for (const auto& client : idle_clients_) client->Close();
+  EXPECT_EQ(program_->Wait(), 0) << program_->Log();
 }
 
 // Out of descriptors, accept fails over and over: the node must neither end nor stay deaf.
