--- a/src/proxy/session.h
+++ b/src/proxy/session.h
@@ -5,14 +5,16 @@
 //
 // States and transitions (docs/design.md, "Race conditions", says why each is as it is):
 //
-//   kAwaitingFirst --first bytes--> kReceiving --complete--> kServing --answer--> kAnswering
-//   kIdle ----------first bytes---> kReceiving --rejected-----------------------> kAnswering
-//   kAnswering --written, more has come--> kReceiving
-//   kAnswering --written-----------------> kIdle
-//   kAnswering --written, last answer----> kLingering
-//   kAwaitingFirst, kIdle --time over, drain, stop, eviction--> kLingering
-//   kLingering --client closed, time over--> kClosed
-//   any state --client left, Close()-------> kClosed
+//   kAwaitingFirst, kIdle --first bytes--> kReceiving
+//   kReceiving --complete, valid--> kServing --answer--> kAnswering
+//   kReceiving --rejected, time over, eviction, GET /ready--> kAnswering
+//   kAnswering --written, the next has begun--> kReceiving
+//   kAnswering --written, connection kept--> kIdle
+//   kAnswering --written, last answer--> kLingering
+//   kAwaitingFirst --time over, eviction--> kLingering
+//   kIdle --time over, eviction, drain, stop--> kLingering
+//   any state --client has left--> kClosed
+//   kAnswering, kLingering --time over--> kClosed
 #ifndef BADGERBRIDGE_PROXY_SESSION_H_
 #define BADGERBRIDGE_PROXY_SESSION_H_
 
--- a/tests/mutation/age_of_data_unknown.cpp
+++ b/tests/mutation/age_of_data_unknown.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A planted fault: the looks of src/net/socket_state.cpp, of which one never knows how long data has waited.
+// A mutation of src/net/socket_state.cpp, of which one function never knows how long data has waited.
 // A test program links this file in place of the real one, and its rig must report a deadline that is too
 // long.
 #define SinceLastData RealSinceLastData
--- a/tests/mutation/mutation_test.cpp
+++ b/tests/mutation/mutation_test.cpp
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// In a program whose proxy has a fault planted: the rig must report it, by the rule that it breaks
-// (MUTATION_BREAKS, a member of Found) and in one state (MUTATION_STATE), to be short. Else it could not be
-// trusted where it reports nothing.
+// In a program whose proxy has an injected fault: the rig must report it, by the rule that it breaks
+// (MUTATION_BREAKS, a member of Found). One state (MUTATION_STATE) is enough, to be short.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -18,7 +17,7 @@
     if (totals.found.MUTATION_BREAKS > 0) break;
     piece(&totals);
   }
-  std::cout << "planted fault: plays=" << totals.plays << " lost=" << totals.found.lost
+  std::cout << "injected fault: plays=" << totals.plays << " lost=" << totals.found.lost
             << " twice=" << totals.found.twice << " late=" << totals.found.late
             << " leaked=" << totals.found.leaked << std::endl;
   EXPECT_GT(totals.found.MUTATION_BREAKS, 0);
--- a/tests/mutation/peer_close_unseen.cpp
+++ b/tests/mutation/peer_close_unseen.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A planted fault: the looks of src/net/socket_state.cpp, of which one never sees that the peer has closed. A
+// A mutation of src/net/socket_state.cpp, of which one function never sees that the peer has closed. A
 // test program links this file in place of the real one, and its rig must report an attempt that begins too
 // late.
 #define PeerHasClosed RealPeerHasClosed
--- a/tests/mutation/queued_expiry/net/one_shot_timer.h
+++ b/tests/mutation/queued_expiry/net/one_shot_timer.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A planted fault: net::OneShotTimer without its generation numbers, so that Disarm only cancels the wait.
+// A mutation: net::OneShotTimer without its generation numbers, so that Disarm only cancels the wait.
 // Once the wait has expired its handler is in the queue of the event loop, and runs nevertheless. A test
-// program compiles the node with this header in place of src/net/one_shot_timer.h, and its rig must report a
+// program compiles the proxy with this header in place of src/net/one_shot_timer.h, and its rig must report a
 // loss.
 #ifndef BADGERBRIDGE_TESTS_MUTATION_QUEUED_EXPIRY_NET_ONE_SHOT_TIMER_H_
 #define BADGERBRIDGE_TESTS_MUTATION_QUEUED_EXPIRY_NET_ONE_SHOT_TIMER_H_
--- a/tests/mutation/unread_bytes_unseen.cpp
+++ b/tests/mutation/unread_bytes_unseen.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A planted fault: the looks of src/net/socket_state.cpp, of which one sees no unread bytes. A test program
+// A mutation of src/net/socket_state.cpp, of which one function sees no unread bytes. A test program
 // links this file in place of the real one, and its rig must report a loss.
 #define UnreadBytes RealUnreadBytes
 #include "net/socket_state.cpp"
--- a/tests/proxy/session_crossings_test.cpp
+++ b/tests/proxy/session_crossings_test.cpp
@@ -15,35 +15,35 @@
 namespace badgerbridge::proxy::testing {
 namespace {
 
-// The programs whose proxies have a fault planted (tests/mutation), and how many of them say that it was
-// reported.
-struct Planted {
-  int programs = 0, caught = 0;
+// The mutation programs (tests/mutation), and how many of them report the fault of their proxy.
+struct MutationResults {
+  int programs = 0;
+  int caught = 0;
 };
 
-Planted RunPlanted() {
-  Planted planted;
+MutationResults RunMutations() {
+  MutationResults results;
   std::istringstream programs(MUTATION_PROGRAMS);
   for (std::string program; std::getline(programs, program, ':');) {
-    ++planted.programs;
+    ++results.programs;
     const bool caught = std::system((program + " >/dev/null 2>&1").c_str()) == 0;
-    planted.caught += caught;
+    results.caught += caught;
     EXPECT_TRUE(caught) << program;
   }
-  return planted;
+  return results;
 }
 
 TEST(SessionCrossings, EveryPairOfEventsInOneTurnAndInEachOrder) {
   SessionTotals totals;
   RunInProcesses(AllSessionPlays(), &totals);
-  const Planted planted = RunPlanted();
+  const MutationResults mutations = RunMutations();
   const Found& found = totals.found;
   std::cout << "session crossings: plays=" << totals.plays << " lost=" << found.lost
             << " twice=" << found.twice << " late=" << found.late << " leaked=" << found.leaked
-            << " planted_caught=" << planted.caught << "/" << planted.programs << std::endl;
+            << " planted_caught=" << mutations.caught << "/" << mutations.programs << std::endl;
   EXPECT_EQ(found.all(), 0);
   EXPECT_GE(totals.plays, 15000u);
-  EXPECT_EQ(planted.programs, 4);
+  EXPECT_EQ(mutations.programs, 4);
 }
 
 }  // namespace
