--- a/src/proxy/listener.h
+++ b/src/proxy/listener.h
@@ -62,7 +62,7 @@
   /// Requests that were rejected before they entered the table of requests.
   std::uint64_t rejected() const { return rejected_; }
   /// Ids of recent requests that are kept to reject duplicates.
-  std::size_t remembered() const { return recent_ids_.size(); }
+  std::size_t recent_ids() const { return recent_ids_.size(); }
 
  private:
   friend class Session;  // the sessions' own state is theirs, what they share is here
--- a/src/proxy/listener_limits.h
+++ b/src/proxy/listener_limits.h
@@ -23,7 +23,7 @@
   /// For a client to read its last answer and to close its side.
   std::chrono::milliseconds linger{1000};
   /// Ids of recent requests that are kept to reject duplicates.
-  std::size_t remembered = 32 << 10;
+  std::size_t max_recent_ids = 32 << 10;
 };
 
 }  // namespace badgerbridge::proxy
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -212,15 +212,15 @@
 TEST_F(NodeTest, TheIdsRememberedAreBounded) {
   Peer backend(io, [](Wire& wire) { wire.Send(Reply(200)); });
   ListenerLimits limits;
-  limits.remembered = 8;
+  limits.max_recent_ids = 8;
   node = std::make_unique<Node>(io, TestConfig({EndpointJson("a", backend.address())}), limits);
   const auto client = node->Connect();
   for (int i = 0; i < 30; ++i) {
     client->Send(Get("c" + std::to_string(i)));
     ASSERT_TRUE(RunUntil(io, [&] { return Count(client->in, "HTTP/1.1 200 ") == i + 1; }));
-    EXPECT_LE(node->listener.remembered(), 8u);
+    EXPECT_LE(node->listener.recent_ids(), 8u);
   }
-  EXPECT_EQ(node->listener.remembered(), 8u);
+  EXPECT_EQ(node->listener.recent_ids(), 8u);
   client->Send(Get("c29"));
   ASSERT_TRUE(RunUntil(io, [&] { return Count(client->in, "HTTP/1.1 409 ") == 1; })) << "of the newest";
 }
