--- a/tests/multiprocess/async_socket.cpp
+++ b/tests/multiprocess/async_socket.cpp
@@ -19,7 +19,7 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using Error = boost::system::error_code;
-using boost::asio::experimental::awaitable_operators::operator||;
+using namespace boost::asio::experimental::awaitable_operators;  // operator||
 
 namespace {
 
