--- a/tests/multiprocess/direct_clients.h
+++ b/tests/multiprocess/direct_clients.h
@@ -32,7 +32,7 @@
   boost::asio::ip::tcp::endpoint address;  ///< Where it listens.
 };
 
-/// Who the direct clients are, and what they send.
+/// The number of direct clients, and what they send.
 struct DirectClientSettings {
   std::string id_prefix;                   ///< Of the requests' ids.
   std::uint64_t seed = 1;                  ///< Of all that is drawn.
--- a/tests/multiprocess/messages.h
+++ b/tests/multiprocess/messages.h
@@ -16,8 +16,7 @@
 
 namespace badgerbridge::multiprocess {
 
-/// \name Records of the history
-/// @{
+// Records of the history.
 BOOST_DESCRIBE_ENUM(RequestOutcome, kServed, kRejected, kFailed, kLost, kUnsent, kCancelled)
 BOOST_DESCRIBE_STRUCT(RequestRecord, (),
                       (id, request_class, proxy, started_at_ms, sent_at_ms, ended_at_ms, outcome,
@@ -30,10 +29,8 @@
                        work_ms, time_left_ms))
 BOOST_DESCRIBE_STRUCT(EndpointNotification, (), (proxy, backend, is_ready, sent_at_ms))
 BOOST_DESCRIBE_STRUCT(EventLoopLag, (), (from_ms, until_ms))
-/// @}
 
-/// \name Commands to several roles
-/// @{
+// Commands to several roles.
 
 /// The clients begin their load.
 struct StartLoad {
@@ -60,10 +57,7 @@
 };
 BOOST_DESCRIBE_STRUCT(SetReachable, (), (is_reachable))
 
-/// @}
-
-/// \name Commands to backends
-/// @{
+// Commands to backends.
 
 /// A backend of the role's zone.
 struct BackendPlacement {
@@ -110,10 +104,7 @@
 };
 BOOST_DESCRIBE_STRUCT(ChangeBackend, (), (index, action, value))
 
-/// @}
-
-/// \name Commands to clients
-/// @{
+// Commands to clients.
 
 /// A proxy as its clients reach it.
 struct ProxyAddress {
@@ -173,10 +164,7 @@
 };
 BOOST_DESCRIBE_STRUCT(ScaleLoad, (), (factor))
 
-/// @}
-
-/// \name Commands to discovery
-/// @{
+// Commands to discovery.
 
 /// Starts a list and a watch for each proxy; the answer is Ready with their addresses.
 struct BeginDiscovery {
@@ -188,7 +176,7 @@
 /// Notifies one proxy of one backend.
 struct SetEndpoint {
   static constexpr const char* kName = "set_endpoint";  ///< Of the message.
-  std::string proxy;                                    ///< Who is notified.
+  std::string proxy;                                    ///< To be notified.
   std::string name;                                     ///< The backend.
   std::string address;                                  ///< How this proxy reaches it.
   std::string zone;                                     ///< The backend's zone.
@@ -198,10 +186,7 @@
 };
 BOOST_DESCRIBE_STRUCT(SetEndpoint, (), (proxy, name, address, zone, status, cell, started_at_unix_ms))
 
-/// @}
-
-/// \name Commands to the link proxy
-/// @{
+// Commands to the link proxy.
 
 /// Opens a listener; the answer is LinkOpened.
 struct OpenLink {
@@ -246,10 +231,7 @@
 };
 BOOST_DESCRIBE_STRUCT(BreakLink, (), (from, to, how))
 
-/// @}
-
-/// \name Commands to etcd
-/// @{
+// Commands to etcd.
 
 /// Starts the members; the answer is Ready with their addresses.
 struct BeginEtcd {
@@ -280,14 +262,11 @@
   std::string value;                                    ///< Empty: the key is deleted.
   std::string backend;                                  ///< The backend's name.
   bool is_ready = true;                                 ///< Whether it is ready then.
-  std::vector<std::string> proxies;                     ///< Who is notified.
+  std::vector<std::string> proxies;                     ///< To be notified.
 };
 BOOST_DESCRIBE_STRUCT(WriteMember, (), (key, value, backend, is_ready, proxies))
 
-/// @}
-
-/// \name Events
-/// @{
+// Events.
 
 /// The role is set up.
 struct Ready {
@@ -336,7 +315,7 @@
 };
 BOOST_DESCRIBE_STRUCT(Records, (), (requests, close_races, attempts, notifications, lags))
 
-/// What etcd says of the decisions of zone failover.
+/// The audit of the decisions of zone failover that etcd holds.
 struct DecisionAudit {
   static constexpr const char* kName = "decision_audit";  ///< Of the message.
   std::uint64_t decisions = 0;                            ///< All that were written.
@@ -360,8 +339,6 @@
 };
 BOOST_DESCRIBE_STRUCT(RoleError, (), (text))
 
-/// @}
-
 }  // namespace badgerbridge::multiprocess
 
 #endif  // BADGERBRIDGE_TESTS_MULTIPROCESS_MESSAGES_H_
--- a/tests/multiprocess/proxy_fleet.cpp
+++ b/tests/multiprocess/proxy_fleet.cpp
@@ -178,7 +178,7 @@
     }
     if (proxy.down_since_ms || proxy.process->IsRunning()) continue;
     if (proxy.term_sent_ms && proxy.process->status() == 0) {
-      // Who connects after the listener's close reaches nobody. What it had accepted is excused by nothing.
+      // Connections after the listener is closed are refused. Requests that it had accepted are not excused.
       RecordDisruption(proxy, *proxy.term_sent_ms + kListenAfterTermMs, NowMs() + kAfterRestartMs,
                        DisruptionKind::kNotListening);
       proxy.term_sent_ms.reset();
--- a/tests/support/fault_injection.cpp
+++ b/tests/support/fault_injection.cpp
@@ -22,16 +22,17 @@
 
 using badgerbridge::testing::Call;
 
-constexpr int kMostFrames = 40;
+constexpr int kMaxFrames = 40;
 
+// The planned fault, and what came of it.
 struct Plan {
   bool active = false;
   Call call = Call::kAllocation;
-  long left = 0;     // calls before the first that fails
-  int failures = 0;  // still to come
-  int error = 0;
+  long calls_before_first = 0;  // that succeed
+  int failures_left = 0;
+  int error_number = 0;  // errno of a failing system call
   bool happened = false;
-  std::array<void*, kMostFrames> frames{};
+  std::array<void*, kMaxFrames> frames{};
   int frame_count = 0;
 };
 
@@ -41,17 +42,17 @@
     mmap(nullptr, sizeof(Plan), PROT_READ | PROT_WRITE, MAP_SHARED | MAP_ANONYMOUS, -1, 0));
 bool counting = false;
 
-// Whether this call is to fail.
-bool Fails(Call call) {
-  if (!counting || !plan.active || plan.call != call || plan.failures == 0) return false;
-  if (plan.left > 0) {
-    --plan.left;
+// Counts a call, and returns whether it is to fail.
+bool CallFails(Call call) {
+  if (!counting || !plan.active || plan.call != call || plan.failures_left == 0) return false;
+  if (plan.calls_before_first > 0) {
+    --plan.calls_before_first;
     return false;
   }
-  --plan.failures;
+  --plan.failures_left;
   if (!plan.happened) {
     counting = false;  // backtrace may allocate
-    plan.frame_count = backtrace(plan.frames.data(), kMostFrames);
+    plan.frame_count = backtrace(plan.frames.data(), kMaxFrames);
     counting = true;
   }
   plan.happened = true;
@@ -60,20 +61,20 @@
 
 // The same for a system call; sets errno.
 bool SystemCallFails(Call call) {
-  if (!Fails(call)) return false;
-  errno = plan.error;
+  if (!CallFails(call)) return false;
+  errno = plan.error_number;
   return true;
 }
 
 void* Allocate(std::size_t size) {
-  if (Fails(Call::kAllocation)) throw std::bad_alloc();
+  if (CallFails(Call::kAllocation)) throw std::bad_alloc();
   void* const memory = std::malloc(size == 0 ? 1 : size);
   if (memory == nullptr) throw std::bad_alloc();
   return memory;
 }
 
 void* AllocateAligned(std::size_t size, std::size_t alignment) {
-  if (Fails(Call::kAllocation)) throw std::bad_alloc();
+  if (CallFails(Call::kAllocation)) throw std::bad_alloc();
   void* const memory = memalign(alignment, size == 0 ? 1 : size);
   if (memory == nullptr) throw std::bad_alloc();
   return memory;
@@ -95,7 +96,7 @@
 
 // Asio takes the memory of its handlers from here.
 void* aligned_alloc(std::size_t alignment, std::size_t size) noexcept {
-  if (Fails(Call::kAllocation)) {
+  if (CallFails(Call::kAllocation)) {
     errno = ENOMEM;
     return nullptr;
   }
@@ -151,12 +152,12 @@
 PlannedFault::PlannedFault(Call call, long first, int failures, int error) {
   if (plan.active) std::abort();
   plan = {};
-  plan.frame_count = backtrace(plan.frames.data(), kMostFrames);  // its first call loads a library
+  plan.frame_count = backtrace(plan.frames.data(), kMaxFrames);  // its first call loads a library
   plan.frame_count = 0;
   plan.call = call;
-  plan.left = first;
-  plan.failures = failures;
-  plan.error = error;
+  plan.calls_before_first = first;
+  plan.failures_left = failures;
+  plan.error_number = error;
   plan.active = true;
 }
 
@@ -166,7 +167,7 @@
 
 std::string PlannedFault::Site() const {
   Dl_info program{};
-  if (dladdr(reinterpret_cast<void*>(&Fails), &program) == 0) return "";
+  if (dladdr(reinterpret_cast<void*>(&CallFails), &program) == 0) return "";
   std::string text;
   for (int i = 0; i < plan.frame_count; ++i) {
     Dl_info info{};
--- a/tests/support/socket_watch.cpp
+++ b/tests/support/socket_watch.cpp
@@ -25,9 +25,10 @@
   return Endpoint(boost::asio::ip::make_address_v4(ntohl(address.sin_addr.s_addr)), ntohs(address.sin_port));
 }
 
-ssize_t Noted(int descriptor, ssize_t read) {
-  if (watch && read > 0) watch->Read(descriptor, static_cast<std::size_t>(read));
-  return read;
+// Passes on what a system call returned.
+ssize_t RecordRead(int descriptor, ssize_t bytes) {
+  if (watch && bytes > 0) watch->OnRead(descriptor, static_cast<std::size_t>(bytes));
+  return bytes;
 }
 
 }  // namespace
@@ -35,22 +36,22 @@
 extern "C" int accept(int listening, sockaddr* address, socklen_t* length) {
   constexpr int kNoFlags = 0;
   const int descriptor = static_cast<int>(syscall(SYS_accept4, listening, address, length, kNoFlags));
-  if (watch && descriptor >= 0) watch->Accepted(descriptor);
+  if (watch && descriptor >= 0) watch->OnAccept(descriptor);
   return descriptor;
 }
 
 extern "C" ssize_t recv(int descriptor, void* into, size_t size, int flags) {
-  const ssize_t read = syscall(SYS_recvfrom, descriptor, into, size, flags, nullptr, nullptr);
-  return (flags & MSG_PEEK) != 0 ? read : Noted(descriptor, read);
+  const ssize_t bytes = syscall(SYS_recvfrom, descriptor, into, size, flags, nullptr, nullptr);
+  return (flags & MSG_PEEK) != 0 ? bytes : RecordRead(descriptor, bytes);
 }
 
 extern "C" ssize_t recvmsg(int descriptor, msghdr* message, int flags) {
-  const ssize_t read = syscall(SYS_recvmsg, descriptor, message, flags);
-  return (flags & MSG_PEEK) != 0 ? read : Noted(descriptor, read);
+  const ssize_t bytes = syscall(SYS_recvmsg, descriptor, message, flags);
+  return (flags & MSG_PEEK) != 0 ? bytes : RecordRead(descriptor, bytes);
 }
 
-extern "C" ssize_t readv(int descriptor, const iovec* into, int pieces) {
-  return Noted(descriptor, syscall(SYS_readv, descriptor, into, pieces));
+extern "C" ssize_t readv(int descriptor, const iovec* into, int count) {
+  return RecordRead(descriptor, syscall(SYS_readv, descriptor, into, count));
 }
 
 extern "C" int getsockopt(int descriptor, int level, int option, void* value, socklen_t* length) noexcept {
@@ -71,24 +72,24 @@
 SocketWatch::~SocketWatch() { watch = nullptr; }
 
 std::size_t SocketWatch::BytesReadFrom(const Endpoint& peer) const {
-  const auto found = read_.find(peer);
-  return found == read_.end() ? 0 : found->second;
+  const auto found = bytes_read_.find(peer);
+  return found == bytes_read_.end() ? 0 : found->second;
 }
 
-void SocketWatch::NoteDataFrom(const Endpoint& peer) { data_came_[peer] = std::chrono::steady_clock::now(); }
+void SocketWatch::NoteDataFrom(const Endpoint& peer) { last_data_[peer] = std::chrono::steady_clock::now(); }
 
-void SocketWatch::Accepted(int descriptor) const {
+void SocketWatch::OnAccept(int descriptor) const {
   if (send_buffer_) ::setsockopt(descriptor, SOL_SOCKET, SO_SNDBUF, &*send_buffer_, sizeof *send_buffer_);
 }
 
-void SocketWatch::Read(int descriptor, std::size_t bytes) {
-  if (const auto peer = PeerOf(descriptor)) read_[*peer] += bytes;
+void SocketWatch::OnRead(int descriptor, std::size_t bytes) {
+  if (const auto peer = PeerOf(descriptor)) bytes_read_[*peer] += bytes;
 }
 
 std::optional<std::uint32_t> SocketWatch::AgeOfData(int descriptor) const {
   const auto peer = PeerOf(descriptor);
-  const auto found = peer ? data_came_.find(*peer) : data_came_.end();
-  if (found == data_came_.end()) return std::nullopt;
+  const auto found = peer ? last_data_.find(*peer) : last_data_.end();
+  if (found == last_data_.end()) return std::nullopt;
   const auto age = std::chrono::steady_clock::now() - found->second;
   return static_cast<std::uint32_t>(std::chrono::duration_cast<std::chrono::milliseconds>(age).count());
 }
--- a/tests/support/virtual_clock.cpp
+++ b/tests/support/virtual_clock.cpp
@@ -23,10 +23,11 @@
   return {static_cast<time_t>(whole.count()), static_cast<long>((time - whole).count())};
 }
 
+// Asio's timerfd.
 struct ArmedTimer {
   int descriptor = -1;
-  std::optional<nanoseconds>
-      expiry;  // in virtual time; none: disarmed, or armed for real because it has expired
+  // In virtual time; none: disarmed, or armed for real because it has expired.
+  std::optional<nanoseconds> expiry;
 };
 
 std::optional<nanoseconds> virtual_now;  // none: the real clock counts
@@ -87,14 +88,14 @@
 
 VirtualClock::~VirtualClock() { virtual_now.reset(); }
 
-void VirtualClock::Advance(Nanoseconds by) {
-  *virtual_now += by;
+void VirtualClock::Advance(Nanoseconds time) {
+  *virtual_now += time;
   ExpireIfDue();
 }
 
-void VirtualClock::AdvanceToNextTimer(Nanoseconds most) {
-  const Nanoseconds wait = timer.expiry ? *timer.expiry - *virtual_now : most;
-  Advance(std::clamp(wait, Nanoseconds(0), most));
+void VirtualClock::AdvanceToNextTimer(Nanoseconds max_time) {
+  const Nanoseconds wait = timer.expiry ? *timer.expiry - *virtual_now : max_time;
+  Advance(std::clamp(wait, Nanoseconds(0), max_time));
 }
 
 }  // namespace badgerbridge::testing
