--- a/tests/multiprocess/history_index.cpp
+++ b/tests/multiprocess/history_index.cpp
@@ -25,7 +25,7 @@
 // How much of the time from `from_ms` to `until_ms` these periods cover; they may overlap.
 double CoveredTime(std::vector<EventLoopLag> pauses, double from_ms) {
   std::sort(pauses.begin(), pauses.end(),
-            [](const EventLoopLag& a, const EventLoopLag& b) { return a.from_ms < b.from_ms; });
+            [](const EventLoopLag& left, const EventLoopLag& right) { return left.from_ms < right.from_ms; });
   double covered = 0;
   double covered_until = from_ms;
   for (const EventLoopLag& pause : pauses) {
--- a/tests/multiprocess/link_proxy.cpp
+++ b/tests/multiprocess/link_proxy.cpp
@@ -162,8 +162,10 @@
   for (int i = 0; i < kMaxFillers; ++i) {
     tcp::socket filler(io_, tcp::v4());
     filler.non_blocking(true, ignored);
-    // Not by the library's connect, which waits until the connection is established.
-    ::connect(filler.native_handle(), address.data(), static_cast<socklen_t>(address.size()));
+    // Not by the library's connect, which waits until the connection is established; poll shows whether it
+    // is.
+    static_cast<void>(
+        ::connect(filler.native_handle(), address.data(), static_cast<socklen_t>(address.size())));
     pollfd established{filler.native_handle(), POLLOUT, 0};
     if (poll(&established, 1, kFillerConnectWaitMs) <= 0) return;  // its SYN was dropped: the queue is full
     listener.filler_addresses.insert(filler.local_endpoint(ignored));
--- a/tests/multiprocess/proxy_files.cpp
+++ b/tests/multiprocess/proxy_files.cpp
@@ -120,7 +120,7 @@
       {"limits",
        json::object{{"cores", 1.0}, {"memory_mb", 192}, {"sockets", DescriptorLimitOf(context, proxy)}}},
       {"settings", SettingsJson(context.model, proxy)}};
-  const std::string path = PathOfProxyFile(context, proxy.name, ".json");
+  std::string path = PathOfProxyFile(context, proxy.name, ".json");
   std::ofstream(path, std::ios::trunc) << json::serialize(config);
   return path;
 }
@@ -128,7 +128,7 @@
 std::string WriteOperatorFile(const RunContext& context, const ProxyIdentity& proxy,
                               const std::vector<std::string>& watch_caches,
                               const std::vector<std::string>& etcd_members) {
-  const std::string path = PathOfProxyFile(context, proxy.name, ".toml");
+  std::string path = PathOfProxyFile(context, proxy.name, ".toml");
   std::ofstream file(path, std::ios::trunc);
   file << "[control]\nsocket = \"" << PathOfProxyFile(context, proxy.name, ".sock") << "\"\n";
   if (context.model.together.relays > 0) {
--- a/tests/multiprocess/verdict_backends.cpp
+++ b/tests/multiprocess/verdict_backends.cpp
@@ -30,8 +30,8 @@
     sorted[{notification.proxy, notification.backend}].push_back(&notification);
   for (auto& [pair, notifications] : sorted) {
     std::stable_sort(notifications.begin(), notifications.end(),
-                     [](const EndpointNotification* a, const EndpointNotification* b) {
-                       return a->sent_at_ms < b->sent_at_ms;
+                     [](const EndpointNotification* left, const EndpointNotification* right) {
+                       return left->sent_at_ms < right->sent_at_ms;
                      });
   }
   return sorted;
@@ -150,9 +150,10 @@
   for (const AttemptRecord& attempt : context.index.history().attempts)
     by_backend[attempt.backend].push_back(&attempt);
   for (auto& [backend, attempts] : by_backend) {
-    std::stable_sort(attempts.begin(), attempts.end(), [](const AttemptRecord* a, const AttemptRecord* b) {
-      return a->received_at_ms < b->received_at_ms;
-    });
+    std::stable_sort(attempts.begin(), attempts.end(),
+                     [](const AttemptRecord* left, const AttemptRecord* right) {
+                       return left->received_at_ms < right->received_at_ms;
+                     });
   }
   Verdict& verdict = context.verdict;
   for (const BackendStart& start : context.index.history().backend_starts) {
--- a/tests/multiprocess/verdict_test.cpp
+++ b/tests/multiprocess/verdict_test.cpp
@@ -322,12 +322,18 @@
   EXPECT_EQ(run.Check().sends_after_drain, 0u);
 }
 
-// 36 calls in a second are its budget, and 14 more are allowed for chance: 50 pass in every window, 51 do
-// not. Calls before its start and after slow start do not count.
-TEST(VerdictTest, ABackendInSlowStartIsHeldToTheSumOfAllProxies) {
-  const auto check = [](int calls, double from_ms, double apart_ms, double budget = 36, double work_ms = 0) {
+// Sends calls to a backend that started at 20000, in slow start for 10 s with this budget in each second; a
+// call's mean work is 20 ms.
+struct SlowStartCalls {
+  int calls = 0;
+  double from_ms = 0;
+  double apart_ms = 0;
+  double budget = 36;
+  double work_ms = 0;  // 0: the mean
+
+  Verdict Check() const {
     TestRun run;
-    run.rules.slow_start = SlowStartRules{1000, 10000, 20, [budget](double) { return budget; }};
+    run.rules.slow_start = SlowStartRules{1000, 10000, 20, [calls = *this](double) { return calls.budget; }};
     run.history.backend_starts.push_back({"c5", 20000});
     for (int i = 0; i < calls; ++i) {
       AttemptRecord attempt;
@@ -338,22 +344,38 @@
       run.history.attempts.push_back(attempt);
     }
     return run.Check();
-  };
-  EXPECT_EQ(check(50, 20100, 10).slow_start_violations, 0u);
-  EXPECT_EQ(check(50, 20100, 10).max_slow_start_ratio, 1);
-  EXPECT_EQ(check(51, 20100, 10).slow_start_violations, 1u);
-  EXPECT_FALSE(check(51, 20100, 10).Passed());
-  EXPECT_EQ(check(500, 20100, 20.1).slow_start_violations, 0u) << "50 in each second";
-  EXPECT_EQ(check(500, 20100, 19).slow_start_violations, 1u);
-  EXPECT_EQ(check(12, 20100, 10, 9).slow_start_violations, 0u) << "few: 3 sqrt(9) + 3";
-  EXPECT_EQ(check(13, 20100, 10, 9).slow_start_violations, 1u);
-  EXPECT_EQ(check(25, 20100, 10, 36, 40).slow_start_violations, 0u) << "half as many, twice as heavy";
-  EXPECT_EQ(check(26, 20100, 10, 36, 40).slow_start_violations, 1u);
-  EXPECT_EQ(check(51, 20100, 10, 36, 5).slow_start_violations, 1u) << "light ones are calls too";
-  EXPECT_EQ(check(250, 20100, 40.1, 36, 40).slow_start_violations, 0u) << "25 heavy ones in each second";
-  EXPECT_EQ(check(100, 18000, 10).slow_start_violations, 0u) << "before it started";
-  EXPECT_EQ(check(100, 31000, 10).slow_start_violations, 0u) << "after slow start";
-  EXPECT_EQ(check(1, 20100, 10).slow_starts, 1u);
+  }
+
+  std::uint64_t Violations() const { return Check().slow_start_violations; }
+};
+
+// 36 calls in a second are the budget, and 14 more are allowed for chance: 50 pass in every window, 51 do
+// not.
+TEST(VerdictTest, ABackendInSlowStartIsHeldToTheSumOfAllProxies) {
+  EXPECT_EQ((SlowStartCalls{50, 20100, 10}.Violations()), 0u);
+  EXPECT_EQ((SlowStartCalls{50, 20100, 10}.Check().max_slow_start_ratio), 1);
+  EXPECT_EQ((SlowStartCalls{51, 20100, 10}.Violations()), 1u);
+  EXPECT_FALSE((SlowStartCalls{51, 20100, 10}.Check().Passed()));
+  EXPECT_EQ((SlowStartCalls{500, 20100, 20.1}.Violations()), 0u) << "50 in each second";
+  EXPECT_EQ((SlowStartCalls{500, 20100, 19}.Violations()), 1u);
+}
+
+TEST(VerdictTest, ASmallSlowStartBudgetHasALargerAllowanceForChance) {
+  EXPECT_EQ((SlowStartCalls{12, 20100, 10, 9}.Violations()), 0u) << "3 sqrt(9) + 3";
+  EXPECT_EQ((SlowStartCalls{13, 20100, 10, 9}.Violations()), 1u);
+}
+
+TEST(VerdictTest, CallsInSlowStartCountByTheirWorkTooIfThatIsMore) {
+  EXPECT_EQ((SlowStartCalls{25, 20100, 10, 36, 40}.Violations()), 0u) << "half as many, twice as heavy";
+  EXPECT_EQ((SlowStartCalls{26, 20100, 10, 36, 40}.Violations()), 1u);
+  EXPECT_EQ((SlowStartCalls{51, 20100, 10, 36, 5}.Violations()), 1u) << "light ones are calls too";
+  EXPECT_EQ((SlowStartCalls{250, 20100, 40.1, 36, 40}.Violations()), 0u) << "25 heavy ones in each second";
+}
+
+TEST(VerdictTest, CallsBeforeTheStartAndAfterSlowStartDoNotCount) {
+  EXPECT_EQ((SlowStartCalls{100, 18000, 10}.Violations()), 0u) << "before it started";
+  EXPECT_EQ((SlowStartCalls{100, 31000, 10}.Violations()), 0u) << "after slow start";
+  EXPECT_EQ((SlowStartCalls{1, 20100, 10}.Check().slow_starts), 1u);
 }
 
 TEST(VerdictTest, WrongResponsesOverloadsAndUnaccountedRequestsAreCounted) {
--- a/tests/multiprocess/zone_failover_view_test.cpp
+++ b/tests/multiprocess/zone_failover_view_test.cpp
@@ -41,10 +41,12 @@
   EXPECT_EQ(MaxQuotaRatio({}), 0);
 }
 
-TEST(ZoneFailoverViewTest, MalformedAnswersAreRejected) {
-  const std::vector<std::string> zones = {"z0", "z1"};
-  const auto parse = [&](const char* text) { return ParseZoneView(boost::json::parse(text), zones); };
-  const auto view = parse(
+std::optional<ProxyZoneView> Parse(const char* text) {
+  return ParseZoneView(boost::json::parse(text), {"z0", "z1"});
+}
+
+TEST(ZoneFailoverViewTest, AnAnswerIsRead) {
+  const auto view = Parse(
       R"({"zone":"z1","epoch":3,"in_touch":true,"zones":[{"share":null},{"share":2,"limit":5,"state":"dark"}]})");
   ASSERT_TRUE(view);
   EXPECT_EQ(view->zone, 1);
@@ -52,9 +54,12 @@
   EXPECT_EQ(view->receivers[0].quota, -1);
   EXPECT_EQ(view->receivers[1].quota, 2);
   EXPECT_EQ(view->receivers[1].state, "dark");
+}
+
+TEST(ZoneFailoverViewTest, MalformedAnswersAreRejected) {
   for (const char* text : {"{}", R"({"zone":"z9","zones":[{},{}]})", R"({"zone":"z0","zones":[{}]})",
                            R"({"zone":"z0","zones":[1,2]})", R"({"zone":7,"zones":[{},{}]})"})
-    EXPECT_FALSE(parse(text)) << text;
+    EXPECT_FALSE(Parse(text)) << text;
 }
 
 }  // namespace
