--- a/tests/multiprocess/main.cpp
+++ b/tests/multiprocess/main.cpp
@@ -61,7 +61,7 @@
   for (const std::string& path : options.plans) {
     operator_config::Problems problems;
     const simulator::Model model = simulator::LoadScenario(path, problems);
-    std::cerr << operator_config::Lines(problems);
+    std::cerr << operator_config::FormatProblems(problems);
     if (!problems.empty()) return kUsageError;
     code = std::max(code, PlayPlan(model, options));
   }
