--- a/src/proxy/backend_pool.cpp
+++ b/src/proxy/backend_pool.cpp
@@ -12,15 +12,17 @@
 #include "proxy/backend_connection.h"
 
 namespace badgerbridge::proxy {
+namespace asio = boost::asio;
+using asio::ip::tcp;
 namespace {
 
-constexpr Duration kUnaskedMemory{60000};  // what one backend does, others of its make may do too
+constexpr Duration kUnsolicitedMemory{60000};  // what one backend does, others of its make may do too
 
-// Whom to tell how an attempt ended, and the memory that this takes.
+// The callback of an attempt, and the memory that its call takes.
 struct Completion {
-  explicit Completion(BackendPool::Done done) : done(std::move(done)) {}
+  explicit Completion(BackendPool::AttemptCallback callback) : on_end(std::move(callback)) {}
 
-  BackendPool::Done done;
+  BackendPool::AttemptCallback on_end;
   net::HandlerMemory memory;
 };
 
@@ -28,16 +30,16 @@
 
 BackendPool::Limits BackendPool::Limits::From(const Config& config) {
   Limits limits;
-  limits.connections = config.max_backend_connections;
+  limits.max_connections = config.max_backend_connections;
   limits.connect_timeout = config.connect_timeout;
-  limits.idle_limit = config.idle_limit;
+  limits.idle_timeout = config.backend_idle_timeout;
   return limits;
 }
 
 BackendPool::BackendPool(asio::io_context& io, const ProxyClock& clock, Limits limits)
     : io_(io), clock_(clock), limits_(limits) {
-  dial_ = [](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
-    socket.async_connect(address, std::move(ended));
+  connector_ = [](tcp::socket& socket, const tcp::endpoint& address, auto on_connected) {
+    socket.async_connect(address, std::move(on_connected));
   };
 }
 
@@ -46,37 +48,39 @@
 }
 
 void BackendPool::Update(const EndpointList& list) {
-  // One that is gone is sent nothing more, and nothing of it is needed: attempts that are still out carry
-  // what they need.
-  if (list.snapshot) {
-    std::unordered_set<BackendId> listed;
-    for (const Endpoint& endpoint : list.endpoints) listed.insert(endpoint.entry.server);
-    for (auto at = backends_.begin(); at != backends_.end();) {
-      if (listed.count(at->first)) {
-        ++at;
-      } else {
-        CloseIdle(at->second);
-        at = backends_.erase(at);
-      }
+  if (list.snapshot) RemoveUnlisted(list);
+  for (const Endpoint& endpoint : list.endpoints) UpdateBackend(endpoint);
+}
+
+// A backend that is gone is sent nothing more. Attempts that are in flight have what they need.
+void BackendPool::RemoveUnlisted(const EndpointList& snapshot) {
+  std::unordered_set<BackendId> listed;
+  for (const Endpoint& endpoint : snapshot.endpoints) listed.insert(endpoint.entry.server);
+  for (auto at = backends_.begin(); at != backends_.end();) {
+    if (listed.contains(at->first)) {
+      ++at;
+    } else {
+      CloseIdle(at->second);
+      at = backends_.erase(at);
     }
   }
-  for (const Endpoint& endpoint : list.endpoints) {
+}
+
+void BackendPool::UpdateBackend(const Endpoint& endpoint) {
+  if (endpoint.entry.state == BackendState::kGone) {
     const auto found = backends_.find(endpoint.entry.server);
-    if (endpoint.entry.state == BackendState::kGone) {
-      if (found == backends_.end()) continue;
-      CloseIdle(found->second);
-      backends_.erase(found);
-      continue;
-    }
-    Backend& backend = backends_[endpoint.entry.server];
-    if (endpoint.address != backend.address || endpoint.entry.state != BackendState::kReady)
-      CloseIdle(backend);
-    backend.address = endpoint.address;
-    backend.state = endpoint.entry.state;
+    if (found == backends_.end()) return;
+    CloseIdle(found->second);
+    backends_.erase(found);
+    return;
   }
+  Backend& backend = backends_[endpoint.entry.server];
+  if (endpoint.address != backend.address || endpoint.entry.state != BackendState::kReady) CloseIdle(backend);
+  backend.address = endpoint.address;
+  backend.state = endpoint.entry.state;
 }
 
-bool BackendPool::AnyReady() const {
+bool BackendPool::HasReadyBackend() const {
   return std::any_of(backends_.begin(), backends_.end(),
                      [](const auto& entry) { return entry.second.state == BackendState::kReady; });
 }
@@ -85,111 +89,115 @@
   for (const auto& connection : std::exchange(backend.idle, {})) connection->Close();
 }
 
-// Those that have been idle since before that: nothing has been heard on them.
-void BackendPool::CloseUntested(BackendId server, TimePoint since) {
-  const auto found = backends_.find(server);
+// Closes the connections of a backend that have been idle since before a time: nothing has come on them
+// since.
+void BackendPool::CloseIdleSince(BackendId backend, TimePoint before) {
+  const auto found = backends_.find(backend);
   if (found == backends_.end()) return;
-  const auto idle = found->second.idle;  // a copy: each takes itself out
+  const auto idle = found->second.idle;  // a copy: each removes itself
   for (const auto& connection : idle) {
-    if (connection->idle_since() < since) connection->Close();
+    if (connection->idle_since() < before) connection->Close();
   }
 }
 
-// Nothing of the grace after a drain is used: the word may have been long on its way, and what has not begun
-// can be sent elsewhere.
-bool BackendPool::Takes(BackendId server, const tcp::endpoint& address) const {
-  const auto found = backends_.find(server);
+// The grace period after a drain is not used: the notification may have been on its way for long, and what
+// has not begun can be sent elsewhere.
+bool BackendPool::AcceptsRequests(BackendId backend, const tcp::endpoint& address) const {
+  const auto found = backends_.find(backend);
   return found != backends_.end() && found->second.address == address &&
          found->second.state == BackendState::kReady;
 }
 
-// The newest that has rested.
+// The newest that has been idle for long enough.
 std::shared_ptr<BackendPool::Connection> BackendPool::TakeIdle(Backend& backend) {
   const TimePoint now = clock_.Now();
-  const TimePoint rested = now - unasked_at_ < kUnaskedMemory ? now - limits_.rest : now;
+  const bool must_rest = now - last_unsolicited_at_ < kUnsolicitedMemory;
+  const TimePoint latest_idle_since = must_rest ? now - limits_.min_idle_after_unsolicited : now;
   for (std::size_t at = backend.idle.size(); at-- > 0;) {
-    if (backend.idle[at]->idle_since() > rested) continue;
+    if (backend.idle[at]->idle_since() > latest_idle_since) continue;
     std::shared_ptr<Connection> newest = std::move(backend.idle[at]);
     backend.idle.erase(backend.idle.begin() + static_cast<std::ptrdiff_t>(at));
-    if (!newest->Stale()) return newest;
+    if (!newest->CheckStale()) return newest;
     newest->Close();
   }
   return nullptr;
 }
 
-// At the limit, the connection that has been idle the longest makes room.
+// At the limit, closes the connection that has been idle the longest. False if there is none.
 bool BackendPool::EvictConnection() {
-  if (open_ < limits_.connections) return true;
+  if (open_connections_ < limits_.max_connections) return true;
   std::shared_ptr<Connection> oldest;
   for (const auto& [id, backend] : backends_) {
-    if (!backend.idle.empty() && (!oldest || backend.idle.front()->idle_since() < oldest->idle_since()))
-      oldest = backend.idle.front();
+    if (backend.idle.empty()) continue;
+    if (!oldest || backend.idle.front()->idle_since() < oldest->idle_since()) oldest = backend.idle.front();
   }
   if (!oldest) return false;
   oldest->Close();
   return true;
 }
 
-BackendPool::Ticket BackendPool::Send(BackendId server, std::shared_ptr<const Forwarded> request,
-                                      Duration timeout, TimePoint begin_before, Done done,
-                                      std::shared_ptr<Requester> requester) {
-  const TimePoint deadline = clock_.Now() + timeout;
-  // Through the queue of the io_context also where it ends at once: the caller is in the midst of its
-  // actions.
-  Done later = [this, completion = std::make_shared<Completion>(std::move(done))](AttemptResult result) {
+// Calls back through the queue of the io_context, also where the attempt ends at once: the caller is in the
+// midst of its actions.
+BackendPool::AttemptCallback BackendPool::Deferred(AttemptCallback on_end) {
+  return [this, completion = std::make_shared<Completion>(std::move(on_end))](AttemptResult result) {
     const net::HandlerAllocator<void> memory(
         std::shared_ptr<net::HandlerMemory>(completion, &completion->memory));
     asio::post(io_, asio::bind_allocator(memory, [completion, result = std::move(result)]() mutable {
-                 completion->done(std::move(result));
+                 completion->on_end(std::move(result));
                }));
   };
-  const auto found = backends_.find(server);
-  if (found == backends_.end() || !Takes(server, found->second.address)) {
-    later({Outcome::kConnectFailed, {}, {}});
+}
+
+BackendPool::AttemptHandle BackendPool::Send(BackendId backend,
+                                             std::shared_ptr<const ForwardedRequest> request,
+                                             Duration timeout, TimePoint begin_before, AttemptCallback on_end,
+                                             std::shared_ptr<Requester> requester) {
+  const TimePoint deadline = clock_.Now() + timeout;
+  AttemptCallback deferred = Deferred(std::move(on_end));
+  const auto found = backends_.find(backend);
+  if (found == backends_.end() || !AcceptsRequests(backend, found->second.address)) {
+    deferred({Outcome::kConnectFailed, {}, {}});
     return {};
   }
   Connection::Attempt attempt{std::move(request), std::move(requester), deadline, begin_before,
-                              std::move(later)};
+                              std::move(deferred)};
   std::shared_ptr<Connection> connection = TakeIdle(found->second);
   if (connection) {
     connection->Reuse(std::move(attempt));
   } else if (EvictConnection()) {
-    connection = std::make_shared<Connection>(*this, server, found->second.address);
+    connection = std::make_shared<Connection>(*this, backend, found->second.address);
     connection->Connect(std::move(attempt));
   } else {
-    attempt.done({Outcome::kConnectFailed, {}, {}});
+    attempt.on_end({Outcome::kConnectFailed, {}, {}});
     return {};
   }
-  return {connection, connection->number_};
+  return {connection, connection->attempt_number()};
 }
 
-void BackendPool::Cancel(const Ticket& attempt) {
+void BackendPool::Cancel(const AttemptHandle& attempt) {
   if (const auto connection = attempt.connection.lock()) connection->Cancel(attempt.number);
 }
 
-void BackendPool::Withdraw(const Ticket& attempt) {
+void BackendPool::Withdraw(const AttemptHandle& attempt) {
   if (const auto connection = attempt.connection.lock()) connection->Withdraw(attempt.number);
 }
 
-void BackendPool::Park(std::shared_ptr<Connection> connection) {
-  const auto found = backends_.find(connection->server_);
-  const bool wanted = found != backends_.end() && found->second.state == BackendState::kReady &&
-                      found->second.address == connection->address_;
-  if (!wanted) return connection->Close();
-  std::vector<std::shared_ptr<Connection>>& idle = found->second.idle;
+void BackendPool::AddIdle(std::shared_ptr<Connection> connection) {
+  if (!AcceptsRequests(connection->backend(), connection->address())) return connection->Close();
+  std::vector<std::shared_ptr<Connection>>& idle = backends_.find(connection->backend())->second.idle;
   try {
     idle.push_back(connection);
   } catch (const std::exception&) {
     return connection->Close();
   }
-  connection->Idle();  // may close it at once
-  if (idle.size() > limits_.idle_per_backend) std::shared_ptr(idle.front())->Close();
+  connection->BecomeIdle();  // may close it at once
+  if (idle.size() > limits_.max_idle_per_backend) std::shared_ptr(idle.front())->Close();
 }
 
-void BackendPool::Unpark(const Connection* connection) {
-  const auto found = backends_.find(connection->server_);
+void BackendPool::RemoveIdle(const Connection& connection) {
+  const auto found = backends_.find(connection.backend());
   if (found == backends_.end()) return;
-  std::erase_if(found->second.idle, [&](const auto& other) { return other.get() == connection; });
+  std::erase_if(found->second.idle, [&](const auto& other) { return other.get() == &connection; });
 }
 
 }  // namespace badgerbridge::proxy
--- a/src/proxy/clock.h
+++ b/src/proxy/clock.h
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The one clock of a node: it reads as Unix time in milliseconds, so that discovery's start times need no
-// more than a cast, but is driven by the steady clock, so that module time never jumps.
+// The clock of a proxy.
 #ifndef BADGERBRIDGE_PROXY_CLOCK_H_
 #define BADGERBRIDGE_PROXY_CLOCK_H_
 
@@ -11,12 +10,16 @@
 
 namespace badgerbridge::proxy {
 
+/// Reads as Unix time in milliseconds, so that discovery's start times need no more than a cast, but is
+/// driven by the steady clock, so that the decision module's time never jumps.
 class ProxyClock {
  public:
+  /// The clock of timers.
   using Steady = std::chrono::steady_clock;
 
+  /// The current time.
   TimePoint Now() const { return Epoch() + Duration(Steady::now() - steady_); }
-  // Rounded up: a timer must not fire before the moment that it stands for.
+  /// A time for a timer; rounded up, since a timer must not expire before it.
   Steady::time_point ToSteady(TimePoint at) const {
     return steady_ + std::chrono::ceil<Steady::duration>(at - Epoch());
   }
--- /dev/null
+++ b/src/proxy/endpoint_list_reader.h
@@ -0,0 +1,59 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Turns lists of named backends into lists with the ids and indices of the decision module. No I/O.
+#ifndef BADGERBRIDGE_PROXY_ENDPOINT_LIST_READER_H_
+#define BADGERBRIDGE_PROXY_ENDPOINT_LIST_READER_H_
+
+#include <boost/json/value.hpp>
+#include <cstddef>
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+#include <vector>
+
+#include "proxy/config.h"
+#include "proxy/endpoint_list.h"
+#include "proxy/error.h"
+
+namespace badgerbridge::proxy {
+
+/// Keeps the id of each listed name and the version of the list. Not thread-safe.
+class EndpointListReader {
+ public:
+  /// `config` gives the names of zones and kinds, by their indices.
+  explicit EndpointListReader(const Config& config) : zones_(config.zones), kinds_(config.kinds) {}
+  /// The other one must not be used any more.
+  EndpointListReader(EndpointListReader&&) = default;
+
+  /// Reads a list in discovery's form. On an error nothing has changed.
+  EndpointListResult<EndpointList> Read(const boost::json::value& value);
+  /// Assigns ids to the backends of a list, and forgets the names of those that are gone.
+  EndpointList Resolve(bool snapshot, std::uint64_t version, const std::vector<ListedEndpoint>& listed);
+
+  /// The version of the last list; 0: none.
+  std::uint64_t version() const { return version_; }
+  /// The list has not changed up to a version.
+  void SetVersion(std::uint64_t version) { version_ = version; }
+  /// Forgets the version, so that the next list asked for is a snapshot.
+  void ResetVersion() { version_ = 0; }
+  /// Names that are in the list.
+  std::size_t name_count() const { return ids_.size(); }
+  /// The name of a backend; empty if it has left the list.
+  std::string NameOf(BackendId id) const;
+
+ private:
+  BackendId IdOf(const std::string& name);
+  void Forget(const EndpointList& list);
+  void ForgetId(BackendId id);
+
+  std::vector<std::string> zones_;
+  std::vector<std::string> kinds_;
+  std::unordered_map<BackendId, std::string> names_;
+  std::unordered_map<std::string_view, BackendId> ids_;  // keyed by the names in names_
+  std::uint64_t version_ = 0;
+};
+
+}  // namespace badgerbridge::proxy
+
+#endif  // BADGERBRIDGE_PROXY_ENDPOINT_LIST_READER_H_
--- /dev/null
+++ b/src/proxy/json_stream.cpp
@@ -0,0 +1,61 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy/json_stream.h"
+
+#include <boost/json.hpp>
+#include <string>
+
+namespace badgerbridge::proxy {
+namespace {
+
+bool IsSpace(char byte) { return byte == '\n' || byte == '\r' || byte == ' ' || byte == '\t'; }
+
+// By its number: the byte itself may be a control character.
+EndpointListError NotAnObject(char first_byte) {
+  return {EndpointListErrorCode::kNotAnObject, "", std::to_string(static_cast<unsigned char>(first_byte))};
+}
+
+}  // namespace
+
+EndpointListResult<JsonStream::Item> JsonStream::Next(std::string_view& bytes) {
+  if (object_bytes_ == 0) {
+    const EndpointListResult<Item> item = SkipSpace(bytes);
+    if (!item || *item == Item::kEmptyLine || bytes.empty()) return item;
+  }
+  return ParseObject(bytes);
+}
+
+// Up to the first byte of an object, the end of an empty line, or the end of the bytes.
+EndpointListResult<JsonStream::Item> JsonStream::SkipSpace(std::string_view& bytes) {
+  while (!bytes.empty() && bytes.front() != '{') {
+    const char byte = bytes.front();
+    if (!IsSpace(byte)) return NotAnObject(byte);
+    bytes.remove_prefix(1);
+    if (byte != '\n') continue;
+    const bool was_empty = line_is_empty_;
+    line_is_empty_ = true;
+    if (was_empty) return Item::kEmptyLine;
+  }
+  return Item::kNone;
+}
+
+EndpointListResult<JsonStream::Item> JsonStream::ParseObject(std::string_view& bytes) {
+  boost::system::error_code error;
+  const std::size_t parsed = parser_.write_some(bytes.data(), bytes.size(), error);
+  if (error) return EndpointListError{EndpointListErrorCode::kInvalidJson, "", error.message()};
+  bytes.remove_prefix(parsed);
+  object_bytes_ += parsed;
+  if (object_bytes_ > max_bytes_)
+    return EndpointListError{EndpointListErrorCode::kTooLong, "", std::to_string(max_bytes_)};
+  if (!parser_.done()) return Item::kNone;
+  object_bytes_ = 0;
+  line_is_empty_ = false;
+  return Item::kObject;
+}
+
+boost::json::value JsonStream::Take() {
+  boost::json::value value = parser_.release();
+  parser_.reset();
+  return value;
+}
+
+}  // namespace badgerbridge::proxy
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -27,174 +27,180 @@
 
 Proxy::Proxy(boost::asio::io_context& io, const ProxyClock& clock, BackendPool& backends,
              const Config& config)
-    : clock_(clock), backends_(backends), table_(config.settings, config.seed), timer_(io) {}
+    : clock_(clock),
+      backends_(backends),
+      table_(config.settings, config.seed),
+      timer_(io),
+      timer_at_(kNever) {}
 
-RequestId Proxy::Accept(Submit submit, std::shared_ptr<const Forwarded> forwarded,
+RequestId Proxy::Accept(Submit submit, std::shared_ptr<const ForwardedRequest> forwarded,
                         std::shared_ptr<Requester> requester) {
   const TimePoint now = clock_.Now();
-  // Whatever needs memory comes first: once it is in the table, it must be in entries_.
-  Entry& entry = entries_[kUnnumbered];
-  entry.forwarded = std::move(forwarded);
-  entry.requester = std::move(requester);
-  RequestId request = 0;
+  // Whatever needs memory comes first: once it is in the table, it must be in requests_.
+  OpenRequest& request = requests_[kNoRequestId];
+  request.forwarded = std::move(forwarded);
+  request.requester = std::move(requester);
+  RequestId id = kNoRequestId;
   try {
     if (observer_) {
       observer_->OnRequest(now, submit);
-      entry.submit = submit;
+      request.submit = submit;
     }
-    request = table_.Accept(now, submit, &actions_);
+    id = table_.Accept(now, submit, &actions_);
   } catch (...) {
-    entries_.erase(kUnnumbered);
+    requests_.erase(kNoRequestId);
     throw;
   }
-  auto node = entries_.extract(kUnnumbered);
-  node.key() = request;
-  entries_.insert(std::move(node));
-  Turn();
-  return request;
+  auto node = requests_.extract(kNoRequestId);
+  node.key() = id;
+  requests_.insert(std::move(node));
+  ProcessActions();
+  return id;
 }
 
 void Proxy::ClientDisconnected(RequestId request) {
-  entries_.erase(request);
+  requests_.erase(request);
   table_.ClientDisconnected(clock_.Now(), request, &actions_);
-  Turn();
+  ProcessActions();
 }
 
 void Proxy::UpdateList(EndpointListKind kind, const EndpointList& list) {
-  if (kind != EndpointListKind::kCached) list_at_ = clock_.Now();
-  backends_.Update(list);  // first: what the module does about it needs the addresses
+  if (kind != EndpointListKind::kCached) last_list_at_ = clock_.Now();
+  backends_.Update(list);  // first: what the decision module does about it needs the addresses
   if (observer_) observer_->OnEndpointList(clock_.Now(), list);
   EndpointListUpdate update;
   update.kind = kind;
   for (const Endpoint& endpoint : list.endpoints) update.entries.push_back(endpoint.entry);
   table_.UpdateEndpoints(clock_.Now(), std::move(update), &actions_);
-  Turn();
+  ProcessActions();
 }
 
 void Proxy::EndpointListFailed() {
   table_.UpdateEndpoints(clock_.Now(), {EndpointListKind::kFailed, {}}, &actions_);
-  Turn();
+  ProcessActions();
 }
 
-void Proxy::UpdateZoneQuotas(balancer::ZoneQuotas shares) {
-  table_.UpdateZoneQuotas(clock_.Now(), std::move(shares), &actions_);
-  Turn();
+void Proxy::UpdateZoneQuotas(balancer::ZoneQuotas quotas) {
+  table_.UpdateZoneQuotas(clock_.Now(), std::move(quotas), &actions_);
+  ProcessActions();
 }
 
-// What the table says while its actions are carried out waits for its turn: they are done in order.
-void Proxy::Turn() {
-  if (performing_) return;
-  performing_ = true;
-  TellEnds();
+// Actions that the table adds while others are carried out wait until those are done: they keep their order.
+void Proxy::ProcessActions() {
+  if (processing_) return;
+  processing_ = true;
+  RetryUnreportedEnds();
   while (!actions_.empty()) {
     for (const request_table::Action& action : std::exchange(actions_, {})) {
       try {
-        std::visit([this](const auto& a) { Perform(a); }, action);
+        std::visit([this](const auto& alternative) { Perform(alternative); }, action);
       } catch (const std::exception& error) {
-        // What it was about is ended by the last resort; the others must go on.
+        // Its request is ended by the deadline fallback; the other actions must go on.
         std::cerr << "an action could not be carried out: " << error.what() << '\n';
       }
     }
   }
-  performing_ = false;
+  processing_ = false;
   try {
-    Arm();
+    ArmTimer();
   } catch (const std::exception& error) {
     std::cerr << "a timer could not be set: " << error.what() << '\n';
-    armed_ = kNever;  // the next turn sets it
+    timer_at_ = kNever;  // the next call sets it
   }
 }
 
-void Proxy::Arm() {
-  const TimePoint first = table_.NextWake().value_or(kNever);
-  if (first == armed_) return;
-  armed_ = first;
-  if (first == kNever) return timer_.Disarm();
-  timer_.ArmAt(clock_.ToSteady(first), [this] {
-    armed_ = kNever;
+void Proxy::ArmTimer() {
+  const TimePoint wake_at = table_.NextWake().value_or(kNever);
+  if (wake_at == timer_at_) return;
+  timer_at_ = wake_at;
+  if (wake_at == kNever) return timer_.Disarm();
+  timer_.ArmAt(clock_.ToSteady(wake_at), [this] {
+    timer_at_ = kNever;
     table_.Wake(clock_.Now(), &actions_);
-    Turn();
+    ProcessActions();
   });
 }
 
 void Proxy::Perform(const request_table::Send& action) {
-  const auto found = entries_.find(action.request);
-  Attempts::iterator out;
+  const auto request = requests_.find(action.request);
+  OutstandingAttempts::iterator attempt;
   try {
-    out = out_.insert_or_assign(action.request, Outstanding{action, {}, std::nullopt}).first;
+    attempt = attempts_.insert_or_assign(action.request, OutstandingAttempt{action, {}, std::nullopt}).first;
   } catch (const std::exception&) {
     table_.AttemptEnded(clock_.Now(), action, Outcome::kNotSent, &actions_);
     throw;
   }
-  // Its client has left since the table said so: it never runs.
-  if (found == entries_.end()) return TellEnd(out, Outcome::kNotSent);
+  // Its client has left since the table added the action: it never runs.
+  if (request == requests_.end()) return ReportAttemptEnd(attempt, Outcome::kNotSent);
   try {
-    if (observer_) observer_->OnAttemptSent(clock_.Now(), action, found->second.submit);
-    out->second.ticket = backends_.Send(
-        action.server, found->second.forwarded, action.timeout, action.begin_before,
+    if (observer_) observer_->OnAttemptSent(clock_.Now(), action, request->second.submit);
+    attempt->second.handle = backends_.Send(
+        action.server, request->second.forwarded, action.timeout, action.begin_before,
         [this, action](AttemptResult result) { OnAttemptEnd(action, std::move(result)); },
-        found->second.requester);
+        request->second.requester);
   } catch (const std::exception& error) {
     std::cerr << "an attempt could not be begun: " << error.what() << '\n';
-    TellEnd(out, Outcome::kNotSent);
+    ReportAttemptEnd(attempt, Outcome::kNotSent);
   }
 }
 
 void Proxy::Perform(const request_table::Cancel& action) {
-  const auto found = out_.find(action.request);
-  if (found != out_.end()) backends_.Cancel(found->second.ticket);
+  const auto found = attempts_.find(action.request);
+  if (found != attempts_.end()) backends_.Cancel(found->second.handle);
 }
 
 void Proxy::Perform(const request_table::Withdraw& action) {
-  const auto found = out_.find(action.request);
-  if (found != out_.end()) backends_.Withdraw(found->second.ticket);
+  const auto found = attempts_.find(action.request);
+  if (found != attempts_.end()) backends_.Withdraw(found->second.handle);
 }
 
 void Proxy::OnAttemptEnd(const request_table::Send& attempt, AttemptResult result) {
-  if (observer_) observer_->OnAttemptEnded(clock_.Now(), attempt, result.outcome, result.load);
-  const auto found = entries_.find(attempt.request);
-  if (found != entries_.end() && result.outcome == Outcome::kOk) {
-    found->second.brought.body = std::move(result.body);
-    found->second.brought.content_type = std::move(result.content_type);
+  if (observer_) observer_->OnAttemptEnded(clock_.Now(), attempt, result.outcome, result.load_report);
+  const auto request = requests_.find(attempt.request);
+  if (request != requests_.end() && result.outcome == Outcome::kOk) {
+    request->second.answer.body = std::move(result.body);
+    request->second.answer.content_type = std::move(result.content_type);
   }
-  TellEnd(out_.find(attempt.request), result.outcome);
-  Turn();
+  ReportAttemptEnd(attempts_.find(attempt.request), result.outcome);
+  ProcessActions();
 }
 
-// The table must be told of each end. Without the memory for that, it is told at the next turn.
-void Proxy::TellEnd(Attempts::iterator attempt, Outcome outcome) {
-  attempt->second.ended = outcome;
+// The table must be notified of each end. Without the memory for that, it is notified in the next
+// ProcessActions().
+void Proxy::ReportAttemptEnd(OutstandingAttempts::iterator attempt, Outcome outcome) {
+  attempt->second.unreported_outcome = outcome;
   try {
     table_.AttemptEnded(clock_.Now(), attempt->second.action, outcome, &actions_);
-    out_.erase(attempt);
+    attempts_.erase(attempt);
   } catch (const std::exception& error) {
     std::cerr << "an attempt's end could not be noted: " << error.what() << '\n';
-    ends_untold_ = true;
+    has_unreported_ends_ = true;
   }
 }
 
-void Proxy::TellEnds() {
-  if (!std::exchange(ends_untold_, false)) return;
-  for (auto at = out_.begin(); at != out_.end();) {
+void Proxy::RetryUnreportedEnds() {
+  if (!std::exchange(has_unreported_ends_, false)) return;
+  for (auto at = attempts_.begin(); at != attempts_.end();) {
     const auto attempt = at++;
-    if (attempt->second.ended) TellEnd(attempt, *attempt->second.ended);
+    if (attempt->second.unreported_outcome) ReportAttemptEnd(attempt, *attempt->second.unreported_outcome);
   }
 }
 
 // The one place where a client is answered.
 void Proxy::Perform(const request_table::Respond& action) {
-  const auto found = entries_.find(action.request);
-  if (found == entries_.end()) return;  // it has left since
-  Entry entry = std::move(found->second);
-  entries_.erase(found);
-  entry.brought.status = StatusOf(action.outcome);
-  entry.brought.retry_after = action.retry_after;
-  entry.requester->OnAnswer(std::move(entry.brought));
+  const auto found = requests_.find(action.request);
+  if (found == requests_.end()) return;  // its client has left since
+  OpenRequest request = std::move(found->second);
+  requests_.erase(found);
+  request.answer.status = StatusOf(action.outcome);
+  request.answer.retry_after = action.retry_after;
+  request.requester->OnAnswer(std::move(request.answer));
 }
 
 void Proxy::Perform(const balancer::Subscribe&) {
   if (subscribe_) subscribe_();
 }
+
 void Proxy::Perform(const balancer::Log& action) { std::cerr << action.text << '\n'; }
 
 }  // namespace badgerbridge::proxy
--- a/tests/proxy/backend_test.cpp
+++ b/tests/proxy/backend_test.cpp
@@ -25,7 +25,7 @@
   // Connections need no rest, but where a test is about that.
   static BackendPool::Limits WithoutRest() {
     BackendPool::Limits limits;
-    limits.rest = Duration(0);
+    limits.min_idle_after_unsolicited = Duration(0);
     return limits;
   }
   void Use(Peer& peer, BackendPool::Limits limits = WithoutRest()) {
@@ -33,7 +33,7 @@
     backends->Update(ListOf(peer.endpoint()));
   }
   void Send(Duration timeout = Duration(10000), const std::string& body = "") {
-    auto request = std::make_shared<Forwarded>();
+    auto request = std::make_shared<ForwardedRequest>();
     request->method = body.empty() ? boost::beast::http::verb::get : boost::beast::http::verb::post;
     request->target = "/preview?obj=1";
     request->correlation_id = "c" + std::to_string(sent++);
@@ -87,11 +87,11 @@
   });
   Use(peer);
   EXPECT_EQ(Outcome1(), Outcome::kOk);
-  EXPECT_EQ(results.back().load, "");
-  backends->KeepLoads();
+  EXPECT_EQ(results.back().load_report, "");
+  backends->RecordLoadReports();
   EXPECT_EQ(Outcome1(), Outcome::kOk);
-  EXPECT_EQ(results.back().load.rfind("inflight=7,util=0.61", 0), 0u);
-  EXPECT_EQ(results.back().load.size(), 200u);  // and no more of what is not believed
+  EXPECT_EQ(results.back().load_report.rfind("inflight=7,util=0.61", 0), 0u);
+  EXPECT_EQ(results.back().load_report.size(), 200u);  // and no more of what is not believed
 }
 
 TEST_F(BackendTest, RefusedIsCouldNotConnect) {
@@ -99,7 +99,7 @@
   Use(peer);
   peer.Refuse();
   EXPECT_EQ(Outcome1(), Outcome::kConnectFailed);
-  EXPECT_EQ(backends->open(), 0u);
+  EXPECT_EQ(backends->open_connections(), 0u);
 }
 
 TEST_F(BackendTest, UnknownServerIsCouldNotConnect) {
@@ -226,7 +226,7 @@
     EXPECT_EQ(Outcome1(), Outcome::kOk);
     EXPECT_EQ(results.back().body, "mine");
     EXPECT_EQ(peer.wires.size(), ++connections);
-    EXPECT_EQ(backends->open(), 0u);
+    EXPECT_EQ(backends->open_connections(), 0u);
   }
 }
 
@@ -237,7 +237,7 @@
   Use(peer);
   EXPECT_EQ(Outcome1(), Outcome::kOk);
   peer.wires[0]->Send("HTTP/1.1 2");
-  EXPECT_TRUE(RunUntil(io, [&] { return backends->open() == 0; }));
+  EXPECT_TRUE(RunUntil(io, [&] { return backends->open_connections() == 0; }));
   EXPECT_EQ(Outcome1(), Outcome::kOk);
   peer.wires[1]->Send("HTTP/1.1 2");  // and at once, before its wait has had its turn:
   EXPECT_EQ(Outcome1(), Outcome::kOk);
@@ -255,9 +255,9 @@
     list.endpoints[1].entry.server = id;
     backends->Update(list);
   }
-  EXPECT_EQ(backends->known(), 2u);
+  EXPECT_EQ(backends->backend_count(), 2u);
   backends->Update(ListOf(peer.endpoint(), BackendState::kGone));
-  EXPECT_EQ(backends->known(), 1u);
+  EXPECT_EQ(backends->backend_count(), 1u);
   backends->Update(ListOf(peer.endpoint()));
   EXPECT_EQ(Outcome1(), Outcome::kOk);
 }
@@ -277,7 +277,7 @@
   waiting[0]->Send(Reply(200, "old"));
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 1; }));
   EXPECT_EQ(results[0].outcome, Outcome::kOk);
-  EXPECT_EQ(backends->open(), 0u) << "not kept for the new one";
+  EXPECT_EQ(backends->open_connections(), 0u) << "not kept for the new one";
 }
 
 TEST_F(BackendTest, AnAnswerBeyondTheBodyLimitIsNone) {
@@ -306,7 +306,7 @@
   Peer peer(io, [](Wire&) {});
   Use(peer);
   EXPECT_EQ(Outcome1(Duration(30)), Outcome::kTimeout);
-  EXPECT_EQ(backends->open(), 0u);
+  EXPECT_EQ(backends->open_connections(), 0u);
   EXPECT_TRUE(RunUntil(io, [&] { return peer.wires[0]->closed; }));
 }
 
@@ -320,26 +320,26 @@
   ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 2; }));
   for (Wire* wire : waiting) wire->Send(Reply(200));
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 2; }));
-  EXPECT_EQ(backends->open(), 2u);
+  EXPECT_EQ(backends->open_connections(), 2u);
   EXPECT_EQ(Outcome1(Duration(30)), Outcome::kTimeout);
-  EXPECT_EQ(backends->open(), 0u);
+  EXPECT_EQ(backends->open_connections(), 0u);
 }
 
 TEST_F(BackendTest, ACancelledAttemptEndsOnceAndNoOtherDoes) {
   std::vector<Wire*> waiting;
   Peer peer(io, [&](Wire& wire) { waiting.push_back(&wire); });
   Use(peer);
-  auto request = std::make_shared<Forwarded>();
+  auto request = std::make_shared<ForwardedRequest>();
   request->target = "/preview";
   const auto send = [&] {
     return backends->Send(kServer, request, Duration(10000), TimePoint::max(),
                           [this](AttemptResult result) { results.push_back(result); });
   };
-  const BackendPool::Ticket first = send();
+  const BackendPool::AttemptHandle first = send();
   ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 1; }));
   waiting[0]->Send(Reply(200));
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 1; }));
-  const BackendPool::Ticket second = send();  // on the same connection
+  const BackendPool::AttemptHandle second = send();  // on the same connection
   ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 2; }));
   backends->Cancel(first);
   RunReady(io);
@@ -350,7 +350,7 @@
   RunReady(io);
   EXPECT_EQ(results[1].outcome, Outcome::kCancelled);
   EXPECT_EQ(results.size(), 2u);
-  EXPECT_EQ(backends->open(), 0u) << "giving up closes the connection";
+  EXPECT_EQ(backends->open_connections(), 0u) << "giving up closes the connection";
 }
 
 TEST_F(BackendTest, NewestIdleConnectionComesFirst) {
@@ -381,17 +381,18 @@
   EXPECT_EQ(Outcome1(), Outcome::kOk);
   EXPECT_EQ(peer.wires.size(), 2u);
   peer.wires[1]->Close();
-  EXPECT_TRUE(RunUntil(io, [&] { return backends->open() == 0; })) << "the pending read sees the close";
+  EXPECT_TRUE(RunUntil(io, [&] { return backends->open_connections() == 0; }))
+      << "the pending read sees the close";
 }
 
 TEST_F(BackendTest, IdleConnectionsAreRetiredBeforeTheBackendsLimit) {
   Peer peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
   BackendPool::Limits limits;
-  limits.idle_limit = Duration(200);
+  limits.idle_timeout = Duration(200);
   Use(peer, limits);
   EXPECT_EQ(Outcome1(), Outcome::kOk);
   const TimePoint idle_since = clock.Now();
-  ASSERT_TRUE(RunUntil(io, [&] { return backends->open() == 0; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return backends->open_connections() == 0; }));
   EXPECT_GE((clock.Now() - idle_since).count(), 140);
 }
 
@@ -406,7 +407,8 @@
   EXPECT_EQ(Outcome1(), Outcome::kOk);
   EXPECT_EQ(peer.wires.size(), 1u) << "nothing has been seen of that: no connection needs rest";
   peer.wires[0]->Send(reply);  // while it is idle
-  ASSERT_TRUE(RunUntil(io, [&] { return backends->open() == 0; })) << "what has spoken unasked is closed";
+  ASSERT_TRUE(RunUntil(io, [&] { return backends->open_connections() == 0; }))
+      << "what has spoken unasked is closed";
 
   EXPECT_EQ(Outcome1(), Outcome::kOk);
   reply = Reply(200, "second");
@@ -416,8 +418,8 @@
   EXPECT_EQ(results[3].outcome, Outcome::kOk);
   EXPECT_EQ(results[3].body, "second");
   EXPECT_EQ(peer.wires.size(), 3u);
-  ASSERT_TRUE(RunUntil(io, [&] { return backends->open() == 1; }));
-  const TimePoint rested = clock.Now() + limits.rest;
+  ASSERT_TRUE(RunUntil(io, [&] { return backends->open_connections() == 1; }));
+  const TimePoint rested = clock.Now() + limits.min_idle_after_unsolicited;
   ASSERT_TRUE(RunUntil(io, [&] { return clock.Now() > rested; }));
   EXPECT_EQ(Outcome1(), Outcome::kOk);
   EXPECT_EQ(peer.wires.size(), 3u) << "what has rested is used again";
@@ -427,7 +429,7 @@
 TEST_F(BackendTest, WhatIsTooLateIsNotBegun) {
   Peer peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
   Use(peer);
-  auto request = std::make_shared<Forwarded>();
+  auto request = std::make_shared<ForwardedRequest>();
   request->target = "/preview";
   const auto send = [&](TimePoint begin_before) {
     backends->Send(kServer, request, Duration(10000), begin_before,
@@ -459,7 +461,7 @@
   slow.async_accept(accepted, [](ErrorCode) {});
   backends = std::make_unique<BackendPool>(io, clock, BackendPool::Limits{});
   backends->Update(ListOf(slow.local_endpoint()));
-  auto request = std::make_shared<Forwarded>();
+  auto request = std::make_shared<ForwardedRequest>();
   request->method = boost::beast::http::verb::post;
   request->target = "/convert";
   request->body = std::string(32 << 20, 'x');
@@ -477,13 +479,13 @@
   std::vector<Wire*> waiting;
   Peer peer(io, [&](Wire& wire) { waiting.push_back(&wire); });
   Use(peer);
-  auto request = std::make_shared<Forwarded>();
+  auto request = std::make_shared<ForwardedRequest>();
   request->target = "/preview";
   const auto send = [&] {
     return backends->Send(kServer, request, Duration(10000), TimePoint::max(),
                           [this](AttemptResult result) { results.push_back(result); });
   };
-  const BackendPool::Ticket connecting = send();
+  const BackendPool::AttemptHandle connecting = send();
   backends->Withdraw(connecting);
   backends->Withdraw(connecting);
   EXPECT_TRUE(results.empty()) << "ended from within the call";
@@ -491,9 +493,9 @@
   EXPECT_EQ(results[0].outcome, Outcome::kNotSent);
   RunReady(io);
   EXPECT_TRUE(peer.requests.empty());
-  EXPECT_EQ(backends->open(), 0u);
+  EXPECT_EQ(backends->open_connections(), 0u);
 
-  const BackendPool::Ticket whole = send();
+  const BackendPool::AttemptHandle whole = send();
   ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 1; }));
   backends->Withdraw(whole);
   RunReady(io);
@@ -503,7 +505,7 @@
   EXPECT_EQ(results[1].outcome, Outcome::kOk);
 
   backends->Withdraw(whole);  // it has ended, and its connection has another
-  const BackendPool::Ticket other = send();
+  const BackendPool::AttemptHandle other = send();
   ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 2; }));
   backends->Withdraw(whole);
   waiting[1]->Send(Reply(200));
@@ -513,11 +515,11 @@
   request->method = boost::beast::http::verb::post;
   request->body = std::string(32 << 20, 'x');
   peer.wires.back()->on_data = [](Wire&) {};
-  const BackendPool::Ticket half = send();
+  const BackendPool::AttemptHandle half = send();
   backends->Withdraw(half);
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 4; }));
   EXPECT_EQ(results[3].outcome, Outcome::kNotSent);
-  EXPECT_EQ(backends->open(), 0u);
+  EXPECT_EQ(backends->open_connections(), 0u);
 }
 
 // A proxy that has no descriptor left can't connect to any backend; none of them is to blame.
@@ -535,7 +537,7 @@
   for (const int fd : taken) close(fd);
   ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &before), 0);
   EXPECT_EQ(outcome, Outcome::kNotSent);
-  EXPECT_EQ(backends->open(), 0u);
+  EXPECT_EQ(backends->open_connections(), 0u);
   EXPECT_EQ(Outcome1(), Outcome::kOk);
 }
 
@@ -543,30 +545,30 @@
   std::vector<Wire*> waiting;
   Peer peer(io, [&](Wire& wire) { waiting.push_back(&wire); });
   BackendPool::Limits limits;
-  limits.idle_per_backend = 2;
+  limits.max_idle_per_backend = 2;
   Use(peer, limits);
   for (int i = 0; i < 5; ++i) Send();
   ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 5; }));
   for (Wire* wire : waiting) wire->Send(Reply(200));
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 5; }));
-  EXPECT_EQ(backends->open(), 2u);
+  EXPECT_EQ(backends->open_connections(), 2u);
 }
 
 TEST_F(BackendTest, AtTheLimitTheOldestIdleMakesRoomAndElseItCannotConnect) {
   Peer first(io, [](Wire& wire) { wire.Send(Reply(200)); });
   Peer second(io, [](Wire&) {});
   BackendPool::Limits limits;
-  limits.connections = 1;
+  limits.max_connections = 1;
   Use(first, limits);
   EXPECT_EQ(Outcome1(), Outcome::kOk);
   EndpointList other = ListOf(second.endpoint());
   other.endpoints[0].entry.server = kServer + 1;
   backends->Update(other);
-  auto request = std::make_shared<Forwarded>();
+  auto request = std::make_shared<ForwardedRequest>();
   request->target = "/";
   backends->Send(kServer + 1, request, Duration(10000), TimePoint::max(), [&](AttemptResult) {});
   ASSERT_TRUE(RunUntil(io, [&] { return second.requests.size() == 1; }));
-  EXPECT_EQ(backends->open(), 1u);
+  EXPECT_EQ(backends->open_connections(), 1u);
   EXPECT_EQ(Outcome1(), Outcome::kConnectFailed);
 }
 
@@ -601,12 +603,12 @@
   Peer peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
   Use(peer);
   EXPECT_EQ(Outcome1(), Outcome::kOk);
-  EXPECT_TRUE(backends->AnyReady());
+  EXPECT_TRUE(backends->HasReadyBackend());
   EndpointList nothing;
   nothing.snapshot = true;
   backends->Update(nothing);
-  EXPECT_FALSE(backends->AnyReady());
-  EXPECT_EQ(backends->open(), 0u);
+  EXPECT_FALSE(backends->HasReadyBackend());
+  EXPECT_EQ(backends->open_connections(), 0u);
 }
 
 }  // namespace
--- a/tests/proxy/config_test.cpp
+++ b/tests/proxy/config_test.cpp
@@ -43,7 +43,7 @@
   EXPECT_EQ(config.settings.classes[2].effect, Idempotency::kNotIdempotent);
   EXPECT_EQ(config.settings.max_retry_after.count(), 600);
   EXPECT_EQ(config.connect_timeout.count(), 250);
-  EXPECT_EQ(config.idle_limit.count(), 60000);
+  EXPECT_EQ(config.backend_idle_timeout.count(), 60000);
 }
 
 // The platform's file says how long after a drain new requests may still go to a backend. Nothing of that
@@ -97,7 +97,7 @@
 
 class ListTest : public ::testing::Test {
  protected:
-  EndpointList Read(const std::string& text) { return reader.Read(boost::json::parse(text)); }
+  EndpointList Read(const std::string& text) { return reader.Read(boost::json::parse(text)).value(); }
   EndpointListReader reader{TestConfig({})};
 };
 
@@ -105,7 +105,7 @@
   const EndpointList list =
       Read(ListJson(43, false, {EndpointJson("s-1", "127.0.0.1:81", "Terminating", 3, 1.7e12)}));
   EXPECT_FALSE(list.snapshot);
-  EXPECT_EQ(reader.index(), 43u);
+  EXPECT_EQ(reader.version(), 43u);
   ASSERT_EQ(list.endpoints.size(), 1u);
   const BackendEntry& entry = list.endpoints[0].entry;
   EXPECT_EQ(entry.state, BackendState::kDraining);
@@ -133,7 +133,8 @@
   EXPECT_EQ(a.endpoints[1].entry.server, b.endpoints[0].entry.server);
   EXPECT_NE(a.endpoints[0].entry.server, a.endpoints[1].entry.server);
   EndpointListReader other{TestConfig({})};
-  const auto c = other.Read(boost::json::parse(ListJson(1, true, {EndpointJson("s-2", "127.0.0.3:1")})));
+  const auto c =
+      other.Read(boost::json::parse(ListJson(1, true, {EndpointJson("s-2", "127.0.0.3:1")}))).value();
   EXPECT_EQ(c.endpoints[0].entry.server, a.endpoints[1].entry.server);
 }
 
@@ -143,11 +144,12 @@
     Read(ListJson(2 * i + 1, false, {EndpointJson(name, "127.0.0.1:81")}));
     if (i % 2 == 0) Read(ListJson(2 * i + 2, false, {R"({"name":")" + name + R"(","status":"Gone"})"}));
   }
-  EXPECT_EQ(reader.known(), 25u);
+  EXPECT_EQ(reader.name_count(), 25u);
   const auto again = Read(ListJson(200, true, {EndpointJson("s-0", "127.0.0.1:81")}));
-  EXPECT_EQ(reader.known(), 1u);
+  EXPECT_EQ(reader.name_count(), 1u);
   EndpointListReader other{TestConfig({})};
   EXPECT_EQ(other.Read(boost::json::parse(ListJson(1, true, {EndpointJson("s-0", "127.0.0.1:81")})))
+                .value()
                 .endpoints[0]
                 .entry.server,
             again.endpoints[0].entry.server);
@@ -166,7 +168,7 @@
        {"[]", "{}", R"({"index":6,"snapshot":true})", R"({"index":6,"snapshot":1,"endpoints":[]})",
         R"({"index":6,"snapshot":true,"endpoints":[{"name":"x","status":"Ready","address":"nowhere"}]})"})
     EXPECT_ANY_THROW(Read(bad)) << bad;
-  EXPECT_EQ(reader.index(), 5u);
+  EXPECT_EQ(reader.version(), 5u);
 }
 
 // ---- the watch ----------------------------------------------------------------------------------------
@@ -185,7 +187,7 @@
   }
   std::unique_ptr<Discovery> Start(asio::io_context& on, Peer& peer, bool ask, Discovery::Timing timing) {
     EndpointListReader reader{TestConfig({})};
-    reader.Read(boost::json::parse(ListJson(41, true, {})));
+    reader.Read(boost::json::parse(ListJson(41, true, {}))).value();
     auto discovery = std::make_unique<Discovery>(
         on, peer.endpoint(), std::move(reader), ask, 1, [this](EndpointList list) { lists.push_back(list); },
         [this] { ++failures; }, timing);
@@ -224,25 +226,25 @@
   EXPECT_NE(peer.requests[1].find("index=50 "), std::string::npos);
 }
 
-TEST(JsonValuesTest, WhatIsNoObjectOrTooLongIsTurnedAway) {
+TEST(JsonStreamTest, WhatIsNoObjectOrTooLongIsTurnedAway) {
   for (const std::string& bad : {std::string("[]"), std::string("7"), std::string("{\"a\":}"),
                                  std::string("{} x"), "{\"a\":\"" + std::string(200, 'x') + "\"}"}) {
-    JsonValues values(100);
+    JsonStream values(100);
     std::string_view bytes = bad;
     EXPECT_THROW(
         {
-          while (values.Next(&bytes) == JsonValues::Found::kValue) values.Take();
+          while (values.Next(bytes).value() == JsonStream::Item::kObject) values.Take();
         },
         std::runtime_error)
         << bad;
   }
-  JsonValues values(100);
+  JsonStream values(100);
   const std::string good = "\n{\"a\":1}\n";
   std::string_view bytes = good;
-  EXPECT_EQ(values.Next(&bytes), JsonValues::Found::kEmptyLine);
-  EXPECT_EQ(values.Next(&bytes), JsonValues::Found::kValue);
+  EXPECT_EQ(values.Next(bytes).value(), JsonStream::Item::kEmptyLine);
+  EXPECT_EQ(values.Next(bytes).value(), JsonStream::Item::kObject);
   EXPECT_EQ(values.Take().at("a").as_int64(), 1);
-  EXPECT_EQ(values.Next(&bytes), JsonValues::Found::kNothing);
+  EXPECT_EQ(values.Next(bytes).value(), JsonStream::Item::kNone);
 }
 
 TEST_F(WatchTest, ListsMayComeIndented) {
@@ -273,7 +275,7 @@
     asio::io_context io;  // a watch lasts as long as what it runs on
     Peer peer(io, [&](Wire& wire) { wire.Send(Head() + (half.empty() ? "" : Chunk(half))); });
     Discovery::Timing timing;
-    timing.silence = std::chrono::milliseconds(100);
+    timing.message_timeout = std::chrono::milliseconds(100);
     const auto discovery = Start(io, peer, false, timing);
     ASSERT_TRUE(RunUntil(io, [&] {
       if (!peer.wires.empty() && !peer.wires.back()->closed && !peer.requests.empty())
@@ -288,7 +290,7 @@
 TEST_F(WatchTest, HeartbeatsKeepIt) {
   Peer peer(io, [](Wire& wire) { wire.Send(Head()); });
   Discovery::Timing timing;
-  timing.silence = std::chrono::milliseconds(1000);
+  timing.message_timeout = std::chrono::milliseconds(1000);
   const auto discovery = Start(peer, false, timing);
   const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(2500);
   ASSERT_TRUE(RunUntil(io, [&] {
@@ -369,7 +371,7 @@
 TEST_F(WatchTest, ASilentWatchIsOpenedAgain) {
   Peer peer(io, [](Wire& wire) { wire.Send(Head()); });
   Discovery::Timing timing;
-  timing.silence = std::chrono::milliseconds(50);
+  timing.message_timeout = std::chrono::milliseconds(50);
   const auto discovery = Start(peer, false, timing);
   ASSERT_TRUE(RunUntil(io, [&] { return peer.requests.size() >= 3; }));
 }
--- a/tests/proxy/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -118,9 +118,10 @@
     config.listen = address_;
     config.settings.classes[1].window = Duration(exchange.window);
     pool_.emplace(io_, clock_, BackendPool::Limits::From(config));
-    pool_->OnBegin([this](BackendId server, const Forwarded& request) { Begun(server, request); });
+    pool_->SetAttemptObserver(
+        [this](BackendId server, const ForwardedRequest& request) { Begun(server, request); });
     if (exchange.slow_dial)
-      pool_->DialBy([this](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
+      pool_->SetConnector([this](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
         dials_.push_back([&socket, address, ended, open = std::make_shared<bool>(true)] {
           socket.async_connect(address, ended);
         });
@@ -128,7 +129,7 @@
     proxy_.emplace(io_, clock_, *pool_, config);
     proxy_->SetTrafficObserver(this);
     Discovery::Timing timing;
-    timing.silence = std::chrono::milliseconds(20);
+    timing.message_timeout = std::chrono::milliseconds(20);
     watch_.emplace(
         io_, discovery_->endpoint(), EndpointListReader(config), false, 7,
         [this](const EndpointList& list) {
@@ -153,7 +154,7 @@
 
   // Steps that it took. Also false where it never came to its end.
   std::size_t Run(Found* found) {
-    EXPECT_TRUE(RunUntil([&] { return ids_.size() == kBackends && pool_->AnyReady(); }));
+    EXPECT_TRUE(RunUntil([&] { return ids_.size() == kBackends && pool_->HasReadyBackend(); }));
     if (exchange_.warm) Warm();
     playing_ = true;
     client_ = Connect();
@@ -186,7 +187,7 @@
       ++found->leaked;
     // What a drain or a silent list held is told in the end.
     if (drained_ && !RunUntil([&] { return told_off_.count(*drained_) > 0; })) ++found->late;
-    if (proxy_->open() != 0 || pool_->open() > 16 * kBackends) ++found->leaked;
+    if (proxy_->open_requests() != 0 || pool_->open_connections() > 16 * kBackends) ++found->leaked;
     found->late += late_;
     found->twice += forgotten_;
     return step;
@@ -194,7 +195,7 @@
 
   // Of the classes: what is in the table and in the module.
   bool Ended() const {
-    if (proxy_->open() != 0) return false;
+    if (proxy_->open_requests() != 0) return false;
     for (const BackendView& view : proxy_->Inspect()) {
       if (view.in_flight != 0 || view.work_in_flight != 0) return false;
     }
@@ -323,7 +324,7 @@
   }
 
   // The proxy is about to write the first byte of an attempt.
-  void Begun(BackendId server, const Forwarded& request) {
+  void Begun(BackendId server, const ForwardedRequest& request) {
     if (!playing_) return;
     begun_.insert(request.correlation_id);
     // The group remembers a key from when it first came.
@@ -332,9 +333,9 @@
       const TimePoint first = first_begun_.try_emplace(request.correlation_id, now).first->second;
       if (now - first > Duration(exchange_.window)) ++forgotten_;
     }
-    if (proxy_->open() == 0) ++late_;          // its request is over: the client left, or has its answer
-    if (left_known_) ++late_;                  // what the client asked for goes with it
-    if (told_off_.count(server) > 0) ++late_;  // a drain
+    if (proxy_->open_requests() == 0) ++late_;  // its request is over: the client left, or has its answer
+    if (left_known_) ++late_;                   // what the client asked for goes with it
+    if (told_off_.count(server) > 0) ++late_;   // a drain
   }
 
   void Connected() {
--- a/tests/proxy/fault_exchange.h
+++ b/tests/proxy/fault_exchange.h
@@ -134,9 +134,10 @@
     static const Config kConfig = TestConfig({});
     Config config = kConfig;
     config.listen = address_;
-    config.idle_limit = kIdleLimit;
+    config.backend_idle_timeout = kIdleLimit;
     node_.emplace(node_io_, config);
-    node_->proxy.UpdateList(EndpointListKind::kFull, node_->reader.Read(boost::json::parse(ListText())));
+    node_->proxy.UpdateList(EndpointListKind::kFull,
+                            node_->reader.Read(boost::json::parse(ListText())).value());
     baseline_descriptors_ = Descriptors();
   }
 
@@ -414,7 +415,8 @@
   }
 
   bool NodeIsAtRest() const {
-    if (node_->listener.connections() != 0 || node_->proxy.open() != 0 || node_->backends.open() != 0)
+    if (node_->listener.connections() != 0 || node_->proxy.open_requests() != 0 ||
+        node_->backends.open_connections() != 0)
       return false;
     for (const BackendView& view : node_->proxy.Inspect()) {
       if (view.in_flight != 0 || view.work_in_flight != 0) return false;
@@ -434,8 +436,9 @@
       int in_flight = 0;
       for (const BackendView& view : node_->proxy.Inspect()) in_flight += view.in_flight;
       Complain("left behind: " + std::to_string(node_->listener.connections()) + " connections, " +
-               std::to_string(node_->proxy.open()) + " requests, " + std::to_string(node_->backends.open()) +
-               " connections to backends, " + std::to_string(in_flight) + " attempts in flight");
+               std::to_string(node_->proxy.open_requests()) + " requests, " +
+               std::to_string(node_->backends.open_connections()) + " connections to backends, " +
+               std::to_string(in_flight) + " attempts in flight");
     }
     // The listener's own is closed once it has stopped.
     const std::size_t expected = baseline_descriptors_ - (stopped_ ? 1 : 0);
--- a/tests/proxy/proxy_harness.h
+++ b/tests/proxy/proxy_harness.h
@@ -22,6 +22,8 @@
 #include "proxy/backend_pool.h"
 #include "proxy/clock.h"
 #include "proxy/config.h"
+#include "proxy/discovery.h"
+#include "proxy/endpoint_list_reader.h"
 #include "proxy/listener.h"
 #include "proxy/proxy.h"
 
@@ -195,7 +197,8 @@
         listener((Tell(config), io), clock, proxy, config, limits) {}
 
   void Tell(const Config& config) {
-    if (!config.known.is_null()) proxy.UpdateList(EndpointListKind::kCached, reader.Read(config.known));
+    if (!config.known.is_null())
+      proxy.UpdateList(EndpointListKind::kCached, reader.Read(config.known).value());
   }
   std::shared_ptr<Wire> Connect() {
     tcp::socket socket(io);
--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -111,8 +111,8 @@
   const double took = (node->clock.Now() - began).count();
   EXPECT_TRUE(Failed(client->in)) << client->in;
   EXPECT_GE(took, 140);
-  EXPECT_EQ(node->proxy.open(), 0u);
-  EXPECT_EQ(node->backends.open(), 0u) << "giving up closes the connection";
+  EXPECT_EQ(node->proxy.open_requests(), 0u);
+  EXPECT_EQ(node->backends.open_connections(), 0u) << "giving up closes the connection";
   client->Send(Get("c2"));  // and the connection still serves
   ASSERT_TRUE(RunUntil(io, [&] { return silent.requests.size() == 2; }));
 }
@@ -186,7 +186,7 @@
                                                                             << answer;
     EXPECT_EQ(Count(answer, "HTTP/1.1"), 1);
   }
-  EXPECT_EQ(node->proxy.open(), 0u);
+  EXPECT_EQ(node->proxy.open_requests(), 0u);
   EXPECT_TRUE(backend.wires.empty());
   EXPECT_TRUE(Served(node->Ask(Get("c", acme))));
 }
@@ -336,7 +336,7 @@
         EXPECT_EQ(times[id], 0);
       }
     }
-    EXPECT_EQ(node->proxy.open(), 0u);
+    EXPECT_EQ(node->proxy.open_requests(), 0u);
   }
 }
 
@@ -411,9 +411,9 @@
   const auto client = node->Connect();
   client->Send(Get("c1"));
   ASSERT_TRUE(RunUntil(io, [&] { return waiting != nullptr; }));
-  EXPECT_EQ(node->proxy.open(), 1u);
+  EXPECT_EQ(node->proxy.open_requests(), 1u);
   client->Close();
-  ASSERT_TRUE(RunUntil(io, [&] { return node->proxy.open() == 0; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return node->proxy.open_requests() == 0; }));
   EXPECT_FALSE(backend.wires[0]->closed);
   waiting->Send(Reply(200, "late"));
   waiting = nullptr;
@@ -457,7 +457,7 @@
       }
       const TimePoint left = node->clock.Now();
       client->Close();
-      ASSERT_TRUE(RunUntil(io, [&] { return node->proxy.open() == 0; }));
+      ASSERT_TRUE(RunUntil(io, [&] { return node->proxy.open_requests() == 0; }));
       EXPECT_EQ(node->proxy.counters()[0].client_disconnected, 1u) << "not by its time running out";
       EXPECT_EQ(node->listener.connections(), 0u);
       EXPECT_LT((node->clock.Now() - left).count(), 500);
@@ -500,16 +500,16 @@
   Peer backend(io, [](Wire& wire) { wire.Send(Reply(200, "ok")); });
   Start({EndpointJson("a", backend.address(), "Ready", 1, 0)});
   std::vector<std::function<void()>> dials;
-  node->backends.DialBy([&](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
+  node->backends.SetConnector([&](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
     dials.push_back([&socket, address, ended] { socket.async_connect(address, ended); });
   });
   const auto client = node->Connect();
   client->Send(Post("c1", "certify", "END"));
   ASSERT_TRUE(RunUntil(io, [&] { return dials.size() == 1; }));
   client->Close();
-  ASSERT_TRUE(RunUntil(io, [&] { return node->proxy.open() == 0; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return node->proxy.open_requests() == 0; }));
   RunReady(io);
-  EXPECT_EQ(node->backends.open(), 0u) << "the dial is given up";
+  EXPECT_EQ(node->backends.open_connections(), 0u) << "the dial is given up";
   for (const BackendView& view : node->proxy.Inspect()) {
     EXPECT_EQ(view.in_flight, 0);
     EXPECT_EQ(view.work_in_flight, 0);
--- a/tests/proxy/soak_test.cpp
+++ b/tests/proxy/soak_test.cpp
@@ -66,10 +66,10 @@
     one.name = name;
     one.address = proxy::ParseAddress("127.0.0.1:80");
     one.state = gone ? BackendState::kGone : BackendState::kReady;
-    one.group = static_cast<int>(names % 4);
-    one.since_ms = now - 30000;
+    one.cell = static_cast<int>(names % 4);
+    one.started_at_ms = now - 30000;
     EndpointListUpdate update;
-    for (const proxy::Endpoint& endpoint : reader.Take(false, ++index, {one}).endpoints)
+    for (const proxy::Endpoint& endpoint : reader.Resolve(false, ++index, {one}).endpoints)
       update.entries.push_back(endpoint.entry);
     table.UpdateEndpoints(At(now), update, &actions);
   };
@@ -124,7 +124,7 @@
       // Once the first minute has passed: what is gone is kept for so long.
       if (now > 1e6 + 90000) most[third] = std::max(most[third], static_cast<double>(held));
     }
-    EXPECT_EQ(reader.known(), static_cast<std::size_t>(kServers));
+    EXPECT_EQ(reader.name_count(), static_cast<std::size_t>(kServers));
     EXPECT_LE(table.Inspect().size(), kServers + 200u);  // a few minutes' worth of those that are gone
     EXPECT_LE(table.open(), 200u);
     std::uint64_t served = 0;
--- a/tests/races/backend_race_test.cpp
+++ b/tests/races/backend_race_test.cpp
@@ -30,7 +30,7 @@
  protected:
   BackendRaceTest() {
     peer_.emplace(io_, [this](Wire& wire) { wire.Send(answer_); });
-    limits_.rest = Duration(0);
+    limits_.min_idle_after_unsolicited = Duration(0);
     backends_.emplace(io_, node_clock_, limits_);
     ListPeer();
   }
@@ -43,7 +43,7 @@
     backends_->Update(list);
   }
   void Send() {
-    auto request = std::make_shared<Forwarded>();
+    auto request = std::make_shared<ForwardedRequest>();
     request->target = "/preview?obj=1";
     request->correlation_id = "c" + std::to_string(results_.size());
     backends_->Send(server_, request, kTimeout, TimePoint::max(),
@@ -61,7 +61,7 @@
 
 TEST_F(BackendRaceTest, AConnectionThatComesUpInTheTurnInWhichItsTimeIsOverIsUsed) {
   std::function<void()> come_up;
-  backends_->DialBy([&](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
+  backends_->SetConnector([&](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
     come_up = [&socket, address, ended] {
       ErrorCode error;
       socket.connect(address, error);
@@ -74,7 +74,7 @@
   ASSERT_TRUE(Until([&] { return results_.size() == 1; }));
   EXPECT_EQ(results_[0], Outcome::kOk);
   EXPECT_EQ(peer_->requests.size(), 1u);
-  EXPECT_EQ(backends_->open(), 1u);
+  EXPECT_EQ(backends_->open_connections(), 1u);
 }
 
 TEST_F(BackendRaceTest, AnIdleConnectionThatIsTakenInTheTurnInWhichItWouldBeRetiredIsUsed) {
@@ -99,7 +99,7 @@
   EXPECT_EQ(results_[0], Outcome::kOk);
   // The connection rests now: the timer of the attempt does not end it.
   RunReady();
-  EXPECT_EQ(backends_->open(), 1u);
+  EXPECT_EQ(backends_->open_connections(), 1u);
 }
 
 // More descriptors are ready than one turn takes, so that the timer's handler runs ahead of the read.
@@ -125,7 +125,7 @@
 
 TEST_F(BackendRaceTest, ABackendThatHasClosedBeforeTheFirstByteNeverHadTheRequest) {
   tcp::acceptor acceptor(io_, {asio::ip::address_v4::loopback(), 0});
-  backends_->DialBy([&](tcp::socket& socket, const tcp::endpoint&, auto ended) {
+  backends_->SetConnector([&](tcp::socket& socket, const tcp::endpoint&, auto ended) {
     asio::post(io_, [&, ended, dialled = &socket] {
       ErrorCode error;
       dialled->connect(acceptor.local_endpoint(), error);
@@ -142,7 +142,7 @@
 // A discovery that never stops talking holds up no attempt for good.
 TEST_F(BackendRaceTest, AnAttemptWaitsForNewsABoundedNumberOfTurns) {
   int looks = 0;
-  backends_->PostponeWhile([&looks] {
+  backends_->SetUnreadListCheck([&looks] {
     ++looks;
     return true;
   });
@@ -167,13 +167,13 @@
           backends_->Update(list);
         },
         [] {}, Discovery::Timing{});
-    backends_->PostponeWhile([this] { return discovery_->HasUnread(); });
+    backends_->SetUnreadListCheck([this] { return discovery_->HasUnread(); });
     discovery_->Watch();
     EXPECT_TRUE(Until([&] { return server_ != kServer; }));
     Send();
     EXPECT_TRUE(Until([&] { return results_.size() == 1; }));
     RunReady();
-    backends_->OnBegin([this](BackendId, const Forwarded&) { ++begun_; });
+    backends_->SetAttemptObserver([this](BackendId, const ForwardedRequest&) { ++begun_; });
   }
 
   std::string List(int index, bool snapshot, const char* status) const {
--- a/tests/races/discovery_race_test.cpp
+++ b/tests/races/discovery_race_test.cpp
@@ -28,7 +28,7 @@
 class DiscoveryRaceTest : public badgerbridge::testing::TurnTest {
  protected:
   DiscoveryRaceTest() : config_(TestConfig({})) {
-    timing_.silence = milliseconds(2800);
+    timing_.message_timeout = milliseconds(2800);
     peer_.emplace(io_, [this](Wire& wire) {
       if (hold_answers_) return;
       wire.Send(kHead + Chunk(List(8, true, "Ready") + "\n"));
@@ -59,7 +59,7 @@
   Watch(false);
   ASSERT_TRUE(Until([&] { return states_.size() == 1; }));
   RunReady();
-  TimersAheadOf([&] { wire().Send(Chunk(List(9, false, "Terminating") + "\n")); }, timing_.silence);
+  TimersAheadOf([&] { wire().Send(Chunk(List(9, false, "Terminating") + "\n")); }, timing_.message_timeout);
   AdvanceAndRun(milliseconds(1));
   ASSERT_EQ(states_.size(), 2u) << "the word was there";
   EXPECT_EQ(states_[1], BackendState::kDraining);
@@ -71,7 +71,7 @@
   Watch(false);
   ASSERT_TRUE(Until([&] { return states_.size() == 1; }));
   RunReady();
-  clock_.Advance(timing_.silence);
+  clock_.Advance(timing_.message_timeout);
   wire().Send(Chunk(List(9, false, "Terminating") + "\n"));
   RunReady();
   ASSERT_EQ(states_.size(), 2u);
@@ -89,7 +89,7 @@
   const std::string text = Chunk(ListJson(9, false, endpoints) + "\n");
   ASSERT_GT(text.size(), 3u * 16384) << "more than is read at once";
   wire().Send(text);
-  clock_.Advance(timing_.silence + milliseconds(1));
+  clock_.Advance(timing_.message_timeout + milliseconds(1));
   RunReady();
   AdvanceAndRun(milliseconds(1));
   EXPECT_EQ(states_.size(), 2u);
@@ -110,7 +110,7 @@
   Watch(true);
   ASSERT_TRUE(Until([&] { return peer_->requests.size() == 1; }));
   RunReady();
-  TimersAheadOf([&] { wire().Send(kHead + Chunk(List(9, true, "Ready") + "\n")); }, timing_.answer);
+  TimersAheadOf([&] { wire().Send(kHead + Chunk(List(9, true, "Ready") + "\n")); }, timing_.response_timeout);
   AdvanceAndRun(milliseconds(1));
   EXPECT_EQ(states_.size(), 1u);
   EXPECT_EQ(failed_, 0);
@@ -123,7 +123,7 @@
   ASSERT_TRUE(Until([&] { return peer_->requests.size() == 1; }));
   const auto began = ProxyClock::Steady::now();
   EXPECT_TRUE(Until([&] { return failed_ == 1; }));
-  EXPECT_LE(ProxyClock::Steady::now() - began, timing_.answer + milliseconds(2));
+  EXPECT_LE(ProxyClock::Steady::now() - began, timing_.response_timeout + milliseconds(2));
 }
 
 // SIGHUP names another discovery in the turn in which the old one has told of a drain.
