--- a/src/proxy/json_stream.cpp
+++ b/src/proxy/json_stream.cpp
@@ -18,7 +18,7 @@
 
 EndpointListResult<JsonStream::Item> JsonStream::Next(std::string_view& bytes) {
   if (object_bytes_ == 0) {
-    const EndpointListResult<Item> item = SkipSpace(bytes);
+    EndpointListResult<Item> item = SkipSpace(bytes);
     if (!item || *item == Item::kEmptyLine || bytes.empty()) return item;
   }
   return ParseObject(bytes);
--- a/tests/proxy/allocation_test.cpp
+++ b/tests/proxy/allocation_test.cpp
@@ -1,11 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A node whose memory runs out for a moment: each allocation of its handlers fails in turn. Every request is
+// A proxy whose memory runs out for a moment: each allocation of its handlers fails in turn. Every request is
 // answered once and in time, nothing takes effect twice, and nothing is left behind.
 #include <gtest/gtest.h>
 
-#include <array>
-#include <cstdio>
 #include <functional>
 #include <iostream>
 #include <map>
@@ -15,7 +13,7 @@
 
 #include "net/one_shot_timer.h"
 #include "proxy/discovery.h"
-#include "proxy/fault_exchange.h"
+#include "proxy/fault_plays.h"
 
 namespace badgerbridge::proxy::testing {
 namespace {
@@ -25,21 +23,21 @@
   std::cout << "allocations: plays=" << plays << '\n';
 }
 
-// A discovery that tells of a drain 50 ms after its first list, and a proxy's watch of it.
+// A discovery that sends a drain 50 ms after its first list, and a proxy's watch of it.
 class DiscoveryPlay {
  public:
   DiscoveryPlay()
       : server_(peer_io_, [this](Wire& wire) { Serve(wire); }),
         watch_(
             node_io_, server_.endpoint(), EndpointListReader(TestConfig({})), false, 7,
-            [this](const EndpointList& list) { Told(list); }, [] {}, Discovery::Timing()) {
+            [this](const EndpointList& list) { OnList(list); }, [] {}, Discovery::Timing()) {
     begin_ = ProxyClock::Steady::now();
   }
 
   std::vector<std::string> Run() {
     asio::post(node_io_, [this] { watch_.Watch(); });
     for (bool drained = false; !drained;) {
-      if (Elapsed() > kMostTime) return {"the drain is not known after 7 s"};
+      if (Elapsed() > kMaxTime) return {"the drain is not known after 7 s"};
       if (!RunReady() && !RunReady()) clock_.AdvanceToNextTimer(milliseconds(10));
       const auto found = states_.find("s-0");
       drained = found != states_.end() && found->second == BackendState::kDraining;
@@ -48,7 +46,9 @@
   }
 
  private:
-  static constexpr milliseconds kDrain{50}, kHeartbeat{500}, kMostTime{7000};
+  static constexpr milliseconds kDrain{50};  // when the backend drains
+  static constexpr milliseconds kHeartbeat{500};
+  static constexpr milliseconds kMaxTime{7000};
 
   milliseconds Elapsed() const {
     return std::chrono::duration_cast<milliseconds>(ProxyClock::Steady::now() - begin_);
@@ -59,38 +59,34 @@
     if (snapshot) endpoints.push_back(EndpointJson("s-1", server_.address()));
     return ListJson(drained ? 9 : 8, snapshot, endpoints);
   }
-  static std::string Chunk(const std::string& line) {
-    std::array<char, 16> size{};
-    std::snprintf(size.data(), size.size(), "%zx", line.size() + 1);
-    return std::string(size.data()) + "\r\n" + line + "\n\r\n";
-  }
 
-  // As PROTOCOL says: first what changed after the index that is asked for, or the whole list.
+  // First what has changed after the version that is asked for, or a snapshot.
   void Serve(Wire& wire) {
     const std::string& request = server_.requests.back();
     const int index = std::stoi(request.substr(request.find("index=") + 6));
     const bool drained = Elapsed() >= kDrain;
     wire.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    if (index < 8) wire.Send(Chunk(List(true, drained)));
-    if (index == 8 && drained) wire.Send(Chunk(List(false, true)));
+    if (index < 8) wire.Send(Chunk(List(true, drained) + "\n"));
+    if (index == 8 && drained) wire.Send(Chunk(List(false, true) + "\n"));
     if (!drained)
-      due_.emplace(kDrain, [this, at = wire.shared_from_this()] { at->Send(Chunk(List(false, true))); });
-    Beat(wire.shared_from_this());
+      due_.emplace(kDrain,
+                   [this, at = wire.shared_from_this()] { at->Send(Chunk(List(false, true) + "\n")); });
+    SendHeartbeats(wire.shared_from_this());
   }
-  void Beat(const std::shared_ptr<Wire>& wire) {
+  void SendHeartbeats(const std::shared_ptr<Wire>& wire) {
     due_.emplace(Elapsed() + kHeartbeat, [this, wire] {
       if (wire->closed) return;
-      wire->Send(Chunk(""));
-      Beat(wire);
+      wire->Send(Chunk("\n"));
+      SendHeartbeats(wire);
     });
   }
 
-  void Told(const EndpointList& list) {
-    const std::vector<Endpoint> copy = list.endpoints;  // may fail, as what a proxy does with it
+  void OnList(const EndpointList& list) {
+    const std::vector<Endpoint> copy = list.endpoints;  // may fail, as what a proxy does with the list
     if (list.snapshot) states_.clear();
-    const bool was = badgerbridge::testing::Counting(false);
+    const bool was_counting = badgerbridge::testing::Counting(false);
     for (const Endpoint& endpoint : copy) states_[endpoint.name] = endpoint.entry.state;
-    badgerbridge::testing::Counting(was);
+    badgerbridge::testing::Counting(was_counting);
   }
 
   bool RunReady() {
@@ -113,7 +109,8 @@
   }
 
   VirtualClock clock_;
-  asio::io_context node_io_, peer_io_;
+  asio::io_context node_io_;
+  asio::io_context peer_io_;
   Peer server_;
   std::multimap<milliseconds, std::function<void()>> due_;
   std::map<std::string, BackendState> states_;
@@ -121,8 +118,8 @@
   Discovery watch_;
 };
 
-// No word of discovery is lost, and the watch goes on.
-TEST(AllocationTest, ADrainIsHeardWhicheverAllocationFails) {
+// No message of discovery is lost, and the watch goes on.
+TEST(AllocationTest, ADrainIsNotifiedWhicheverAllocationFails) {
   bool reached = true;
   long number = 0;
   for (; reached; ++number) {
@@ -135,11 +132,12 @@
 }
 
 // However often there is no memory for its wait.
-TEST(AllocationTest, ATimerThatFindsNoMemoryExpiresAllTheSame) {
+TEST(AllocationTest, ATimerWithoutMemoryExpiresAllTheSame) {
   constexpr int kFailures = 20;
   asio::io_context io;
   int expired = 0;
-  net::OneShotTimer timer(io), disarmed(io);
+  net::OneShotTimer timer(io);
+  net::OneShotTimer disarmed(io);
   const PlannedFault fault(Call::kAllocation, 0, kFailures);
   for (int i = 0; i < kFailures && expired == 0; ++i) {
     const CountedScope counted;
--- /dev/null
+++ b/tests/proxy/backend_attempt_test.cpp
@@ -0,0 +1,283 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// One attempt on a connection to a scripted backend: its outcome, and when it may begin.
+#include <gtest/gtest.h>
+
+#include "proxy/backend_pool_harness.h"
+
+namespace badgerbridge::proxy::testing {
+namespace {
+
+using BackendAttemptTest = BackendPoolFixture;
+
+TEST_F(BackendAttemptTest, ResponsesMapToOutcomes) {
+  std::string reply;
+  Peer peer(io, [&](Wire& wire) { wire.Send(reply); });
+  StartPool(peer);
+  const std::pair<std::string, Outcome> cases[] = {
+      {Reply(200, "hello"), Outcome::kOk},
+      {Reply(500), Outcome::kError},
+      {Reply(503, "", "X-Unprocessed: 1\r\n"), Outcome::kRejected},
+      {Reply(504, "", "X-Unprocessed: 1\r\n"), Outcome::kRejected},
+      {Reply(503), Outcome::kError},  // it may have run
+      {Reply(504, "", "X-Unprocessed: 0\r\n"), Outcome::kError},
+      {Reply(500, "", "X-Unprocessed: 1\r\n"), Outcome::kError},
+      {Reply(404), Outcome::kError},
+  };
+  for (const auto& [text, outcome] : cases) {
+    reply = text;
+    EXPECT_EQ(OutcomeOfOneAttempt(), outcome) << text;
+  }
+  EXPECT_EQ(results[0].body, "hello");
+  EXPECT_EQ(peer.wires.size(), 1u) << "a connection is kept whatever the response says";
+}
+
+TEST_F(BackendAttemptTest, LoadReportsAreInResultsOnlyIfRecorded) {
+  Peer peer(io, [&](Wire& wire) {
+    wire.Send(Reply(200, "x", "X-Backend-Load: inflight=7,util=0.61" + std::string(400, '0') + "\r\n"));
+  });
+  StartPool(peer);
+  EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kOk);
+  EXPECT_EQ(results.back().load_report, "");
+  pool->RecordLoadReports();
+  EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kOk);
+  EXPECT_EQ(results.back().load_report.rfind("inflight=7,util=0.61", 0), 0u);
+  EXPECT_EQ(results.back().load_report.size(), 200u);  // an untrusted value is bounded
+}
+
+TEST_F(BackendAttemptTest, AConnectionBrokenAfterTheRequestIsAReset) {
+  std::function<void(Wire&)> script = [](Wire& wire) { wire.Reset(); };
+  Peer peer(io, [&](Wire& wire) { script(wire); });
+  StartPool(peer);
+  EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kReset);
+  script = [](Wire& wire) { wire.Close(); };
+  EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kReset);
+  EXPECT_EQ(peer.requests.size(), 2u) << "sent again by itself";
+}
+
+TEST_F(BackendAttemptTest, ATruncatedResponseIsAReset) {
+  Peer peer(io, [](Wire& wire) {
+    wire.Send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+    wire.Close();
+  });
+  StartPool(peer);
+  EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kReset);
+  EXPECT_EQ(results.back().body, "");
+}
+
+TEST_F(BackendAttemptTest, ResponsesWithoutACertainEndAreResets) {
+  std::string reply;
+  Peer peer(io, [&](Wire& wire) {
+    wire.Send(reply);
+    wire.Close();
+  });
+  StartPool(peer);
+  for (const char* text :
+       {"HTTP/1.1 200 OK\r\n\r\nto the end",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok",
+        "HTTP/1.1 200 OK\r\nContent-Length: 2, 2\r\n\r\nok",
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok",
+        "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nok",
+        "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\n",
+        "HTTP/1.1 101 Switching Protocols\r\n\r\n", "ICY 200 OK\r\n\r\n", "\x81\x02noise\r\n\r\n"}) {
+    reply = text;
+    EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kReset) << text;
+  }
+  reply = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n";
+  EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kOk);
+  EXPECT_EQ(results.back().body, "ok");
+}
+
+TEST_F(BackendAttemptTest, InterimResponsesAreSkippedUpToABound) {
+  const std::string interim = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
+  std::string reply = interim + "HTTP/1.1 102 Processing\r\n\r\n" + Reply(200, "the one");
+  Peer peer(io, [&](Wire& wire) { wire.Send(reply); });
+  StartPool(peer);
+  EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kOk);
+  EXPECT_EQ(results.back().body, "the one");
+  reply.clear();
+  for (int i = 0; i < 100; ++i) reply += interim;
+  EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kReset);
+  EXPECT_EQ(peer.wires.size(), 1u) << "the first response left the connection in order";
+}
+
+// The response stops short on a connection that stays open: the rest of the client's time is for a retry.
+TEST_F(BackendAttemptTest, AStalledResponseEndsAheadOfTheDeadline) {
+  Peer peer(io, [](Wire& wire) { wire.Send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"); });
+  BackendPool::Limits limits;
+  limits.connect_timeout = Duration(50);
+  StartPool(peer, limits);
+  EXPECT_EQ(OutcomeOfOneAttempt(Duration(60000)), Outcome::kReset) << "and no timeout, long before it";
+}
+
+// What comes before the request is complete is no response to it.
+TEST_F(BackendAttemptTest, AResponseAheadOfTheCompleteRequestIsNone) {
+  tcp::acceptor hasty(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+  hasty.set_option(asio::socket_base::receive_buffer_size(4096));
+  tcp::socket accepted(io);
+  hasty.async_accept(accepted, [&](ErrorCode) { asio::write(accepted, asio::buffer(Reply(200, "early"))); });
+  pool = std::make_unique<BackendPool>(io, clock, BackendPool::Limits{});
+  pool->Update(ListWith(hasty.local_endpoint()));
+  Send(Duration(10000), std::string(32 << 20, 'x'));
+  ASSERT_TRUE(RunUntil(io, [&] { return !results.empty(); }));
+  EXPECT_EQ(results[0].outcome, Outcome::kConnectFailed);
+  EXPECT_EQ(results[0].body, "");
+}
+
+TEST_F(BackendAttemptTest, AResponseBeyondTheBodyLimitIsAReset) {
+  Peer peer(io, [](Wire& wire) { wire.Send(Reply(200, std::string(70000, 'x'))); });
+  StartPool(peer);
+  EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kReset);
+}
+
+// The backend can't have read all of it, so it never ran: nobody reads here, and the request is larger than
+// what the kernel holds for it.
+TEST_F(BackendAttemptTest, ARequestThatIsNotWrittenInTimeCouldNotConnect) {
+  tcp::acceptor silent(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+  silent.set_option(asio::socket_base::receive_buffer_size(4096));
+  tcp::socket accepted(io);
+  silent.async_accept(accepted, [](ErrorCode) {});
+  pool = std::make_unique<BackendPool>(io, clock, BackendPool::Limits{});
+  pool->Update(ListWith(silent.local_endpoint()));
+  Send(Duration(200), std::string(32 << 20, 'x'));
+  ASSERT_TRUE(RunUntil(io, [&] { return !results.empty(); }));
+  RunReady(io);
+  ASSERT_EQ(results.size(), 1u);
+  EXPECT_EQ(results[0].outcome, Outcome::kConnectFailed);
+}
+
+TEST_F(BackendAttemptTest, ATimeoutClosesTheConnection) {
+  Peer peer(io, [](Wire&) {});
+  StartPool(peer);
+  EXPECT_EQ(OutcomeOfOneAttempt(Duration(30)), Outcome::kTimeout);
+  EXPECT_EQ(pool->open_connections(), 0u);
+  EXPECT_TRUE(RunUntil(io, [&] { return peer.wires[0]->closed; }));
+}
+
+TEST_F(BackendAttemptTest, CancelEndsItsAttemptOnceAndNoOther) {
+  std::vector<Wire*> waiting;
+  Peer peer(io, [&](Wire& wire) { waiting.push_back(&wire); });
+  StartPool(peer);
+  const BackendPool::AttemptHandle first = SendRequest(RequestOf(""));
+  ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 1; }));
+  waiting[0]->Send(Reply(200));
+  ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 1; }));
+  const BackendPool::AttemptHandle second = SendRequest(RequestOf(""));  // on the same connection
+  ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 2; }));
+  pool->Cancel(first);
+  RunReady(io);
+  EXPECT_EQ(results.size(), 1u);
+  pool->Cancel(second);
+  pool->Cancel(second);
+  ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 2; }));
+  RunReady(io);
+  EXPECT_EQ(results[1].outcome, Outcome::kCancelled);
+  EXPECT_EQ(results.size(), 2u);
+  EXPECT_EQ(pool->open_connections(), 0u) << "giving up closes the connection";
+}
+
+// On a new connection and on an idle one: what counts is the moment of the first byte.
+TEST_F(BackendAttemptTest, AnAttemptIsNotBegunAfterItsLatestBegin) {
+  Peer peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
+  StartPool(peer);
+  // It passes while the connection comes up, as on a busy machine.
+  const TimePoint passed = clock.Now() + Duration(5);
+  SendRequest(RequestOf(""), Duration(10000), passed);
+  while (clock.Now() < passed) {
+  }
+  ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 1; }));
+  EXPECT_EQ(results[0].outcome, Outcome::kConnectFailed);
+  RunReady(io);
+  EXPECT_TRUE(peer.requests.empty());
+  EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kOk);
+  SendRequest(RequestOf(""), Duration(10000), clock.Now());  // on the idle connection
+  ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 3; }));
+  EXPECT_EQ(results[2].outcome, Outcome::kConnectFailed);
+  RunReady(io);
+  EXPECT_EQ(peer.requests.size(), 1u);
+}
+
+// It counts at the backend when its last byte has come: a retry that is half written when its deduplication
+// window is over must not become complete later.
+TEST_F(BackendAttemptTest, ARequestHalfWrittenAtItsLatestBeginIsCutOff) {
+  tcp::acceptor slow(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+  slow.set_option(asio::socket_base::receive_buffer_size(4096));
+  tcp::socket accepted(io);
+  slow.async_accept(accepted, [](ErrorCode) {});
+  pool = std::make_unique<BackendPool>(io, clock, BackendPool::Limits{});
+  pool->Update(ListWith(slow.local_endpoint()));
+  const TimePoint began = clock.Now();
+  SendRequest(RequestOf(std::string(32 << 20, 'x')), Duration(60000), clock.Now() + Duration(100));
+  ASSERT_TRUE(RunUntil(io, [&] { return !results.empty(); }));
+  EXPECT_EQ(results[0].outcome, Outcome::kConnectFailed);
+  EXPECT_GE((clock.Now() - began).count(), 100);
+}
+
+// Its request is over: what has not begun never runs, and is no failure of the backend.
+TEST_F(BackendAttemptTest, AWithdrawnAttemptThatHasNotBegunIsNotSent) {
+  Peer peer(io, [](Wire&) {});
+  StartPool(peer);
+  const BackendPool::AttemptHandle connecting = SendRequest(RequestOf(""));
+  pool->Withdraw(connecting);
+  pool->Withdraw(connecting);
+  EXPECT_TRUE(results.empty()) << "ended from within the call";
+  ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 1; }));
+  EXPECT_EQ(results[0].outcome, Outcome::kNotSent);
+  RunReady(io);
+  EXPECT_TRUE(peer.requests.empty());
+  EXPECT_EQ(pool->open_connections(), 0u);
+}
+
+TEST_F(BackendAttemptTest, AWithdrawnAttemptThatIsWrittenGoesOn) {
+  std::vector<Wire*> waiting;
+  Peer peer(io, [&](Wire& wire) { waiting.push_back(&wire); });
+  StartPool(peer);
+  const BackendPool::AttemptHandle written = SendRequest(RequestOf(""));
+  ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 1; }));
+  pool->Withdraw(written);
+  RunReady(io);
+  EXPECT_EQ(results.size(), 0u);
+  waiting[0]->Send(Reply(200));
+  ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 1; }));
+  EXPECT_EQ(results[0].outcome, Outcome::kOk);
+
+  pool->Withdraw(written);  // it has ended, and its connection has another
+  SendRequest(RequestOf(""));
+  ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 2; }));
+  pool->Withdraw(written);
+  waiting[1]->Send(Reply(200));
+  ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 2; }));
+  EXPECT_EQ(results[1].outcome, Outcome::kOk);
+}
+
+TEST_F(BackendAttemptTest, AWithdrawnAttemptThatIsHalfWrittenIsCutOff) {
+  Peer peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
+  StartPool(peer);
+  EXPECT_EQ(OutcomeOfOneAttempt(),
+            Outcome::kOk);  // leaves an idle connection, on which the write begins at once
+  peer.wires.back()->on_data = [](Wire&) {};
+  const BackendPool::AttemptHandle half_written = SendRequest(RequestOf(std::string(32 << 20, 'x')));
+  pool->Withdraw(half_written);
+  ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 2; }));
+  EXPECT_EQ(results[1].outcome, Outcome::kNotSent);
+  EXPECT_EQ(pool->open_connections(), 0u);
+}
+
+// A drain counts from the first byte, and from when discovery's agent had it, which may be long before it is
+// read here: nothing is begun from then on, whatever the grace period allows.
+TEST_F(BackendAttemptTest, NothingIsBegunOnADrainedBackend) {
+  Peer peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
+  BackendPool::Limits limits;
+  StartPool(peer, limits);
+  Send();
+  pool->Update(ListWith(peer.endpoint(), BackendState::kDraining));  // while the connection comes up
+  ASSERT_TRUE(RunUntil(io, [&] { return !results.empty(); }));
+  EXPECT_EQ(results[0].outcome, Outcome::kConnectFailed);
+  EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kConnectFailed);
+  RunReady(io);
+  EXPECT_TRUE(peer.requests.empty());
+}
+
+}  // namespace
+}  // namespace badgerbridge::proxy::testing
--- a/tests/proxy/crossings_rig.h
+++ b/tests/proxy/crossings_rig.h
@@ -10,10 +10,10 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <array>
 #include <cerrno>
 #include <cstdio>
 #include <cstdlib>
-#include <filesystem>
 #include <functional>
 #include <iostream>
 #include <string>
@@ -23,56 +23,70 @@
 #include <vector>
 
 #include "proxy/proxy_harness.h"
+#include "support/descriptors.h"
 
 namespace badgerbridge::proxy::testing {
 
-// Rules broken, by the rule.
-struct Found {
-  int lost = 0, twice = 0, late = 0, leaked = 0;
+using badgerbridge::testing::CountDescriptors;
+
+/// How often each rule was broken.
+struct RuleViolations {
+  int lost = 0;    ///< a request without its one answer
+  int twice = 0;   ///< a request that ran twice and may not
+  int late = 0;    ///< an attempt that began when it might no longer
+  int leaked = 0;  ///< connections, requests or descriptors left behind
+
+  /// Of all rules.
   int all() const { return lost + twice + late + leaked; }
-  void Add(const Found& other) {
-    lost += other.lost, twice += other.twice, late += other.late, leaked += other.leaked;
+  /// Adds those of another play.
+  void Add(const RuleViolations& other) {
+    lost += other.lost;
+    twice += other.twice;
+    late += other.late;
+    leaked += other.leaked;
   }
 };
 
-inline std::size_t Descriptors() {
-  std::size_t n = 0;
-  for ([[maybe_unused]] const auto& entry : std::filesystem::directory_iterator("/proc/self/fd")) ++n;
-  return n;
-}
-
+/// The correlation id of a request.
 inline std::string IdIn(const std::string& request) {
   const std::size_t at = request.find("X-Correlation-Id: ") + 18;
   return request.substr(at, request.find("\r\n", at) - at);
 }
 
-// The request, with so much time left.
-inline std::string Timed(std::string request, int ms) {
+/// The request, with so much time left.
+inline std::string Timed(std::string request, int time_left_ms) {
   const std::size_t at = request.find(": 900");
-  return request.replace(at, 5, ": " + std::to_string(ms));
+  return request.replace(at, 5, ": " + std::to_string(time_left_ms));
 }
 
-// The final answers in what a client has read: status and body, in order.
-inline std::vector<std::pair<int, std::string>> AnswersIn(const std::string& text) {
-  std::vector<std::pair<int, std::string>> answers;
+/// A final answer that a client has read.
+struct ClientAnswer {
+  int status = 0;
+  std::string body;
+};
+
+/// The complete answers in what a client has read, in order.
+inline std::vector<ClientAnswer> AnswersIn(const std::string& text) {
+  std::vector<ClientAnswer> answers;
   for (std::size_t at = 0; at < text.size();) {
-    const std::size_t head = text.find("\r\n\r\n", at);
-    if (head == std::string::npos) break;
-    const std::string top = text.substr(at, head - at);
-    const std::size_t length_at = top.find("Content-Length: ");
-    const std::size_t length = length_at == std::string::npos ? 0 : std::stoul(top.substr(length_at + 16));
-    if (text.size() < head + 4 + length) break;
-    answers.emplace_back(std::stoi(top.substr(9, 3)), text.substr(head + 4, length));
-    at = head + 4 + length;
+    const std::size_t head_end = text.find("\r\n\r\n", at);
+    if (head_end == std::string::npos) break;
+    const std::string head = text.substr(at, head_end - at);
+    const std::size_t length_at = head.find("Content-Length: ");
+    const std::size_t length = length_at == std::string::npos ? 0 : std::stoul(head.substr(length_at + 16));
+    if (text.size() < head_end + 4 + length) break;
+    answers.push_back({std::stoi(head.substr(9, 3)), text.substr(head_end + 4, length)});
+    at = head_end + 4 + length;
   }
   return answers;
 }
 
-// Each play has an address of its own: thousands of them leave more closed connections behind than one
-// address has ports, and bind fails then. All are of one length in writing: a list that is longer by a digit
-// may be read in two pieces in place of one, and the play has other steps then.
+/// An address for each play: thousands of them leave more closed connections behind than one address has
+/// ports, and bind fails then. All are of one length in writing: a list that is longer by a digit may be read
+/// in two pieces in place of one, and the play has other steps then.
 inline tcp::endpoint OwnAddress() {
-  constexpr unsigned kFirst = 100, kValues = 150;  // of three digits each
+  constexpr unsigned kFirst = 100;   // of three digits, as all that follow
+  constexpr unsigned kValues = 150;  // of one byte
   static unsigned plays = 0;
   const unsigned number = plays++;
   const unsigned by_process = 128 + static_cast<unsigned>(getpid()) % 120;
@@ -81,18 +95,19 @@
           0};
 }
 
-// One piece of the plays; adds what it found.
+/// One piece of the plays; adds to the totals.
 template <typename Totals>
 using Work = std::function<void(Totals*)>;
 
-// Does each `stride`-th piece in a process of its own, which writes its totals into a pipe. It ends by exit,
-// so that the sanitizers look for leaks in it too.
+/// Does each `stride`-th piece in a process of its own, which writes its totals into a pipe. It ends by exit,
+/// so that the sanitizers look for leaks in it too.
 template <typename Totals>
 class Worker {
  public:
+  /// Starts the process; throws std::system_error.
   Worker(const std::vector<Work<Totals>>& work, std::size_t first, std::size_t stride) {
-    int ends[2];
-    if (::pipe(ends) != 0) throw std::system_error(errno, std::generic_category(), "pipe");
+    std::array<int, 2> ends{};
+    if (::pipe(ends.data()) != 0) throw std::system_error(errno, std::generic_category(), "pipe");
     std::cout.flush();
     std::fflush(nullptr);
     process_ = ::fork();
@@ -110,7 +125,7 @@
     std::exit(written && !::testing::Test::HasFailure() ? 0 : 1);
   }
 
-  // Waits for its end. Its failures are this process's.
+  /// Waits for its end. Its failures are this process's.
   void Join(Totals* totals) {
     Totals its;
     EXPECT_EQ(::read(totals_from_, &its, sizeof its), static_cast<ssize_t>(sizeof its));
@@ -126,10 +141,11 @@
   int totals_from_ = -1;
 };
 
+/// Does all pieces, and adds their totals.
 template <typename Totals>
 void RunInProcesses(const std::vector<Work<Totals>>& work, Totals* totals) {
-  constexpr unsigned kMostWorkers = 4;
-  const unsigned count = std::clamp(std::thread::hardware_concurrency(), 1u, kMostWorkers);
+  constexpr unsigned kMaxWorkers = 4;
+  const unsigned count = std::clamp(std::thread::hardware_concurrency(), 1u, kMaxWorkers);
   std::vector<Worker<Totals>> workers;
   for (unsigned i = 0; i < count; ++i) workers.emplace_back(work, i, count);
   for (Worker<Totals>& worker : workers) worker.Join(totals);
--- /dev/null
+++ b/tests/proxy/endpoint_list_reader_test.cpp
@@ -0,0 +1,99 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Lists in discovery's form, and the ids of their names.
+#include "proxy/endpoint_list_reader.h"
+
+#include <gtest/gtest.h>
+
+#include <boost/json.hpp>
+#include <string>
+
+#include "proxy/proxy_harness.h"
+
+namespace badgerbridge::proxy::testing {
+namespace {
+
+class EndpointListReaderTest : public ::testing::Test {
+ protected:
+  EndpointList Read(const std::string& text) { return reader.Read(boost::json::parse(text)).value(); }
+
+  EndpointListReader reader{TestConfig({})};
+};
+
+TEST_F(EndpointListReaderTest, EntriesGetTheDecisionModulesIndices) {
+  const EndpointList list =
+      Read(ListJson(43, false, {EndpointJson("s-1", "127.0.0.1:81", "Terminating", 3, 1.7e12)}));
+  EXPECT_FALSE(list.snapshot);
+  EXPECT_EQ(reader.version(), 43u);
+  ASSERT_EQ(list.endpoints.size(), 1u);
+  const BackendEntry& entry = list.endpoints[0].entry;
+  EXPECT_EQ(entry.state, BackendState::kDraining);
+  EXPECT_EQ(entry.zone, 1);
+  EXPECT_EQ(entry.kind, 0);
+  EXPECT_EQ(entry.cell, 3);
+  EXPECT_EQ(entry.up_since.time_since_epoch().count(), 1.7e12);
+  EXPECT_EQ(list.endpoints[0].address, *ParseAddress("127.0.0.1:81"));
+}
+
+TEST_F(EndpointListReaderTest, IdsAreStableForEachNameAndTheSameAtEveryProxy) {
+  const EndpointList first =
+      Read(ListJson(1, true, {EndpointJson("s-1", "127.0.0.1:81"), EndpointJson("s-2", "127.0.0.1:82")}));
+  const EndpointList change = Read(ListJson(2, false, {EndpointJson("s-2", "127.0.0.1:99")}));
+  EXPECT_EQ(first.endpoints[1].entry.server, change.endpoints[0].entry.server);
+  EXPECT_NE(first.endpoints[0].entry.server, first.endpoints[1].entry.server);
+  EndpointListReader other{TestConfig({})};
+  const EndpointList elsewhere =
+      other.Read(boost::json::parse(ListJson(1, true, {EndpointJson("s-2", "127.0.0.3:1")}))).value();
+  EXPECT_EQ(elsewhere.endpoints[0].entry.server, first.endpoints[1].entry.server);
+}
+
+TEST_F(EndpointListReaderTest, NamesThatAreGoneAreForgotten) {
+  for (int i = 0; i < 50; ++i) {
+    const std::string name = "s-" + std::to_string(i);
+    Read(ListJson(2 * i + 1, false, {EndpointJson(name, "127.0.0.1:81")}));
+    if (i % 2 == 0) Read(ListJson(2 * i + 2, false, {R"({"name":")" + name + R"(","status":"Gone"})"}));
+  }
+  EXPECT_EQ(reader.name_count(), 25u);
+  const auto again = Read(ListJson(200, true, {EndpointJson("s-0", "127.0.0.1:81")}));
+  EXPECT_EQ(reader.name_count(), 1u);
+  EndpointListReader other{TestConfig({})};
+  EXPECT_EQ(other.Read(boost::json::parse(ListJson(1, true, {EndpointJson("s-0", "127.0.0.1:81")})))
+                .value()
+                .endpoints[0]
+                .entry.server,
+            again.endpoints[0].entry.server);
+}
+
+TEST_F(EndpointListReaderTest, AGoneEntryNeedsNoAddressAndAnUnknownStatusIsDraining) {
+  const auto list = Read(
+      R"({"index":2,"snapshot":false,"endpoints":[{"name":"a","status":"Gone"},{"name":"b","status":"New","address":"127.0.0.1:1"}]})");
+  EXPECT_EQ(list.endpoints[0].entry.state, BackendState::kGone);
+  EXPECT_EQ(list.endpoints[1].entry.state, BackendState::kDraining);
+}
+
+TEST_F(EndpointListReaderTest, AnInvalidListIsAnErrorAndChangesNothing) {
+  Read(ListJson(5, true, {}));
+  for (const char* bad :
+       {"[]", "{}", R"({"index":6,"snapshot":true})", R"({"index":6,"snapshot":1,"endpoints":[]})",
+        R"({"index":6,"snapshot":true,"endpoints":[{"name":"x","status":"Ready","address":"nowhere"}]})"})
+    EXPECT_ANY_THROW(Read(bad)) << bad;
+  EXPECT_EQ(reader.version(), 5u);
+}
+
+TEST_F(EndpointListReaderTest, ErrorsNameTheFieldAndTheWrongValue) {
+  const auto error_in = [&](const char* text) { return reader.Read(boost::json::parse(text)).error(); };
+  const EndpointListError missing = error_in(R"({"snapshot":true,"endpoints":[]})");
+  EXPECT_EQ(missing.code, EndpointListErrorCode::kInvalidField);
+  EXPECT_EQ(missing.where, "index");
+  const EndpointListError wrong = error_in(R"({"index":6,"snapshot":1,"endpoints":[]})");
+  EXPECT_EQ(wrong.where, "snapshot");
+  EXPECT_EQ(wrong.value, "1");
+  const EndpointListError address = error_in(
+      R"({"index":6,"snapshot":true,"endpoints":[{"name":"x","status":"Ready","address":"nowhere"}]})");
+  EXPECT_EQ(address.code, EndpointListErrorCode::kMissingAddress);
+  EXPECT_EQ(address.where, "x");
+  EXPECT_EQ(address.value, "nowhere");
+}
+
+}  // namespace
+}  // namespace badgerbridge::proxy::testing
--- a/tests/proxy/failing_calls_test.cpp
+++ b/tests/proxy/failing_calls_test.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A node whose system calls fail: without a descriptor, without memory of the system, or for no reason. Each
+// A proxy whose system calls fail: without a descriptor, without memory of the system, or for no reason. Each
 // call of a kind fails in turn; every request is answered once and in time, and nothing is left behind.
 #include <gtest/gtest.h>
 
 #include <cerrno>
 
-#include "proxy/fault_exchange.h"
+#include "proxy/fault_plays.h"
 
 namespace badgerbridge::proxy::testing {
 namespace {
--- a/tests/proxy/proxy_harness.h
+++ b/tests/proxy/proxy_harness.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Scripted peers on ephemeral loopback ports, and a node in this process. Everything runs on one io_context,
+// Scripted peers on ephemeral loopback ports, and a proxy in this process. Everything runs on one io_context,
 // and a test waits for conditions only.
 #ifndef BADGERBRIDGE_TESTS_PROXY_PROXY_HARNESS_H_
 #define BADGERBRIDGE_TESTS_PROXY_PROXY_HARNESS_H_
@@ -12,6 +12,7 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/write.hpp>
 #include <chrono>
+#include <cstdio>
 #include <functional>
 #include <memory>
 #include <string>
@@ -33,31 +34,36 @@
 using asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-// One end of a connection, in plain text.
+/// One end of a connection, in plain text.
 struct Wire : std::enable_shared_from_this<Wire> {
-  explicit Wire(tcp::socket s) : socket(std::move(s)) {}
+  explicit Wire(tcp::socket connected) : socket(std::move(connected)) {}
 
+  /// Reads until the connection ends.
   void Start() {
-    socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](ErrorCode error, std::size_t n) {
-      if (error) {
-        self->closed = true;
-        self->end = error;
-        return;
-      }
-      self->in.append(self->piece.data(), n);
-      if (self->on_data) self->on_data(*self);
-      self->Start();
-    });
+    socket.async_read_some(asio::buffer(piece),
+                           [self = shared_from_this()](ErrorCode error, std::size_t size) {
+                             if (error) {
+                               self->closed = true;
+                               self->end = error;
+                               return;
+                             }
+                             self->in.append(self->piece.data(), size);
+                             if (self->on_data) self->on_data(*self);
+                             self->Start();
+                           });
   }
+  /// Writes all of a text.
   void Send(std::string_view text) {
     ErrorCode ignored;
     asio::write(socket, asio::buffer(text.data(), text.size()), ignored);
   }
+  /// Closes in order (FIN).
   void Close() {
     ErrorCode ignored;
     socket.shutdown(tcp::socket::shutdown_both, ignored);
     socket.close(ignored);
   }
+  /// Closes with a reset (RST).
   void Reset() {
     ErrorCode ignored;
     socket.set_option(asio::socket_base::linger(true, 0), ignored);
@@ -65,45 +71,57 @@
   }
 
   tcp::socket socket;
-  std::array<char, 65536> piece;
-  std::string in;
-  std::string owed;     // whose answer a script has put off
-  bool closed = false;  // by the other side
-  ErrorCode end;        // and how: eof, or by a reset
+  std::array<char, 65536> piece;  ///< of one read
+  std::string in;                 ///< what has been read, and not been taken
+  std::string owed;               ///< the id of a request whose response a script has put off
+  bool closed = false;            ///< by the other side
+  ErrorCode end;                  ///< how it was closed: eof or a reset
   std::function<void(Wire&)> on_data;
 };
 
-// A body, where there is one, ends with "END".
-inline bool Whole(const std::string& text) {
+/// Whether a request is complete. A body, if there is one, ends with "END".
+inline bool IsComplete(const std::string& text) {
   if (text.find("\r\n\r\n") == std::string::npos) return false;
-  const bool body = text.find("Content-Length: ") != std::string::npos &&
-                    text.find("Content-Length: 0\r\n") == std::string::npos;
-  return !body || text.ends_with("END");
+  const bool has_body = text.find("Content-Length: ") != std::string::npos &&
+                        text.find("Content-Length: 0\r\n") == std::string::npos;
+  return !has_body || text.ends_with("END");
 }
 
+/// A response.
 inline std::string Reply(int status, std::string_view body = "", std::string_view headers = "") {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\nContent-Length: " + std::to_string(body.size()) +
          "\r\n" + std::string(headers) + "\r\n" + std::string(body);
 }
 
-// Listens; calls the script with each whole request, then forgets the request's text.
+/// Chunk of a response with Transfer-Encoding: chunked.
+inline std::string Chunk(const std::string& text) {
+  std::array<char, 16> size{};
+  std::snprintf(size.data(), size.size(), "%zx\r\n", text.size());
+  return size.data() + text + "\r\n";
+}
+
+/// Listens, and calls a script with each complete request.
 class Peer {
  public:
   using Script = std::function<void(Wire&)>;
 
+  /// Port 0: any that is free.
   Peer(asio::io_context& io, Script script,
-       const tcp::endpoint& place = tcp::endpoint(asio::ip::address_v4::loopback(), 0))
-      : acceptor_(io, place), script_(std::move(script)) {
+       const tcp::endpoint& listen = tcp::endpoint(asio::ip::address_v4::loopback(), 0))
+      : acceptor_(io, listen), script_(std::move(script)) {
     Accept();
   }
+  /// Where it listens.
   tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
+  /// The same as text.
   std::string address() const {
     return endpoint().address().to_string() + ":" + std::to_string(endpoint().port());
   }
+  /// Refuses connections from here on.
   void Refuse() { acceptor_.close(); }
 
-  std::vector<std::shared_ptr<Wire>> wires;
-  std::vector<std::string> requests;
+  std::vector<std::shared_ptr<Wire>> wires;  ///< all connections that have come
+  std::vector<std::string> requests;         ///< all complete requests that have come
 
  private:
   void Accept() {
@@ -111,7 +129,7 @@
       if (error) return;
       wires.push_back(std::make_shared<Wire>(std::move(socket)));
       wires.back()->on_data = [this](Wire& wire) {
-        if (!Whole(wire.in)) return;
+        if (!IsComplete(wire.in)) return;
         requests.push_back(std::exchange(wire.in, {}));
         script_(wire);
       };
@@ -124,7 +142,7 @@
   Script script_;
 };
 
-// Runs until the condition holds; false if it does not within a time far beyond any need.
+/// Runs until the condition holds; false if it does not within a time far beyond any need.
 template <typename Condition>
 bool RunUntil(asio::io_context& io, Condition holds) {
   const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
@@ -136,12 +154,13 @@
   return true;
 }
 
-// Nothing more is ready to run.
+/// Runs handlers until none is ready.
 inline void RunReady(asio::io_context& io) {
   io.restart();
   io.poll();
 }
 
+/// An endpoint in discovery's form.
 inline std::string EndpointJson(const std::string& name, const std::string& address,
                                 const std::string& status = "Ready", int group = 1, double since_ms = 0) {
   return R"({"name":")" + name + R"(","address":")" + address +
@@ -149,6 +168,7 @@
          R"(","weight":1.0,"since_ms":)" + std::to_string(since_ms) + "}";
 }
 
+/// A list in discovery's form.
 inline std::string ListJson(int index, bool snapshot, const std::vector<std::string>& endpoints) {
   std::string text = R"({"index":)" + std::to_string(index) + R"(,"snapshot":)" +
                      (snapshot ? "true" : "false") + R"(,"endpoints":[)";
@@ -156,7 +176,8 @@
   return text + "]}";
 }
 
-// preview is safe, convert keyed, certify unsafe; deadlines of a second.
+/// A configuration in which preview is idempotent, convert has idempotency keys, and certify is not
+/// idempotent; deadlines of a second.
 inline std::string ConfigJson(const std::vector<std::string>& known, int sockets = 1024,
                               const std::string& tenants = "[]") {
   return R"({"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"00000000000000a5",
@@ -171,35 +192,40 @@
 "rules":{"coldFrom":0.2,"warmUpMs":24000.0,"fallMultiple":2.5,"overloadForMs":3000.0,"drainGraceMs":500.0}}})";
 }
 
+/// The same, parsed.
 inline Config TestConfig(const std::vector<std::string>& known, int sockets = 1024,
                          const std::string& tenants = "[]") {
   return ParseConfig(ConfigJson(known, sockets, tenants), [](const char*) { return nullptr; });
 }
 
+/// A request of class preview.
 inline std::string Get(const std::string& id, const std::string& more = "") {
   return "GET /preview?obj=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: " + id +
          "\r\nX-Service-Class: preview\r\nX-Time-Left-Ms: 900\r\n" + more + "\r\n";
 }
-inline std::string Post(const std::string& id, const std::string& cls, const std::string& body,
+/// A request with a body.
+inline std::string Post(const std::string& id, const std::string& service_class, const std::string& body,
                         const std::string& more = "") {
-  return "POST /" + cls + "?obj=9 HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: " + id +
-         "\r\nX-Service-Class: " + cls + "\r\nX-Time-Left-Ms: 900\r\n" + more +
+  return "POST /" + service_class + "?obj=9 HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: " + id +
+         "\r\nX-Service-Class: " + service_class + "\r\nX-Time-Left-Ms: 900\r\n" + more +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// All of a node but discovery and signals.
+/// A proxy without discovery and signals.
 struct Node {
   Node(asio::io_context& context, const Config& config, ListenerLimits limits = {})
       : io(context),
         backends(io, clock, BackendPool::Limits::From(config)),
         proxy(io, clock, backends, config),
         reader(config),
-        listener((Tell(config), io), clock, proxy, config, limits) {}
+        listener((ListKnown(config), io), clock, proxy, config, limits) {}
 
-  void Tell(const Config& config) {
+  /// Takes over the backends that a configuration knows.
+  void ListKnown(const Config& config) {
     if (!config.known.is_null())
       proxy.UpdateList(EndpointListKind::kCached, reader.Read(config.known).value());
   }
+  /// A new connection of a client.
   std::shared_ptr<Wire> Connect() {
     tcp::socket socket(io);
     socket.connect(listener.address());
@@ -207,7 +233,7 @@
     wire->Start();
     return wire;
   }
-  // Sends on a new connection and waits for an answer that ends with `end`, or a close.
+  /// Sends on a new connection and waits for an answer that ends with `end`, or a close.
   std::string Ask(const std::string& request, const std::string& end = "\r\n\r\n") {
     const auto wire = Connect();
     wire->Send(request);
--- /dev/null
+++ b/tests/proxy/proxy_shutdown_test.cpp
@@ -0,0 +1,127 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// The stop of a proxy, and the end of connections to clients.
+#include <gtest/gtest.h>
+
+#include <memory>
+#include <vector>
+
+#include "proxy/proxy_fixture.h"
+
+namespace badgerbridge::proxy::testing {
+namespace {
+
+using ProxyShutdownTest = ProxyFixture;
+
+// A client that uses a connection in the moment of its end sees the end and no reset; what it sent is
+// dropped, never forwarded.
+TEST_F(ProxyShutdownTest, WhatCrossesTheEndOfAConnectionIsDroppedWithoutAReset) {
+  for (const bool stop : {true, false}) {
+    SCOPED_TRACE(stop ? "stop" : "drain");
+    asio::io_context io;
+    Peer backend(io, [](Wire& wire) { wire.Send(Reply(200, "ok")); });
+    const auto node = std::make_unique<Node>(io, TestConfig({EndpointJson("a", backend.address())}));
+    const auto client = node->Connect();
+    client->Send(Get("c1"));
+    ASSERT_TRUE(RunUntil(io, [&] { return IsServed(client->in); }));
+    bool stopped = false;
+    if (stop) {
+      node->listener.Stop([&] { stopped = true; });
+    } else {
+      node->listener.Drain();
+    }
+    ASSERT_TRUE(RunUntil(io, [&] { return client->closed; }));
+    EXPECT_EQ(client->end, asio::error::eof);
+    client->Send(Get("c2"));  // it has not seen the end yet, say
+    EXPECT_EQ(node->listener.connections(), 1u) << "until the client has closed it, for a bounded time";
+    RunReady(io);
+    ErrorCode error;
+    char byte;
+    client->socket.non_blocking(true);
+    client->socket.read_some(asio::buffer(&byte, 1), error);
+    EXPECT_EQ(error, asio::error::eof) << "no reset";
+    client->Close();
+    ASSERT_TRUE(RunUntil(io, [&] { return node->listener.connections() == 0; }));
+    EXPECT_EQ(backend.requests.size(), 1u);
+    if (stop) {
+      EXPECT_TRUE(RunUntil(io, [&] { return stopped; }));
+    }
+  }
+}
+
+// One that is idle and never closes its side holds a connection that has ended for a bounded time.
+TEST_F(ProxyShutdownTest, AClientThatNeverClosesDelaysTheStopForABoundedTime) {
+  Start({});
+  const auto resting = node->Connect();
+  RunReady(io);
+  bool stopped = false;
+  const TimePoint began = node->clock.Now();
+  node->listener.Stop([&] { stopped = true; });
+  ASSERT_TRUE(RunUntil(io, [&] { return stopped; }));
+  EXPECT_GE((node->clock.Now() - began).count(), 1450) << "the time until the listener closes, and a second for the client";
+  EXPECT_EQ(node->listener.connections(), 0u);
+}
+
+// What was accepted while the listener is open is answered, also behind another request.
+TEST_F(ProxyShutdownTest, APipelinedRequestIsAnsweredAtTheStop) {
+  std::vector<Wire*> waiting;
+  Peer backend(io, [&](Wire& wire) { waiting.push_back(&wire); });
+  Start({EndpointJson("a", backend.address())});
+  const auto client = node->Connect();
+  client->Send(Get("c1") + Get("c2"));
+  ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 1; }));
+  bool stopped = false;
+  node->listener.Stop([&] { stopped = true; });
+  waiting[0]->Send(Reply(200, "one"));
+  ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 2; }));
+  waiting[1]->Send(Reply(200, "two"));
+  ASSERT_TRUE(RunUntil(io, [&] { return client->closed; }));
+  EXPECT_EQ(CountOf(client->in, "HTTP/1.1 200 "), 2);
+  EXPECT_EQ(CountOf(client->in, "Connection: close"), 1);
+  client->Close();
+  EXPECT_TRUE(RunUntil(io, [&] { return stopped; }));
+}
+
+TEST_F(ProxyShutdownTest, AllAcceptedRequestsAreAnsweredAtTheStop) {
+  std::vector<Wire*> waiting;
+  Peer backend(io, [&](Wire& wire) { waiting.push_back(&wire); });
+  Start({EndpointJson("a", backend.address())});
+  const auto busy = node->Connect();
+  busy->Send(Get("c1"));
+  const auto idle = node->Connect();
+  ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 1; }));
+  bool stopped = false;
+  const TimePoint began = node->clock.Now();
+  node->listener.Stop([&] { stopped = true; });
+  EXPECT_TRUE(IsRejected(node->Ask("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")));
+  // The front has not noticed yet: new connections, and requests on old ones, are served.
+  const auto late = node->Connect();
+  late->Send(Get("c2"));
+  ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 2; }));
+  idle->Send(Get("c3"));
+  ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 3; }));
+  EXPECT_FALSE(stopped);
+  EXPECT_LT((node->clock.Now() - began).count(), 400) << "this machine was too slow for the case";
+  for (Wire* wire : waiting) wire->Send(Reply(200, "ok"));
+  for (const auto& client : {busy, late, idle}) {
+    ASSERT_TRUE(RunUntil(io, [&] { return client->closed; }));
+    EXPECT_TRUE(IsServed(client->in));
+    EXPECT_NE(client->in.find("Connection: close\r\n"), std::string::npos);
+    client->Close();
+  }
+  ASSERT_TRUE(RunUntil(io, [&] { return stopped; }));
+  EXPECT_GT((node->clock.Now() - began).count(), 400);
+}
+
+TEST_F(ProxyShutdownTest, IdleConnectionsAreClosedAtTheStop) {
+  Start({});
+  const auto idle = node->Connect();
+  RunReady(io);
+  bool stopped = false;
+  node->listener.Stop([&] { stopped = true; });
+  ASSERT_TRUE(RunUntil(io, [&] { return stopped; }));
+  EXPECT_TRUE(RunUntil(io, [&] { return idle->closed; }));
+}
+
+}  // namespace
+}  // namespace badgerbridge::proxy::testing
--- a/tests/proxy/soak_test.cpp
+++ b/tests/proxy/soak_test.cpp
@@ -1,39 +1,45 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Nothing grows: the table of requests, the module and the names of the list, with every byte that they hold
-// counted, over 30 minutes of virtual time in which each server is replaced every minute and no key comes
-// twice.
+// Nothing grows: the table of requests, the decision module and the names of the list, with every byte that
+// they hold counted, over 30 minutes of virtual time in which each backend is replaced every minute and no
+// key comes twice.
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <cstddef>
+#include <cstdint>
 #include <cstdlib>
 #include <deque>
 #include <new>
 #include <random>
+#include <string>
+#include <utility>
+#include <variant>
+#include <vector>
 
 #include "harness.h"
-#include "proxy/discovery.h"
+#include "proxy/endpoint_list_reader.h"
 #include "proxy/proxy_harness.h"
 #include "request_table/request_table.h"
 
 namespace {
 
-std::size_t held = 0;  // bytes that new has given and delete has not taken back
-constexpr std::size_t kHead = alignof(std::max_align_t);
+std::size_t allocated_bytes = 0;  // and not freed
+constexpr std::size_t kHeaderBytes = alignof(std::max_align_t);
 
 }  // namespace
 
 void* operator new(std::size_t size) {
-  void* const place = std::malloc(size + kHead);
+  void* const place = std::malloc(size + kHeaderBytes);
   if (!place) throw std::bad_alloc();
   *static_cast<std::size_t*>(place) = size;
-  held += size;
-  return static_cast<char*>(place) + kHead;
+  allocated_bytes += size;
+  return static_cast<char*>(place) + kHeaderBytes;
 }
 void operator delete(void* pointer) noexcept {
   if (!pointer) return;
-  void* const place = static_cast<char*>(pointer) - kHead;
-  held -= *static_cast<std::size_t*>(place);
+  void* const place = static_cast<char*>(pointer) - kHeaderBytes;
+  allocated_bytes -= *static_cast<std::size_t*>(place);
   std::free(place);
 }
 void operator delete(void* pointer, std::size_t) noexcept { operator delete(pointer); }
@@ -45,95 +51,159 @@
 using balancer::testing::At;
 using balancer::testing::Usual;
 
-TEST(Soak, WhatIsHeldInTheLastThirdIsWhatWasHeldInTheFirst) {
-  constexpr int kServers = 60;
-  constexpr double kThird = 600000;
+Settings SoakSettings() {
   Settings settings = Usual();
   settings.balancer_count = 300;
   settings.key_affinity = true;
   settings.max_retry_after = Duration(500);
-  RequestTable table(settings, 1);
-  proxy::EndpointListReader reader(proxy::testing::TestConfig({}));
-  std::mt19937_64 random(7);
-  const auto unit = [&] { return static_cast<double>(random() >> 11) * 0x1.0p-53; };
-  double now = 1e6;
-  std::uint64_t served_before = 0, names = 0, index = 0;
-  std::deque<std::string> listed;
-  std::vector<std::pair<double, Send>> out;
-  RequestTable::Actions actions;
-  const auto list = [&](bool gone, const std::string& name) {
-    proxy::ListedEndpoint one;
-    one.name = name;
-    one.address = proxy::ParseAddress("127.0.0.1:80");
-    one.state = gone ? BackendState::kGone : BackendState::kReady;
-    one.cell = static_cast<int>(names % 4);
-    one.started_at_ms = now - 30000;
+  return settings;
+}
+
+// A proxy's table and list under a constant load of requests and changes.
+class SoakPlay {
+ public:
+  SoakPlay() {
+    for (int i = 0; i < kBackends; ++i) AddBackend();
+  }
+
+  // Runs for a third of the time, and checks what the table and the list hold at its end.
+  void RunThird() {
+    next_change_ms_ = now_ms_;
+    const double end_ms = now_ms_ + kThirdMs;
+    max_allocated_bytes_ = 0;
+    while (now_ms_ < end_ms) Step();
+    EXPECT_EQ(reader_.name_count(), static_cast<std::size_t>(kBackends));
+    EXPECT_LE(table_.Inspect().size(), kBackends + 200u);  // a few minutes' worth of those that are gone
+    EXPECT_LE(table_.open(), 200u);
+    std::uint64_t served = 0;
+    for (const RequestCounters& counters : table_.counters()) served += counters.served;
+    EXPECT_GT(served, served_before_ + 10000);
+    served_before_ = served;
+  }
+
+  // In the last third, once its first minute and a half are over.
+  double max_allocated_bytes() const { return max_allocated_bytes_; }
+  std::uint64_t names() const { return names_; }
+
+ private:
+  static constexpr int kBackends = 60;
+  static constexpr double kStartMs = 1e6;
+  static constexpr double kThirdMs = 600000;
+  static constexpr double kStepMs = 10;
+  static constexpr double kChangeEveryMs = 1000;
+  static constexpr double kWarmUpMs = 90000;  // what is gone is kept for a minute
+
+  // An attempt, and when it ends.
+  struct AttemptInFlight {
+    double ends_at_ms;
+    Send send;
+  };
+
+  double Uniform() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
+
+  void Step() {
+    now_ms_ += kStepMs;
+    if (Uniform() < 0.5) SubmitRequest();
+    if (now_ms_ >= next_change_ms_) ReplaceBackend();
+    if (const auto wake = table_.NextWake(); wake && *wake <= At(now_ms_))
+      table_.Wake(At(now_ms_), &actions_);
+    EndAttempts();
+    PerformActions();
+    if (now_ms_ > kStartMs + kWarmUpMs)
+      max_allocated_bytes_ = std::max(max_allocated_bytes_, static_cast<double>(allocated_bytes));
+  }
+
+  void SubmitRequest() {
+    Submit submit;
+    submit.request_class = static_cast<int>(random_() % 3);
+    submit.due = At(now_ms_ + 900);
+    submit.key = random_();
+    submit.has_hint = true;
+    submit.work_ms = 5 + 20 * Uniform();
+    const RequestId id = table_.Accept(At(now_ms_), submit, &actions_);
+    if (Uniform() < 0.01) table_.ClientDisconnected(At(now_ms_), id, &actions_);
+  }
+
+  void AddBackend() { List(listed_.emplace_back("s" + std::to_string(++names_)), BackendState::kReady); }
+
+  void ReplaceBackend() {
+    next_change_ms_ = now_ms_ + kChangeEveryMs;
+    List(listed_.front(), BackendState::kGone);
+    listed_.pop_front();
+    AddBackend();
+  }
+
+  void List(const std::string& name, BackendState state) {
+    proxy::ListedEndpoint listed;
+    listed.name = name;
+    listed.address = proxy::ParseAddress("127.0.0.1:80");
+    listed.state = state;
+    listed.cell = static_cast<int>(names_ % 4);
+    listed.started_at_ms = now_ms_ - 30000;
     EndpointListUpdate update;
-    for (const proxy::Endpoint& endpoint : reader.Resolve(false, ++index, {one}).endpoints)
+    for (const proxy::Endpoint& endpoint : reader_.Resolve(false, ++version_, {listed}).endpoints)
       update.entries.push_back(endpoint.entry);
-    table.UpdateEndpoints(At(now), update, &actions);
-  };
-  for (int i = 0; i < kServers; ++i) list(false, listed.emplace_back("s" + std::to_string(++names)));
-  std::vector<double> most(3);
-  for (std::size_t third = 0; third < 3; ++third) {
-    double next_change = now;
-    for (const double end = now + kThird; now < end;) {
-      now += 10;
-      if (unit() < 0.5) {
-        Submit submit;
-        submit.request_class = static_cast<int>(random() % 3);
-        submit.due = At(now + 900);
-        submit.key = random();
-        submit.has_hint = true;
-        submit.work_ms = 5 + 20 * unit();
-        const RequestId id = table.Accept(At(now), submit, &actions);
-        if (unit() < 0.01) table.ClientDisconnected(At(now), id, &actions);
-      }
-      if (now >= next_change) {
-        next_change = now + 1000;
-        list(true, listed.front());
-        listed.pop_front();
-        list(false, listed.emplace_back("s" + std::to_string(++names)));
-      }
-      if (const auto wake = table.NextWake(); wake && *wake <= At(now)) table.Wake(At(now), &actions);
-      for (std::size_t i = 0; i < out.size();) {
-        if (out[i].first > now) {
-          ++i;
-          continue;
-        }
-        const Send send = out[i].second;
-        out.erase(out.begin() + static_cast<std::ptrdiff_t>(i));
-        const double drawn = unit();
-        table.AttemptEnded(At(now), send,
-                           drawn < 0.9    ? Outcome::kOk
-                           : drawn < 0.93 ? Outcome::kRejected
-                           : drawn < 0.96 ? Outcome::kReset
-                                          : Outcome::kError,
-                           &actions);
-      }
-      while (!actions.empty()) {
-        for (const Action& action : std::exchange(actions, {})) {
-          if (const auto* send = std::get_if<Send>(&action)) out.emplace_back(now + 10 + 60 * unit(), *send);
-          if (const auto* cancel = std::get_if<Cancel>(&action)) {
-            for (auto& [at, send] : out) {
-              if (send.request == cancel->request) at = now;
-            }
-          }
-        }
+    table_.UpdateEndpoints(At(now_ms_), update, &actions_);
+  }
+
+  void EndAttempts() {
+    for (std::size_t i = 0; i < in_flight_.size();) {
+      if (in_flight_[i].ends_at_ms > now_ms_) {
+        ++i;
+        continue;
       }
-      // Once the first minute has passed: what is gone is kept for so long.
-      if (now > 1e6 + 90000) most[third] = std::max(most[third], static_cast<double>(held));
+      const Send send = in_flight_[i].send;
+      in_flight_.erase(in_flight_.begin() + static_cast<std::ptrdiff_t>(i));
+      table_.AttemptEnded(At(now_ms_), send, RandomOutcome(), &actions_);
     }
-    EXPECT_EQ(reader.name_count(), static_cast<std::size_t>(kServers));
-    EXPECT_LE(table.Inspect().size(), kServers + 200u);  // a few minutes' worth of those that are gone
-    EXPECT_LE(table.open(), 200u);
-    std::uint64_t served = 0;
-    for (const RequestCounters& counters : table.counters()) served += counters.served;
-    EXPECT_GT(served, served_before + 10000);
-    served_before = served;
   }
-  EXPECT_LE(most[2], 1.1 * most[0]);
-  EXPECT_GT(names, 1800u);
+
+  Outcome RandomOutcome() {
+    const double drawn = Uniform();
+    if (drawn < 0.9) return Outcome::kOk;
+    if (drawn < 0.93) return Outcome::kRejected;
+    return drawn < 0.96 ? Outcome::kReset : Outcome::kError;
+  }
+
+  void PerformActions() {
+    while (!actions_.empty()) {
+      for (const Action& action : std::exchange(actions_, {})) Perform(action);
+    }
+  }
+
+  void Perform(const Action& action) {
+    if (const auto* send = std::get_if<Send>(&action))
+      in_flight_.push_back({now_ms_ + 10 + 60 * Uniform(), *send});
+    const auto* cancel = std::get_if<Cancel>(&action);
+    if (!cancel) return;
+    for (AttemptInFlight& attempt : in_flight_) {
+      if (attempt.send.request == cancel->request) attempt.ends_at_ms = now_ms_;
+    }
+  }
+
+  RequestTable table_{SoakSettings(), 1};
+  proxy::EndpointListReader reader_{proxy::testing::TestConfig({})};
+  std::mt19937_64 random_{7};
+  double now_ms_ = kStartMs;
+  double next_change_ms_ = 0;
+  std::uint64_t served_before_ = 0;
+  std::uint64_t names_ = 0;
+  std::uint64_t version_ = 0;
+  std::deque<std::string> listed_;
+  std::vector<AttemptInFlight> in_flight_;
+  RequestTable::Actions actions_;
+  double max_allocated_bytes_ = 0;
+};
+
+TEST(Soak, TheLastThirdHoldsNoMoreMemoryThanTheFirst) {
+  SoakPlay play;
+  std::vector<double> max_allocated_bytes(3);
+  for (double& third : max_allocated_bytes) {
+    play.RunThird();
+    third = play.max_allocated_bytes();
+  }
+  EXPECT_LE(max_allocated_bytes[2], 1.1 * max_allocated_bytes[0]);
+  EXPECT_GT(play.names(), 1800u);
 }
 
 }  // namespace
--- a/tests/races/backend_race_test.cpp
+++ b/tests/races/backend_race_test.cpp
@@ -1,12 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Races of a connection to a backend: a timer of what is over expires in the turn in which the next thing
-// begins.
+// Races of a connection to a backend: a timer of a state that has ended expires in the turn in which the next
+// state begins.
 #include <gtest/gtest.h>
 
-#include <array>
 #include <boost/asio/post.hpp>
-#include <cstdio>
 #include <functional>
 #include <memory>
 #include <optional>
@@ -23,21 +21,21 @@
 
 using std::chrono::milliseconds;
 
-constexpr BackendId kServer = 5;
+constexpr BackendId kBackend = 5;
 constexpr Duration kTimeout{10000};
 
 class BackendRaceTest : public badgerbridge::testing::TurnTest {
  protected:
   BackendRaceTest() {
-    peer_.emplace(io_, [this](Wire& wire) { wire.Send(answer_); });
+    peer_.emplace(io_, [this](Wire& wire) { wire.Send(response_); });
     limits_.min_idle_after_unsolicited = Duration(0);
-    backends_.emplace(io_, node_clock_, limits_);
+    backends_.emplace(io_, proxy_clock_, limits_);
     ListPeer();
   }
   void ListPeer() {
     EndpointList list;
     list.endpoints.push_back({});
-    list.endpoints.back().entry.server = kServer;
+    list.endpoints.back().entry.server = kBackend;
     list.endpoints.back().entry.state = BackendState::kReady;
     list.endpoints.back().address = peer_->endpoint();
     backends_->Update(list);
@@ -46,20 +44,20 @@
     auto request = std::make_shared<ForwardedRequest>();
     request->target = "/preview?obj=1";
     request->correlation_id = "c" + std::to_string(results_.size());
-    backends_->Send(server_, request, kTimeout, TimePoint::max(),
+    backends_->Send(backend_, request, kTimeout, TimePoint::max(),
                     [this](const AttemptResult& result) { results_.push_back(result.outcome); });
   }
 
-  ProxyClock node_clock_;
+  ProxyClock proxy_clock_;
   BackendPool::Limits limits_;
-  BackendId server_ = kServer;
-  std::string answer_ = Reply(200, "served");
+  BackendId backend_ = kBackend;
+  std::string response_ = Reply(200, "served");
   std::optional<Peer> peer_;
   std::optional<BackendPool> backends_;
   std::vector<Outcome> results_;
 };
 
-TEST_F(BackendRaceTest, AConnectionThatComesUpInTheTurnInWhichItsTimeIsOverIsUsed) {
+TEST_F(BackendRaceTest, AConnectionThatComesUpAsItsTimerExpiresIsUsed) {
   std::function<void()> come_up;
   backends_->SetConnector([&](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
     come_up = [&socket, address, ended] {
@@ -77,7 +75,7 @@
   EXPECT_EQ(backends_->open_connections(), 1u);
 }
 
-TEST_F(BackendRaceTest, AnIdleConnectionThatIsTakenInTheTurnInWhichItWouldBeRetiredIsUsed) {
+TEST_F(BackendRaceTest, AnIdleConnectionTakenAsItsTimerExpiresIsUsed) {
   Send();
   ASSERT_TRUE(Until([&] { return results_.size() == 1; }));
   RunReady();
@@ -87,7 +85,7 @@
   EXPECT_EQ(peer_->wires.size(), 1u) << "on the same connection";
 }
 
-TEST_F(BackendRaceTest, AnAnswerThatComesInTheTurnInWhichTheAttemptsTimeIsOverIsTaken) {
+TEST_F(BackendRaceTest, AResponseThatComesAsTheAttemptTimesOutCounts) {
   peer_.emplace(io_, [](Wire&) {});
   ListPeer();
   Send();
@@ -97,14 +95,14 @@
   clock_.Advance(std::chrono::duration_cast<std::chrono::nanoseconds>(kTimeout));
   ASSERT_TRUE(Until([&] { return results_.size() == 1; }));
   EXPECT_EQ(results_[0], Outcome::kOk);
-  // The connection rests now: the timer of the attempt does not end it.
+  // The connection is idle now: the timer of the attempt does not end it.
   RunReady();
   EXPECT_EQ(backends_->open_connections(), 1u);
 }
 
 // More descriptors are ready than one turn takes, so that the timer's handler runs ahead of the read.
-TEST_F(BackendRaceTest, AnAnswerThatIsUnreadWhenItsTimeIsOverIsTaken) {
-  answer_ = "";
+TEST_F(BackendRaceTest, AResponseUnreadAtTheTimeoutCounts) {
+  response_ = "";
   Send();
   ASSERT_TRUE(Until([&] { return peer_->requests.size() == 1; }));
   TimersAheadOf([&] { peer_->wires[0]->Send(Reply(200, "served")); },
@@ -113,8 +111,8 @@
   EXPECT_EQ(results_[0], Outcome::kOk);
 }
 
-TEST_F(BackendRaceTest, TheRestOfAnAnswerThatIsUnreadWhenItsTimeIsOverIsTaken) {
-  answer_ = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nser";
+TEST_F(BackendRaceTest, TheRestOfAResponseUnreadAtTheTimeoutCounts) {
+  response_ = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nser";
   Send();
   ASSERT_TRUE(Until([&] { return peer_->requests.size() == 1; }));
   RunReady();
@@ -123,7 +121,7 @@
   EXPECT_EQ(results_[0], Outcome::kOk);
 }
 
-TEST_F(BackendRaceTest, ABackendThatHasClosedBeforeTheFirstByteNeverHadTheRequest) {
+TEST_F(BackendRaceTest, ABackendThatClosesBeforeTheFirstByteCouldNotConnect) {
   tcp::acceptor acceptor(io_, {asio::ip::address_v4::loopback(), 0});
   backends_->SetConnector([&](tcp::socket& socket, const tcp::endpoint&, auto ended) {
     asio::post(io_, [&, ended, dialled = &socket] {
@@ -139,53 +137,49 @@
   EXPECT_EQ(results_[0], Outcome::kConnectFailed);
 }
 
-// A discovery that never stops talking holds up no attempt for good.
-TEST_F(BackendRaceTest, AnAttemptWaitsForNewsABoundedNumberOfTurns) {
-  int looks = 0;
-  backends_->SetUnreadListCheck([&looks] {
-    ++looks;
+// A discovery that never stops sending does not delay an attempt for good.
+TEST_F(BackendRaceTest, AnAttemptWaitsForUnreadListsABoundedNumberOfTurns) {
+  int checks = 0;
+  backends_->SetUnreadListCheck([&checks] {
+    ++checks;
     return true;
   });
   Send();
   ASSERT_TRUE(Until([&] { return results_.size() == 1; }));
   EXPECT_EQ(results_[0], Outcome::kOk);
-  EXPECT_GT(looks, 1);
-  EXPECT_LT(looks, 100);
+  EXPECT_GT(checks, 1);
+  EXPECT_LT(checks, 100);
 }
 
-// With a discovery, and one connection to the backend that stands idle.
-class NewsRaceTest : public BackendRaceTest {
+// With a discovery, and one idle connection to the backend.
+class UnreadListRaceTest : public BackendRaceTest {
  protected:
-  NewsRaceTest() {
-    told_.emplace(io_, [this](Wire& wire) {
+  UnreadListRaceTest() {
+    discovery_peer_.emplace(io_, [this](Wire& wire) {
       wire.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + List(8, true, "Ready"));
     });
     discovery_.emplace(
-        io_, told_->endpoint(), EndpointListReader(config_), false, 7,
+        io_, discovery_peer_->endpoint(), EndpointListReader(config_), false, 7,
         [this](const EndpointList& list) {
-          server_ = list.endpoints[0].entry.server;
+          backend_ = list.endpoints[0].entry.server;
           backends_->Update(list);
         },
         [] {}, Discovery::Timing{});
     backends_->SetUnreadListCheck([this] { return discovery_->HasUnread(); });
     discovery_->Watch();
-    EXPECT_TRUE(Until([&] { return server_ != kServer; }));
+    EXPECT_TRUE(Until([&] { return backend_ != kBackend; }));
     Send();
     EXPECT_TRUE(Until([&] { return results_.size() == 1; }));
     RunReady();
-    backends_->SetAttemptObserver([this](BackendId, const ForwardedRequest&) { ++begun_; });
+    backends_->SetAttemptObserver([this](BackendId, const ForwardedRequest&) { ++begun_attempts_; });
   }
 
   std::string List(int index, bool snapshot, const char* status) const {
-    const std::string text =
-        ListJson(index, snapshot, {EndpointJson("s-1", peer_->address(), status)}) + "\n";
-    std::array<char, 16> size{};
-    std::snprintf(size.data(), size.size(), "%zx\r\n", text.size());
-    return size.data() + text + "\r\n";
+    return Chunk(ListJson(index, snapshot, {EndpointJson("s-1", peer_->address(), status)}) + "\n");
   }
 
-  // Held up for longer than the grace after a drain: a list comes meanwhile, and a request whose handler is
-  // the first to run. `next` happens right behind it.
+  // The process is descheduled for longer than the grace period after a drain: a list comes meanwhile, and a
+  // request whose handler is the first to run. `next` happens right behind it.
   template <typename Next>
   void SendAheadOf(const std::string& list, Next next) {
     badgerbridge::testing::ReadyDescriptor request(io_, [this, next] {
@@ -195,30 +189,30 @@
     RunReady();
     clock_.Advance(milliseconds(600));
     request.MakeReady();
-    told_->wires[0]->Send(list);
+    discovery_peer_->wires[0]->Send(list);
     RunReady();
   }
 
   const Config config_ = TestConfig({});
-  std::optional<Peer> told_;
+  std::optional<Peer> discovery_peer_;
   std::optional<Discovery> discovery_;
-  int begun_ = 0;
+  int begun_attempts_ = 0;
 };
 
-TEST_F(NewsRaceTest, AnAttemptWaitsForADrainThatIsUnread) {
+TEST_F(UnreadListRaceTest, AnAttemptWaitsForADrainThatIsUnread) {
   SendAheadOf(List(9, false, "Terminating"), [] {});
-  EXPECT_EQ(begun_, 0);
+  EXPECT_EQ(begun_attempts_, 0);
   ASSERT_EQ(results_.size(), 2u);
   EXPECT_EQ(results_[1], Outcome::kConnectFailed);
 }
 
-TEST_F(NewsRaceTest, AConnectionThatEndsWhileItsAttemptWaitsIsNotUsed) {
+TEST_F(UnreadListRaceTest, AConnectionThatEndsWhileItsAttemptWaitsIsNotUsed) {
   SendAheadOf(List(9, false, "Ready"), [this] {
     ErrorCode ignored;
     peer_->wires[0]->socket.shutdown(tcp::socket::shutdown_send, ignored);
     badgerbridge::testing::AwaitDelivery();
   });
-  EXPECT_EQ(begun_, 0);
+  EXPECT_EQ(begun_attempts_, 0);
   ASSERT_EQ(results_.size(), 2u);
   EXPECT_EQ(results_[1], Outcome::kConnectFailed);
 }
--- a/tests/races/discovery_race_test.cpp
+++ b/tests/races/discovery_race_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A watch's silence is over in the turn in which discovery's next word came.
+// The time for discovery's next message is over in the turn in which the message has come.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -17,12 +17,6 @@
 
 using std::chrono::milliseconds;
 
-std::string Chunk(const std::string& text) {
-  char size[16];
-  std::snprintf(size, sizeof size, "%zx\r\n", text.size());
-  return size + text + "\r\n";
-}
-
 constexpr char kHead[] = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 class DiscoveryRaceTest : public badgerbridge::testing::TurnTest {
@@ -30,18 +24,18 @@
   DiscoveryRaceTest() : config_(TestConfig({})) {
     timing_.message_timeout = milliseconds(2800);
     peer_.emplace(io_, [this](Wire& wire) {
-      if (hold_answers_) return;
+      if (holds_responses_) return;
       wire.Send(kHead + Chunk(List(8, true, "Ready") + "\n"));
     });
   }
   static std::string List(int index, bool snapshot, const std::string& status) {
     return ListJson(index, snapshot, {EndpointJson("s-1", "127.0.0.1:9", status)});
   }
-  void Watch(bool ask) {
+  void Watch(bool polls) {
     discovery_.emplace(
-        io_, peer_->endpoint(), EndpointListReader(config_), ask, 7,
+        io_, peer_->endpoint(), EndpointListReader(config_), polls, 7,
         [this](const EndpointList& list) { states_.push_back(list.endpoints.at(0).entry.state); },
-        [this] { ++failed_; }, timing_);
+        [this] { ++failures_; }, timing_);
     discovery_->Watch();
   }
   Wire& wire() { return *peer_->wires.back(); }
@@ -50,24 +44,24 @@
   Discovery::Timing timing_;
   std::optional<Peer> peer_;
   std::optional<Discovery> discovery_;
-  std::vector<BackendState> states_;  // one a list
-  bool hold_answers_ = false;
-  int failed_ = 0;
+  std::vector<BackendState> states_;  // of the backend, by each list
+  bool holds_responses_ = false;
+  int failures_ = 0;
 };
 
-TEST_F(DiscoveryRaceTest, AListThatIsUnreadWhenTheSilenceIsOverIsTaken) {
+TEST_F(DiscoveryRaceTest, AListUnreadAtTheMessageTimeoutCounts) {
   Watch(false);
   ASSERT_TRUE(Until([&] { return states_.size() == 1; }));
   RunReady();
   TimersAheadOf([&] { wire().Send(Chunk(List(9, false, "Terminating") + "\n")); }, timing_.message_timeout);
   AdvanceAndRun(milliseconds(1));
-  ASSERT_EQ(states_.size(), 2u) << "the word was there";
+  ASSERT_EQ(states_.size(), 2u) << "the message had come";
   EXPECT_EQ(states_[1], BackendState::kDraining);
   EXPECT_EQ(peer_->wires.size(), 1u) << "and the watch goes on";
   EXPECT_FALSE(wire().closed);
 }
 
-TEST_F(DiscoveryRaceTest, AListThatComesInTheTurnInWhichTheSilenceIsOverIsTaken) {
+TEST_F(DiscoveryRaceTest, AListThatComesAsTheMessageTimeoutExpiresCounts) {
   Watch(false);
   ASSERT_TRUE(Until([&] { return states_.size() == 1; }));
   RunReady();
@@ -78,8 +72,8 @@
   EXPECT_EQ(peer_->wires.size(), 1u);
 }
 
-// The process stood still while it read a list: its rest waits, and is no silence.
-TEST_F(DiscoveryRaceTest, TheRestOfAListIsTakenAfterAPause) {
+// The process was descheduled while it read a list: the rest of the list is unread.
+TEST_F(DiscoveryRaceTest, TheRestOfAListCountsAfterAPause) {
   Watch(false);
   ASSERT_TRUE(Until([&] { return states_.size() == 1; }));
   RunReady();
@@ -96,16 +90,16 @@
   EXPECT_EQ(peer_->wires.size(), 1u);
 }
 
-TEST_F(DiscoveryRaceTest, SilenceEndsTheWatch) {
+TEST_F(DiscoveryRaceTest, AWatchWithoutMessagesIsOpenedAgain) {
   Watch(false);
   ASSERT_TRUE(Until([&] { return states_.size() == 1; }));
   EXPECT_TRUE(Until([&] { return peer_->wires.size() == 2; }));
   EXPECT_TRUE(Until([&] { return states_.size() == 2; }));
 }
 
-// A call that has waited for its turn is not thrown away because its answer is read late.
-TEST_F(DiscoveryRaceTest, AnAnswerThatIsUnreadWhenTheTimeForItIsOverIsTaken) {
-  hold_answers_ = true;
+// A call that has waited for its turn is not discarded because its response is read late.
+TEST_F(DiscoveryRaceTest, AResponseUnreadAtItsTimeoutCounts) {
+  holds_responses_ = true;
   timing_ = Discovery::Timing::For(true);
   Watch(true);
   ASSERT_TRUE(Until([&] { return peer_->requests.size() == 1; }));
@@ -113,21 +107,21 @@
   TimersAheadOf([&] { wire().Send(kHead + Chunk(List(9, true, "Ready") + "\n")); }, timing_.response_timeout);
   AdvanceAndRun(milliseconds(1));
   EXPECT_EQ(states_.size(), 1u);
-  EXPECT_EQ(failed_, 0);
+  EXPECT_EQ(failures_, 0);
 }
 
-TEST_F(DiscoveryRaceTest, ACallWithoutAnAnswerEndsInTime) {
-  hold_answers_ = true;
+TEST_F(DiscoveryRaceTest, ACallWithoutAResponseEndsAtItsTimeout) {
+  holds_responses_ = true;
   timing_ = Discovery::Timing::For(true);
   Watch(true);
   ASSERT_TRUE(Until([&] { return peer_->requests.size() == 1; }));
   const auto began = ProxyClock::Steady::now();
-  EXPECT_TRUE(Until([&] { return failed_ == 1; }));
+  EXPECT_TRUE(Until([&] { return failures_ == 1; }));
   EXPECT_LE(ProxyClock::Steady::now() - began, timing_.response_timeout + milliseconds(2));
 }
 
-// SIGHUP names another discovery in the turn in which the old one has told of a drain.
-TEST_F(DiscoveryRaceTest, WhatTheOldDiscoveryHasToldIsTakenBeforeTheMove) {
+// SIGHUP names another discovery in the turn in which the old one has sent a drain.
+TEST_F(DiscoveryRaceTest, ListsOfTheOldDiscoveryAreReadBeforeTheMove) {
   Watch(false);
   ASSERT_TRUE(Until([&] { return states_.size() == 1; }));
   RunReady();
@@ -141,7 +135,7 @@
   EXPECT_EQ(discovery_->address(), silent.endpoint());
 }
 
-TEST_F(DiscoveryRaceTest, WithNothingUnreadTheMoveIsAtOnce) {
+TEST_F(DiscoveryRaceTest, TheMoveIsAtOnceIfNothingIsUnread) {
   Watch(false);
   ASSERT_TRUE(Until([&] { return states_.size() == 1; }));
   RunReady();
@@ -150,13 +144,13 @@
   EXPECT_EQ(discovery_->address(), silent.endpoint());
 }
 
-// The module asks again in the turn in which the open watch has told of a drain: another call would wait for
+// The decision module polls in the turn in which the open watch has sent a drain: another call would wait for
 // its turn at the one service.
-TEST_F(DiscoveryRaceTest, AWatchWhoseWordIsUnreadIsNotReplaced) {
+TEST_F(DiscoveryRaceTest, AWatchWithAnUnreadMessageIsNotReplaced) {
   Watch(true);
   ASSERT_TRUE(Until([&] { return states_.size() == 1; }));
   RunReady();
-  hold_answers_ = true;
+  holds_responses_ = true;
   wire().Send(Chunk(List(9, false, "Terminating") + "\n"));
   discovery_->Watch();
   RunReady();
--- a/tests/races/turn.h
+++ b/tests/races/turn.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Forces what one turn of the event loop finds in a process that was not scheduled for a while: expired
-// timers, and descriptors that became ready.
+// Forces what one turn of the event loop finds in a process that was descheduled for a while: expired timers,
+// and descriptors that became ready.
 //
 // Asio takes at most 128 ready descriptors from epoll in one turn and queues their handlers; those of the
 // timers that have expired come behind them. A descriptor that is ready, and not among the 128, is seen only
@@ -32,19 +32,21 @@
 /// Waits until what this process has written to its TCP sockets has been acknowledged: then it can be read.
 /// On loopback that is soon, but not at once where the kernel hands packets over on another thread.
 inline void AwaitDelivery() {
-  constexpr int kMostDescriptors = 1024;
-  constexpr time_t kLimit = 20;  // seconds
-  timespec began{}, now{};
+  constexpr int kMaxDescriptors = 1024;
+  constexpr time_t kMaxSeconds = 20;
+  timespec began{};
+  timespec now{};
   clock_gettime(CLOCK_REALTIME, &began);  // not the virtual one
-  for (int descriptor = 0; descriptor < kMostDescriptors;) {
-    int domain = 0, pending = 0;
+  for (int descriptor = 0; descriptor < kMaxDescriptors;) {
+    int domain = 0;
+    int pending = 0;
     socklen_t size = sizeof domain;
     const bool awaited = getsockopt(descriptor, SOL_SOCKET, SO_DOMAIN, &domain, &size) == 0 &&
                          domain == AF_INET && ioctl(descriptor, SIOCOUTQ, &pending) == 0 && pending > 0;
     clock_gettime(CLOCK_REALTIME, &now);
     if (!awaited) {
       ++descriptor;
-    } else if (now.tv_sec - began.tv_sec > kLimit) {
+    } else if (now.tv_sec - began.tv_sec > kMaxSeconds) {
       ADD_FAILURE() << "bytes have not come across loopback";
       return;
     }
@@ -74,7 +76,7 @@
 /// A test's clock, and an event loop that runs only what is ready.
 class TurnTest : public ::testing::Test {
  protected:
-  /// Runs handlers until none is ready; how many.
+  /// Runs handlers until none is ready. Returns how many.
   std::size_t RunReady() {
     std::size_t ran = 0;
     for (std::size_t n = 1; n > 0; ran += n) {
@@ -124,8 +126,8 @@
   /// if it does not hold within 20 s of that clock.
   template <typename Condition>
   bool Until(Condition holds) {
-    constexpr int kMostSteps = 20000;
-    for (int step = 0; step < kMostSteps; ++step) {
+    constexpr int kMaxSteps = 20000;
+    for (int step = 0; step < kMaxSteps; ++step) {
       if (holds()) return true;
       if (RunReady() == 0) clock_.Advance(std::chrono::milliseconds(1));
     }
