--- a/src/proxy/backend_pool.cpp
+++ b/src/proxy/backend_pool.cpp
@@ -104,8 +104,7 @@
 // has not begun can be sent elsewhere.
 bool BackendPool::AcceptsRequests(BackendId backend, const tcp::endpoint& address) const {
   const auto found = backends_.find(backend);
-  return found != backends_.end() && found->second.address == address &&
-         found->second.state == BackendState::kReady;
+  return found != backends_.end() && found->second.IsReadyAt(address);
 }
 
 // The newest that has been idle for long enough.
@@ -183,8 +182,10 @@
 }
 
 void BackendPool::AddIdle(std::shared_ptr<Connection> connection) {
-  if (!AcceptsRequests(connection->backend(), connection->address())) return connection->Close();
-  std::vector<std::shared_ptr<Connection>>& idle = backends_.find(connection->backend())->second.idle;
+  const auto found = backends_.find(connection->backend());
+  const bool is_usable = found != backends_.end() && found->second.IsReadyAt(connection->address());
+  if (!is_usable) return connection->Close();
+  std::vector<std::shared_ptr<Connection>>& idle = found->second.idle;
   try {
     idle.push_back(connection);
   } catch (const std::exception&) {
--- a/src/proxy/backend_pool.h
+++ b/src/proxy/backend_pool.h
@@ -100,6 +100,10 @@
 
  private:
   struct Backend {
+    bool IsReadyAt(const boost::asio::ip::tcp::endpoint& of_connection) const {
+      return address == of_connection && state == BackendState::kReady;
+    }
+
     boost::asio::ip::tcp::endpoint address;
     BackendState state = BackendState::kGone;
     std::vector<std::shared_ptr<Connection>> idle;  // the newest last
--- a/src/proxy/discovery.cpp
+++ b/src/proxy/discovery.cpp
@@ -11,6 +11,8 @@
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
 #include <iostream>
+#include <string>
+#include <string_view>
 #include <utility>
 
 #include "net/socket_state.h"
@@ -26,6 +28,8 @@
 constexpr std::size_t kMaxReadBytes = 16384;    // of one read
 constexpr unsigned kHttpVersion = 11;           // as Beast writes HTTP/1.1
 
+void LogFailure(std::string_view reason) { std::cerr << "discovery: " << reason << '\n'; }
+
 // Closes a stream unless what is awaited on it has come by a time. What has come by then and is not read yet,
 // since this process was descheduled, is read first.
 class ReadDeadline {
@@ -104,7 +108,7 @@
   try {
     asio::co_spawn(io_, Run(++generation_), asio::detached);
   } catch (const std::exception& error) {
-    std::cerr << "discovery: " << error.what() << '\n';  // the watchdog tries again
+    LogFailure(error.what());  // the watchdog tries again
   }
 }
 
@@ -142,7 +146,7 @@
     try {
       co_await WatchOnce(generation);
     } catch (const std::exception& error) {
-      std::cerr << "discovery: " << error.what() << '\n';
+      LogFailure(error.what());
     }
     if (generation != generation_) co_return;
     awaits_response_ = false;
@@ -214,7 +218,7 @@
     const EndpointListResult<bool> has_message =
         HandleBytes(messages, {piece.data(), piece.size() - body.size}, generation);
     if (!has_message) {
-      std::cerr << "discovery: not a list: " << Message(has_message.error()) << '\n';
+      LogFailure("not a list: " + Message(has_message.error()));
       co_return;
     }
     if (error || generation != generation_) co_return;
