--- a/tests/proxy/proxy_shutdown_test.cpp
+++ b/tests/proxy/proxy_shutdown_test.cpp
@@ -58,7 +58,8 @@
   const TimePoint began = node->clock.Now();
   node->listener.Stop([&] { stopped = true; });
   ASSERT_TRUE(RunUntil(io, [&] { return stopped; }));
-  EXPECT_GE((node->clock.Now() - began).count(), 1450) << "the time until the listener closes, and a second for the client";
+  EXPECT_GE((node->clock.Now() - began).count(), 1450)
+      << "the time until the listener closes, and a second for the client";
   EXPECT_EQ(node->listener.connections(), 0u);
 }
 
