--- a/bench/slopes_proxy.cpp
+++ b/bench/slopes_proxy.cpp
@@ -38,8 +38,8 @@
   listed.zone = ZoneName(index % kZones);
   listed.kind = "standard";
   listed.address = http_api::ParseAddress(BackendAddress(index));
-  listed.group = index / 16;
-  listed.since_ms = 1.79e12 + index * 1000.0;
+  listed.cell = index / 16;
+  listed.started_at_ms = 1.79e12 + index * 1000.0;
   return listed;
 }
 
@@ -84,7 +84,7 @@
   Cost Take(bool whole, const std::vector<proxy::ListedEndpoint>& listed, std::size_t pooled) {
     Cost cost;
     Measure(&cost, [&] {
-      const proxy::EndpointList list = reader_.Take(whole, ++index_, listed);
+      const proxy::EndpointList list = reader_.Resolve(whole, ++index_, listed);
       if (membership_) {
         membership_->Discovered(list);
       } else {
@@ -93,11 +93,11 @@
     });
     const auto give_up = std::chrono::steady_clock::now() + kMostWait;
     RunReady();
-    while (backends_.known() != pooled && std::chrono::steady_clock::now() < give_up) RunOne(&cost);
+    while (backends_.backend_count() != pooled && std::chrono::steady_clock::now() < give_up) RunOne(&cost);
     return cost;
   }
 
-  std::size_t pooled() const { return backends_.known(); }
+  std::size_t pooled() const { return backends_.backend_count(); }
   proxy_main::MembershipSource* membership() { return membership_ ? &*membership_ : nullptr; }
 
  private:
@@ -135,7 +135,7 @@
 double ReaderBytes(const proxy::Config& config, const std::vector<proxy::ListedEndpoint>& listed) {
   const std::size_t before = LiveBytes();
   proxy::EndpointListReader reader(config);
-  reader.Take(true, 1, listed);
+  reader.Resolve(true, 1, listed);
   return static_cast<double>(LiveBytes() - before);
 }
 
@@ -143,7 +143,7 @@
   boost::asio::io_context io(1);
   proxy::ProxyClock clock;
   proxy::EndpointListReader reader(config);
-  const proxy::EndpointList list = reader.Take(true, 1, listed);
+  const proxy::EndpointList list = reader.Resolve(true, 1, listed);
   proxy::BackendPool backends(io, clock, proxy::BackendPool::Limits::From(config));
   const std::size_t before = LiveBytes();
   backends.Update(list);
--- a/src/admin_api/admin_api.cpp
+++ b/src/admin_api/admin_api.cpp
@@ -146,11 +146,11 @@
   }
   status["requests"] = Counts(all);
   status["classes"] = std::move(classes);
-  const TimePoint told = subject_.proxy.list_at();
+  const TimePoint told = subject_.proxy.last_list_at();
   status["list"] = json::object{
-      {"revision", subject_.list.index()},
+      {"revision", subject_.list.version()},
       {"age_ms", told == TimePoint{} ? json::value(nullptr) : json::value(std::floor((now - told).count()))},
-      {"converters", subject_.list.known()}};
+      {"converters", subject_.list.name_count()}};
   if (drain_began_ && subject_.listener.draining()) {
     json::object drain{{"since_ms", std::floor((now - *drain_began_).count())}};
     if (drain_due_) {
--- a/src/admin_api/admin_api.h
+++ b/src/admin_api/admin_api.h
@@ -14,7 +14,7 @@
 #include "http_api/server.h"
 #include "operator_config/operator_file.h"
 #include "proxy/config.h"
-#include "proxy/discovery.h"
+#include "proxy/endpoint_list_reader.h"
 #include "proxy/listener.h"
 #include "proxy/proxy.h"
 
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -120,7 +120,8 @@
 }
 
 bool Listener::IsIdle() const {
-  return proxy_.open() == 0 && clock_.Now() - last_request_at_ >= kDrainIdleTime && sessions_.AllIdle();
+  return proxy_.open_requests() == 0 && clock_.Now() - last_request_at_ >= kDrainIdleTime &&
+         sessions_.AllIdle();
 }
 
 void Listener::Stop(std::function<void()> stopped) {
--- a/src/proxy/session_request.cpp
+++ b/src/proxy/session_request.cpp
@@ -57,7 +57,7 @@
 }
 
 void Session::BeginServing(ClientRequest& request, ValidRequest& valid) {
-  auto forwarded = std::make_shared<Forwarded>();
+  auto forwarded = std::make_shared<ForwardedRequest>();
   forwarded->method = request.method();
   forwarded->target = std::string(request.target());
   forwarded->body = std::move(request.body());
--- a/src/proxy_main/main.cpp
+++ b/src/proxy_main/main.cpp
@@ -36,7 +36,7 @@
 // that is no good nothing is taken.
 void Reload(Discovery& discovery, const Environment& environment, admin_api::ReloadStatus* reloads) {
   try {
-    discovery.MoveTo(RereadConfig(environment).discovery);
+    discovery.MoveTo(RereadConfig(environment).value().discovery);
     ++reloads->applied;
     reloads->last_error.clear();
   } catch (const std::exception& error) {
@@ -58,10 +58,10 @@
 
   EndpointListReader reader(config);
   EndpointList known;
-  try {
-    if (!config.known.is_null()) known = reader.Read(config.known);
-  } catch (const std::exception& error) {
-    throw BadConfig(std::string("known is not a list of backends: ") + error.what());
+  if (!config.known.is_null()) {
+    EndpointListResult<EndpointList> list = reader.Read(config.known);
+    if (!list) throw BadConfig({ConfigErrorCode::kInvalidKnownList, "/known", Message(list.error())});
+    known = std::move(*list);
   }
   known.snapshot = true;
 #ifdef BADGERBRIDGE_HAS_ETCD
@@ -90,8 +90,8 @@
   Discovery discovery(
       io, config.discovery, std::move(reader), config.settings.polls_endpoint_list, config.seed, told,
       [&proxy] { proxy.EndpointListFailed(); }, Discovery::Timing::For(config.settings.polls_endpoint_list));
-  proxy.OnSubscribe([&discovery] { discovery.Watch(); });
-  backends.PostponeWhile([&discovery] { return discovery.HasUnread(); });
+  proxy.SetSubscribeHandler([&discovery] { discovery.Watch(); });
+  backends.SetUnreadListCheck([&discovery] { return discovery.HasUnread(); });
   proxy.UpdateList(EndpointListKind::kCached, known);
   if (!config.settings.polls_endpoint_list) discovery.Watch();
 
--- a/src/proxy_main/membership_source.cpp
+++ b/src/proxy_main/membership_source.cpp
@@ -71,7 +71,7 @@
     known_.push_back(endpoint.name);
     listed.push_back({endpoint.name, "", "", endpoint.address});
   }
-  names_.Take(true, 0, listed);
+  names_.Resolve(true, 0, listed);
 }
 
 void MembershipSource::Discovered(const EndpointList& list) {
@@ -171,16 +171,16 @@
       std::cerr << "etcd: " << member.name << " has no address that can be used: " << member.address << '\n';
       continue;
     }
-    one.group = member.group;
+    one.cell = member.group;
     one.weight = member.weight;
-    one.since_ms = member.start_time_ms;
+    one.started_at_ms = member.start_time_ms;
     listed.push_back(std::move(one));
   }
   // The version counts once all up to it is passed on.
   const std::uint64_t version =
-      pending_.empty() ? ledger_.version(ledger_.is_authority(etcd_) ? etcd_ : discovery_) : names_.index();
-  if (listed.empty()) return names_.NoChangeUpTo(version);
-  on_change_(names_.Take(false, version, listed));
+      pending_.empty() ? ledger_.version(ledger_.is_authority(etcd_) ? etcd_ : discovery_) : names_.version();
+  if (listed.empty()) return names_.SetVersion(version);
+  on_change_(names_.Resolve(false, version, listed));
 }
 
 void MembershipSource::LogRefusal(std::size_t source, bool was_refused) const {
--- a/src/proxy_main/membership_source.h
+++ b/src/proxy_main/membership_source.h
@@ -18,7 +18,7 @@
 #include "net/one_shot_timer.h"
 #include "operator_config/operator_file.h"
 #include "proxy/config.h"
-#include "proxy/discovery.h"
+#include "proxy/endpoint_list_reader.h"
 
 namespace badgerbridge::proxy_main {
 
--- a/tests/admin_api/admin_api_test.cpp
+++ b/tests/admin_api/admin_api_test.cpp
@@ -127,7 +127,7 @@
   rig.waiting[2]->Send(Reply(500));  // a certified copy may have run: failed
   rig.waiting[4]->Reset();
   clients[1]->Close();  // a client leaves
-  ASSERT_TRUE(RunUntil(rig.io, [&] { return rig.node.proxy.open() == 1; }));
+  ASSERT_TRUE(RunUntil(rig.io, [&] { return rig.node.proxy.open_requests() == 1; }));
   const json::value status = rig.Status();
   for (const auto& [name, counts] : status.at("classes").as_object()) ExpectSum(counts);
   const json::value& all = status.at("requests");
@@ -139,7 +139,7 @@
   EXPECT_EQ(N(status.at("classes").at("certify"), "taken"), 3);
   EXPECT_EQ(N(status.at("classes").at("preview"), "open"), 1);
   // The rest is failed by the last resort or the module; nothing stays open.
-  ASSERT_TRUE(RunUntil(rig.io, [&] { return rig.node.proxy.open() == 0; }));
+  ASSERT_TRUE(RunUntil(rig.io, [&] { return rig.node.proxy.open_requests() == 0; }));
   ExpectSum(rig.Status().at("requests"));
 }
 
@@ -159,7 +159,7 @@
   EXPECT_EQ(by_name["s-1"].at("zone"), "ebene");
   EXPECT_EQ(by_name["s-2"].at("status"), "draining");
   rig.waiting[0]->Send(Reply(200, "x"));
-  ASSERT_TRUE(RunUntil(rig.io, [&] { return rig.node.proxy.open() == 0; }));
+  ASSERT_TRUE(RunUntil(rig.io, [&] { return rig.node.proxy.open_requests() == 0; }));
 }
 
 TEST(AdminApi, ADrainAnswersWhatComesAndSaysWhenItIsQuiet) {
--- a/tests/compatibility/proxy_compatibility_test.cpp
+++ b/tests/compatibility/proxy_compatibility_test.cpp
@@ -12,7 +12,7 @@
 #include "compatibility/settings_dump.h"
 #include "proxy/config.h"
 #include "proxy/discovery.h"
-#include "proxy/json_values.h"
+#include "proxy/json_stream.h"
 
 namespace badgerbridge::compatibility {
 namespace {
@@ -45,7 +45,7 @@
   dump.Add("settings.zones", config.zones);
   dump.Add("settings.kinds", config.kinds);
   dump.Add("settings.permissions.connectTimeoutMs", config.connect_timeout);
-  dump.Add("settings.permissions.connIdleMs", config.idle_limit);
+  dump.Add("settings.permissions.connIdleMs", config.backend_idle_timeout);
   dump.Add("known", json::serialize(config.known));
   AddSettings(config.settings, &dump);
   return dump.text();
@@ -79,7 +79,7 @@
       {"ROUTER_NAME", "other"},
       {"ROUTER_DISCOVERY", "127.0.0.6:6006"}};
   EXPECT_EQ(TextOf(proxy::ReadConfig(EnvironmentOf(variables)).discovery), "127.0.0.6:6006");
-  const proxy::Config again = proxy::RereadConfig(EnvironmentOf(variables));
+  const proxy::Config again = proxy::RereadConfig(EnvironmentOf(variables)).value();
   EXPECT_EQ(again.name, "other");
   EXPECT_EQ(TextOf(again.discovery), "127.0.0.1:7001");
 }
@@ -100,19 +100,19 @@
 /// The lists of a watch on discovery, one after another.
 std::string DumpOfWatch(std::string_view bytes, proxy::EndpointListReader reader) {
   constexpr std::size_t kMaxListBytes = 1 << 20;
-  proxy::JsonValues values(kMaxListBytes);
+  proxy::JsonStream stream(kMaxListBytes);
   KeyValueDump dump;
   for (;;) {
-    const proxy::JsonValues::Found found = values.Next(&bytes);
-    if (found == proxy::JsonValues::Found::kNothing) return dump.text();
+    const proxy::JsonStream::Item item = stream.Next(bytes).value();
+    if (item == proxy::JsonStream::Item::kNone) return dump.text();
     dump.BeginTable("");
-    if (found == proxy::JsonValues::Found::kEmptyLine) {
+    if (item == proxy::JsonStream::Item::kEmptyLine) {
       dump.Add("heartbeat", true);
       continue;
     }
-    const proxy::EndpointList list = reader.Read(values.Take());
+    const proxy::EndpointList list = reader.Read(stream.Take()).value();
     dump.Add("snapshot", list.snapshot);
-    dump.Add("index", reader.index());
+    dump.Add("index", reader.version());
     for (const proxy::Endpoint& endpoint : list.endpoints) AddEndpoint(endpoint, &dump);
   }
 }
--- a/tests/mutation/mutation_test.cpp
+++ b/tests/mutation/mutation_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // In a program whose proxy has an injected fault: the rig must report it, by the rule that it breaks
-// (MUTATION_BREAKS, a member of Found). One state (MUTATION_STATE) is enough, to be short.
+// (MUTATION_BREAKS, a member of RuleViolations). One state (MUTATION_STATE) is enough, to be short.
 #include <gtest/gtest.h>
 
 #include <iostream>
--- a/tests/proxy/hostile_backends_test.cpp
+++ b/tests/proxy/hostile_backends_test.cpp
@@ -62,7 +62,8 @@
   EXPECT_GT(served_, 30) << "of 60";
   for (const auto& backend : backends_) backend->Refuse();
   for (const auto& client : clients_) client->Close();
-  EXPECT_TRUE(RunUntil([this] { return node_->listener.connections() == 0 && node_->backends.open() == 0; }));
+  EXPECT_TRUE(RunUntil(
+      [this] { return node_->listener.connections() == 0 && node_->backends.open_connections() == 0; }));
 }
 
 }  // namespace
--- a/tests/proxy/hostile_clients_test.cpp
+++ b/tests/proxy/hostile_clients_test.cpp
@@ -142,7 +142,7 @@
   RunFor(milliseconds(10));
   for (std::size_t i = 0; i < waiting.size(); ++i) i % 2 == 0 ? waiting[i]->Reset() : waiting[i]->Close();
   RunFor(milliseconds(10));
-  EXPECT_EQ(node_->proxy.open(), 3u) << "those of well-behaved clients";
+  EXPECT_EQ(node_->proxy.open_requests(), 3u) << "those of well-behaved clients";
   hold_answers_ = false;
   for (const auto& [wire, id] : held_) wire->Send(Reply(200, id));
   held_.clear();
--- a/tests/proxy/hostile_fixture.cpp
+++ b/tests/proxy/hostile_fixture.cpp
@@ -60,7 +60,7 @@
                                  1 + static_cast<int>(i % 2)));
   }
   Config config = TestConfig(known, sockets);
-  config.idle_limit = Duration(1000);
+  config.backend_idle_timeout = Duration(1000);
   node_.emplace(io_, config);
   baseline_ = CountOpenDescriptors();
   begin_ = ProxyClock::Steady::now();
@@ -143,10 +143,11 @@
 void HostileTest::ExpectNothingLeft() {
   for (const auto& client : clients_) client->Close();
   EXPECT_TRUE(RunUntil([this] {
-    return node_->listener.connections() == 0 && node_->proxy.open() == 0 && node_->backends.open() == 0;
+    return node_->listener.connections() == 0 && node_->proxy.open_requests() == 0 &&
+           node_->backends.open_connections() == 0;
   })) << node_->listener.connections()
-      << " connections, " << node_->proxy.open() << " requests, " << node_->backends.open()
-      << " connections to backends";
+      << " connections, " << node_->proxy.open_requests() << " requests, "
+      << node_->backends.open_connections() << " connections to backends";
   for (const BackendView& view : node_->proxy.Inspect()) {
     EXPECT_EQ(view.in_flight, 0);
     EXPECT_EQ(view.work_in_flight, 0);
--- a/tests/proxy/session_crossings_test.cpp
+++ b/tests/proxy/session_crossings_test.cpp
@@ -37,7 +37,7 @@
   SessionTotals totals;
   RunInProcesses(AllSessionPlays(), &totals);
   const MutationResults mutations = RunMutations();
-  const Found& found = totals.found;
+  const RuleViolations& found = totals.found;
   std::cout << "session crossings: plays=" << totals.plays << " lost=" << found.lost
             << " twice=" << found.twice << " late=" << found.late << " leaked=" << found.leaked
             << " planted_caught=" << mutations.caught << "/" << mutations.programs << std::endl;
--- a/tests/proxy/session_play.cpp
+++ b/tests/proxy/session_play.cpp
@@ -81,8 +81,9 @@
   if (limited_) config.max_clients = alone ? 1 : 2;
   node_.emplace(io_, config);
   listener_address_ = node_->listener.address();
-  node_->backends.OnBegin([this](BackendId, const Forwarded& forwarded) { OnAttemptBegun(forwarded); });
-  node_->backends.DialBy([this](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
+  node_->backends.SetAttemptObserver(
+      [this](BackendId, const ForwardedRequest& forwarded) { OnAttemptBegun(forwarded); });
+  node_->backends.SetConnector([this](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
     Dial(socket, address, std::move(ended));
   });
 }
@@ -267,12 +268,13 @@
   }
   const SteadyTime limit = steady_clock::now() + kMaxPlayTime;
   const auto is_idle = [this] {
-    return node_->listener.connections() == 0 && node_->proxy.open() == 0 && (!terminated_ || stopped_);
+    return node_->listener.connections() == 0 && node_->proxy.open_requests() == 0 &&
+           (!terminated_ || stopped_);
   };
   while (!is_idle() && steady_clock::now() < limit) {
     if (!RunHandler() && !ReleaseOne()) clock_.AdvanceToNextTimer(kMaxWait);
   }
-  if (!is_idle()) Report(&Found::leaked, "connections or requests are left");
+  if (!is_idle()) Report(&RuleViolations::leaked, "connections or requests are left");
 }
 
 // One handler, if one is ready. The kernel may hand over on another thread what has just been sent: it gets
@@ -283,7 +285,7 @@
   for (int look = 0; look < kLooks; ++look) {
     io_.restart();
     if (io_.poll_one() > 0) {
-      if (++handlers_ == kMaxHandlers) Report(&Found::leaked, "handlers run without end");
+      if (++handlers_ == kMaxHandlers) Report(&RuleViolations::leaked, "handlers run without end");
       DetectEnds();
       return true;
     }
@@ -320,14 +322,14 @@
 }
 
 PlayResult PlayOnce(const PlayPlan& plan) {
-  const std::size_t before = Descriptors();
+  const std::size_t before = CountDescriptors();
   PlayResult result;
   {
     const SilencedErrors silenced;
     SessionPlay play(plan);
     result = play.Run();
   }
-  if (Descriptors() != before) {
+  if (CountDescriptors() != before) {
     ++result.found.leaked;
     result.violations += Describe(plan) + ": descriptors are left\n";
   }
--- a/tests/proxy/session_play.h
+++ b/tests/proxy/session_play.h
@@ -30,7 +30,7 @@
 
 // What came of a play.
 struct PlayResult {
-  Found found;             // rules that were broken
+  RuleViolations found;    // rules that were broken
   std::string violations;  // a line for each
   // Handlers that ran between the events; fewer than planned if no more were ready.
   std::size_t ran_between = 0;
@@ -127,7 +127,7 @@
   void Serve(Wire& wire);
   std::string BodyFor(const std::string& id) const;
   void Dial(tcp::socket& socket, const tcp::endpoint& address, std::function<void(ErrorCode)> ended);
-  void OnAttemptBegun(const Forwarded& forwarded);
+  void OnAttemptBegun(const ForwardedRequest& forwarded);
 
   // The verdict.
   void CheckClient(const Client& client);
@@ -136,7 +136,7 @@
   bool TimedOutTooEarly(const Client& client, const Request& request) const;
   bool ReadsTooSlowly(const Client& client) const;
   bool MayBeRefused(const Client& client, bool after_end) const;
-  void Report(int Found::*rule, const std::string& what);
+  void Report(int RuleViolations::*rule, const std::string& what);
 
   const PlayPlan plan_;
   const tcp::endpoint address_ = OwnAddress();
--- a/tests/proxy/session_play_backend.cpp
+++ b/tests/proxy/session_play_backend.cpp
@@ -42,13 +42,13 @@
 }
 
 // The proxy is about to write the first byte of an attempt.
-void SessionPlay::OnAttemptBegun(const Forwarded& forwarded) {
+void SessionPlay::OnAttemptBegun(const ForwardedRequest& forwarded) {
   const auto [client, request] = FindRequest(forwarded.correlation_id);
-  if (!request) return Report(&Found::lost, "an attempt of no client's request");
+  if (!request) return Report(&RuleViolations::lost, "an attempt of no client's request");
   ++request->attempts;
-  if (request->unsafe && request->attempts > 1) Report(&Found::twice, "an unsafe request was sent twice");
+  if (request->unsafe && request->attempts > 1) Report(&RuleViolations::twice, "an unsafe request was sent twice");
   if (client->left && steady_clock::now() - *client->left > kMaxAttemptDelay)
-    Report(&Found::late, "an attempt was begun after its client had left");
+    Report(&RuleViolations::late, "an attempt was begun after its client had left");
 }
 
 void SessionPlay::AcceptAtBackend() {
@@ -57,7 +57,7 @@
     const auto wire = std::make_shared<Wire>(std::move(socket));
     backend_wires_.push_back(wire);
     wire->on_data = [this](Wire& with_data) {
-      if (Whole(with_data.in)) Serve(with_data);
+      if (IsComplete(with_data.in)) Serve(with_data);
     };
     if (hold_reads_) {
       held_.push_back([wire] { wire->Start(); });
@@ -76,7 +76,7 @@
     const auto left =
         (id.starts_with('t') ? milliseconds(0) : kTimeLeft) - (steady_clock::now() - *request->written);
     if (milliseconds(TimeLeftIn(text)) > left + kMaxExcessDeadline)
-      Report(&Found::late, "the backend was given more time than the client has left");
+      Report(&RuleViolations::late, "the backend was given more time than the client has left");
   }
   const auto answer = [this, id, weak = std::weak_ptr(wire.shared_from_this())] {
     if (const auto held = weak.lock()) held->Send(Reply(200, BodyFor(id)));
--- a/tests/proxy/session_play_verdict.cpp
+++ b/tests/proxy/session_play_verdict.cpp
@@ -9,19 +9,19 @@
 void SessionPlay::CheckClient(const Client& client) {
   const auto answers = AnswersIn(client.received);
   if (client.unread_at_reset && !HadTimeToRead(client))
-    Report(&Found::lost, "a reset came ahead of the client's reading its answer");
-  if (answers.size() > client.requests.size()) Report(&Found::lost, "more answers than requests");
+    Report(&RuleViolations::lost, "a reset came ahead of the client's reading its answer");
+  if (answers.size() > client.requests.size()) Report(&RuleViolations::lost, "more answers than requests");
   if (client.request_at && client.read_end && !MayBeRefused(client, true))
-    Report(&Found::lost, "a young connection was ended before its request came");
+    Report(&RuleViolations::lost, "a young connection was ended before its request came");
   for (std::size_t i = 0; i < answers.size() && i < client.requests.size(); ++i) {
     const Request& request = client.requests[i];
     const auto& [status, body] = answers[i];
     if (status == 200 && body != BodyFor(request.id))
-      Report(&Found::lost, "an answer that no backend made for the request");
+      Report(&RuleViolations::lost, "an answer that no backend made for the request");
     if (status == 408 && TimedOutTooEarly(client, request))
-      Report(&Found::lost, "a request was timed out while its client was still in time");
+      Report(&RuleViolations::lost, "a request was timed out while its client was still in time");
     if (request.unsafe && request.attempts > 0 && (status == 503 || status == 429))
-      Report(&Found::twice, "an unsafe request was sent and rejected");
+      Report(&RuleViolations::twice, "an unsafe request was sent and rejected");
   }
   for (std::size_t i = answers.size(); i < client.requests.size(); ++i) {
     const Request& request = client.requests[i];
@@ -34,12 +34,12 @@
 
 // It has not been answered, and is owed an answer unless it crossed the end of its connection.
 void SessionPlay::CheckUnanswered(const Client& client, const Request& request, std::size_t answers) {
-  if (!client.read_end) return Report(&Found::lost, "neither an answer nor an end");
+  if (!client.read_end) return Report(&RuleViolations::lost, "neither an answer nor an end");
   const bool read = watch_.BytesReadFrom(client.endpoint) > request.begin;
   // Those behind the first that was not answered crossed the end with it, if it did.
   const bool was_idle = answers > 0 && !client.requests[answers].behind_another;
   if (!read && was_idle) {
-    if (request.attempts > 0) Report(&Found::twice, "a request was sent that its client will send again");
+    if (request.attempts > 0) Report(&RuleViolations::twice, "a request was sent that its client will send again");
     return;
   }
   if (!read && answers == 0 && MayBeRefused(client, client.requests.front().after_end)) return;
@@ -47,7 +47,7 @@
   if (answers > 0) how = was_idle ? "idle" : "behind another";
   how += read ? ", read" : ", unread";
   if (request.after_end) how += ", written after the end could be seen";
-  Report(&Found::lost, "no answer: " + how);
+  Report(&RuleViolations::lost, "no answer: " + how);
 }
 
 // It has had more time to read its answer, after the end of its connection, than a client needs.
@@ -78,7 +78,7 @@
   return terminated_ && *client.ended - *terminated_ >= kTermToRefusal;
 }
 
-void SessionPlay::Report(int Found::*rule, const std::string& what) {
+void SessionPlay::Report(int RuleViolations::*rule, const std::string& what) {
   ++(result_.found.*rule);
   result_.violations += Describe(plan_) + ": " + what + "\n";
 }
--- a/tests/proxy/session_plays.h
+++ b/tests/proxy/session_plays.h
@@ -13,7 +13,7 @@
 namespace badgerbridge::proxy::testing {
 
 struct SessionTotals {
-  Found found;
+  RuleViolations found;
   std::size_t plays = 0;
 
   void Add(const SessionTotals& other) {
--- a/tests/proxy/session_race_test.cpp
+++ b/tests/proxy/session_race_test.cpp
@@ -138,7 +138,7 @@
   }
   const auto young = node_->Connect();
   ASSERT_TRUE(RunUntilVirtual([&] {
-    return node_->proxy.open() == busy.size() &&
+    return node_->proxy.open_requests() == busy.size() &&
            node_->listener.connections() == kMaxClientsOfScarceDescriptors;
   }));
   hold_answers_ = false;
@@ -260,7 +260,7 @@
   ASSERT_TRUE(RunUntilVirtual([&] { return backend_->requests.size() == 1; }));
   node_->listener.Drain();
   backend_->wires[0]->Send(Reply(200, body));
-  ASSERT_TRUE(RunUntilVirtual([&] { return node_->proxy.open() == 0; }));
+  ASSERT_TRUE(RunUntilVirtual([&] { return node_->proxy.open_requests() == 0; }));
   RunAllReady();
   asio::write(client, asio::buffer(Get("crossing")));
   clock_.Advance(milliseconds(1000));
@@ -290,7 +290,7 @@
   for (const std::string& ahead : {std::string(), Get("next"), std::string("GET /pre")}) {
     SCOPED_TRACE(ahead);
     std::vector<std::function<void()>> dials;
-    node_->backends.DialBy([&](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
+    node_->backends.SetConnector([&](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
       dials.push_back([&socket, address, ended] {
         ErrorCode error;
         socket.connect(address, error);
@@ -305,8 +305,8 @@
     dials[0]();
     EXPECT_TRUE(RunUntilVirtual([&] { return node_->listener.connections() == 0; }));
     EXPECT_TRUE(backend_->requests.empty()) << backend_->requests[0];
-    EXPECT_EQ(node_->proxy.open(), 0u);
-    EXPECT_EQ(node_->backends.open(), 0u);
+    EXPECT_EQ(node_->proxy.open_requests(), 0u);
+    EXPECT_EQ(node_->backends.open_connections(), 0u);
   }
 }
 
