--- a/src/simulator/backend.h
+++ b/src/simulator/backend.h
@@ -1,96 +1,127 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// A backend as the model has it: so many slots, a queue before them, work in ms of a standard core, cold
-// after its start and warming evenly with time. Sent more than a multiple of what it can do for a while, it
-// falls over and stays down. It can be made slow, wrong or paused.
+
+/// @file
+/// A backend as the model has it: slots with a queue before them, work in ms of a standard core, and slow
+/// start. It can be made slow, faulty or paused.
 #ifndef BADGERBRIDGE_SIMULATOR_BACKEND_H_
 #define BADGERBRIDGE_SIMULATOR_BACKEND_H_
 
+#include <cstddef>
+#include <cstdint>
 #include <deque>
-#include <utility>
+#include <vector>
 
 #include "simulator/event_queue.h"
 #include "simulator/random.h"
 
 namespace badgerbridge::simulator {
 
+/// What a backend can do.
 struct BackendModel {
-  int slots = 8, queue = 64;
-  double speed = 1;  // work a ms of one slot, once warm
-  // The rules' words (balancer::Settings).
+  int slots = 8;            ///< Jobs that run at once.
+  int queue_capacity = 64;  ///< Jobs that wait; more are rejected.
+  double speed = 1;         ///< Work per ms of one slot, once warm.
+  /// Slow start and overload, as balancer::Settings has them.
   double slow_start_floor = 1;
-  Duration slow_start_window{0};
-  double overload_factor = 0;  // 0: it never falls over
-  Duration overload_duration{0};
-  bool falls = true;  // false: it stands whatever it is sent, and the referee alone judges
+  Duration slow_start_window{0};       ///< How long slow start takes.
+  double overload_factor = 0;          ///< 0: it never fails from overload.
+  Duration overload_duration{0};       ///< Over which received work is summed.
+  bool can_fail_from_overload = true;  ///< false: it runs on, and only RuleChecker judges what it received.
 };
 
+/// A job at a backend, numbered by the caller.
 using JobId = std::uint64_t;
 
-class Backend final : public Actor {
+/// One backend on an event queue. In slow start it grows evenly with time from the floor to its full speed;
+/// if it receives more than `overload_factor` of what it can do, over `overload_duration`, it fails.
+class Backend final {
  public:
-  enum class Begin { kRuns, kQueued, kFull, kFell };
-  class Watcher {
+  /// What became of a job on its arrival.
+  enum class Admission {
+    kRunning,     ///< It runs.
+    kQueued,      ///< It waits for a slot.
+    kRejected,    ///< The queue is full.
+    kOverloaded,  ///< The backend has failed from it, as by Stop.
+  };
+
+  /// Receives the course of jobs, from within calls of the backend and from events.
+  class Observer {
    public:
-    virtual void Began(TimePoint now, std::size_t backend, JobId job) = 0;
-    // `right` is false where the answer is an error.
-    virtual void Finished(TimePoint now, std::size_t backend, JobId job, bool right) = 0;
-    // It died: what waited or ran ends with no answer.
-    virtual void Dropped(TimePoint now, std::size_t backend, JobId job) = 0;
+    /// A job begins to run.
+    virtual void OnJobStarted(TimePoint now, std::size_t backend, JobId job) = 0;
+    /// A job has ended; not `succeeded`: its response is an error.
+    virtual void OnJobFinished(TimePoint now, std::size_t backend, JobId job, bool succeeded) = 0;
+    /// The backend has stopped: the job, which waited or ran, ends without a response.
+    virtual void OnJobDropped(TimePoint now, std::size_t backend, JobId job) = 0;
 
    protected:
-    ~Watcher() = default;
+    ~Observer() = default;
   };
 
-  Backend(EventQueue& queue, Watcher& watcher, std::size_t index, BackendModel model, Random random);
+  /// `index` names it to the observer. Queue and observer must outlive it. It is not running until Start.
+  Backend(EventQueue& queue, Observer& observer, std::size_t index, BackendModel model, Random random);
 
-  // It starts, cold, as a new process. `up_since` 0: long ago, and warm.
+  /// Starts as a new process, in slow start. `up_since` 0: it has been up for long, and is warm.
   void Start(TimePoint up_since);
-  void Die(TimePoint now);
-  bool up() const { return up_; }
+  /// Ends its process, with all jobs.
+  void Stop(TimePoint now);
+  /// Whether its process runs.
+  bool is_up() const { return is_up_; }
+  /// When its process has started, or the last one that it had.
   TimePoint up_since() const { return up_since_; }
 
-  // A whole request has come. kFell: this one pushed it over; it is down, as by Die.
-  Begin Take(TimePoint now, JobId job, double work);
+  /// A complete request has arrived; `work` in ms of a standard core.
+  Admission Submit(TimePoint now, JobId job, double work);
 
-  double WarmShare(TimePoint now) const;
-  // Work a ms that it can do now.
-  double Capacity(TimePoint now) const { return model_.slots * model_.speed * WarmShare(now) / slow_; }
+  /// Its speed as a share of the speed once warm.
+  double WarmFraction(TimePoint now) const;
 
-  void Slow(double factor) { slow_ = factor; }            // of what begins from here on
-  void Wrong(double share) { wrong_ = share; }            // of its answers are errors
-  void Pause(TimePoint until) { paused_until_ = until; }  // nothing begins or ends before
+  /// Jobs that begin from here on take `factor` times as long.
+  void SetSlowdown(double factor) { slowdown_ = factor; }
+  /// This share of responses are errors.
+  void SetErrorShare(double share) { error_share_ = share; }
+  /// No job ends before `until`.
+  void PauseUntil(TimePoint until) { paused_until_ = until; }
 
+  /// Jobs that run.
   int running() const { return running_; }
-  std::size_t queued() const { return waiting_.size(); }
-  double busy_ms() const { return busy_ms_; }  // slots' time, summed
-  std::uint64_t taken() const { return taken_; }
+  /// Jobs that wait.
+  std::size_t queued() const { return queued_jobs_.size(); }
+  /// Time that slots were in use, ms, summed over slots.
+  double busy_ms() const { return busy_ms_; }
 
  private:
   struct Job {
     JobId id;
     double work;
   };
+  struct ReceivedWork {
+    TimePoint at;
+    double work;
+  };
 
-  void On(TimePoint now, std::uint32_t what, std::uint64_t job, std::uint64_t incarnation) override;
   void Run(TimePoint now, const Job& job);
-  bool Overwhelmed(TimePoint now, double work);
+  void ScheduleEnd(TimePoint at, JobId job);
+  void Finish(TimePoint now, JobId job, std::uint64_t incarnation);
+  bool IsOverloadedBy(TimePoint now, double work);
 
   EventQueue& queue_;
-  Watcher& watcher_;
+  Observer& observer_;
   const std::size_t index_;
   const BackendModel model_;
   Random random_;
-  bool up_ = false;
-  TimePoint up_since_{}, paused_until_{};
-  std::uint64_t incarnation_ = 0;  // of the process: what an older one had begun has ended with it
-  double slow_ = 1, wrong_ = 0, busy_ms_ = 0;
+  bool is_up_ = false;
+  TimePoint up_since_{};
+  TimePoint paused_until_{};
+  std::uint64_t incarnation_ = 0;  // of the process; jobs of an older one have ended
+  double slowdown_ = 1;
+  double error_share_ = 0;
+  double busy_ms_ = 0;
   int running_ = 0;
-  std::uint64_t taken_ = 0;
-  std::deque<Job> waiting_;
-  std::vector<JobId> run_;                             // what runs
-  std::deque<std::pair<TimePoint, double>> received_;  // while cold, within the rule's time
-  double received_work_ = 0;
+  std::deque<Job> queued_jobs_;
+  std::vector<JobId> running_jobs_;
+  std::deque<ReceivedWork> received_;  // in slow start, within the overload duration
+  double received_work_ = 0;           // the sum of received_
 };
 
 }  // namespace badgerbridge::simulator
--- a/src/simulator/core.cpp
+++ b/src/simulator/core.cpp
@@ -8,26 +8,26 @@
 
 using namespace balancer;
 
-class Badgerbridge : public Core {
+class RequestTableCore : public Core {
  public:
-  Badgerbridge(const Settings& settings, std::uint64_t seed) : request_table_(settings, seed) {}
-  RequestId Accept(TimePoint now, Submit submit, Actions* out) override {
-    return request_table_.Accept(now, submit, out);
+  RequestTableCore(const Settings& settings, std::uint64_t seed) : request_table_(settings, seed) {}
+  RequestId Accept(TimePoint now, Submit submit, Actions* actions) override {
+    return request_table_.Accept(now, submit, actions);
   }
-  void ClientDisconnected(TimePoint now, RequestId request, Actions* out) override {
-    request_table_.ClientDisconnected(now, request, out);
+  void ClientDisconnected(TimePoint now, RequestId request, Actions* actions) override {
+    request_table_.ClientDisconnected(now, request, actions);
   }
   void AttemptEnded(TimePoint now, const request_table::Send& attempt, Outcome outcome,
-                    Actions* out) override {
-    request_table_.AttemptEnded(now, attempt, outcome, out);
+                    Actions* actions) override {
+    request_table_.AttemptEnded(now, attempt, outcome, actions);
   }
-  void UpdateEndpoints(TimePoint now, EndpointListUpdate update, Actions* out) override {
-    request_table_.UpdateEndpoints(now, std::move(update), out);
+  void UpdateEndpoints(TimePoint now, EndpointListUpdate update, Actions* actions) override {
+    request_table_.UpdateEndpoints(now, std::move(update), actions);
   }
-  void UpdateZoneQuotas(TimePoint now, ZoneQuotas quotas, Actions* out) override {
-    request_table_.UpdateZoneQuotas(now, std::move(quotas), out);
+  void UpdateZoneQuotas(TimePoint now, ZoneQuotas quotas, Actions* actions) override {
+    request_table_.UpdateZoneQuotas(now, std::move(quotas), actions);
   }
-  void Wake(TimePoint now, Actions* out) override { request_table_.Wake(now, out); }
+  void Wake(TimePoint now, Actions* actions) override { request_table_.Wake(now, actions); }
   std::optional<TimePoint> NextWake() const override { return request_table_.NextWake(); }
   const std::vector<request_table::RequestCounters>& counters() const override {
     return request_table_.counters();
@@ -39,8 +39,8 @@
 
 }  // namespace
 
-std::unique_ptr<Core> MakeBadgerbridge(const Settings& settings, std::uint64_t seed) {
-  return std::make_unique<Badgerbridge>(settings, seed);
+std::unique_ptr<Core> MakeRequestTableCore(const Settings& settings, std::uint64_t seed) {
+  return std::make_unique<RequestTableCore>(settings, seed);
 }
 
 }  // namespace badgerbridge::simulator
--- a/src/simulator/model.cpp
+++ b/src/simulator/model.cpp
@@ -2,16 +2,25 @@
 #include "simulator/model.h"
 
 namespace badgerbridge::simulator {
+namespace {
+
+constexpr Duration kTick{5};
+
+}  // namespace
 
 double Model::MeanWork() const {
-  double shares = 0, work = 0;
-  for (const ClassModel& c : classes) shares += c.share, work += c.share * c.work.Mean();
+  double shares = 0;
+  double work = 0;
+  for (const ClassModel& request_class : classes) {
+    shares += request_class.share;
+    work += request_class.share * request_class.work.Mean();
+  }
   return shares > 0 ? work / shares : 0;
 }
 
 double Model::Utilization() const {
   const double capacity = backends * backend.slots * backend.speed;
-  return capacity > 0 ? clients.per_second / 1000 * MeanWork() / capacity : 0;
+  return capacity > 0 ? clients.requests_per_second / 1000 * MeanWork() / capacity : 0;
 }
 
 balancer::Settings Model::SettingsOf(int proxy) const {
@@ -19,11 +28,11 @@
   settings.balancer_count = proxies;
   settings.balancer_index = proxy;
   settings.zone = proxy % zones;
-  for (const ClassModel& c : classes) settings.classes.push_back(c.rules);
+  for (const ClassModel& request_class : classes) settings.classes.push_back(request_class.rules);
   settings.cross_zone_cost = zones > 1 ? cross_zone_cost : 0;
   settings.max_attempts = max_attempts;
   settings.max_retry_after = max_retry_after;
-  settings.tick = Duration(5);
+  settings.tick = kTick;
   settings.slow_start_floor = backend.slow_start_floor;
   settings.slow_start_window = backend.slow_start_window;
   settings.overload_factor = backend.overload_factor > 0 ? backend.overload_factor : 1;
--- a/tests/docs/runbook_test.cpp
+++ b/tests/docs/runbook_test.cpp
@@ -200,7 +200,7 @@
 // Another way to print would go unseen by the checks above.
 TEST(Runbook, SourcesPrintInNoWayThatTheTestDoesNotKnow) {
   const std::regex other("\\b(std::clog|std::wcerr|spdlog|syslog\\(|fprintf\\(stderr|fputs\\(|std::println)");
-  std::set<std::string> known{"out", "out_", "complaints"};
+  std::set<std::string> known{"out", "out_", "warnings"};
   for (const std::string& name : ErrorStreams()) known.insert(name);
   for (const std::string& file : SourcesBelow(kRoot, "src")) {
     const std::string text = WithoutComments(ReadFile(kRoot / file));
--- a/tests/docs/source_text.cpp
+++ b/tests/docs/source_text.cpp
@@ -21,7 +21,7 @@
 
 /// The forms of every source, and those of the functions that `log_functions` names.
 std::vector<LogForm> LogForms(const std::vector<std::string>& log_functions) {
-  std::vector<LogForm> forms{{"Log{", "+", '}'}, {"TellOnce(", "+", ')'}, {"std::perror(", "+", ')'}};
+  std::vector<LogForm> forms{{"Log{", "+", '}'}, {"WarnOnce(", "+", ')'}, {"std::perror(", "+", ')'}};
   for (const std::string& name : log_functions) forms.push_back({name + "(", "+", ')'});
   for (const std::string& stream : ErrorStreams()) forms.push_back({stream, "<<", ';'});
   return forms;
@@ -272,7 +272,7 @@
 }
 
 const std::vector<std::string>& ErrorStreams() {
-  static const std::vector<std::string> kStreams{"std::cerr", "err", "err_", "complaints_"};
+  static const std::vector<std::string> kStreams{"std::cerr", "err", "err_", "warnings_"};
   return kStreams;
 }
 
