--- a/bench/slopes_zone_failover.cpp
+++ b/bench/slopes_zone_failover.cpp
@@ -8,7 +8,7 @@
 #include <optional>
 
 #include "proxy_main/zone_failover_calls.h"
-#include "simulator/etcd.h"
+#include "simulator/etcd_model.h"
 #include "slopes.h"
 #include "slopes_names.h"
 #include "zone_failover/member.h"
@@ -185,7 +185,7 @@
       double took = ThreadCpuMs() - before;
       if (!call) return;
       const bool decides = member.is_leader();
-      const Member::Reply reply = etcd_.Do(At(now_), names_[i], *call);
+      const Member::Reply reply = etcd_.Execute(At(now_), names_[i], *call);
       Count(*call, names_[i], reply, decides ? &costs->decider : others);
       const double again = ThreadCpuMs();
       member.CallEnded(At(now_), reply);
--- a/tests/fingerprint/simulator_fingerprint_test.cpp
+++ b/tests/fingerprint/simulator_fingerprint_test.cpp
@@ -13,7 +13,7 @@
 
 #include "fingerprint/fingerprint.h"
 #include "simulator/scenario.h"
-#include "simulator/world.h"
+#include "simulator/simulation.h"
 
 namespace badgerbridge::fingerprint {
 namespace {
@@ -31,47 +31,50 @@
 }
 
 simulator::Model SmallerModel(const std::string& scenario) {
-  operator_config::Problems problems;
-  simulator::Model model = simulator::LoadScenario(SOURCE_DIR "/scenarios/" + scenario + ".toml", problems);
-  EXPECT_TRUE(problems.empty()) << operator_config::Lines(problems);
+  const auto loaded = simulator::LoadScenario(SOURCE_DIR "/scenarios/" + scenario + ".toml");
+  EXPECT_TRUE(loaded.has_value()) << simulator::Message(loaded.error());
+  simulator::Model model = loaded.value();
   const int slots_before = model.backends * model.backend.slots;
   model.proxies = std::max(model.zones, model.proxies / kSmaller);
   model.backends = std::max(2 * model.zones, model.backends / kSmaller);
   model.backend.slots = std::max(1, model.backend.slots / kSmaller);
-  model.clients.per_second *= static_cast<double>(model.backends * model.backend.slots) / slots_before;
+  model.clients.requests_per_second *=
+      static_cast<double>(model.backends * model.backend.slots) / slots_before;
   return model;
 }
 
 void AddClass(const simulator::ClassResult& result, Digest* digest) {
-  digest->Add(result.asked, result.served, result.in_aim, result.refused, result.failed, result.left);
-  digest->Add(result.unreached, result.cut_short, result.tries, result.attempts, result.crossed, result.far);
-  digest->Add(result.worth_asked, result.worth_served, result.latency.count());
-  digest->Add(result.latency.mean(), result.latency.most());
+  digest->Add(result.requested, result.served, result.within_objective, result.rejected, result.failed,
+              result.disconnected);
+  digest->Add(result.unreachable, result.interrupted, result.submissions, result.attempts, result.cross_zone,
+              result.cross_region);
+  digest->Add(result.requested_weight, result.served_weight, result.latency.count());
+  digest->Add(result.latency.mean(), result.latency.max());
   for (const double quantile : kQuantiles) digest->Add(result.latency.Quantile(quantile));
 }
 
-void AddResult(const simulator::Result& result, Digest* digest) {
+void AddResult(const simulator::SimulationResult& result, Digest* digest) {
   for (const simulator::ClassResult& each : result.classes) AddClass(each, digest);
-  digest->Add(result.steps, result.attempts, result.repeats_dropped, result.length, result.digest);
-  for (const double busy : result.busy) digest->Add(busy);
-  digest->Add(result.slow_start.calls, result.slow_start.work, result.breach.has_value());
-  if (result.breach) digest->Add(result.breach->rule, result.breach->at, result.breach->step);
+  digest->Add(result.steps, result.attempts, result.dropped_repeats, result.duration_ms, result.digest);
+  for (const double busy : result.utilization) digest->Add(busy);
+  digest->Add(result.slow_start.calls, result.slow_start.work, result.violation.has_value());
+  if (result.violation) digest->Add(result.violation->rule, result.violation->at, result.violation->step);
 }
 
 /// Plays the model, and compares what came of it with what is recorded for `core`.
 void CheckRun(const simulator::Model& model, const std::string& core, std::uint64_t seed) {
-  simulator::World world(model, seed);
-  const simulator::Result result = world.Run();
+  simulator::Simulation world(model, seed);
+  const simulator::SimulationResult result = world.Run();
   Fingerprint fingerprint(core, seed);
   AddResult(result, &fingerprint.digest());
-  if (world.members()) {
-    const simulator::EtcdModel& etcd = world.members()->etcd();
+  if (world.failover_members()) {
+    const simulator::EtcdModel& etcd = world.failover_members()->etcd();
     fingerprint.digest().Add(etcd.revision(), etcd.calls(), etcd.bytes());
   }
   fingerprint.EndPart();
   fingerprint.Check();
   EXPECT_GT(result.steps, 20000U);
-  EXPECT_GE(result.length, model.length);
+  EXPECT_GE(result.duration_ms, model.duration_ms);
 }
 
 class SimulatorFingerprint : public ::testing::TestWithParam<std::string> {};
@@ -83,7 +86,7 @@
 
 TEST_P(SimulatorFingerprint, ScenarioWithZoneFailover_SameResultAsRecorded) {
   simulator::Model model = SmallerModel(GetParam());
-  model.decision.decide = simulator::RegionsModel::Decide::kTogether;
+  model.failover.mode = simulator::ZoneFailoverModel::Mode::kCoordinated;
   CheckRun(model, "simulator_with_zone_failover/" + GetParam(), 1);
 }
 
--- a/tests/fingerprint/zone_failover_fingerprint_test.cpp
+++ b/tests/fingerprint/zone_failover_fingerprint_test.cpp
@@ -18,7 +18,7 @@
 #include "fingerprint/fingerprint.h"
 #include "fingerprint/json_digest.h"
 #include "fingerprint/random.h"
-#include "simulator/etcd.h"
+#include "simulator/etcd_model.h"
 #include "zone_failover/evacuation.h"
 #include "zone_failover/member.h"
 
@@ -86,7 +86,7 @@
     for (int step = 1; step <= kSteps; ++step) {
       now_ms_ += kStepMs;
       Disturb();
-      if (!etcd_down_) etcd_.Expire(TimePoint(Duration(now_ms_)));
+      if (!etcd_down_) etcd_.ExpireLeases(TimePoint(Duration(now_ms_)));
       if (step % static_cast<int>(kLoadIntervalMs / kStepMs) == 0) MeasureLoad();
       for (SimulatedMember& member : members_) StepMember(step, &member);
       if (step % 100 == 0) AddState();
@@ -186,7 +186,7 @@
     } else if (draw < 0.017) {
       DisturbZone(&zones_[number]);
     } else if (draw < 0.019) {
-      etcd_.Order(static_cast<int>(number), random_.Chance(0.4) ? "an operator" : "");
+      etcd_.SetEvacuationOrder(static_cast<int>(number), random_.Chance(0.4) ? "an operator" : "");
     } else if (draw < 0.020) {
       if (backup_ && random_.Chance(0.3)) etcd_.Restore(*backup_);
       backup_ = etcd_;
@@ -263,7 +263,7 @@
       member->returns_ms = now_ms_ + 400;
       return;
     }
-    member->reply = etcd_.Do(TimePoint(Duration(now_ms_)), member->name, *member->call);
+    member->reply = etcd_.Execute(TimePoint(Duration(now_ms_)), member->name, *member->call);
     if (member->lost_back) member->reply = Member::Reply{};
   }
 
--- a/tests/multiprocess/backends.cpp
+++ b/tests/multiprocess/backends.cpp
@@ -41,7 +41,7 @@
 
 TimePoint Now() { return TimePoint(Duration(NowMs())); }
 
-class Zone : public simulator::Backend::Watcher {
+class Zone : public simulator::Backend::Observer {
  public:
   explicit Zone(asio::io_context& io) : io_(io), timer_(io), lags_(io) {}
 
@@ -49,7 +49,7 @@
     zone_ = order.at("zone").as_string();
     window_ = order.at("window_ms").to_number<double>();
     model_.slots = order.at("slots").to_number<int>();
-    model_.queue = order.at("queue").to_number<int>();
+    model_.queue_capacity = order.at("queue").to_number<int>();
     model_.speed = order.at("speed").to_number<double>();
     model_.slow_start_floor = order.at("cold_from").to_number<double>();
     model_.slow_start_window = Duration(order.at("warm_up_ms").to_number<double>());
@@ -77,11 +77,11 @@
     for (const json::value& number : which) {
       One& one = *all_.at(number.to_number<std::size_t>());
       if (what == "slow") {
-        one.model.Slow(value);
+        one.model.SetSlowdown(value);
       } else if (what == "wrong") {
-        one.model.Wrong(value);
+        one.model.SetErrorShare(value);
       } else if (what == "pause") {
-        one.model.Pause(Now() + Duration(value));
+        one.model.PauseUntil(Now() + Duration(value));
       } else if (what == "stop") {
         Stop(one);
       } else if (what == "start") {
@@ -122,7 +122,7 @@
     std::size_t came = 0;  // its place in came_
   };
   struct One {
-    One(asio::io_context& io, simulator::EventQueue& queue, simulator::Backend::Watcher& watcher,
+    One(asio::io_context& io, simulator::EventQueue& queue, simulator::Backend::Observer& watcher,
         std::size_t index, const simulator::BackendModel& m)
         : acceptor(io), model(queue, watcher, index, m, simulator::Random(index + 1, 9)) {}
     std::string name, group;
@@ -135,13 +135,15 @@
     TimePoint used_at{};
   };
 
-  void Began(TimePoint, std::size_t, simulator::JobId job) override {
+  void OnJobStarted(TimePoint, std::size_t, simulator::JobId job) override {
     came_[waiters_.at(job)->came].took_effect = true;
   }
-  void Finished(TimePoint, std::size_t, simulator::JobId job, bool right) override {
+  void OnJobFinished(TimePoint, std::size_t, simulator::JobId job, bool right) override {
     Over(job, right ? Waiter::End::kRight : Waiter::End::kWrong);
   }
-  void Dropped(TimePoint, std::size_t, simulator::JobId job) override { Over(job, Waiter::End::kDropped); }
+  void OnJobDropped(TimePoint, std::size_t, simulator::JobId job) override {
+    Over(job, Waiter::End::kDropped);
+  }
   void Over(simulator::JobId job, typename Waiter::End end) {
     const auto found = waiters_.find(job);
     if (found == waiters_.end()) return;
@@ -168,15 +170,15 @@
       socket->set_option(asio::socket_base::linger(true, 0), ignored);
       socket->close(ignored);
     }
-    one.model.Die(Now());
+    one.model.Stop(Now());
   }
 
   // The model's events up to now, and a timer for the next.
   void Step() {
-    while (queue_.Step(Now())) {
+    while (queue_.RunNext(Now())) {
     }
     // The queue does not tell its first event's time; a backend's work ends on some ms.
-    if (stepping_ || queue_.waiting() == 0) return;
+    if (stepping_ || queue_.size() == 0) return;
     stepping_ = true;
     timer_.expires_after(std::chrono::milliseconds(1));
     timer_.async_wait([this](const beast::error_code& error) {
@@ -265,11 +267,12 @@
     const simulator::JobId job = ++jobs_;
     waiters_.emplace(job, waiter);
     Use(one);
-    const simulator::Backend::Begin begin = one.model.Take(Now(), job, WorkOf(request));
-    if (begin == simulator::Backend::Begin::kFull || begin == simulator::Backend::Begin::kFell) {
+    const simulator::Backend::Admission begin = one.model.Submit(Now(), job, WorkOf(request));
+    if (begin == simulator::Backend::Admission::kRejected ||
+        begin == simulator::Backend::Admission::kOverloaded) {
       waiters_.erase(job);
       if (!key.empty()) keys_.erase(one.group + " " + key);  // it has not run
-      if (begin == simulator::Backend::Begin::kFell) {
+      if (begin == simulator::Backend::Admission::kOverloaded) {
         Orders::Say({{"fell", one.name}});
         Stop(one);
         co_return false;
--- a/tests/multiprocess/main.cpp
+++ b/tests/multiprocess/main.cpp
@@ -34,7 +34,7 @@
     return kBroke;
   }
   const multiprocess::Verdict& v = outcome.verdict;
-  const bool holds = outcome.holds() && 100 * outcome.worth_share() >= model.together.least_worth_percent;
+  const bool holds = outcome.holds() && 100 * outcome.worth_share() >= model.multiprocess.min_weight_percent;
   if (!holds || verbose) {
     for (const std::string& line : outcome.timeline) std::cout << line << '\n';
     std::printf("%8s %8s %8s %8s %8s\n", "second", "asked", "served", "refused", "failed");
@@ -49,7 +49,7 @@
     for (const std::string& line : v.breaches) std::cout << "BROKEN: " << line << '\n';
   }
   std::string decided;
-  if (model.together.regions) {
+  if (model.multiprocess.runs_zone_failover) {
     char text[128];
     std::snprintf(
         text, sizeof text, " epoch=%llu decisions=%llu disorder=%llu unfenced=%llu worst_receiver=%.3f",
@@ -72,7 +72,7 @@
                   *std::max_element(outcome.restarts_ms.begin(), outcome.restarts_ms.end()));
     decided += text;
   }
-  if (model.together.raw_clients > 0) {
+  if (model.multiprocess.raw_clients > 0) {
     char text[160];
     std::snprintf(
         text, sizeof text, " stalls=%llu left=%llu late=%llu crossed=%llu raced=%llu stops_at_work=%llu",
@@ -138,11 +138,12 @@
   const std::string self = std::filesystem::read_symlink("/proc/self/exe");
   int code = kHeld;
   for (const std::string& path : paths) {
-    operator_config::Problems problems;
-    const simulator::Model model = simulator::LoadScenario(path, problems);
-    std::cerr << operator_config::Lines(problems);
-    if (!problems.empty()) return kUsage;
-    code = std::max(code, Play(model, seed, self, verbose));
+    const auto model = simulator::LoadScenario(path);
+    if (!model) {
+      std::cerr << simulator::Message(model.error());
+      return kUsage;
+    }
+    code = std::max(code, Play(*model, seed, self, verbose));
   }
   return code;
 }
--- a/tests/multiprocess/raw_clients.cpp
+++ b/tests/multiprocess/raw_clients.cpp
@@ -80,7 +80,7 @@
 }
 
 double Between(simulator::Random& random, double low, double high) {
-  return low + random.Unit() * (high - low);
+  return low + random.DrawUnit() * (high - low);
 }
 
 // What stands at the front of what a connected socket has received, taking nothing.
@@ -180,7 +180,7 @@
     client.again.pop_front();
   }
   const auto connection = std::make_shared<Connection>(io_);
-  connection->proxy = client.random.Below(settings_.proxies.size());
+  connection->proxy = client.random.DrawBelow(settings_.proxies.size());
   const tcp::endpoint& address = settings_.proxies[connection->proxy].address;
   const bool up = co_await Connect(connection->socket, address, kConnectWithin);
   if (!up) {
@@ -216,28 +216,28 @@
 // What the client does next.
 void RawClients::Draw(Client& client) {
   simulator::Random& random = client.random;
-  const double pipelines = random.Unit();
+  const double pipelines = random.DrawUnit();
   client.batch = pipelines < kPipelinesThree ? 3 : pipelines < kPipelines ? 2 : 1;
-  client.together = random.Unit() < kTogether;
+  client.together = random.DrawUnit() < kTogether;
   client.leaves_after = -1;
   client.mid_request = false;
-  if (random.Unit() >= kLeaves || !client.again.empty()) return;
-  client.leaves_after = random.Unit() < kLeavesAtOnce ? 0 : Between(random, 0, 300);
-  client.by_reset = random.Unit() < kLeavesByReset;
-  client.mid_request = random.Unit() < kLeavesMidRequest;
+  if (random.DrawUnit() >= kLeaves || !client.again.empty()) return;
+  client.leaves_after = random.DrawUnit() < kLeavesAtOnce ? 0 : Between(random, 0, 300);
+  client.by_reset = random.DrawUnit() < kLeavesByReset;
+  client.mid_request = random.DrawUnit() < kLeavesMidRequest;
 }
 
 RawClients::Request RawClients::NewRequest(Client& client) {
   Request request;
   Asked& asked = request.asked;
   asked.id = settings_.name + std::to_string(settings_.seed) + "-" + std::to_string(++begun_);
-  double at = client.random.Unit() * share_sum_;
+  double at = client.random.DrawUnit() * share_sum_;
   while (asked.request_class + 1 < settings_.classes.size() &&
          at >= settings_.classes[asked.request_class].share)
     at -= settings_.classes[asked.request_class++].share;
   const Class& c = settings_.classes[asked.request_class];
   const auto work_us = static_cast<std::int64_t>(c.work.Draw(client.random) * 1000);
-  request.target = "/" + c.name + "?obj=" + std::to_string(client.random.Below(1000)) +
+  request.target = "/" + c.name + "?obj=" + std::to_string(client.random.DrawBelow(1000)) +
                    "&work=" + std::to_string(std::max<std::int64_t>(1, work_us));
   asked.direct = true;
   asked.began = NowMs();
@@ -355,8 +355,8 @@
 // Between requests. False: the connection has ended, or is to end.
 asio::awaitable<bool> RawClients::Rest(Client& client, Connection& connection) {
   simulator::Random& random = client.random;
-  if (random.Unit() < kEndsAtRest) co_return false;
-  const double kind = random.Unit();
+  if (random.DrawUnit() < kEndsAtRest) co_return false;
+  const double kind = random.DrawUnit();
   const double rest = kind < kRestsLong                   ? Between(random, kKeepAliveLow, kKeepAliveHigh)
                       : kind < kRestsLong + kRestsAnyTime ? Between(random, 0, kKeepAliveLow)
                                                           : Between(random, 0, 120);
--- a/tests/multiprocess/raw_clients.h
+++ b/tests/multiprocess/raw_clients.h
@@ -19,6 +19,7 @@
 
 #include "multiprocess/peer_socket.h"
 #include "multiprocess/verdict.h"
+#include "simulator/distribution.h"
 #include "simulator/random.h"
 
 namespace badgerbridge::multiprocess {
@@ -29,8 +30,8 @@
     std::string name;
     Idempotency effect = Idempotency::kIdempotent;
     double share = 1;
-    double deadline = 1500;  // ms, the longest that a client of this class waits
-    simulator::Shape work;   // ms
+    double deadline = 1500;        // ms, the longest that a client of this class waits
+    simulator::Distribution work;  // ms
   };
   struct Proxy {
     std::string name;
--- a/tests/multiprocess/raw_clients_role.cpp
+++ b/tests/multiprocess/raw_clients_role.cpp
@@ -30,7 +30,7 @@
   c.effect = static_cast<Idempotency>(order.at("effect").to_number<int>());
   c.share = order.at("share").to_number<double>();
   c.deadline = order.at("deadline_ms").to_number<double>();
-  c.work.kind = static_cast<simulator::Shape::Kind>(order.at("work_kind").to_number<int>());
+  c.work.kind = static_cast<simulator::Distribution::Kind>(order.at("work_kind").to_number<int>());
   c.work.mean = order.at("work_ms").to_number<double>();
   c.work.spread = order.at("work_spread").to_number<double>();
   return c;
--- a/tests/multiprocess/roles.cpp
+++ b/tests/multiprocess/roles.cpp
@@ -15,6 +15,7 @@
 #include "multiprocess/lag_watch.h"
 #include "multiprocess/wire.h"
 #include "multiprocess/zone_failover_watch.h"
+#include "simulator/distribution.h"
 #include "simulator/random.h"
 #include "standins/clients.h"
 #include "standins/discovery.h"
@@ -94,7 +95,7 @@
   LagWatch lags(io);
   std::unique_ptr<standins::Clients> clients;
   std::vector<std::string> proxies;
-  std::vector<simulator::Shape> works;
+  std::vector<simulator::Distribution> works;
   std::unique_ptr<simulator::Random> random;
   std::uint64_t wanted = 0;
   json::array records;
@@ -115,8 +116,8 @@
       cls.share = Number(one, "share", 1);
       cls.deadline = milliseconds(static_cast<std::int64_t>(Number(one, "deadline_ms", 1500)));
       load.classes.push_back(cls);
-      simulator::Shape shape;
-      shape.kind = static_cast<simulator::Shape::Kind>(static_cast<int>(Number(one, "work_kind")));
+      simulator::Distribution shape;
+      shape.kind = static_cast<simulator::Distribution::Kind>(static_cast<int>(Number(one, "work_kind")));
       shape.mean = Number(one, "work_ms", 20);
       shape.spread = Number(one, "work_spread", 1);
       works.push_back(shape);
--- a/tests/multiprocess/trial.cpp
+++ b/tests/multiprocess/trial.cpp
@@ -15,7 +15,7 @@
 namespace badgerbridge::multiprocess {
 
 namespace asio = boost::asio;
-using simulator::Happening;
+using simulator::ScenarioEvent;
 
 namespace {
 
@@ -115,13 +115,13 @@
 void Trial::BeginLoad() {
   began_ = NowMs();
   Note("the load begins, " + std::to_string(processes_) + " processes");
-  for (const Happening& what : model_.happenings)
-    due_.push_back({began_ + what.at, [this, &what] { Happen(what); }});
-  for (const simulator::TogetherFault& what : model_.together.faults)
-    due_.push_back({began_ + what.at, [this, &what] { Suffer(what); }});
+  for (const ScenarioEvent& what : model_.events)
+    due_.push_back({began_ + what.at_ms, [this, &what] { Happen(what); }});
+  for (const simulator::MultiprocessFault& what : model_.multiprocess.faults)
+    due_.push_back({began_ + what.at_ms, [this, &what] { Suffer(what); }});
   for (const auto& part : clients_) part->Tell({{"do", "start"}});
   for (const auto& part : raw_clients_) part->Tell({{"do", "start"}});
-  if (model_.together.stalls) StartStalls();
+  if (model_.multiprocess.stalls_proxies) StartStalls();
 }
 
 void Trial::ActOnWhatIsDue() {
@@ -165,7 +165,7 @@
 void Trial::RunLoad() {
   double longest = 0;
   for (const simulator::ClassModel& c : model_.classes) longest = std::max(longest, c.rules.deadline.count());
-  while (NowMs() < began_ + model_.length) {
+  while (NowMs() < began_ + model_.duration_ms) {
     io_.restart();
     io_.run_for(std::chrono::milliseconds(2));
     ActOnWhatIsDue();
@@ -189,10 +189,10 @@
   for (Proxy& proxy : proxies_) StartProxy(proxy);
   for (int z = 0; z < model_.zones; ++z) StartClients(z);
   AwaitProxies();
-  if (model_.together.raw_clients > 0) {
+  if (model_.multiprocess.raw_clients > 0) {
     for (int z = 0; z < model_.zones; ++z) StartRawClients(z);
   }
-  if (model_.together.regions) WatchRegions();
+  if (model_.multiprocess.runs_zone_failover) WatchRegions();
   BeginLoad();
   RunLoad();
   if (regions_) StopRegionsWatch();
--- a/tests/multiprocess/trial.h
+++ b/tests/multiprocess/trial.h
@@ -155,29 +155,29 @@
   void StartRelay(Relay& relay);
   void StartRelays();
   void SetRelayLinks();
-  void SufferRelay(const simulator::TogetherFault& what);
+  void SufferRelay(const simulator::MultiprocessFault& what);
   void LookAfterRelays();
   void StopRelays();
   void WriteMember(const Backend& backend);
-  bool relays_on() const { return model_.together.relays > 0; }
+  bool relays_on() const { return model_.multiprocess.watch_caches > 0; }
 
   // trial_faults.cpp: what happens to them.
   void List(Backend& backend);
   void SetLinks();
-  void Happen(const simulator::Happening& what);
-  void CutZones(const simulator::Happening& what);
+  void Happen(const simulator::ScenarioEvent& what);
+  void CutZones(const simulator::ScenarioEvent& what);
   void HoldLists(bool stale);
-  void OrderZones(const simulator::Happening& what);
-  void HappenToProxies(const simulator::Happening& what);
-  void HappenToBackends(const simulator::Happening& what);
-  void Suffer(const simulator::TogetherFault& what);
+  void OrderZones(const simulator::ScenarioEvent& what);
+  void HappenToProxies(const simulator::ScenarioEvent& what);
+  void HappenToBackends(const simulator::ScenarioEvent& what);
+  void Suffer(const simulator::MultiprocessFault& what);
   bool SufferDecider(const std::string& what);
   void StopDecider(const std::string& what, const std::string& name);
   void Thaw(Proxy& proxy);
-  void CutEtcd(const simulator::TogetherFault& what);
-  void FreezeProxies(const simulator::TogetherFault& what);
-  void RestartProxies(const simulator::TogetherFault& what);
-  void BreakConnections(const simulator::TogetherFault& what);
+  void CutEtcd(const simulator::MultiprocessFault& what);
+  void FreezeProxies(const simulator::MultiprocessFault& what);
+  void RestartProxies(const simulator::MultiprocessFault& what);
+  void BreakConnections(const simulator::MultiprocessFault& what);
 
   // trial_stalls.cpp: proxies that are stopped at random.
   void StartStalls();
@@ -219,7 +219,7 @@
   std::unique_ptr<RegionsWatch> regions_;
   std::string frozen_decider_;
   std::function<void(const std::string&)> on_decider_;  // waits for who it is
-  std::map<std::string, simulator::TogetherFault> link_faults_;
+  std::map<std::string, simulator::MultiprocessFault> link_faults_;
   bool stale_ = false, load_over_ = false;
   std::vector<std::function<void()>> held_back_;
   double began_ = 0;
--- a/tests/multiprocess/trial_account.cpp
+++ b/tests/multiprocess/trial_account.cpp
@@ -7,7 +7,7 @@
 
 #include "multiprocess/roles.h"
 #include "multiprocess/trial.h"
-#include "simulator/slow_start.h"
+#include "simulator/slow_start_checker.h"
 
 namespace badgerbridge::multiprocess {
 
@@ -77,7 +77,7 @@
     rules.late_worths.push_back(c.rules.late_weight);
   }
   rules.drain_grace = model.drain_grace.count();
-  rules.link_delay = 2 * model.far.count();
+  rules.link_delay = 2 * model.cross_region_latency.count();
   const simulator::BackendModel& backend = model.backend;
   if (backend.overload_factor > 0 && backend.slow_start_window.count() > 0) {
     rules.window = backend.overload_duration.count();
@@ -85,12 +85,12 @@
     rules.mean_work = model.MeanWork();
     rules.cold_budget = ColdBudget(model);
   }
-  for (const simulator::TogetherFault& fault : model.together.faults) {
-    if (fault.what == "delay") rules.link_delay += 2 * fault.value;
-    if (fault.what == "trickle") rules.prompt_links = false;
+  for (const simulator::MultiprocessFault& fault : model.multiprocess.faults) {
+    if (fault.name == "delay") rules.link_delay += 2 * fault.value;
+    if (fault.name == "trickle") rules.prompt_links = false;
   }
-  for (const simulator::Happening& what : model.happenings) {
-    if (what.kind == simulator::Happening::Kind::kCut) rules.prompt_links = false;
+  for (const simulator::ScenarioEvent& what : model.events) {
+    if (what.kind == simulator::ScenarioEvent::Kind::kCut) rules.prompt_links = false;
   }
   rules.slack += rules.link_delay;
   return rules;
@@ -160,7 +160,7 @@
   for (const std::string& line : regions_->Describe()) Note(line);
   outcome_.epoch = regions_->epoch();
   outcome_.worst_receiver = regions_->worst_receiver();
-  if (static_cast<double>(regions_->looks()) < model_.length / kLeastLookEvery)
+  if (static_cast<double>(regions_->looks()) < model_.duration_ms / kLeastLookEvery)
     outcome_.troubles.push_back("the proxies' shares were seen together " +
                                 std::to_string(regions_->looks()) + " times only");
 }
--- a/tests/multiprocess/trial_faults.cpp
+++ b/tests/multiprocess/trial_faults.cpp
@@ -13,7 +13,7 @@
 namespace badgerbridge::multiprocess {
 
 namespace json = boost::json;
-using simulator::Happening;
+using simulator::ScenarioEvent;
 
 namespace {
 
@@ -64,7 +64,7 @@
     } else if (stale_) {
       held_back_.push_back(std::move(act));
     } else {
-      due_.push_back({NowMs() + model_.network.lag.Draw(lags_), std::move(act)});
+      due_.push_back({NowMs() + model_.network.list_delay.Draw(lags_), std::move(act)});
     }
   }
 }
@@ -74,13 +74,13 @@
   for (int from = 0; from < model_.zones; ++from) {
     for (int to = 0; to < model_.zones; ++to) {
       const auto f = static_cast<std::size_t>(from), t = static_cast<std::size_t>(to);
-      double delay = model_.RegionOf(from) != model_.RegionOf(to) ? model_.far.count() : 0;
+      double delay = model_.RegionOf(from) != model_.RegionOf(to) ? model_.cross_region_latency.count() : 0;
       double swallowed = 0, bytes = 0;
       for (const auto& [what, fault] : link_faults_) {
         if (fault.zone >= 0 && fault.zone != to && fault.zone != from) continue;
-        if (fault.what == "delay") delay += fault.value;
-        if (fault.what == "swallow") swallowed = fault.value;
-        if (fault.what == "trickle") bytes = fault.value;
+        if (fault.name == "delay") delay += fault.value;
+        if (fault.name == "swallow") swallowed = fault.value;
+        if (fault.name == "trickle") bytes = fault.value;
       }
       wire_->Tell({{"do", "link"},
                    {"from", ZoneName(from)},
@@ -99,8 +99,8 @@
   SetRelayLinks();
 }
 
-void Trial::Happen(const Happening& what) {
-  using Kind = Happening::Kind;
+void Trial::Happen(const ScenarioEvent& what) {
+  using Kind = ScenarioEvent::Kind;
   constexpr const char* kNames[] = {
       "drain", "stop", "start",     "slow",    "wrong",    "pause",   "kill",        "revive",     "load",
       "cut",   "heal", "etcd down", "etcd up", "evacuate", "readmit", "stale lists", "fresh lists"};
@@ -136,12 +136,12 @@
   }
 }
 
-void Trial::CutZones(const Happening& what) {
-  const bool cut = what.kind == Happening::Kind::kCut;
+void Trial::CutZones(const ScenarioEvent& what) {
+  const bool cut = what.kind == ScenarioEvent::Kind::kCut;
   for (std::size_t z = 0; z < cut_in_.size(); ++z) {
     if (what.zone >= 0 && z != static_cast<std::size_t>(what.zone)) continue;
-    if (!cut || what.way != Happening::Way::kOut) cut_in_[z] = cut;
-    if (!cut || what.way != Happening::Way::kIn) cut_out_[z] = cut;
+    if (!cut || what.direction != ScenarioEvent::Direction::kOut) cut_in_[z] = cut;
+    if (!cut || what.direction != ScenarioEvent::Direction::kIn) cut_out_[z] = cut;
   }
   SetLinks();
 }
@@ -153,16 +153,16 @@
   for (auto& act : std::exchange(held_back_, {})) act();
 }
 
-void Trial::OrderZones(const Happening& what) {
-  using Kind = Happening::Kind;
+void Trial::OrderZones(const ScenarioEvent& what) {
+  using Kind = ScenarioEvent::Kind;
   for (int z = 0; etcd_ && z < model_.zones; ++z) {
     if (what.zone < 0 || z == what.zone)
       etcd_->Tell({{"do", "order"}, {"zone", z}, {"leave", what.kind == Kind::kEvacuate}});
   }
 }
 
-void Trial::HappenToProxies(const Happening& what) {
-  using Kind = Happening::Kind;
+void Trial::HappenToProxies(const ScenarioEvent& what) {
+  using Kind = ScenarioEvent::Kind;
   EvenShare share(what.zone, what.share);
   for (Proxy& proxy : proxies_) {
     if (!share.Chooses(proxy.zone)) continue;
@@ -178,8 +178,8 @@
   }
 }
 
-void Trial::HappenToBackends(const Happening& what) {
-  using Kind = Happening::Kind;
+void Trial::HappenToBackends(const ScenarioEvent& what) {
+  using Kind = ScenarioEvent::Kind;
   EvenShare share(what.zone, what.share);
   for (Backend& c : backends_) {
     if (!share.Chooses(c.zone)) continue;
@@ -204,7 +204,7 @@
       case Kind::kSlow:
         order["do"] = "slow";
         break;
-      case Kind::kWrong:
+      case Kind::kErrors:
         order["do"] = "wrong";
         break;
       default:
@@ -253,48 +253,48 @@
   }
 }
 
-void Trial::Suffer(const simulator::TogetherFault& what) {
-  Note(what.what + (what.zone >= 0 ? ", zone " + std::to_string(what.zone) : std::string()));
-  if (SufferDecider(what.what)) return;
-  if (what.what.rfind("relay_", 0) == 0) return SufferRelay(what);
-  if (what.what == "etcd_cut" || what.what == "etcd_heal") return CutEtcd(what);
-  if (what.what == "freeze" || what.what == "thaw") return FreezeProxies(what);
-  if (what.what == "discovery_down" || what.what == "discovery_up") {
-    discovery_->Tell({{"do", what.what == "discovery_down" ? "down" : "up"}});
+void Trial::Suffer(const simulator::MultiprocessFault& what) {
+  Note(what.name + (what.zone >= 0 ? ", zone " + std::to_string(what.zone) : std::string()));
+  if (SufferDecider(what.name)) return;
+  if (what.name.rfind("relay_", 0) == 0) return SufferRelay(what);
+  if (what.name == "etcd_cut" || what.name == "etcd_heal") return CutEtcd(what);
+  if (what.name == "freeze" || what.name == "thaw") return FreezeProxies(what);
+  if (what.name == "discovery_down" || what.name == "discovery_up") {
+    discovery_->Tell({{"do", what.name == "discovery_down" ? "down" : "up"}});
     return;
   }
-  if (what.what == "restart") return RestartProxies(what);
-  if (what.what == "reset" || what.what == "half_close") return BreakConnections(what);
+  if (what.name == "restart") return RestartProxies(what);
+  if (what.name == "reset" || what.name == "half_close") return BreakConnections(what);
   if (what.value > 0) {
-    link_faults_[what.what + std::to_string(what.zone)] = what;
+    link_faults_[what.name + std::to_string(what.zone)] = what;
   } else {
-    link_faults_.erase(what.what + std::to_string(what.zone));
+    link_faults_.erase(what.name + std::to_string(what.zone));
   }
   SetLinks();
 }
 
-void Trial::CutEtcd(const simulator::TogetherFault& what) {
+void Trial::CutEtcd(const simulator::MultiprocessFault& what) {
   for (std::size_t z = 0; z < cut_etcd_.size(); ++z) {
-    if (what.zone < 0 || z == static_cast<std::size_t>(what.zone)) cut_etcd_[z] = what.what == "etcd_cut";
+    if (what.zone < 0 || z == static_cast<std::size_t>(what.zone)) cut_etcd_[z] = what.name == "etcd_cut";
   }
   SetLinks();
 }
 
-void Trial::FreezeProxies(const simulator::TogetherFault& what) {
+void Trial::FreezeProxies(const simulator::MultiprocessFault& what) {
   EvenShare share(what.zone, what.share);
   for (Proxy& proxy : proxies_) {
     if (!share.Chooses(proxy.zone) || proxy.down_since >= 0) continue;
-    if (what.what == "freeze" && proxy.frozen_since < 0) {
+    if (what.name == "freeze" && proxy.frozen_since < 0) {
       proxy.process->Signal(SIGSTOP);
       proxy.frozen_since = NowMs();
-    } else if (what.what == "thaw" && proxy.frozen_since >= 0) {
+    } else if (what.name == "thaw" && proxy.frozen_since >= 0) {
       Thaw(proxy);
     }
   }
 }
 
 // One after another, `value` ms apart.
-void Trial::RestartProxies(const simulator::TogetherFault& what) {
+void Trial::RestartProxies(const simulator::MultiprocessFault& what) {
   EvenShare share(what.zone, what.share);
   double at = NowMs();
   for (Proxy& proxy : proxies_) {
@@ -310,12 +310,12 @@
   }
 }
 
-void Trial::BreakConnections(const simulator::TogetherFault& what) {
+void Trial::BreakConnections(const simulator::MultiprocessFault& what) {
   for (int from = 0; from < model_.zones; ++from) {
     for (int to = 0; to < model_.zones; ++to) {
       if (what.zone >= 0 && to != what.zone) continue;
       wire_->Tell(
-          {{"do", what.what == "reset" ? "reset" : "half"}, {"from", ZoneName(from)}, {"to", ZoneName(to)}});
+          {{"do", what.name == "reset" ? "reset" : "half"}, {"from", ZoneName(from)}, {"to", ZoneName(to)}});
     }
   }
 }
--- a/tests/multiprocess/trial_files.cpp
+++ b/tests/multiprocess/trial_files.cpp
@@ -14,7 +14,7 @@
 
 int Trial::Descriptors(const Proxy& proxy) const {
   constexpr int kPlenty = 1024;
-  return proxy.zone == 0 ? model_.together.sockets : kPlenty;
+  return proxy.zone == 0 ? model_.multiprocess.sockets_per_proxy : kPlenty;
 }
 
 std::string Trial::Config(const Proxy& proxy) const {
@@ -78,7 +78,7 @@
   std::ofstream file(Path(proxy, ".toml"), std::ios::trunc);
   file << "[control]\nsocket = \"" << Path(proxy, ".sock") << "\"\n";
   if (relays_on()) WriteMembersTable(proxy, file);
-  if (model_.together.regions) WriteRegionsTable(proxy, file);
+  if (model_.multiprocess.runs_zone_failover) WriteRegionsTable(proxy, file);
 }
 
 // The relays that follow relays, those of the proxy's own region first.
@@ -104,7 +104,7 @@
     for (int b = a + 1; b < model_.zones; ++b) {
       if (model_.RegionOf(a) == model_.RegionOf(b)) continue;
       file << "[[regions.link]]\nfrom = \"" << ZoneName(a) << "\"\nto = \"" << ZoneName(b)
-           << "\"\nround_trip = \"" << static_cast<int>(std::ceil(2 * model_.far.count()))
+           << "\"\nround_trip = \"" << static_cast<int>(std::ceil(2 * model_.cross_region_latency.count()))
            << "ms\"\nprice_percent = 20\n";
     }
   }
--- a/tests/multiprocess/trial_processes.cpp
+++ b/tests/multiprocess/trial_processes.cpp
@@ -64,7 +64,7 @@
 }
 
 void Trial::StartBackends() {
-  const int groups = std::max(1, model_.groups);
+  const int groups = std::max(1, model_.cells);
   for (int i = 0; i < model_.backends; ++i) {
     Backend one;
     one.zone = i % model_.zones;
@@ -94,7 +94,7 @@
                          {"host", Host(z, 1)},
                          {"window_ms", window},
                          {"slots", m.slots},
-                         {"queue", m.queue},
+                         {"queue", m.queue_capacity},
                          {"speed", m.speed},
                          {"cold_from", m.slow_start_floor},
                          {"warm_up_ms", m.slow_start_window.count()},
@@ -134,7 +134,7 @@
     for (const json::value& address : line.at("addresses").as_array())
       etcd_addresses_.emplace_back(address.as_string());
   };
-  etcd_->Tell({{"do", "begin"}, {"members", model_.together.etcd_members}, {"prefix", kPrefix}});
+  etcd_->Tell({{"do", "begin"}, {"members", model_.multiprocess.etcd_members}, {"prefix", kPrefix}});
 }
 
 void Trial::StartParts() {
@@ -143,7 +143,7 @@
   PlaceProxies();
   PlaceRelays();
   StartDiscovery();
-  if (model_.together.etcd_members > 0) StartEtcd();
+  if (model_.multiprocess.etcd_members > 0) StartEtcd();
   const std::size_t parts = zones_.size() + 2 + (etcd_ ? 1 : 0);
   Until([&] { return ready_parts_ == parts; }, "all parts say that they are ready");
 }
@@ -194,7 +194,7 @@
   const std::string path = Path(proxy, ".json");
   std::ofstream(path, std::ios::trunc) << Config(proxy);
   std::vector<std::string> words{program_};
-  if (model_.together.regions || relays_on()) {
+  if (model_.multiprocess.runs_zone_failover || relays_on()) {
     WriteOperatorFile(proxy);
     words.insert(words.end(), {"--operator", Path(proxy, ".toml")});
   }
@@ -258,9 +258,9 @@
   clients_.back()->Tell({{"do", "begin"},
                          {"name", ClientsName(zone) + "-"},
                          {"seed", seed_},
-                         {"per_second", model_.clients.per_second / model_.zones},
-                         {"tries", model_.clients.tries},
-                         {"pause_ms", model_.clients.pause.Mean()},
+                         {"per_second", model_.clients.requests_per_second / model_.zones},
+                         {"tries", model_.clients.max_submissions},
+                         {"pause_ms", model_.clients.retry_delay.Mean()},
                          {"proxies", std::move(proxies)},
                          {"classes", ClassesForClients()}});
 }
@@ -273,7 +273,7 @@
   for (const Proxy& proxy : proxies_) {
     if (proxy.zone == zone) proxies.push_back(json::object{{"name", proxy.name}, {"address", proxy.listen}});
   }
-  const std::size_t clients = static_cast<std::size_t>(model_.together.raw_clients) * proxies.size();
+  const std::size_t clients = static_cast<std::size_t>(model_.multiprocess.raw_clients) * proxies.size();
   raw_clients_.back()->Tell({{"do", "begin"},
                              {"name", name + "-"},
                              {"seed", seed_},
--- a/tests/multiprocess/trial_relays.cpp
+++ b/tests/multiprocess/trial_relays.cpp
@@ -24,7 +24,7 @@
 
 // The first of each region follows etcd, the others follow those.
 void Trial::PlaceRelays() {
-  for (int i = 0; i < model_.together.relays; ++i) {
+  for (int i = 0; i < model_.multiprocess.watch_caches; ++i) {
     Relay relay;
     relay.name = RelayName(static_cast<std::size_t>(i));
     relay.region = i % model_.regions;
@@ -86,32 +86,32 @@
   }
 }
 
-void Trial::SufferRelay(const simulator::TogetherFault& what) {
-  using Way = simulator::Happening::Way;
+void Trial::SufferRelay(const simulator::MultiprocessFault& what) {
+  using Way = simulator::ScenarioEvent::Direction;
   Relay& relay = relays_.at(static_cast<std::size_t>(what.value) - 1);
-  Note(what.what + ": " + relay.name);
-  if (what.what == "relay_cut") {
-    relay.cut_in = what.way != Way::kOut;
-    relay.cut_out = what.way != Way::kIn;
+  Note(what.name + ": " + relay.name);
+  if (what.name == "relay_cut") {
+    relay.cut_in = what.direction != Way::kOut;
+    relay.cut_out = what.direction != Way::kIn;
     return SetRelayLinks();
   }
-  if (what.what == "relay_heal") {
+  if (what.name == "relay_heal") {
     relay.cut_in = relay.cut_out = false;
     return SetRelayLinks();
   }
-  if (what.what == "relay_start") {
+  if (what.name == "relay_start") {
     if (!relay.process) StartRelay(relay);
     return;
   }
   if (!relay.process) return;
-  if (what.what == "relay_kill") {
+  if (what.name == "relay_kill") {
     relay.process->Signal(SIGCONT);
     relay.process->Signal(SIGKILL);
     relay.process.reset();
-  } else if (what.what == "relay_stop") {
+  } else if (what.name == "relay_stop") {
     relay.process->Signal(SIGTERM);
   } else {
-    relay.process->Signal(what.what == "relay_freeze" ? SIGSTOP : SIGCONT);
+    relay.process->Signal(what.name == "relay_freeze" ? SIGSTOP : SIGCONT);
   }
 }
 
--- a/tests/multiprocess/trial_stalls.cpp
+++ b/tests/multiprocess/trial_stalls.cpp
@@ -20,7 +20,7 @@
 constexpr std::uint64_t kStream = 1000;  // of the first proxy
 
 double Between(simulator::Random& random, double low, double high) {
-  return low + random.Unit() * (high - low);
+  return low + random.DrawUnit() * (high - low);
 }
 
 }  // namespace
--- a/tests/multiprocess/verdict.cpp
+++ b/tests/multiprocess/verdict.cpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "simulator/slow_start.h"
+#include "simulator/slow_start_checker.h"
 
 namespace badgerbridge::multiprocess {
 namespace {
@@ -341,7 +341,7 @@
           work -= WorkInMeans(*all[first++]);
         if (age < 0 || age > rules_.slow_start_window) continue;
         const double calls = static_cast<double>(i - first + 1);
-        worst = std::max(worst, std::max(calls, work) / simulator::MostCalls(rules_.cold_budget(age)));
+        worst = std::max(worst, std::max(calls, work) / simulator::MaxCalls(rules_.cold_budget(age)));
       }
       verdict_.worst_cold = std::max(verdict_.worst_cold, worst);
       if (worst <= 1) continue;
--- a/tests/multiprocess/verdict.h
+++ b/tests/multiprocess/verdict.h
@@ -95,7 +95,7 @@
   // False: links hold it up for longer (cuts, trickles), so that when it comes says little of when it began.
   bool prompt_links = true;
   // Of cold backends: calls of mean work that it may be sent within `window` when it is so old, by all
-  // proxies together, without what chance adds (simulator::MostCalls). None: nothing is held against it.
+  // proxies together, without what chance adds (simulator::MaxCalls). None: nothing is held against it.
   double window = 0, slow_start_window = 0;  // ms
   double mean_work = 1;                      // of a call, ms of a standard core
   std::function<double(double age)> cold_budget = nullptr;
--- a/tests/zone_failover/installation.cpp
+++ b/tests/zone_failover/installation.cpp
@@ -54,7 +54,7 @@
 void Installation::Step() {
   now_ += kStepMs;
   if (static_cast<int>(now_) % kUtilizationEveryMs == 0) UpdateUtilization();
-  if (!etcd_is_down_) etcd_.Expire(TimePoint(Duration(now_)));
+  if (!etcd_is_down_) etcd_.ExpireLeases(TimePoint(Duration(now_)));
   for (SimulatedMember& one : members_) {
     Deliver(&one);
     if (!one.dead && !one.stopped) StepMember(&one);
@@ -82,7 +82,7 @@
     one->reply_arrives_at = now_ + 400;
     return;
   }
-  one->reply = etcd_.Do(TimePoint(Duration(now_)), one->name, *one->call);
+  one->reply = etcd_.Execute(TimePoint(Duration(now_)), one->name, *one->call);
   if (one->reply_is_lost) one->reply = Member::Reply{};
 }
 
@@ -150,7 +150,7 @@
     SimulatedZone& zone = zones_[random_() % kZones];
     zone.capacity = zone.capacity > 0 && DrawUnit() < 0.5 ? 0 : kZoneCapacity;
   } else if (drawn < 0.015) {
-    etcd_.Order(static_cast<int>(random_() % kZones), DrawUnit() < 0.4 ? "an operator" : "");
+    etcd_.SetEvacuationOrder(static_cast<int>(random_() % kZones), DrawUnit() < 0.4 ? "an operator" : "");
   } else if (drawn < 0.0162) {
     RestoreOrBackUpEtcd();
   } else if (drawn < 0.0164) {
@@ -162,7 +162,7 @@
   etcd_is_down_ = false;
   for (std::size_t zone = 0; zone < kZones; ++zone) {
     zones_[zone].capacity = kZoneCapacity;
-    etcd_.Order(static_cast<int>(zone), "");
+    etcd_.SetEvacuationOrder(static_cast<int>(zone), "");
   }
   for (SimulatedMember& one : members_) {
     if (one.dead) Start(&one);
--- a/tests/zone_failover/installation.h
+++ b/tests/zone_failover/installation.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "simulator/etcd.h"
+#include "simulator/etcd_model.h"
 #include "zone_failover/member.h"
 
 namespace badgerbridge::zone_failover {
--- a/tests/zone_failover/member_test.cpp
+++ b/tests/zone_failover/member_test.cpp
@@ -7,7 +7,7 @@
 
 #include <memory>
 
-#include "simulator/etcd.h"
+#include "simulator/etcd_model.h"
 
 namespace badgerbridge::zone_failover {
 namespace {
@@ -61,7 +61,7 @@
             silent_member = i;
             break;
           }
-          all[i]->CallEnded(At(now), down ? Member::Reply{} : etcd.Do(At(now), names[i], *call));
+          all[i]->CallEnded(At(now), down ? Member::Reply{} : etcd.Execute(At(now), names[i], *call));
         }
       }
     }
@@ -99,7 +99,7 @@
   std::size_t second = 0;
   while (second == first || !small.all[second]->is_leader()) ASSERT_LT(++second, 4u);
   const auto before = small.etcd.keys().at("decision");
-  const auto reply = small.etcd.Do(At(small.now), small.names[first], *small.held_call);
+  const auto reply = small.etcd.Execute(At(small.now), small.names[first], *small.held_call);
   EXPECT_FALSE(reply.condition_held);
   EXPECT_EQ(small.etcd.keys().at("decision").mod_revision, before.mod_revision);
   small.all[first]->CallEnded(At(small.now), reply);
@@ -158,12 +158,12 @@
 TEST(Member, EvacuationOrderEmptiesZoneAndItsEndStartsRecovery) {
   SmallInstallation small(4);
   small.Play(4000);
-  small.etcd.Order(0, "ops");
+  small.etcd.SetEvacuationOrder(0, "ops");
   small.Play(1500);
   EXPECT_EQ(small.all[0]->decision()->zones[0].state, ZoneState::kEvacuated);
   EXPECT_EQ(small.all[0]->ZoneQuotas(At(small.now))[0], 0);
   EXPECT_GT(small.all[0]->ZoneQuotas(At(small.now))[1], 0);
-  small.etcd.Order(0, "");
+  small.etcd.SetEvacuationOrder(0, "");
   small.Play(700);
   EXPECT_EQ(small.all[0]->decision()->zones[0].state, ZoneState::kRecovering);
   small.Play(12000);
