--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -136,7 +136,7 @@
   }
   const auto model = simulator::LoadScenario(options.path);
   if (!model) {
-    std::cerr << operator_config::Lines(model.error().problems);
+    std::cerr << operator_config::FormatProblems(model.error().problems);
     return kBadUsage;
   }
   if (check->parsed()) return kRulesHeld;
--- a/src/simulator/scenario.cpp
+++ b/src/simulator/scenario.cpp
@@ -56,12 +56,12 @@
 }
 
 int ReadInt(TableReader& table, std::string_view key, int fallback, int minimum, int maximum) {
-  return static_cast<int>(table.Whole(key, fallback, minimum, maximum));
+  return static_cast<int>(table.Integer(key, fallback, minimum, maximum));
 }
 
 double ReadNumber(TableReader& table, std::string_view key, std::int64_t fallback, std::int64_t minimum,
                   std::int64_t maximum) {
-  return static_cast<double>(table.Whole(key, fallback, minimum, maximum));
+  return static_cast<double>(table.Integer(key, fallback, minimum, maximum));
 }
 
 // A share or factor that stands there as percent.
@@ -105,7 +105,7 @@
   rules.priority_weight = ReadNumber(table, "worth", 1, 0, 1000000);
   rules.late_weight = ReadPercent(table, "late_worth_percent", 30, 0, 100);
   model.share = ReadNumber(table, "share", 1, 1, 1000000);
-  model.has_work_hint = table.Flag("hinted", true);
+  model.has_work_hint = table.Boolean("hinted", true);
   model.work = ReadDistribution(table, "work", {Distribution::Kind::kLognormal, 20, 1, {}});
   table.Finish();
   return model;
@@ -170,7 +170,7 @@
   clients->requests_per_second =
       ReadNumber(table, "per_second", 100, 1, static_cast<std::int64_t>(kMaxRequestsPerSecond));
   clients->max_submissions = ReadInt(table, "tries", 1, 1, 100);
-  clients->honours_retry_after = table.Flag("honours_retry_after", true);
+  clients->honours_retry_after = table.Boolean("honours_retry_after", true);
   clients->retry_delay = ReadDistribution(table, "pause", clients->retry_delay);
   clients->disconnect_share = ReadPercent(table, "leaves_percent", 0, 0, 100);
   table.Finish();
@@ -190,7 +190,7 @@
 void ReadZoneFailover(TableReader& table, ZoneFailoverModel* failover) {
   const auto fallback = static_cast<std::size_t>(ZoneFailoverModel::Mode::kCoordinated);
   failover->mode = static_cast<ZoneFailoverModel::Mode>(ReadName(table, "decide", kModeNames, fallback));
-  failover->reports_load = table.Flag("reports", true);
+  failover->reports_load = table.Boolean("reports", true);
   failover->etcd_latency = ReadDistribution(table, "etcd", failover->etcd_latency);
   table.Finish();
 }
@@ -219,9 +219,9 @@
 void ReadMultiprocess(TableReader& table, Model* model) {
   MultiprocessModel& multiprocess = model->multiprocess;
   multiprocess.etcd_members = ReadInt(table, "etcd_members", 0, 0, 9);
-  multiprocess.runs_zone_failover = table.Flag("regions", false);
+  multiprocess.runs_zone_failover = table.Boolean("regions", false);
   multiprocess.watch_caches = ReadInt(table, "relays", 0, 0, kMaxWatchCaches);
-  multiprocess.stalls_proxies = table.Flag("stalls", false);
+  multiprocess.stalls_proxies = table.Boolean("stalls", false);
   multiprocess.raw_clients = ReadInt(table, "raw_clients", 0, 0, kMaxRawClients);
   multiprocess.sockets_per_proxy = ReadInt(table, "sockets", 1024, kMinSockets, kMaxSockets);
   if (multiprocess.watch_caches > 0 && multiprocess.etcd_members == 0)
@@ -267,16 +267,16 @@
 
 }  // namespace
 
-std::string Message(const ScenarioError& error) { return operator_config::Lines(error.problems); }
+std::string Message(const ScenarioError& error) { return operator_config::FormatProblems(error.problems); }
 
 void throw_exception_from_error(const ScenarioError& error, const boost::source_location&) {
   throw std::runtime_error(Message(error));
 }
 
 ScenarioResult<Model> ParseScenario(std::string_view text, const std::string& file) {
+  const auto root = operator_config::ParseToml(text, file);
+  if (!root) return ScenarioError{{root.error()}};
   Problems problems;
-  const auto root = operator_config::ParseToml(text, file, problems);
-  if (!root) return ScenarioError{std::move(problems)};
   TableReader top(*root, "", file, problems);
   Model model = ReadScenario(top, file);
   if (!problems.empty()) return ScenarioError{std::move(problems)};
@@ -284,9 +284,8 @@
 }
 
 ScenarioResult<Model> LoadScenario(const std::string& path) {
-  Problems problems;
-  const auto text = operator_config::ReadFile(path, kMaxScenarioBytes, problems);
-  if (!text) return ScenarioError{std::move(problems)};
+  const auto text = operator_config::ReadFile(path, kMaxScenarioBytes);
+  if (!text) return ScenarioError{{text.error()}};
   return ParseScenario(*text, path);
 }
 
