--- a/tests/multiprocess/backend_fleet.cpp
+++ b/tests/multiprocess/backend_fleet.cpp
@@ -53,7 +53,7 @@
 
 void BackendFleet::PlaceBackends() {
   const simulator::Model& model = context_.model;
-  const int cells = std::max(1, model.groups);
+  const int cells = std::max(1, model.cells);
   for (int i = 0; i < model.backends; ++i) {
     Backend backend;
     backend.name = "c" + std::to_string(i + 1);
@@ -78,7 +78,7 @@
   command.host = context_.addresses.HostOf(zone, kBackendHost);
   command.deduplication_window_ms = MaxDeduplicationWindowMs(context_.model);
   command.slots = model.slots;
-  command.queue = model.queue;
+  command.queue = model.queue_capacity;
   command.speed = model.speed;
   command.slow_start_floor = model.slow_start_floor;
   command.slow_start_window_ms = model.slow_start_window.count();
--- a/tests/multiprocess/client_fleet.cpp
+++ b/tests/multiprocess/client_fleet.cpp
@@ -56,9 +56,9 @@
   BeginClients command;
   command.id_prefix = ClientsName(zone) + "-";
   command.seed = context_.seed;
-  command.requests_per_s = model.per_second / context_.model.zones;
-  command.max_attempts = model.tries;
-  command.mean_retry_delay_ms = model.pause.Mean();
+  command.requests_per_s = model.requests_per_second / context_.model.zones;
+  command.max_attempts = model.max_submissions;
+  command.mean_retry_delay_ms = model.retry_delay.Mean();
   command.proxies = ProxiesOf(zone, false);
   command.classes = ClassesFrom(context_.model);
   expected_proxies_[zone_index] = command.proxies.size();
@@ -66,7 +66,7 @@
 }
 
 void ClientFleet::StartDirectClients() {
-  const int clients_per_proxy = context_.model.together.raw_clients;
+  const int clients_per_proxy = context_.model.multiprocess.raw_clients;
   for (int zone = 0; clients_per_proxy > 0 && zone < context_.model.zones; ++zone) {
     const std::string name = "raw-" + ClientsName(zone);
     direct_.push_back(std::make_unique<RoleProcess>(context_, "raw_clients", name));
--- a/tests/multiprocess/clients_role.cpp
+++ b/tests/multiprocess/clients_role.cpp
@@ -11,6 +11,7 @@
 #include "multiprocess/roles.h"
 #include "multiprocess/when_done.h"
 #include "multiprocess/work_distribution.h"
+#include "simulator/distribution.h"
 #include "simulator/random.h"
 #include "standins/clients.h"
 
@@ -99,7 +100,7 @@
   asio::io_context& io_;
   std::unique_ptr<standins::Clients> clients_;
   std::vector<std::string> proxies_;
-  std::vector<simulator::Shape> work_;  // by class
+  std::vector<simulator::Distribution> work_;  // by class
   std::unique_ptr<simulator::Random> random_;
   std::vector<RequestRecord> records_;
 };
--- a/tests/multiprocess/direct_client_behavior.cpp
+++ b/tests/multiprocess/direct_client_behavior.cpp
@@ -25,7 +25,7 @@
 constexpr double kMaxShortIdleMs = 120;
 
 std::size_t DrawRequests(simulator::Random& random) {
-  const double drawn = random.Unit();
+  const double drawn = random.DrawUnit();
   if (drawn < kThreeRequestsShare) return 3;
   return drawn < kThreeRequestsShare + kTwoRequestsShare ? 2 : 1;
 }
@@ -35,20 +35,20 @@
 PlannedExchange DrawExchange(simulator::Random& random, bool may_disconnect) {
   PlannedExchange exchange;
   exchange.requests = DrawRequests(random);
-  exchange.is_single_write = random.Unit() < kSingleWriteShare;
-  if (random.Unit() >= kDisconnectShare || !may_disconnect) return exchange;
+  exchange.is_single_write = random.DrawUnit() < kSingleWriteShare;
+  if (random.DrawUnit() >= kDisconnectShare || !may_disconnect) return exchange;
   PlannedDisconnect disconnect;
-  if (random.Unit() >= kDisconnectAtOnceShare)
+  if (random.DrawUnit() >= kDisconnectAtOnceShare)
     disconnect.after_ms = DrawBetween(random, 0, kMaxDisconnectAfterMs);
-  disconnect.is_reset = random.Unit() < kResetShare;
-  disconnect.leaves_part_request = random.Unit() < kPartRequestShare;
+  disconnect.is_reset = random.DrawUnit() < kResetShare;
+  disconnect.leaves_part_request = random.DrawUnit() < kPartRequestShare;
   exchange.disconnect = disconnect;
   return exchange;
 }
 
 std::optional<double> DrawIdleTime(simulator::Random& random) {
-  if (random.Unit() < kCloseIdleShare) return std::nullopt;
-  const double drawn = random.Unit();
+  if (random.DrawUnit() < kCloseIdleShare) return std::nullopt;
+  const double drawn = random.DrawUnit();
   if (drawn < kKeepAliveIdleShare) return DrawBetween(random, kMinKeepAliveMs, kMaxKeepAliveMs);
   if (drawn < kKeepAliveIdleShare + kAnyIdleShare) return DrawBetween(random, 0, kMinKeepAliveMs);
   return DrawBetween(random, 0, kMaxShortIdleMs);
--- a/tests/multiprocess/direct_clients.cpp
+++ b/tests/multiprocess/direct_clients.cpp
@@ -96,7 +96,7 @@
 // One connection, from its opening to its end.
 asio::awaitable<void> DirectClients::UseConnection(Client& client) {
   ExpireResends(client);
-  const std::size_t proxy_index = client.random.Below(settings_.proxies.size());
+  const std::size_t proxy_index = client.random.DrawBelow(settings_.proxies.size());
   const auto connection = std::make_shared<DirectConnection>(
       io_, proxy_index, [this](DirectRequest& request, RequestOutcome outcome) { Finish(request, outcome); });
   const tcp::endpoint& address = settings_.proxies[proxy_index].address;
@@ -129,7 +129,7 @@
 }
 
 std::size_t DirectClients::DrawClass(simulator::Random& random) const {
-  double drawn = random.Unit() * share_sum_;
+  double drawn = random.DrawUnit() * share_sum_;
   std::size_t index = 0;
   for (; index + 1 < settings_.classes.size() && drawn >= settings_.classes[index].share; ++index)
     drawn -= settings_.classes[index].share;
@@ -144,7 +144,7 @@
   record.request_class = DrawClass(client.random);
   const DirectClientClass& request_class = settings_.classes[record.request_class];
   const auto work_us = static_cast<std::int64_t>(request_class.work.Draw(client.random) * 1000);
-  request.target = "/" + request_class.name + "?obj=" + std::to_string(client.random.Below(kObjects)) +
+  request.target = "/" + request_class.name + "?obj=" + std::to_string(client.random.DrawBelow(kObjects)) +
                    "&work=" + std::to_string(std::max<std::int64_t>(1, work_us));
   record.is_direct = true;
   record.started_at_ms = NowMs();
--- a/tests/multiprocess/direct_request.h
+++ b/tests/multiprocess/direct_request.h
@@ -11,6 +11,7 @@
 
 #include "multiprocess/history.h"
 #include "multiprocess/verdict.h"
+#include "simulator/distribution.h"
 #include "simulator/random.h"
 
 namespace badgerbridge::multiprocess {
@@ -21,7 +22,7 @@
   Idempotency idempotency = Idempotency::kIdempotent;  ///< Whether its requests may run more than once.
   double share = 1;                                    ///< Of the requests, by weight.
   double max_deadline_ms = 1500;                       ///< The longest that a client waits.
-  simulator::Shape work;                               ///< ms of a standard core.
+  simulator::Distribution work;                        ///< ms of a standard core.
 };
 
 /// A request of a direct client.
--- a/tests/multiprocess/endpoint_publisher.cpp
+++ b/tests/multiprocess/endpoint_publisher.cpp
@@ -35,7 +35,7 @@
       random_(context.seed, kLagStream) {}
 
 void EndpointPublisher::Publish(const Backend& backend) {
-  const bool uses_etcd = context_.model.together.relays > 0;
+  const bool uses_etcd = context_.model.multiprocess.watch_caches > 0;
   if (uses_etcd) WriteToEtcd(backend);
   // Discovery then lists the backends of the start, and no change.
   if (uses_etcd && context_.has_load_begun()) return;
@@ -46,7 +46,7 @@
     } else if (is_paused_) {
       held_back_.push_back(std::move(notification));
     } else {
-      const double due_ms = NowMs() + context_.model.network.lag.Draw(random_);
+      const double due_ms = NowMs() + context_.model.network.list_delay.Draw(random_);
       context_.schedule.Add(
           due_ms, [this, notification = std::move(notification)] { discovery_.Send(notification); });
     }
--- a/tests/multiprocess/etcd_cluster.cpp
+++ b/tests/multiprocess/etcd_cluster.cpp
@@ -19,7 +19,7 @@
   process_.On<LeaderFound>([this](const LeaderFound& found) {
     if (on_leader_) std::exchange(on_leader_, nullptr)(found.proxy);
   });
-  process_.Send(BeginEtcd{context.model.together.etcd_members, kZoneFailoverPrefix});
+  process_.Send(BeginEtcd{context.model.multiprocess.etcd_members, kZoneFailoverPrefix});
 }
 
 void EtcdCluster::OpenLinks(Links& links) {
--- a/tests/multiprocess/links.cpp
+++ b/tests/multiprocess/links.cpp
@@ -3,7 +3,7 @@
 
 namespace badgerbridge::multiprocess {
 
-using simulator::Happening;
+using simulator::ScenarioEvent;
 
 namespace {
 
@@ -30,12 +30,12 @@
   return opened_[number];
 }
 
-void Links::CutZones(const Happening& happening) {
-  const bool is_cut = happening.kind == Happening::Kind::kCut;
+void Links::CutZones(const ScenarioEvent& happening) {
+  const bool is_cut = happening.kind == ScenarioEvent::Kind::kCut;
   for (std::size_t zone = 0; zone < is_cut_in_.size(); ++zone) {
     if (happening.zone >= 0 && zone != static_cast<std::size_t>(happening.zone)) continue;
-    if (!is_cut || happening.way != Happening::Way::kOut) is_cut_in_[zone] = is_cut;
-    if (!is_cut || happening.way != Happening::Way::kIn) is_cut_out_[zone] = is_cut;
+    if (!is_cut || happening.direction != ScenarioEvent::Direction::kOut) is_cut_in_[zone] = is_cut;
+    if (!is_cut || happening.direction != ScenarioEvent::Direction::kIn) is_cut_out_[zone] = is_cut;
   }
   Apply();
 }
@@ -56,11 +56,11 @@
   process_.Send(link);
 }
 
-void Links::SetFault(const simulator::TogetherFault& fault) {
+void Links::SetFault(const simulator::MultiprocessFault& fault) {
   if (fault.value > 0) {
-    faults_[{fault.what, fault.zone}] = fault;
+    faults_[{fault.name, fault.zone}] = fault;
   } else {
-    faults_.erase({fault.what, fault.zone});
+    faults_.erase({fault.name, fault.zone});
   }
   Apply();
 }
@@ -80,12 +80,12 @@
   link.from = ZoneName(from);
   link.to = ZoneName(to);
   if (context_.model.RegionOf(from) != context_.model.RegionOf(to))
-    link.delay_ms = context_.model.far.count();
+    link.delay_ms = context_.model.cross_region_latency.count();
   for (const auto& [key, fault] : faults_) {
     if (fault.zone >= 0 && fault.zone != to && fault.zone != from) continue;
-    if (fault.what == "delay") link.delay_ms += fault.value;
-    if (fault.what == "swallow") link.swallowed_share = fault.value;
-    if (fault.what == "trickle") link.bytes_per_s = fault.value;
+    if (fault.name == "delay") link.delay_ms += fault.value;
+    if (fault.name == "swallow") link.swallowed_share = fault.value;
+    if (fault.name == "trickle") link.bytes_per_s = fault.value;
   }
   link.jitter_ms = link.delay_ms * kJitterShare;
   link.is_forward_cut = from != to && (is_cut_out_[from_index] || is_cut_in_[to_index]);
--- a/tests/multiprocess/links.h
+++ b/tests/multiprocess/links.h
@@ -29,13 +29,13 @@
                    const std::string& host);
 
   /// Cuts a zone off from the others or heals its cut, as a plan's `cut` and `heal` say.
-  void CutZones(const simulator::Happening& happening);
+  void CutZones(const simulator::ScenarioEvent& happening);
   /// Cuts a zone's proxies (negative: every zone's) off from etcd, or heals that.
   void CutEtcd(int zone, bool is_cut);
   /// Sets the cuts of the links between two groups that are no zones.
   void SetCuts(const std::string& from, const std::string& to, bool is_forward_cut, bool is_back_cut);
   /// Begins or ends (with value 0) a plan's `delay`, `swallow` or `trickle`.
-  void SetFault(const simulator::TogetherFault& fault);
+  void SetFault(const simulator::MultiprocessFault& fault);
   /// Breaks the connections to a zone's backends (negative: every zone's).
   void Break(int zone, LinkBreak how);
   /// Sends what all links between zones and to etcd do now.
@@ -57,7 +57,7 @@
   std::vector<bool> is_cut_in_;      // by zone: what comes in
   std::vector<bool> is_cut_out_;     // by zone: what goes out
   std::vector<bool> is_etcd_cut_;    // by zone
-  std::map<FaultKey, simulator::TogetherFault> faults_;
+  std::map<FaultKey, simulator::MultiprocessFault> faults_;
 };
 
 }  // namespace badgerbridge::multiprocess
--- a/tests/multiprocess/main.cpp
+++ b/tests/multiprocess/main.cpp
@@ -59,11 +59,12 @@
 int PlayPlans(const Options& options) {
   int code = kPassed;
   for (const std::string& path : options.plans) {
-    operator_config::Problems problems;
-    const simulator::Model model = simulator::LoadScenario(path, problems);
-    std::cerr << operator_config::FormatProblems(problems);
-    if (!problems.empty()) return kUsageError;
-    code = std::max(code, PlayPlan(model, options));
+    const auto model = simulator::LoadScenario(path);
+    if (!model) {
+      std::cerr << simulator::Message(model.error());
+      return kUsageError;
+    }
+    code = std::max(code, PlayPlan(*model, options));
   }
   return code;
 }
--- a/tests/multiprocess/nemesis.cpp
+++ b/tests/multiprocess/nemesis.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-using Kind = simulator::Happening::Kind;
+using Kind = simulator::ScenarioEvent::Kind;
 
 // As plans have them, for the timeline.
 const char* NameOf(Kind kind) {
@@ -32,7 +32,7 @@
       return BackendAction::kStart;
     case Kind::kSlow:
       return BackendAction::kSlowDown;
-    case Kind::kWrong:
+    case Kind::kErrors:
       return BackendAction::kFailAnswers;
     default:
       return BackendAction::kPause;
@@ -48,14 +48,14 @@
 Nemesis::Nemesis(RunContext& context, const NemesisTargets& targets) : context_(context), targets_(targets) {}
 
 void Nemesis::Start() {
-  for (const Happening& happening : context_.model.happenings) {
-    context_.schedule.Add(context_.load_began_ms + happening.at, [this, &happening] { Apply(happening); });
+  for (const ScenarioEvent& happening : context_.model.events) {
+    context_.schedule.Add(context_.load_began_ms + happening.at_ms, [this, &happening] { Apply(happening); });
   }
-  for (const Fault& fault : context_.model.together.faults)
-    context_.schedule.Add(context_.load_began_ms + fault.at, [this, &fault] { Apply(fault); });
+  for (const Fault& fault : context_.model.multiprocess.faults)
+    context_.schedule.Add(context_.load_began_ms + fault.at_ms, [this, &fault] { Apply(fault); });
 }
 
-void Nemesis::Apply(const Happening& happening) {
+void Nemesis::Apply(const ScenarioEvent& happening) {
   context_.Note(WithZone(NameOf(happening.kind), happening.zone));
   switch (happening.kind) {
     case Kind::kLoad:
@@ -87,14 +87,14 @@
   }
 }
 
-void Nemesis::OrderEvacuations(const Happening& happening) {
+void Nemesis::OrderEvacuations(const ScenarioEvent& happening) {
   for (int zone = 0; targets_.etcd && zone < context_.model.zones; ++zone) {
     if (happening.zone < 0 || zone == happening.zone)
       targets_.etcd->process().Send(OrderEvacuation{zone, happening.kind == Kind::kEvacuate});
   }
 }
 
-void Nemesis::ApplyToProxies(const Happening& happening) {
+void Nemesis::ApplyToProxies(const ScenarioEvent& happening) {
   EvenSelector selector(happening.zone, happening.share);
   for (Proxy& proxy : targets_.proxies.proxies()) {
     if (!selector.Selects(proxy.identity.zone)) continue;
@@ -106,14 +106,14 @@
   }
 }
 
-void Nemesis::ApplyToBackends(const Happening& happening) {
+void Nemesis::ApplyToBackends(const ScenarioEvent& happening) {
   EvenSelector selector(happening.zone, happening.share);
   for (Backend& backend : targets_.backends.backends()) {
     if (selector.Selects(backend.zone)) ApplyToBackend(backend, happening);
   }
 }
 
-void Nemesis::ApplyToBackend(Backend& backend, const Happening& happening) {
+void Nemesis::ApplyToBackend(Backend& backend, const ScenarioEvent& happening) {
   switch (happening.kind) {
     case Kind::kDrain:
       backend.status = BackendStatus::kDraining;
@@ -135,7 +135,7 @@
 }
 
 void Nemesis::Apply(const Fault& fault) {
-  const std::string& what = fault.what;
+  const std::string& what = fault.name;
   context_.Note(WithZone(what, fault.zone));
   if (what == "thaw_decider") return ThawLeader();
   if (what == "freeze_decider") return WithLeader(what, &Nemesis::FreezeAsLeader);
--- a/tests/multiprocess/nemesis.h
+++ b/tests/multiprocess/nemesis.h
@@ -42,14 +42,14 @@
   void Start();
 
  private:
-  using Happening = simulator::Happening;
-  using Fault = simulator::TogetherFault;
+  using ScenarioEvent = simulator::ScenarioEvent;
+  using Fault = simulator::MultiprocessFault;
 
-  void Apply(const Happening& happening);
-  void ApplyToProxies(const Happening& happening);
-  void ApplyToBackends(const Happening& happening);
-  void ApplyToBackend(Backend& backend, const Happening& happening);
-  void OrderEvacuations(const Happening& happening);
+  void Apply(const ScenarioEvent& happening);
+  void ApplyToProxies(const ScenarioEvent& happening);
+  void ApplyToBackends(const ScenarioEvent& happening);
+  void ApplyToBackend(Backend& backend, const ScenarioEvent& happening);
+  void OrderEvacuations(const ScenarioEvent& happening);
 
   void Apply(const Fault& fault);
   void FreezeProxies(const Fault& fault);
--- a/tests/multiprocess/proxy_files.cpp
+++ b/tests/multiprocess/proxy_files.cpp
@@ -78,7 +78,7 @@
   for (int zone = 0; zone < model.zones; ++zone) zones.push_back(ZoneName(zone));
   file << "[regions]\nprefix = \"" << kZoneFailoverPrefix << "\"\nendpoints = [" << QuotedList(etcd_members)
        << "]\nzones = [" << QuotedList(zones) << "]\n";
-  const int round_trip_ms = static_cast<int>(std::ceil(2 * model.far.count()));
+  const int round_trip_ms = static_cast<int>(std::ceil(2 * model.cross_region_latency.count()));
   for (int from = 0; from < model.zones; ++from) {
     for (int to = from + 1; to < model.zones; ++to) {
       if (model.RegionOf(from) == model.RegionOf(to)) continue;
@@ -101,7 +101,7 @@
 }
 
 int DescriptorLimitOf(const RunContext& context, const ProxyIdentity& proxy) {
-  return proxy.zone == 0 ? context.model.together.sockets : kDefaultDescriptors;
+  return proxy.zone == 0 ? context.model.multiprocess.sockets_per_proxy : kDefaultDescriptors;
 }
 
 std::string WriteProxyConfig(const RunContext& context, const ProxyIdentity& proxy, int starts,
@@ -131,11 +131,12 @@
   std::string path = PathOfProxyFile(context, proxy.name, ".toml");
   std::ofstream file(path, std::ios::trunc);
   file << "[control]\nsocket = \"" << PathOfProxyFile(context, proxy.name, ".sock") << "\"\n";
-  if (context.model.together.relays > 0) {
+  if (context.model.multiprocess.watch_caches > 0) {
     file << "[etcd]\nprefix = \"" << MembersPrefix(proxy.zone) << "\"\nendpoints = ["
          << QuotedList(watch_caches) << "]\n";
   }
-  if (context.model.together.regions) WriteZoneFailoverTable(context.model, etcd_members, file);
+  if (context.model.multiprocess.runs_zone_failover)
+    WriteZoneFailoverTable(context.model, etcd_members, file);
   return path;
 }
 
--- a/tests/multiprocess/proxy_fleet.cpp
+++ b/tests/multiprocess/proxy_fleet.cpp
@@ -78,7 +78,7 @@
   const ProxyIdentity& identity = proxy.identity;
   const std::string config = WriteProxyConfig(context_, identity, proxy.starts, backends_.backends());
   std::vector<std::string> arguments{context_.programs.proxy};
-  if (context_.model.together.regions || watch_caches_.is_enabled()) {
+  if (context_.model.multiprocess.runs_zone_failover || watch_caches_.is_enabled()) {
     const std::vector<std::string> etcd_members =
         etcd_ ? etcd_->AddressesFor(identity.zone) : std::vector<std::string>{};
     const std::string operator_file =
--- a/tests/multiprocess/random_draw.h
+++ b/tests/multiprocess/random_draw.h
@@ -11,7 +11,7 @@
 
 /// A number between two bounds, evenly distributed.
 inline double DrawBetween(simulator::Random& random, double low, double high) {
-  return low + random.Unit() * (high - low);
+  return low + random.DrawUnit() * (high - low);
 }
 
 }  // namespace badgerbridge::multiprocess
--- a/tests/multiprocess/report.cpp
+++ b/tests/multiprocess/report.cpp
@@ -64,10 +64,10 @@
 // What only some plans have.
 std::string OptionalFields(const simulator::Model& model, const RunOutcome& outcome) {
   std::string fields;
-  if (model.together.regions) fields += ZoneFailoverFields(outcome);
+  if (model.multiprocess.runs_zone_failover) fields += ZoneFailoverFields(outcome);
   if (outcome.verdict.slow_starts > 0) fields += SlowStartFields(outcome.verdict);
   if (!outcome.restart_times_ms.empty()) fields += RestartFields(outcome);
-  if (model.together.raw_clients > 0) fields += StallFields(outcome);
+  if (model.multiprocess.raw_clients > 0) fields += StallFields(outcome);
   return fields;
 }
 
@@ -90,7 +90,7 @@
 }  // namespace
 
 bool HasPassed(const simulator::Model& model, const RunOutcome& outcome) {
-  return outcome.Passed() && 100 * outcome.EarnedShare() >= model.together.least_worth_percent;
+  return outcome.Passed() && 100 * outcome.EarnedShare() >= model.multiprocess.min_weight_percent;
 }
 
 std::string DetailsOf(const RunOutcome& outcome) {
--- a/tests/multiprocess/report_test.cpp
+++ b/tests/multiprocess/report_test.cpp
@@ -37,8 +37,8 @@
 
 TEST(ReportTest, SummaryLineHasTheFieldsOfPlansThatNeedThem) {
   simulator::Model model = MakeModel();
-  model.together.regions = true;
-  model.together.raw_clients = 2;
+  model.multiprocess.runs_zone_failover = true;
+  model.multiprocess.raw_clients = 2;
   RunOutcome outcome = MakeOutcome();
   outcome.epoch = 5;
   outcome.audit = {4, 0, 0};
@@ -65,9 +65,9 @@
   simulator::Model model = MakeModel();
   RunOutcome outcome = MakeOutcome();
   EXPECT_TRUE(HasPassed(model, outcome));
-  model.together.least_worth_percent = 88;
+  model.multiprocess.min_weight_percent = 88;
   EXPECT_FALSE(HasPassed(model, outcome));
-  model.together.least_worth_percent = 87;
+  model.multiprocess.min_weight_percent = 87;
   EXPECT_TRUE(HasPassed(model, outcome));
   outcome.faults.push_back({ProcessFaultKind::kEnded, "n1", "with 3"});
   EXPECT_FALSE(HasPassed(model, outcome));
--- a/tests/multiprocess/run.cpp
+++ b/tests/multiprocess/run.cpp
@@ -16,7 +16,7 @@
 constexpr double kMaxQuotaCheckIntervalMs = 1000;  // on average: quotas that are rarely checked prove nothing
 
 std::unique_ptr<EtcdCluster> StartEtcd(RunContext& context) {
-  if (context.model.together.etcd_members <= 0) return nullptr;
+  if (context.model.multiprocess.etcd_members <= 0) return nullptr;
   return std::make_unique<EtcdCluster>(context);
 }
 
@@ -45,7 +45,7 @@
   AwaitRoles();
   OpenLinks();
   StartInstallation();
-  if (context_.model.together.regions) MonitorZoneFailover();
+  if (context_.model.multiprocess.runs_zone_failover) MonitorZoneFailover();
   BeginLoad();
   PlayLoad();
   EndLoad();
@@ -101,7 +101,7 @@
   zone_failover_monitor_->Stop();
   for (const std::string& line : zone_failover_monitor_->Describe()) context_.Note(line);
   const std::size_t checks = zone_failover_monitor_->complete_checks();
-  if (static_cast<double>(checks) < context_.model.length / kMaxQuotaCheckIntervalMs)
+  if (static_cast<double>(checks) < context_.model.duration_ms / kMaxQuotaCheckIntervalMs)
     context_.AddFault(ProcessFaultKind::kFewQuotaChecks, "", std::to_string(checks));
 }
 
@@ -113,12 +113,12 @@
                                publisher_, *clients_, stalls_});
   nemesis_->Start();
   clients_->SendAll(StartLoad{});
-  if (context_.model.together.stalls) stalls_.Start();
+  if (context_.model.multiprocess.stalls_proxies) stalls_.Start();
 }
 
 void MultiprocessRun::PlayLoad() {
   const double max_deadline_ms = MaxDeadlineMs(context_.model);
-  while (NowMs() < context_.load_began_ms + context_.model.length) {
+  while (NowMs() < context_.load_began_ms + context_.model.duration_ms) {
     context_.RunEvents(kLoadStepMs);
     context_.schedule.RunDue();
     proxies_.CheckEnded(max_deadline_ms);
--- a/tests/multiprocess/run_outcome.cpp
+++ b/tests/multiprocess/run_outcome.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "simulator/slow_start.h"
+#include "simulator/slow_start_checker.h"
 
 namespace badgerbridge::multiprocess {
 
@@ -58,14 +58,14 @@
                              request_class.rules.latency_objective.count(), request_class.rules.late_weight});
   }
   rules.drain_grace_ms = model.drain_grace.count();
-  rules.link_delay_ms = 2 * model.far.count();
+  rules.link_delay_ms = 2 * model.cross_region_latency.count();
   rules.slow_start = SlowStartRulesFrom(model);
-  for (const simulator::TogetherFault& fault : model.together.faults) {
-    if (fault.what == "delay") rules.link_delay_ms += 2 * fault.value;
-    if (fault.what == "trickle") rules.has_prompt_links = false;
+  for (const simulator::MultiprocessFault& fault : model.multiprocess.faults) {
+    if (fault.name == "delay") rules.link_delay_ms += 2 * fault.value;
+    if (fault.name == "trickle") rules.has_prompt_links = false;
   }
-  for (const simulator::Happening& happening : model.happenings) {
-    if (happening.kind == simulator::Happening::Kind::kCut) rules.has_prompt_links = false;
+  for (const simulator::ScenarioEvent& happening : model.events) {
+    if (happening.kind == simulator::ScenarioEvent::Kind::kCut) rules.has_prompt_links = false;
   }
   rules.max_transit_ms += rules.link_delay_ms;
   return rules;
--- a/tests/multiprocess/verdict.h
+++ b/tests/multiprocess/verdict.h
@@ -33,7 +33,7 @@
   double duration_ms = 0;       ///< How long slow start lasts.
   double mean_work_ms = 1;      ///< Of a request, ms of a standard core.
   /// Calls of mean work allowed in the window that ends when the backend is `age_ms` old, without the
-  /// allowance for chance (simulator::MostCalls).
+  /// allowance for chance (simulator::MaxCalls).
   std::function<double(double age_ms)> budget;
 };
 
--- a/tests/multiprocess/verdict_backends.cpp
+++ b/tests/multiprocess/verdict_backends.cpp
@@ -6,7 +6,7 @@
 #include <tuple>
 
 #include "multiprocess/verdict_checks.h"
-#include "simulator/slow_start.h"
+#include "simulator/slow_start_checker.h"
 
 namespace badgerbridge::multiprocess {
 
@@ -88,7 +88,7 @@
     const double age_ms = now_ms - start.started_at_ms;
     if (age_ms < 0 || age_ms > rules.duration_ms) continue;
     const auto calls = static_cast<double>(i - first + 1);
-    max_ratio = std::max(max_ratio, std::max(calls, work) / simulator::MostCalls(rules.budget(age_ms)));
+    max_ratio = std::max(max_ratio, std::max(calls, work) / simulator::MaxCalls(rules.budget(age_ms)));
   }
   return max_ratio;
 }
--- a/tests/multiprocess/watch_cache_fleet.cpp
+++ b/tests/multiprocess/watch_cache_fleet.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 WatchCacheFleet::WatchCacheFleet(RunContext& context) : context_(context) {
-  for (int i = 0; i < context.model.together.relays; ++i) {
+  for (int i = 0; i < context.model.multiprocess.watch_caches; ++i) {
     WatchCache cache;
     cache.name = "relay-" + std::to_string(i + 1);
     cache.region = i % context.model.regions;
@@ -76,18 +76,18 @@
   }
 }
 
-void WatchCacheFleet::Apply(const simulator::TogetherFault& fault, Links& links) {
-  using Way = simulator::Happening::Way;
+void WatchCacheFleet::Apply(const simulator::MultiprocessFault& fault, Links& links) {
+  using Way = simulator::ScenarioEvent::Direction;
   WatchCache& cache = caches_.at(static_cast<std::size_t>(fault.value) - 1);
-  context_.Note(fault.what + ": " + cache.name);
-  if (fault.what == "relay_cut") {
-    SetCuts(cache, links, fault.way != Way::kOut, fault.way != Way::kIn);
-  } else if (fault.what == "relay_heal") {
+  context_.Note(fault.name + ": " + cache.name);
+  if (fault.name == "relay_cut") {
+    SetCuts(cache, links, fault.direction != Way::kOut, fault.direction != Way::kIn);
+  } else if (fault.name == "relay_heal") {
     SetCuts(cache, links, false, false);
-  } else if (fault.what == "relay_start") {
+  } else if (fault.name == "relay_start") {
     if (!cache.process) StartOne(cache);
   } else if (cache.process) {
-    SignalOne(cache, fault.what);
+    SignalOne(cache, fault.name);
   }
 }
 
--- a/tests/multiprocess/watch_cache_fleet.h
+++ b/tests/multiprocess/watch_cache_fleet.h
@@ -33,7 +33,7 @@
   std::vector<std::string> AddressesFor(int zone) const;
 
   /// Does a plan's `relay_…` fault.
-  void Apply(const simulator::TogetherFault& fault, Links& links);
+  void Apply(const simulator::MultiprocessFault& fault, Links& links);
   /// Notes those that have ended: by SIGTERM, or without having been asked to, which is a fault.
   void CheckEnded();
   /// Asks all to end, and waits until they have.
--- a/tests/multiprocess/zone_backends.cpp
+++ b/tests/multiprocess/zone_backends.cpp
@@ -40,7 +40,7 @@
 simulator::BackendModel ModelFrom(const BeginBackends& command) {
   simulator::BackendModel model;
   model.slots = command.slots;
-  model.queue = command.queue;
+  model.queue_capacity = command.queue;
   model.speed = command.speed;
   model.slow_start_floor = command.slow_start_floor;
   model.slow_start_window = Duration(command.slow_start_window_ms);
@@ -63,7 +63,7 @@
 
 // One backend.
 struct ZoneBackends::Server {
-  Server(asio::io_context& io, simulator::EventQueue& queue, simulator::Backend::Watcher& watcher,
+  Server(asio::io_context& io, simulator::EventQueue& queue, simulator::Backend::Observer& watcher,
          std::size_t index, const simulator::BackendModel& backend_model)
       : acceptor(io),
         model(queue, watcher, index, backend_model, simulator::Random(index + 1, kModelStream)) {}
@@ -114,27 +114,27 @@
       Listen(server);
       break;
     case BackendAction::kSlowDown:
-      server.model.Slow(command.value);
+      server.model.SetSlowdown(command.value);
       break;
     case BackendAction::kFailAnswers:
-      server.model.Wrong(command.value);
+      server.model.SetErrorShare(command.value);
       break;
     case BackendAction::kPause:
-      server.model.Pause(Now() + Duration(command.value));
+      server.model.PauseUntil(Now() + Duration(command.value));
       break;
   }
   StepModel();
 }
 
-void ZoneBackends::Began(TimePoint, std::size_t, simulator::JobId job) {
+void ZoneBackends::OnJobStarted(TimePoint, std::size_t, simulator::JobId job) {
   attempts_[jobs_.at(job)->attempt].took_effect = true;
 }
 
-void ZoneBackends::Finished(TimePoint, std::size_t, simulator::JobId job, bool right) {
+void ZoneBackends::OnJobFinished(TimePoint, std::size_t, simulator::JobId job, bool right) {
   Complete(job, right ? JobResult::kRight : JobResult::kWrong);
 }
 
-void ZoneBackends::Dropped(TimePoint, std::size_t, simulator::JobId job) {
+void ZoneBackends::OnJobDropped(TimePoint, std::size_t, simulator::JobId job) {
   Complete(job, JobResult::kDropped);
 }
 
@@ -163,15 +163,15 @@
     socket->set_option(asio::socket_base::linger(true, 0), ignored);
     socket->close(ignored);
   }
-  server.model.Die(Now());
+  server.model.Stop(Now());
 }
 
 // Plays the model's events up to now, and schedules the next step.
 void ZoneBackends::StepModel() {
-  while (queue_.Step(Now())) {
+  while (queue_.RunNext(Now())) {
   }
   // The queue does not know its first event's time; a backend's work ends on some ms.
-  if (is_step_scheduled_ || queue_.waiting() == 0) return;
+  if (is_step_scheduled_ || queue_.size() == 0) return;
   is_step_scheduled_ = true;
   step_timer_.expires_after(kStepInterval);
   step_timer_.async_wait([this](const beast::error_code& error) {
@@ -268,9 +268,9 @@
   const simulator::JobId job_id = ++last_job_;
   jobs_.emplace(job_id, job);
   UpdateUtilization(server);
-  const simulator::Backend::Begin begin = server.model.Take(Now(), job_id, work_ms);
-  const bool is_overloaded = begin == simulator::Backend::Begin::kFell;
-  if (is_overloaded || begin == simulator::Backend::Begin::kFull) {
+  const simulator::Backend::Admission begin = server.model.Submit(Now(), job_id, work_ms);
+  const bool is_overloaded = begin == simulator::Backend::Admission::kOverloaded;
+  if (is_overloaded || begin == simulator::Backend::Admission::kRejected) {
     jobs_.erase(job_id);
     co_return Reject(server, key, is_overloaded, response);
   }
--- a/tests/multiprocess/zone_backends.h
+++ b/tests/multiprocess/zone_backends.h
@@ -25,7 +25,7 @@
 
 /// HTTP servers around the simulator's model of a backend, and the records of what they received. For one
 /// thread, that of its io_context.
-class ZoneBackends final : public simulator::Backend::Watcher {
+class ZoneBackends final : public simulator::Backend::Observer {
  public:
   /// `on_overload` is called with the name of a backend that failed under overload.
   ZoneBackends(boost::asio::io_context& io, std::function<void(const std::string&)> on_overload);
@@ -51,10 +51,10 @@
   // Whether a backend's process lives on after a request.
   enum class ServerFate { kLives, kEnded };
 
-  // simulator::Backend::Watcher
-  void Began(balancer::TimePoint now, std::size_t backend, simulator::JobId job) override;
-  void Finished(balancer::TimePoint now, std::size_t backend, simulator::JobId job, bool right) override;
-  void Dropped(balancer::TimePoint now, std::size_t backend, simulator::JobId job) override;
+  // simulator::Backend::Observer
+  void OnJobStarted(balancer::TimePoint now, std::size_t backend, simulator::JobId job) override;
+  void OnJobFinished(balancer::TimePoint now, std::size_t backend, simulator::JobId job, bool right) override;
+  void OnJobDropped(balancer::TimePoint now, std::size_t backend, simulator::JobId job) override;
 
   void Complete(simulator::JobId job, JobResult result);
   void Listen(Server& server);
