--- a/bench/slopes_proxy.cpp
+++ b/bench/slopes_proxy.cpp
@@ -28,7 +28,7 @@
 constexpr int kRepetitions = 3;
 constexpr int kChanges = 30;
 constexpr std::chrono::milliseconds kRest{
-    60};  // lists that come sooner are put off (app/membership_source.cpp)
+    60};  // lists that come sooner are put off (proxy_main/change_publisher.cpp)
 constexpr std::chrono::seconds kMostWait{30};
 constexpr std::chrono::milliseconds kOneWait{100};
 
@@ -62,8 +62,8 @@
       operator_config::ZoneFailoverSettings settings;
       settings.coordinated = false;
       settings.zones = config_.zones;
-      regions_.emplace(io_, clock_, config_, settings, [](std::vector<double>) {});
-      proxy_.SetTrafficObserver(&*regions_);
+      regions_.emplace(io_, clock_, config_, settings, [](balancer::ZoneQuotas) {});
+      proxy_.SetTrafficObserver(&regions_->traffic_observer());
     }
     if (!with_ledger) return;
     operator_config::EtcdSettings settings;
@@ -86,7 +86,7 @@
     Measure(&cost, [&] {
       const proxy::EndpointList list = reader_.Resolve(whole, ++index_, listed);
       if (membership_) {
-        membership_->Discovered(list);
+        membership_->UpdateFromDiscovery(list);
       } else {
         proxy_.UpdateList(whole ? proxy::EndpointListKind::kFull : proxy::EndpointListKind::kDelta, list);
       }
@@ -168,7 +168,7 @@
 boost::json::value DescribedMembers(int backends) {
   ProxyRig rig(true, false);
   rig.Take(true, ListedUpTo(backends), static_cast<std::size_t>(backends));
-  return rig.membership()->Describe();
+  return rig.membership()->DescribeStatus();
 }
 
 void MeasureProxy(Report& report) {
@@ -206,7 +206,7 @@
       report.checks.Expect(rig.pooled() == listed.size(), "proxy: backends are missing behind the ledger");
       change.Add(size, ChangeUs(rig, size));
       const double began = ThreadCpuMs();
-      const std::string text = boost::json::serialize(rig.membership()->Describe());
+      const std::string text = boost::json::serialize(rig.membership()->DescribeStatus());
       describing.Add(size, ThreadCpuMs() - began);
       described.Add(size, static_cast<double>(text.size()));
     }
--- a/src/admin_api/admin_api.cpp
+++ b/src/admin_api/admin_api.cpp
@@ -4,192 +4,167 @@
 #include <unistd.h>
 
 #include <boost/json.hpp>
-#include <cmath>
+#include <utility>
+
+#include "admin_api/name_lookup.h"
+#include "admin_api/request_codec.h"
 
 namespace badgerbridge::admin_api {
 namespace {
 
 namespace json = boost::json;
-using balancer::Duration;
 using balancer::TimePoint;
-using proxy::RequestCounters;
-
-constexpr std::size_t kMostBody = 4096;
-
-double Tenth(double x) { return std::round(x * 10) / 10; }
-
-json::object Counts(const RequestCounters& counters) {
-  return {{"taken", counters.accepted},
-          {"served", counters.served},
-          {"refused", counters.rejected},
-          {"failed", counters.failed},
-          {"open", counters.open},
-          {"failed_of_which", json::object{{"client_left", counters.client_disconnected},
-                                           {"last_resort", counters.deadline_fallback}}}};
-}
 
-std::string NameAt(const std::vector<std::string>& names, int index) {
-  return index >= 0 && static_cast<std::size_t>(index) < names.size() ? names[static_cast<std::size_t>(index)]
-                                                                      : std::string();
-}
-
-std::string_view Name(balancer::BackendState state) {
-  switch (state) {
-    case balancer::BackendState::kReady:
-      return "ready";
-    case balancer::BackendState::kDraining:
-      return "draining";
-    case balancer::BackendState::kGone:
-      return "gone";
-  }
-  return "gone";
-}
+constexpr std::size_t kMaxHeaderBytes = 8192;
+constexpr std::size_t kMaxBodyBytes = 4096;
 
 }  // namespace
 
 AdminApi::AdminApi(boost::asio::io_context& io, const operator_config::AdminApiSettings& settings,
-                   Subject subject)
-    : subject_(std::move(subject)),
-      started_(subject_.clock.Now()),
+                   Dependencies dependencies)
+    : dependencies_(std::move(dependencies)),
+      started_at_(dependencies_.clock.Now()),
       server_(
           io, settings.socket, settings.allow_uids,
-          {settings.max_connections, 8 << 10, kMostBody, settings.request_timeout, settings.idle_timeout},
+          {settings.max_connections, kMaxHeaderBytes, kMaxBodyBytes, settings.request_timeout,
+           settings.idle_timeout},
           [this](http_api::Request request, http_api::Peer) -> boost::asio::awaitable<http_api::Response> {
             co_return Handle(request);
           }) {}
 
 http_api::Response AdminApi::Handle(const http_api::Request& request) {
-  struct Call {
-    std::string_view path, method;
-  };
-  constexpr Call kCalls[] = {{"/v1/status", "GET"}, {"/v1/converters", "GET"},      {"/v1/members", "GET"},
-                             {"/v1/zones", "GET"},  {"/v1/drain", "POST"},          {"/v1/undrain", "POST"},
-                             {"/v1/stop", "POST"},  {"/v1/members/release", "POST"}};
-  for (const Call& call : kCalls) {
-    if (request.path != call.path) continue;
-    if (request.method != call.method)
-      return http_api::Error(405, "this path takes " + std::string(call.method));
-    if (call.path == "/v1/status") return {200, Status()};
-    if (call.path == "/v1/converters") return {200, Backends()};
-    if (call.path == "/v1/zones") {
-      if (!subject_.zones)
-        return http_api::Error(404, "no regions here: the operator's file has no [regions] table");
-      return {200, subject_.zones()};
-    }
-    if (call.path == "/v1/members" || call.path == "/v1/members/release") {
-      if (!subject_.members)
-        return http_api::Error(404, "no ledger here: the operator's file has no [etcd] table");
-      if (call.path == "/v1/members") return {200, subject_.members()};
-      return {200, json::object{{"released", subject_.release()}}};
-    }
-    if (call.path == "/v1/drain") return Drain(request);
-    if (subject_.listener.stopping()) return http_api::Error(409, "this proxy is stopping");
-    if (call.path == "/v1/undrain") {
-      subject_.listener.Undrain();
-      drain_began_.reset(), drain_due_.reset();
-    } else {
-      subject_.stop();
-    }
-    return {200, Status()};
-  }
-  return http_api::Error(404, "no such call; docs/operators/admin_api.md lists them");
+  Result<json::value> answer = Perform(request);
+  if (!answer) return http_api::Error(HttpStatus(answer.error().code), Message(answer.error()));
+  return {200, std::move(*answer)};
 }
 
-http_api::Response AdminApi::Drain(const http_api::Request& request) {
-  std::optional<Duration> deadline;
-  if (!request.body.empty()) {
-    const auto body = http_api::ParseJsonObject(request);
-    if (!body) return http_api::Error(400, http_api::Message(body.error()));
-    for (const auto& [key, value] : *body) {
-      const double ms = value.is_number() ? value.to_number<double>() : -1;
-      if (key != "deadline_ms")
-        return http_api::Error(400, "unknown member " + std::string(key) + "; deadline_ms is known");
-      if (!(ms >= 0 && ms <= static_cast<double>(kMostDeadline.count())))
-        return http_api::Error(400,
-                               "deadline_ms is no number from 0 to " + std::to_string(kMostDeadline.count()));
-      deadline = Duration(ms);
-    }
+Result<json::value> AdminApi::Perform(const http_api::Request& request) {
+  const Result<Operation> operation = ParseOperation(request.path, request.method);
+  if (!operation) return operation.error();
+  switch (*operation) {
+    case Operation::kGetStatus:
+      return DescribeStatus();
+    case Operation::kGetBackends:
+      return DescribeBackends();
+    case Operation::kGetMembers:
+      return DescribeMembers();
+    case Operation::kGetZones:
+      return DescribeZones();
+    case Operation::kDrain:
+      return Drain(request);
+    case Operation::kUndrain:
+      return Undrain();
+    case Operation::kStop:
+      return Stop();
+    case Operation::kReleaseMembers:
+      return ReleaseMembers();
   }
-  if (subject_.listener.stopping()) return http_api::Error(409, "this proxy is stopping");
-  const TimePoint now = subject_.clock.Now();
-  if (!drain_began_) drain_began_ = now;
-  drain_due_.reset();
-  if (deadline) drain_due_ = now + *deadline;
-  subject_.listener.Drain();
-  return {200, Status()};
+  return RequestError{RequestErrorCode::kUnknownPath, request.path};
+}
+
+Result<json::value> AdminApi::DescribeMembers() const {
+  if (!dependencies_.describe_members) return RequestError{RequestErrorCode::kNoMembership, ""};
+  return dependencies_.describe_members();
 }
 
-std::string_view AdminApi::State() const {
-  const auto& listener = subject_.listener;
-  if (listener.stopping()) return "stopping";
-  if (listener.draining()) return listener.IsIdle() ? "drained" : "draining";
-  return subject_.proxy.CanServe() ? "ready" : "starting";
+Result<json::value> AdminApi::ReleaseMembers() {
+  if (!dependencies_.describe_members) return RequestError{RequestErrorCode::kNoMembership, ""};
+  return json::value(EncodeReleasedMembers(dependencies_.release_members()));
 }
 
-json::object AdminApi::Status() const {
-  const TimePoint now = subject_.clock.Now();
-  json::object status;
-  const std::string_view state = State();
-  status["name"] = subject_.config.name;
-  status["state"] = state;
-  status["version"] = BADGERBRIDGE_VERSION;
-  status["pid"] = getpid();
-  status["uptime_ms"] = std::floor((now - started_).count());
-  status["connections"] = subject_.listener.connections();
-  status["rejected"] = subject_.listener.rejected();
-  RequestCounters all;
-  json::object classes;
-  const std::vector<RequestCounters>& by_class = subject_.proxy.counters();
-  for (std::size_t i = 0; i < by_class.size(); ++i) {
-    classes[NameAt(subject_.config.classes, static_cast<int>(i))] = Counts(by_class[i]);
-    all += by_class[i];
+Result<json::value> AdminApi::DescribeZones() const {
+  if (!dependencies_.describe_zones) return RequestError{RequestErrorCode::kNoZoneFailover, ""};
+  return dependencies_.describe_zones();
+}
+
+Result<json::value> AdminApi::Drain(const http_api::Request& request) {
+  const Result<DrainRequest> drain = ParseDrainRequest(request);
+  if (!drain) return drain.error();
+  if (dependencies_.listener.stopping()) return RequestError{RequestErrorCode::kStopping, ""};
+  const TimePoint now = dependencies_.clock.Now();
+  if (!drain_started_at_) drain_started_at_ = now;
+  drain_deadline_.reset();
+  if (drain->deadline) drain_deadline_ = now + *drain->deadline;
+  dependencies_.listener.Drain();
+  return DescribeStatus();
+}
+
+Result<json::value> AdminApi::Undrain() {
+  if (dependencies_.listener.stopping()) return RequestError{RequestErrorCode::kStopping, ""};
+  dependencies_.listener.Undrain();
+  drain_started_at_.reset();
+  drain_deadline_.reset();
+  return DescribeStatus();
+}
+
+Result<json::value> AdminApi::Stop() {
+  if (dependencies_.listener.stopping()) return RequestError{RequestErrorCode::kStopping, ""};
+  dependencies_.stop();
+  return DescribeStatus();
+}
+
+ProxyState AdminApi::State() const {
+  const proxy::Listener& listener = dependencies_.listener;
+  if (listener.stopping()) return ProxyState::kStopping;
+  if (listener.draining()) return listener.IsIdle() ? ProxyState::kDrained : ProxyState::kDraining;
+  return dependencies_.proxy.CanServe() ? ProxyState::kReady : ProxyState::kStarting;
+}
+
+std::vector<ClassStatus> AdminApi::Classes() const {
+  std::vector<ClassStatus> classes;
+  for (const request_table::RequestCounters& counters : dependencies_.proxy.counters()) {
+    const int index = static_cast<int>(classes.size());
+    classes.push_back({NameAt(dependencies_.config.classes, index), counters});
   }
-  status["requests"] = Counts(all);
-  status["classes"] = std::move(classes);
-  const TimePoint told = subject_.proxy.last_list_at();
-  status["list"] = json::object{
-      {"revision", subject_.list.version()},
-      {"age_ms", told == TimePoint{} ? json::value(nullptr) : json::value(std::floor((now - told).count()))},
-      {"converters", subject_.list.name_count()}};
-  if (drain_began_ && subject_.listener.draining()) {
-    json::object drain{{"since_ms", std::floor((now - *drain_began_).count())}};
-    if (drain_due_) {
-      drain["left_ms"] = std::max(0.0, std::floor((*drain_due_ - now).count()));
-      drain["overdue"] = state == "draining" && now >= *drain_due_;
-    }
-    status["drain"] = std::move(drain);
+  return classes;
+}
+
+EndpointListStatus AdminApi::EndpointList(TimePoint now) const {
+  EndpointListStatus status;
+  status.version = dependencies_.endpoint_list.version();
+  const TimePoint updated_at = dependencies_.proxy.last_list_at();
+  if (updated_at != TimePoint{}) status.age = now - updated_at;
+  status.backends = dependencies_.endpoint_list.name_count();
+  return status;
+}
+
+std::optional<DrainStatus> AdminApi::CurrentDrain(TimePoint now, ProxyState state) const {
+  if (!drain_started_at_ || !dependencies_.listener.draining()) return std::nullopt;
+  DrainStatus status;
+  status.elapsed = now - *drain_started_at_;
+  if (drain_deadline_) {
+    status.remaining = *drain_deadline_ - now;
+    status.is_overdue = state == ProxyState::kDraining && now >= *drain_deadline_;
   }
-  const ReloadStatus& reloads = subject_.reloads;
-  status["reloads"] = json::object{
-      {"applied", reloads.applied}, {"refused", reloads.refused}, {"last_error", reloads.last_error}};
   return status;
 }
 
-json::object AdminApi::Backends() const {
-  const TimePoint now = subject_.clock.Now();
-  json::array all;
-  for (const balancer::BackendView& view : subject_.proxy.Inspect()) {
-    const std::string name = subject_.list.NameOf(view.entry.server);
-    if (name.empty()) continue;  // it has left the list; the module forgets it after a while
-    json::object one{{"name", name},
-                     {"zone", NameAt(subject_.config.zones, view.entry.zone)},
-                     {"kind", NameAt(subject_.config.kinds, view.entry.kind)},
-                     {"group", view.entry.cell},
-                     {"status", Name(view.entry.state)},
-                     {"health", view.ejected  ? "ejected"
-                                : view.silent ? "silent"
-                                              : "healthy"},
-                     {"in_flight", view.in_flight},
-                     {"work_in_flight_ms", Tenth(view.work_in_flight)},
-                     {"slowness", std::round(view.slowness * 100) / 100},
-                     {"warm_share", std::round(view.warm_share * 100) / 100}};
-    if (view.ejected) one["ejected_for_ms"] = std::max(0.0, std::ceil((view.ejected_until - now).count()));
-    if (view.warm_share < 1)
-      one["cold_budget"] =
-          json::object{{"work_ms", Tenth(view.cold_budget)}, {"sent_ms", Tenth(view.cold_sent)}};
-    all.push_back(std::move(one));
+json::value AdminApi::DescribeStatus() const {
+  const TimePoint now = dependencies_.clock.Now();
+  ProxyStatus status;
+  status.name = dependencies_.config.name;
+  status.state = State();
+  status.process_id = getpid();
+  status.uptime = now - started_at_;
+  status.connections = dependencies_.listener.connections();
+  status.malformed_requests = dependencies_.listener.rejected();
+  status.classes = Classes();
+  status.endpoint_list = EndpointList(now);
+  status.drain = CurrentDrain(now, status.state);
+  status.reloads = dependencies_.reloads;
+  return EncodeStatus(status);
+}
+
+json::value AdminApi::DescribeBackends() const {
+  const TimePoint now = dependencies_.clock.Now();
+  std::vector<BackendStatus> backends;
+  for (const balancer::BackendView& view : dependencies_.proxy.Inspect()) {
+    std::string name = dependencies_.endpoint_list.NameOf(view.entry.server);
+    if (name.empty()) continue;  // it has left the list; the balancer forgets it after a while
+    backends.push_back({std::move(name), NameAt(dependencies_.config.zones, view.entry.zone),
+                        NameAt(dependencies_.config.kinds, view.entry.kind), view});
   }
-  return {{"converters", std::move(all)}};
+  return EncodeBackends(now, backends);
 }
 
 }  // namespace badgerbridge::admin_api
--- /dev/null
+++ b/src/proxy_main/change_publisher.cpp
@@ -0,0 +1,54 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "proxy_main/change_publisher.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace badgerbridge::proxy_main {
+namespace {
+
+// A turn takes further slices until it has lasted for this long.
+constexpr std::chrono::microseconds kTurnTime{1000};
+// The pause after a turn as a multiple of the turn: it has a tenth of the loop at the most, or half of it
+// while drains or departures wait, or the first list.
+constexpr int kPauseFactor = 9;
+constexpr int kUrgentPauseFactor = 1;
+// A drain waits no longer than this for its turn.
+constexpr std::chrono::milliseconds kMaxPause{50};
+
+}  // namespace
+
+ChangePublisher::ChangePublisher(boost::asio::io_context& io, OnSlice on_slice, OnEmpty on_empty)
+    : on_slice_(std::move(on_slice)), on_empty_(std::move(on_empty)), timer_(io) {}
+
+void ChangePublisher::Publish(const std::vector<membership::Member>& changes) {
+  for (const membership::Member& member : changes) pending_.Add(member);
+  // With more than a slice, this handler has already spent its time on reading a page of a list.
+  const bool may_run = Clock::now() >= next_turn_at_ && changes.size() <= kMaxSliceSize;
+  if (may_run) return RunTurn();
+  if (!timer_.armed()) ArmTimer();
+}
+
+void ChangePublisher::ArmTimer() {
+  timer_.ArmAt(next_turn_at_, [this] { RunTurn(); });
+}
+
+void ChangePublisher::RunTurn() {
+  timer_.Disarm();
+  const Clock::time_point start = Clock::now();
+  do {
+    on_slice_(pending_.TakeSlice(kMaxSliceSize));
+  } while (!pending_.empty() && Clock::now() - start < kTurnTime);
+  const Clock::time_point end = Clock::now();
+  longest_turn_ = std::max(longest_turn_, end - start);
+  next_turn_at_ = end + PauseAfter(end - start);
+  if (!pending_.empty()) return ArmTimer();
+  on_empty_();
+}
+
+ChangePublisher::Clock::duration ChangePublisher::PauseAfter(Clock::duration turn) const {
+  const bool is_urgent = pending_.HasUrgent() || is_urgent_;
+  return std::min<Clock::duration>(turn * (is_urgent ? kUrgentPauseFactor : kPauseFactor), kMaxPause);
+}
+
+}  // namespace badgerbridge::proxy_main
--- a/src/proxy_main/zone_failover_calls.h
+++ b/src/proxy_main/zone_failover_calls.h
@@ -1,13 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A zone_failover::Member's calls as etcd's v3 API has them (etcd.io/docs, "API reference": KV.Txn,
-// Lease.LeaseGrant, Lease.LeaseKeepAlive), and what comes back as its replies. No I/O.
+// Codec between a zone_failover::Member's calls and etcd's v3 API (etcd.io/docs, "API reference": KV.Txn,
+// Lease.LeaseGrant, Lease.LeaseKeepAlive). No I/O.
 #ifndef BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_CALLS_H_
 #define BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_CALLS_H_
 
-#include <optional>
 #include <string>
-#include <string_view>
 
 #include "etcd.pb.h"
 #include "etcd/grpc.h"
@@ -15,26 +13,34 @@
 
 namespace badgerbridge::proxy_main {
 
-using zone_failover::Member;
+/// The request that grants a lease.
+etcdserverpb::LeaseGrantRequest ToEtcd(const zone_failover::Member::GrantLease& call);
 
-// Keys have `prefix` before them; `name` is the member's.
-etcdserverpb::LeaseGrantRequest ToEtcd(const Member::GrantLease& call);
-etcdserverpb::LeaseKeepAliveRequest ToEtcd(const Member::KeepLeaseAlive& call);
-etcdserverpb::TxnRequest ToEtcd(const Member::Heartbeat& call, const std::string& prefix,
+/// The request that renews a lease.
+etcdserverpb::LeaseKeepAliveRequest ToEtcd(const zone_failover::Member::KeepLeaseAlive& call);
+
+/// The transaction of a heartbeat of the member `name`; keys begin with `prefix`.
+etcdserverpb::TxnRequest ToEtcd(const zone_failover::Member::Heartbeat& call, const std::string& prefix,
                                 const std::string& name);
-etcdserverpb::TxnRequest ToEtcd(const Member::Campaign& call, const std::string& prefix,
+
+/// The transaction by which the member `name` campaigns; keys begin with `prefix`.
+etcdserverpb::TxnRequest ToEtcd(const zone_failover::Member::Campaign& call, const std::string& prefix,
                                 const std::string& name);
-etcdserverpb::TxnRequest ToEtcd(const Member::Propose& call, const std::string& prefix);
 
-Member::Reply FromEtcd(const etcd::Status& status, const etcdserverpb::LeaseGrantResponse& response);
-Member::Reply FromEtcd(const etcd::Status& status, const etcdserverpb::LeaseKeepAliveResponse& response);
-// Keys that do not begin with the prefix are left out.
-Member::Reply FromEtcd(const etcd::Status& status, const etcdserverpb::TxnResponse& response,
-                       const std::string& prefix);
+/// The transaction that writes a decision; keys begin with `prefix`.
+etcdserverpb::TxnRequest ToEtcd(const zone_failover::Member::Propose& call, const std::string& prefix);
+
+/// The reply to GrantLease. `response` counts only if `status` is OK, here and below.
+zone_failover::Member::Reply FromEtcd(const etcd::Status& status,
+                                      const etcdserverpb::LeaseGrantResponse& response);
+
+/// The reply to KeepLeaseAlive.
+zone_failover::Member::Reply FromEtcd(const etcd::Status& status,
+                                      const etcdserverpb::LeaseKeepAliveResponse& response);
 
-// `util` of a load report, as in "inflight=7,queue=2,util=0.61" (PROTOCOL, X-Backend-Load); nothing where it
-// is absent, or no number from 0 to 1.
-std::optional<double> UtilIn(std::string_view report);
+/// The reply to a transaction, with the keys after `prefix`; keys that do not begin with it are left out.
+zone_failover::Member::Reply FromEtcd(const etcd::Status& status, const etcdserverpb::TxnResponse& response,
+                                      const std::string& prefix);
 
 }  // namespace badgerbridge::proxy_main
 
--- /dev/null
+++ b/src/proxy_main/zone_failover_settings.h
@@ -0,0 +1,39 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// A member's settings of zone failover, from the platform's configuration and the operator's [regions] table.
+// No I/O.
+#ifndef BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_SETTINGS_H_
+#define BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_SETTINGS_H_
+
+#include <boost/assert/source_location.hpp>
+#include <boost/system/result.hpp>
+#include <string>
+#include <vector>
+
+#include "operator_config/operator_file.h"
+#include "proxy/config.h"
+#include "zone_failover/member.h"
+
+namespace badgerbridge::proxy_main {
+
+/// The operator's table lists other zones than the configuration, or in another order. Members exchange zones
+/// by their index, so all must number them alike.
+struct ZoneMismatchError {
+  std::vector<std::string> listed;    ///< By the operator's table.
+  std::vector<std::string> expected;  ///< By the configuration.
+};
+
+/// The error as one line for people, without a line end.
+std::string Message(const ZoneMismatchError& error);
+
+/// Called by result::value() if there is no value: throws std::runtime_error with the message.
+[[noreturn]] void throw_exception_from_error(const ZoneMismatchError& error,
+                                             const boost::source_location& location);
+
+/// The settings of this proxy's member.
+boost::system::result<zone_failover::MemberSettings, ZoneMismatchError> MakeMemberSettings(
+    const proxy::Config& config, const operator_config::ZoneFailoverSettings& table);
+
+}  // namespace badgerbridge::proxy_main
+
+#endif  // BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_SETTINGS_H_
--- a/tests/proxy/session_play_backend.cpp
+++ b/tests/proxy/session_play_backend.cpp
@@ -46,7 +46,8 @@
   const auto [client, request] = FindRequest(forwarded.correlation_id);
   if (!request) return Report(&RuleViolations::lost, "an attempt of no client's request");
   ++request->attempts;
-  if (request->unsafe && request->attempts > 1) Report(&RuleViolations::twice, "an unsafe request was sent twice");
+  if (request->unsafe && request->attempts > 1)
+    Report(&RuleViolations::twice, "an unsafe request was sent twice");
   if (client->left && steady_clock::now() - *client->left > kMaxAttemptDelay)
     Report(&RuleViolations::late, "an attempt was begun after its client had left");
 }
--- a/tests/proxy/session_play_verdict.cpp
+++ b/tests/proxy/session_play_verdict.cpp
@@ -39,7 +39,8 @@
   // Those behind the first that was not answered crossed the end with it, if it did.
   const bool was_idle = answers > 0 && !client.requests[answers].behind_another;
   if (!read && was_idle) {
-    if (request.attempts > 0) Report(&RuleViolations::twice, "a request was sent that its client will send again");
+    if (request.attempts > 0)
+      Report(&RuleViolations::twice, "a request was sent that its client will send again");
     return;
   }
   if (!read && answers == 0 && MayBeRefused(client, client.requests.front().after_end)) return;
--- a/tests/membership/membership_source_test.cpp
+++ b/tests/proxy_main/membership_source_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a proxy is given of a list from a stand-in etcd, and in which order.
+// Which changes a proxy receives from a stand-in etcd, and in which order.
 #include "proxy_main/membership_source.h"
 
 #include <gtest/gtest.h>
@@ -33,7 +33,7 @@
     table.endpoints = {"127.0.0.1:" + std::to_string(etcd.address(0).port())};
     table.services = services;
     source.emplace(
-        io, proxy::testing::TestConfig({}), table, [this](const EndpointList& list) { Take(list); },
+        io, proxy::testing::TestConfig({}), table, [this](const EndpointList& list) { ApplySlice(list); },
         [this] {
           ++completions;
           size_at_completion = proxy.size();
@@ -49,7 +49,7 @@
     member.state = state;
     return {membership::kBackendsPrefix + name, membership::SerializeMember(member)};
   }
-  // All in one revision.
+  /// Writes all of them in one revision.
   void Write(const Pairs& pairs) {
     etcd.store().PutAll(pairs);
     etcd.Publish();
@@ -61,7 +61,7 @@
     return pairs;
   }
   /// Applies a slice to the list.
-  void Take(const EndpointList& list) {
+  void ApplySlice(const EndpointList& list) {
     EXPECT_FALSE(list.snapshot);
     largest = std::max(largest, list.endpoints.size());
     for (const proxy::Endpoint& endpoint : list.endpoints) {
@@ -73,7 +73,7 @@
   /// Runs until `holds`; whether it came to hold in time.
   bool Until(const std::function<bool()>& holds) { return proxy::testing::RunUntil(io, holds); }
   /// The status of the source etcd.
-  json::object EtcdSource() { return source->Describe().at("sources").at(0).as_object(); }
+  json::object EtcdSource() { return source->DescribeStatus().at("sources").at(0).as_object(); }
 
   boost::asio::io_context io{1};
   standins::Etcd etcd{io, {}};
@@ -98,7 +98,7 @@
   }
   /// The service of a member in the current view; "none": it is not there.
   std::string ServiceOf(const std::string& name) const {
-    const json::value answer = source->Describe();
+    const json::value answer = source->DescribeStatus();
     for (const json::value& member : answer.at("members").as_array()) {
       if (member.at("name").as_string() == name) return std::string(member.at("service").as_string());
     }
@@ -106,25 +106,25 @@
   }
 };
 
-TEST_F(MembershipSourceTest, AListComesInBoundedSlicesAndIsCompleteAtItsEnd) {
+TEST_F(MembershipSourceTest, ListIsPublishedInBoundedSlicesAndCompleteAtItsEnd) {
   Write(Numbered("m", 1000));
   Start();
   ASSERT_TRUE(Until([&] { return completions == 1; }));
   EXPECT_EQ(size_at_completion, 1000u) << "and not before";
-  EXPECT_EQ(largest, MembershipSource::kSliceMembers);
+  EXPECT_EQ(largest, ChangePublisher::kMaxSliceSize);
   EXPECT_EQ(order.size(), 1000u) << "each once";
   Write({Pair("m7", MemberState::kDraining)});
   ASSERT_TRUE(Until([&] { return proxy["m7"] == BackendState::kDraining; }));
   EXPECT_EQ(completions, 1);
-  EXPECT_EQ(source->Describe().at("pending").to_number<int>(), 0);
+  EXPECT_EQ(source->DescribeStatus().at("pending").to_number<int>(), 0);
 }
 
-TEST_F(MembershipSourceTest, AnEmptyListIsCompleteToo) {
+TEST_F(MembershipSourceTest, EmptyListIsComplete) {
   Start();
   EXPECT_TRUE(Until([&] { return completions == 1; }));
 }
 
-TEST_F(MembershipSourceTest, DrainsAndDeparturesComeBeforeJoinsOfTheSameRevision) {
+TEST_F(MembershipSourceTest, DrainsAndDeparturesArePublishedBeforeJoinsOfTheSameRevision) {
   Write(Numbered("m", 400));
   Start();
   ASSERT_TRUE(Until([&] { return completions == 1; }));
@@ -136,10 +136,10 @@
   const auto first_join = std::find(order.begin(), order.end(), BackendState::kReady);
   EXPECT_EQ(first_join - order.begin(), 300);
   EXPECT_EQ(std::count(order.begin(), order.end(), BackendState::kDraining), 300);
-  EXPECT_EQ(largest, MembershipSource::kSliceMembers);
+  EXPECT_EQ(largest, ChangePublisher::kMaxSliceSize);
 }
 
-TEST_F(MembershipSourceTest, AListThatIsReadAgainChangesOnlyWhatChanged) {
+TEST_F(MembershipSourceTest, ListThatIsReadAgainPublishesOnlyDifferences) {
   Write(Numbered("m", 700));
   Start();
   ASSERT_TRUE(Until([&] { return completions == 1; }));
@@ -164,7 +164,7 @@
             "2 members are refused: at most 3 are taken; drains and departures still count");
 }
 
-TEST_F(MembershipSourceTest, StatusTellsTheAgeOfTheData) {
+TEST_F(MembershipSourceTest, StatusReportsTheAgeOfTheData) {
   Write(Numbered("m", 2));
   Start();
   EXPECT_TRUE(EtcdSource().at("age_ms").is_null()) << "never heard";
@@ -212,8 +212,8 @@
   PutIn("empty", "d");
   etcd.Up(0);
   ASSERT_TRUE(Until([&] { return proxy["c"] == BackendState::kDraining && proxy.count("d") == 1; }));
-  EXPECT_EQ(source->Describe().at("etcd").at("lists").to_number<int>(), 1);
-  EXPECT_EQ(source->Describe().at("etcd").at("resumes").to_number<int>(), 1);
+  EXPECT_EQ(source->DescribeStatus().at("etcd").at("lists").to_number<int>(), 1);
+  EXPECT_EQ(source->DescribeStatus().at("etcd").at("resumes").to_number<int>(), 1);
   etcd.Down(0);
   DeleteIn("x", "a");
   DeleteIn("x", "b");  // it moves
@@ -222,13 +222,13 @@
   etcd.Up(0);
   ASSERT_TRUE(Until([&] { return proxy.count("a") == 0 && ServiceOf("b") == "y"; }));
   EXPECT_EQ(proxy.size(), 3u);
-  EXPECT_EQ(source->Describe().at("etcd").at("lists").to_number<int>(), 2);
+  EXPECT_EQ(source->DescribeStatus().at("etcd").at("lists").to_number<int>(), 2);
   PutIn("x", "e");
   ASSERT_TRUE(Until([&] { return proxy.count("e") == 1; })) << "and it follows again";
   EXPECT_EQ(etcd.protocol_errors(), 0u);
 }
 
-TEST_F(ServicesTest, ANameInTwoServicesIsReported) {
+TEST_F(ServicesTest, NameInTwoServicesIsReported) {
   PutIn("x", "a");
   PutIn("y", "a");
   services = {"x", "y"};
@@ -240,7 +240,7 @@
   EXPECT_EQ(problems.at("y/a").as_string(), "the service x has a member of this name, which stays");
 }
 
-TEST_F(ServicesTest, CutsAtRandomBytesEndUpEqual) {
+TEST_F(ServicesTest, ListConvergesAfterConnectionCutsAtRandomBytes) {
   services = {"x", "y", "z"};
   Start();
   std::mt19937 random(7);
@@ -268,7 +268,7 @@
   // How many departures a reading finds at once depends on when the connection is cut; where they are more
   // than half of the list, they are held back until a person lets them go.
   ASSERT_TRUE(Until([&] {
-    source->Release();
+    source->ReleaseRetained();
     return proxy == world;
   }));
   EXPECT_EQ(etcd.protocol_errors(), 0u);
--- a/tests/membership/proxy_process_test.cpp
+++ b/tests/proxy_main/proxy_process_test.cpp
@@ -19,7 +19,7 @@
 #include "standins/discovery.h"
 #include "standins/etcd.h"
 
-namespace badgerbridge::membership {
+namespace badgerbridge::proxy_main {
 namespace {
 
 namespace asio = boost::asio;
@@ -67,47 +67,54 @@
     const Entry entry = EntryOf(i, status);
     etcd->Put(kPrefix + entry.name, entry.Json());
   }
-  /// Starts the proxy.
-  void Start() {
-    tcp_address = [&] {
-      asio::ip::tcp::acceptor free(
-          io, {asio::ip::address_v4({127, 79, static_cast<unsigned char>(getpid() >> 8 & 127),
-                                     static_cast<unsigned char>(getpid() % 250 + 1)}),
-               0});
-      return free.local_endpoint();
-    }();
-    const auto cls = [](const char* name, const char* effect) {
-      return std::string("{\"name\":\"") + name + "\",\"effect\":\"" + effect +
-             "\",\"group\":\"cell\",\"windowMs\":10000.0,\"goalTimeMs\":500.0,\"deadlineMs\":1500.0,"
-             "\"worth\":1.0}";
-    };
-    std::ofstream(folder + "/config.json")
-        << "{\"name\":\"n1\",\"listen\":\"" << tcp_address.address().to_string() << ":" << tcp_address.port()
-        << "\",\"discovery\":\"" << discovery.address()
-        << "\",\"seed\":\"a5\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},\"known\":"
-        << discovery.List()
-        << ",\"settings\":{\"balancers\":1,\"me\":0,\"zone\":0,\"zones\":[\"a\",\"b\"],\"kinds\":["
-           "\"standard\"],"
-           "\"tenants\":[],\"periodMs\":5.0,\"registryMode\":\"push\",\"classes\":["
-        << cls("preview", "read_like") << "," << cls("convert", "idempotency_key") << ","
-        << cls("certify", "non_idempotent")
-        << "],\"permissions\":{\"maxAttempts\":4,\"connectTimeoutMs\":250.0,\"connIdleMs\":60000.0,"
-           "\"retryAfter\":true,"
-           "\"maxRetryAfterMs\":600.0},\"rules\":{\"coldFrom\":0.2,\"warmUpMs\":24000.0,\"fallMultiple\":2.5,"
-           "\"overloadForMs\":3000.0,\"drainGraceMs\":500.0}}}";
+  /// An address that nobody listens on, of a loopback network of this process's own.
+  asio::ip::tcp::endpoint FreeAddress() {
+    const auto third = static_cast<unsigned char>(getpid() >> 8 & 127);
+    const auto fourth = static_cast<unsigned char>(getpid() % 250 + 1);
+    asio::ip::tcp::acceptor free(io, {asio::ip::address_v4({127, 79, third, fourth}), 0});
+    return free.local_endpoint();
+  }
+  /// A class of the platform's configuration.
+  static std::string ClassText(const std::string& name, const std::string& effect) {
+    return R"({"name":")" + name + R"(","effect":")" + effect +
+           R"(","group":"cell","windowMs":10000.0,"goalTimeMs":500.0,"deadlineMs":1500.0,"worth":1.0})";
+  }
+  /// The platform's configuration.
+  std::string ConfigText() {
+    return R"({"name":"n1","listen":")" + tcp_address.address().to_string() + ":" +
+           std::to_string(tcp_address.port()) + R"(","discovery":")" + discovery.address() +
+           R"(","seed":"a5","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":)" +
+           discovery.List() +
+           R"(,"settings":{"balancers":1,"me":0,"zone":0,"zones":["a","b"],"kinds":["standard"],)"
+           R"("tenants":[],"periodMs":5.0,"registryMode":"push","classes":[)" +
+           ClassText("preview", "read_like") + "," + ClassText("convert", "idempotency_key") + "," +
+           ClassText("certify", "non_idempotent") +
+           R"(],"permissions":{"maxAttempts":4,"connectTimeoutMs":250.0,"connIdleMs":60000.0,)"
+           R"("retryAfter":true,"maxRetryAfterMs":600.0},"rules":{"coldFrom":0.2,"warmUpMs":24000.0,)"
+           R"("fallMultiple":2.5,"overloadForMs":3000.0,"drainGraceMs":500.0}}})";
+  }
+  /// The operator's file: the admin API, and membership from all members of etcd.
+  std::string OperatorText() {
     std::string endpoints;
     for (std::size_t i = 0; i < 3; ++i)
       endpoints += (i > 0 ? ", " : "") + ("\"127.0.0.1:" + std::to_string(etcd->address(i).port())) + "\"";
-    std::ofstream(folder + "/op.toml")
-        << "[control]\nsocket = \"" << folder << "/c.sock\"\n[etcd]\nendpoints = [" << endpoints << "]\n";
+    return "[control]\nsocket = \"" + folder + "/c.sock\"\n[etcd]\nendpoints = [" + endpoints + "]\n";
+  }
+  /// Starts the proxy.
+  void Start() {
+    tcp_address = FreeAddress();
+    std::ofstream(folder + "/config.json") << ConfigText();
+    std::ofstream(folder + "/op.toml") << OperatorText();
     pid = fork();
-    if (pid == 0) {
-      for (int number = 3; number < 1024; ++number) close(number);
-      setenv("ROUTER_CONFIG", (folder + "/config.json").c_str(), 1);
-      if (!std::freopen((folder + "/err").c_str(), "w", stderr)) _exit(126);
-      execl(NODE_PATH, NODE_PATH, "--operator", (folder + "/op.toml").c_str(), static_cast<char*>(nullptr));
-      _exit(127);
-    }
+    if (pid == 0) ExecuteProxy();
+  }
+  /// Becomes the proxy, in the child process.
+  [[noreturn]] void ExecuteProxy() {
+    for (int number = 3; number < 1024; ++number) close(number);
+    setenv("ROUTER_CONFIG", (folder + "/config.json").c_str(), 1);
+    if (!std::freopen((folder + "/err").c_str(), "w", stderr)) _exit(126);
+    execl(NODE_PATH, NODE_PATH, "--operator", (folder + "/op.toml").c_str(), static_cast<char*>(nullptr));
+    _exit(127);
   }
   /// Runs until `holds`, 20 s at most; whether it came to hold.
   bool Until(const std::function<bool()>& holds) {
@@ -149,7 +156,7 @@
   pid_t pid = -1;
 };
 
-TEST_F(ProxyWithEtcdTest, AWrittenDrainStopsNewWorkInTimeAlsoAcrossConnectionFaults) {
+TEST_F(ProxyWithEtcdTest, DrainInEtcdStopsNewWorkInTimeDespiteConnectionFaults) {
   for (int i = 0; i < 4; ++i) Write(i);
   Start();
   ASSERT_TRUE(Until([&] { return StateOf("c3") == "ready by etcd: ready"; }));
@@ -190,25 +197,25 @@
   EXPECT_EQ(etcd->protocol_errors(), 0u);
 }
 
-TEST_F(ProxyWithEtcdTest, ABurstOfRevisionsIsAppliedCompletely) {
+TEST_F(ProxyWithEtcdTest, BurstOfRevisionsIsAppliedCompletely) {
   for (int i = 0; i < 4; ++i) Write(i);
   Start();
   ASSERT_TRUE(Until([&] { return StateOf("c3") == "ready by etcd: ready"; }));
   // Each of 400 is written three times, the last of which counts; c0 drains in their midst.
-  const auto many = [&](double weight, MemberState state) {
+  const auto many = [&](double weight, membership::MemberState state) {
     for (int i = 0; i < 400; ++i) {
-      Member one;
+      membership::Member one;
       one.name = "far" + std::to_string(i);
       one.address = backends[0]->address();
       one.weight = weight;
       one.state = state;
-      etcd->Put(kPrefix + one.name, SerializeMember(one));
+      etcd->Put(kPrefix + one.name, membership::SerializeMember(one));
     }
   };
-  many(1, MemberState::kReady);
-  many(2, MemberState::kReady);
+  many(1, membership::MemberState::kReady);
+  many(2, membership::MemberState::kReady);
   Write(0, "Terminating");
-  many(3, MemberState::kDraining);
+  many(3, membership::MemberState::kDraining);
   const auto backends_shown = [&] {
     auto reply = std::make_shared<std::optional<http_api::Reply>>();
     asio::co_spawn(io,
@@ -229,7 +236,7 @@
   ASSERT_TRUE(Until([&] { return backends_shown().size() == 4; }));
 }
 
-TEST_F(ProxyWithEtcdTest, JoinsNeedEtcdAndDiscoverysDepartureCountsAtOnce) {
+TEST_F(ProxyWithEtcdTest, JoinsNeedEtcdAndDeparturesFromDiscoveryCountAtOnce) {
   for (int i = 0; i < 2; ++i) {
     Write(i);
     discovery.Set(EntryOf(i));
@@ -256,4 +263,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::membership
+}  // namespace badgerbridge::proxy_main
--- a/tests/races/membership_race_test.cpp
+++ b/tests/races/membership_race_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A list that is passed on in slices: a change that is passed on at once crosses the timer of the next slice.
+// The list passed on in slices: a change that is passed on at once crosses the timer of the next slice.
 #include <optional>
 #include <string>
 #include <vector>
@@ -45,20 +45,20 @@
   int slices_ = 0;
 };
 
-TEST_F(MembershipRaceTest, AnExpiredTimerDoesNotSkipThePauseBetweenSlices) {
-  source_->Discovered(List(0, 200, true));
+TEST_F(MembershipRaceTest, AnExpiredTimerDoesNotSkipTheRestBetweenSlices) {
+  source_->UpdateFromDiscovery(List(0, 200, true));
   RunReady();
   ASSERT_EQ(slices_, 1) << "one a handler, since each takes long";
-  // The pause is over, the next slice's handler is queued; a small change is passed on at once.
-  const milliseconds pause{50};
-  AheadOfQueuedTimers([&] { source_->Discovered(List(1000, 1, false)); }, pause);
-  EXPECT_EQ(slices_, 2) << "and then there is a pause again";
+  // The rest is over, the next slice's handler is queued; a small change is passed on at once.
+  const milliseconds rest{50};
+  AheadOfQueuedTimers([&] { source_->UpdateFromDiscovery(List(1000, 1, false)); }, rest);
+  EXPECT_EQ(slices_, 2) << "and then there is a rest again";
   EXPECT_TRUE(Until([&] { return source_->pending() == 0; }));
   EXPECT_EQ(slices_, 7);  // 201 members
 }
 
-TEST_F(MembershipRaceTest, NothingIsPassedOnAfterItsEndWhileATimerIsQueued) {
-  source_->Discovered(List(0, 200, true));
+TEST_F(MembershipRaceTest, ItsEndWhileATimerIsQueuedIsNoTrouble) {
+  source_->UpdateFromDiscovery(List(0, 200, true));
   RunReady();
   const int before = slices_;
   AheadOfQueuedTimers([&] { source_.reset(); }, milliseconds(50));
