--- a/src/cli/completion.cpp
+++ b/src/cli/completion.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "cli/commands.h"
+#include "cli/completion.h"
 
 namespace badgerbridge::cli {
 
--- a/tests/agent/fleet_file_test.cpp
+++ b/tests/agent/fleet_file_test.cpp
@@ -70,7 +70,7 @@
     if (std::string(name) == "fleet.toml") {
       ParseFleetFile(text, name, problems);
     } else {
-      cli::ParseContext(text, name, problems);
+      if (const auto agents = cli::ParseContext(text, name); !agents) problems = agents.error();
     }
     EXPECT_EQ(operator_config::Lines(problems), "");
   }
@@ -116,9 +116,8 @@
 
 TEST(Context, ProblemsAreLines) {
   const auto check = [](const std::string& text) {
-    operator_config::Problems problems;
-    cli::ParseContext(text, "c", problems);
-    return operator_config::Lines(problems);
+    const auto agents = cli::ParseContext(text, "c");
+    return agents ? std::string() : operator_config::Lines(agents.error());
   };
   EXPECT_EQ(check("[[agent]]\nname = \"a\"\nsocket = \"/s\"\n"), "");
   EXPECT_NE(check("").find("agent is missing"), std::string::npos);
