--- a/tests/agent/agent_orders_test.cpp
+++ b/tests/agent/agent_orders_test.cpp
@@ -85,23 +85,23 @@
 
 TEST_F(AgentTest, InstanceThatNeverDrainsDelaysNoOther) {
   StartReady();
-  // Clients that ask no front: one request every 100 ms, each on a connection of its own.
+  // Clients that ignore that the proxy drains: a request every 100 ms, each on its own connection.
   auto stop = std::make_shared<bool>(false);
-  int asked = 0;
-  const auto insist = [&, stop]() -> asio::awaitable<void> {
+  int sent_count = 0;
+  const auto send_requests = [&, stop]() -> asio::awaitable<void> {
     while (!*stop) {
       asio::ip::tcp::socket socket(io);
       co_await socket.async_connect(site->addresses()[1], asio::use_awaitable);
       const std::string text =
           "GET /preview HTTP/1.1\r\nHost: x\r\nX-Service-Class: preview\r\nX-Correlation-Id: i" +
-          std::to_string(++asked) + "\r\nX-Time-Left-Ms: 900\r\n\r\n";
+          std::to_string(++sent_count) + "\r\nX-Time-Left-Ms: 900\r\n\r\n";
       co_await asio::async_write(socket, asio::buffer(text), asio::use_awaitable);
       asio::steady_timer timer(io, milliseconds(100));
       co_await timer.async_wait(asio::use_awaitable);
     }
   };
-  asio::co_spawn(io, insist(), asio::detached);
-  ASSERT_TRUE(site->Until([&] { return asked > 3; }));
+  asio::co_spawn(io, send_requests(), asio::detached);
+  ASSERT_TRUE(site->Until([&] { return sent_count > 3; }));
   const CommandResult drained = site->Ctl({"drain", "--all", "--deadline", "4s", "-o", "json"});
   EXPECT_EQ(drained.code, 1);
   EXPECT_EQ(ResultOf(drained, "n1"), "done: drained");
@@ -137,10 +137,11 @@
   const CommandResult takes_over =
       site->Ctl({"stop", "n2", "--supersede", "--force-after", "0ms", "--deadline", "10s", "-o", "json"});
   EXPECT_EQ(takes_over.code, 0) << takes_over.err << takes_over.out;
-  const CommandResult told = site->Finish(first);
-  EXPECT_EQ(told.code, 1);
-  EXPECT_EQ(ResultOf(told, "n1"), "done: drained");
-  EXPECT_EQ(ResultOf(told, "n2").find("superseded: superseded by order "), 0u) << ResultOf(told, "n2");
+  const CommandResult first_result = site->Finish(first);
+  EXPECT_EQ(first_result.code, 1);
+  EXPECT_EQ(ResultOf(first_result, "n1"), "done: drained");
+  EXPECT_EQ(ResultOf(first_result, "n2").find("superseded: superseded by order "), 0u)
+      << ResultOf(first_result, "n2");
 }
 
 TEST_F(AgentTest, AgentKilledDuringADrainAdoptsInstancesAndFinishesIt) {
--- a/tests/agent/fleet_file_test.cpp
+++ b/tests/agent/fleet_file_test.cpp
@@ -69,8 +69,8 @@
     operator_config::Problems problems;
     if (std::string(name) == "fleet.toml") {
       ParseFleetFile(text, name, problems);
-    } else {
-      if (const auto agents = cli::ParseContext(text, name); !agents) problems = agents.error();
+    } else if (const auto agents = cli::ParseContext(text, name); !agents) {
+      problems = agents.error();
     }
     EXPECT_EQ(operator_config::Lines(problems), "");
   }
@@ -114,20 +114,5 @@
                   .empty());
 }
 
-TEST(Context, ProblemsAreLines) {
-  const auto check = [](const std::string& text) {
-    const auto agents = cli::ParseContext(text, "c");
-    return agents ? std::string() : operator_config::Lines(agents.error());
-  };
-  EXPECT_EQ(check("[[agent]]\nname = \"a\"\nsocket = \"/s\"\n"), "");
-  EXPECT_NE(check("").find("agent is missing"), std::string::npos);
-  EXPECT_NE(check("[[agent]]\nname = \"a\"\n").find("give one of them"), std::string::npos);
-  EXPECT_NE(check("[[agent]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n").find("agent.key is missing"),
-            std::string::npos);
-  EXPECT_NE(check("[[agent]]\nname = \"a\"\nsocket = \"/s\"\n[[agent]]\nname = \"a\"\nsocket = \"/t\"\n")
-                .find("is there twice"),
-            std::string::npos);
-}
-
 }  // namespace
 }  // namespace badgerbridge::agent
--- a/tests/membership/members_command_test.cpp
+++ b/tests/cli/members_command_test.cpp
@@ -12,11 +12,14 @@
 #include "standins/etcd.h"
 #include "standins/site.h"
 
-namespace badgerbridge::membership {
+namespace badgerbridge::cli {
 namespace {
 
 namespace json = boost::json;
 using namespace standins;
+using membership::EtcdSource;
+using membership::Member;
+using membership::SerializeMember;
 using std::chrono::milliseconds;
 
 const std::string kPrefix = "/badgerbridge/converters/";
@@ -51,7 +54,7 @@
     member.group = 1;
     etcd->Put(kPrefix + (key.empty() ? member.name : key), SerializeMember(member));
   }
-  // The state of a member at one proxy, with " held" where its departure is held back; "": not in its list.
+  /// The state of a member at one proxy, with " held" where its departure is held back; "": not in its list.
   std::string StateAt(const std::string& instance, const std::string& name) {
     const http_api::Reply reply = site->Call("GET", "/v1/instances/" + instance + "/members");
     if (!reply.ok()) return reply.Why();
@@ -109,10 +112,10 @@
   ASSERT_TRUE(site->Until([&] { return All("c-2", "draining"); }));
   pb::RangeRequest range;
   range.set_key(kPrefix + "c-2");
-  pb::RangeResponse there;
-  ASSERT_TRUE(etcd->store().Range(range, &there).ok());
-  EXPECT_EQ(there.kvs(0).lease(), 42);
-  EXPECT_NE(there.kvs(0).value().find("\"zone\":\"a\""), std::string::npos);
+  pb::RangeResponse found;
+  ASSERT_TRUE(etcd->store().Range(range, &found).ok());
+  EXPECT_EQ(found.kvs(0).lease(), 42);
+  EXPECT_NE(found.kvs(0).value().find("\"zone\":\"a\""), std::string::npos);
 
   result = site->Ctl({"members", "drain", "c-2", "c-none", "--etcd", address, "-o", "json"});
   EXPECT_EQ(result.code, 1);
@@ -143,9 +146,9 @@
   EXPECT_EQ(result.code, 0) << result.out << result.err;
   pb::RangeRequest range;
   range.set_key("/badgerbridge/services/billing/c-1");
-  pb::RangeResponse there;
-  ASSERT_TRUE(etcd->store().Range(range, &there).ok());
-  EXPECT_NE(there.kvs(0).value().find("Terminating"), std::string::npos) << there.kvs(0).value();
+  pb::RangeResponse found;
+  ASSERT_TRUE(etcd->store().Range(range, &found).ok());
+  EXPECT_NE(found.kvs(0).value().find("Terminating"), std::string::npos) << found.kvs(0).value();
   result = site->Ctl({"members", "register", "c-9", "--address", "127.0.0.1:1", "--zone", "a", "--group", "1",
                       "--operator", file});
   EXPECT_EQ(result.code, 2);
@@ -154,9 +157,10 @@
 
 TEST_F(MembersCommandTest, AnotherWriterIsNeverOverwrittenAndOneThatNeverStopsIsAConflict) {
   // The backend itself writes its key between the tool's read and its transaction: once, then for ever.
-  int writes = 0, most = 1;
+  int writes = 0;
+  int max_writes = 1;
   etcd->BeforeTxn([&] {
-    if (writes >= most) return;
+    if (writes >= max_writes) return;
     ++writes;
     Member member;
     member.name = "c-1";
@@ -167,11 +171,11 @@
   EXPECT_EQ(result.code, 0) << result.out;
   pb::RangeRequest range;
   range.set_key(kPrefix + "c-1");
-  pb::RangeResponse there;
-  ASSERT_TRUE(etcd->store().Range(range, &there).ok());
-  EXPECT_NE(there.kvs(0).value().find("127.0.0.1:1001"), std::string::npos) << "what it wrote is kept";
-  EXPECT_NE(there.kvs(0).value().find("Terminating"), std::string::npos);
-  most = INT_MAX;
+  pb::RangeResponse found;
+  ASSERT_TRUE(etcd->store().Range(range, &found).ok());
+  EXPECT_NE(found.kvs(0).value().find("127.0.0.1:1001"), std::string::npos) << "what it wrote is kept";
+  EXPECT_NE(found.kvs(0).value().find("Terminating"), std::string::npos);
+  max_writes = INT_MAX;
   result = site->Ctl({"members", "undrain", "c-1", "--etcd", address});
   EXPECT_EQ(result.code, 0) << "it says so already: the other has written Ready";
   result = site->Ctl({"members", "drain", "c-1", "--etcd", address});
@@ -279,4 +283,4 @@
 }
 
 }  // namespace
-}  // namespace badgerbridge::membership
+}  // namespace badgerbridge::cli
