--- a/src/cli/check_command.h
+++ b/src/cli/check_command.h
@@ -12,7 +12,7 @@
 
 namespace badgerbridge::cli {
 
-/// Checks an operator's, fleet or context file; its kind is told from its tables. Warnings go to `err`.
+/// Checks an operator's, fleet or context file; its tables tell its kind. Warnings go to `err`.
 /// InvalidFile: all that is wrong with it.
 Result<ExitCode> CheckFile(const std::string& path, std::ostream& err);
 
