--- a/src/cli/agent_session.cpp
+++ b/src/cli/agent_session.cpp
@@ -69,13 +69,15 @@
   std::vector<http_api::Reply> replies(calls.size());
   for (std::size_t i = 0; i < calls.size(); ++i) {
     AgentCall& call = calls[i];
-    boost::asio::co_spawn(io_,
-                          http_api::Call(std::move(call.agent), std::move(call.method), std::move(call.path),
-                                         std::move(call.body), call.timeout),
-                          [&replies, i](std::exception_ptr failure, http_api::Reply reply) {
-                            replies[i] = std::move(reply);
-                            if (failure) replies[i] = {0, {}, "the call could not be made"};
-                          });
+    boost::asio::co_spawn(
+        io_,
+        http_api::Call(std::move(call.agent), std::move(call.method), std::move(call.path),
+                       std::move(call.body), call.timeout),
+        [&replies, i](std::exception_ptr failure, http_api::Reply reply) {
+          replies[i] = std::move(reply);
+          if (failure)
+            replies[i] = {0, {}, http_api::CallError{http_api::CallErrorCode::kCallFailed, "", {}}};
+        });
   }
   io_.restart();
   io_.run();
@@ -83,7 +85,7 @@
 }
 
 ExitCode AgentSession::ReportFailedReply(const std::string& agent, const http_api::Reply& reply) {
-  return Report(RequestFailed{agent, reply.Why(), ExitCodeOfStatus(reply.status)});
+  return Report(RequestFailed{agent, reply.ErrorMessage(), ExitCodeOfStatus(reply.status)});
 }
 
 InstanceTable::InstanceTable(const AgentSession& session, std::vector<std::string> header)
--- a/src/cli/apply_command.cpp
+++ b/src/cli/apply_command.cpp
@@ -34,16 +34,14 @@
 
 /// The name in the [agent] table of a fleet file; empty if it has none.
 FileResult<std::string> ReadAgentName(const std::string& fleet_text, const std::string& path) {
-  Problems problems;
-  const auto root = operator_config::ParseToml(fleet_text, path, problems);
-  if (!root) return problems;
+  const auto root = operator_config::ParseToml(fleet_text, path);
+  if (!root) return Problems{root.error()};
   return (*root)["agent"]["name"].value_or(std::string());
 }
 
 FileResult<FleetText> ReadFleet(const std::string& path, const std::vector<AgentTarget>& agents) {
-  Problems problems;
-  const auto text = operator_config::ReadFile(path, agent::kMaxFleetFileBytes, problems);
-  if (!text) return problems;
+  const auto text = operator_config::ReadFile(path, agent::kMaxFleetFileBytes);
+  if (!text) return Problems{text.error()};
   const FileResult<std::string> name = ReadAgentName(*text, path);
   if (!name) return name.error();
   const AgentTarget* agent = FindAgent(agents, *name);
--- a/src/cli/check_command.cpp
+++ b/src/cli/check_command.cpp
@@ -17,34 +17,35 @@
 
 /// A file that is no TOML counts as an operator's file.
 FileKind KindOf(const std::string& text, const std::string& path) {
-  Problems ignored;  // the parser of the file's kind reports them
-  const auto root = operator_config::ParseToml(text, path, ignored);
+  const auto root = operator_config::ParseToml(text, path);  // an error is reported by the parser of its kind
   if (!root || !(root->contains("agent") || root->contains("instance"))) return FileKind::kOperator;
   return root->at("agent").is_array_of_tables() ? FileKind::kContext : FileKind::kFleet;
 }
 
 Problems ProblemsOf(const std::string& text, const std::string& path, std::ostream& err) {
-  Problems problems;
   switch (KindOf(text, path)) {
-    case FileKind::kContext:
-      if (const auto agents = ParseContext(text, path); !agents) problems = agents.error();
-      break;
-    case FileKind::kFleet:
+    case FileKind::kContext: {
+      const auto agents = ParseContext(text, path);
+      return agents ? Problems() : agents.error();
+    }
+    case FileKind::kFleet: {
+      Problems problems;
       agent::ParseFleetFile(text, path, problems);
-      break;
+      return problems;
+    }
     case FileKind::kOperator:
-      err << operator_config::Lines(operator_config::Parse(text, path, problems).warnings);
       break;
   }
-  return problems;
+  const operator_config::OperatorFile file = operator_config::ParseOperatorFile(text, path);
+  err << operator_config::FormatProblems(file.warnings);
+  return file.problems;
 }
 
 }  // namespace
 
 Result<ExitCode> CheckFile(const std::string& path, std::ostream& err) {
-  Problems problems;
-  if (const auto text = operator_config::ReadFile(path, agent::kMaxFleetFileBytes, problems))
-    problems = ProblemsOf(*text, path, err);
+  const auto text = operator_config::ReadFile(path, agent::kMaxFleetFileBytes);
+  const Problems problems = text ? ProblemsOf(*text, path, err) : Problems{text.error()};
   if (!problems.empty()) return InvalidFile{problems, ExitCode::kPartialFailure};
   return ExitCode::kSuccess;
 }
--- a/src/cli/context.cpp
+++ b/src/cli/context.cpp
@@ -47,9 +47,9 @@
 }  // namespace
 
 FileResult<std::vector<AgentTarget>> ParseContext(std::string_view text, const std::string& file) {
+  const auto root = operator_config::ParseToml(text, file);
+  if (!root) return operator_config::Problems{root.error()};
   operator_config::Problems problems;
-  const auto root = operator_config::ParseToml(text, file, problems);
-  if (!root) return problems;
   std::vector<AgentTarget> agents;
   TableReader reader(*root, "", file, problems);
   reader.Require("agent", "at least one [[agent]] table");
@@ -65,9 +65,8 @@
 }
 
 FileResult<std::vector<AgentTarget>> LoadContext(const std::string& path) {
-  operator_config::Problems problems;
-  const auto text = operator_config::ReadFile(path, kMaxContextFileBytes, problems);
-  if (!text) return problems;
+  const auto text = operator_config::ReadFile(path, kMaxContextFileBytes);
+  if (!text) return operator_config::Problems{text.error()};
   return ParseContext(*text, path);
 }
 
--- a/src/cli/error.cpp
+++ b/src/cli/error.cpp
@@ -19,11 +19,11 @@
     return ExitCode::kUsage;
   }
   ExitCode operator()(const InvalidFile& error) const {
-    err_ << operator_config::Lines(error.problems);
+    err_ << operator_config::FormatProblems(error.problems);
     return error.code;
   }
   ExitCode operator()(const InvalidContext& error) const {
-    err_ << operator_config::Lines(error.problems);
+    err_ << operator_config::FormatProblems(error.problems);
     err_ << "badgerbridge-ctl: name the agents by --context FILE or BADGERCTL_CONTEXT, or one by "
             "--socket PATH\n";
     return ExitCode::kUsage;
--- a/src/cli/members_command.cpp
+++ b/src/cli/members_command.cpp
@@ -72,7 +72,7 @@
 ExitCode ReportMissingMembers(AgentSession& session, const std::string& instance,
                               const http_api::Reply& reply) {
   const ExitCode code = reply.status == 0 ? ExitCode::kUnreachable : ExitCode::kPartialFailure;
-  return session.Report(RequestFailed{instance, reply.Why(), code});
+  return session.Report(RequestFailed{instance, reply.ErrorMessage(), code});
 }
 
 ExitCode CodeOfFailedRelease(const http_api::Reply& reply) {
@@ -123,8 +123,9 @@
                                                "/v1/instances/" + selected.name + "/members/release", "{}");
     const json::object* released = BodyOf(reply);
     const std::string result = released ? "done" : "failed";
-    const std::string text =
-        released ? std::to_string(IntegerField(*released, "released")) + " converters let go" : reply.Why();
+    const std::string text = released
+                                 ? std::to_string(IntegerField(*released, "released")) + " converters let go"
+                                 : reply.ErrorMessage();
     table.Add({selected.name, "release", result, text});
     all.push_back(json::object{{"instance", selected.name}, {"result", result}, {"text", text}});
     if (!released) code = Worst(code, CodeOfFailedRelease(reply));
--- a/src/cli/members_etcd_commands.cpp
+++ b/src/cli/members_etcd_commands.cpp
@@ -21,8 +21,8 @@
 /// The [etcd] table of the operator's file at `path`; the default where there is no path.
 Result<operator_config::EtcdSettings> LoadEtcdTable(const std::string& path) {
   if (path.empty()) return operator_config::EtcdSettings{};
-  operator_config::Problems problems;
-  const auto file = operator_config::Load(path, problems);
+  const auto file = operator_config::LoadOperatorFile(path);
+  operator_config::Problems problems = file.problems;
   if (problems.empty() && !file.etcd) problems.push_back({path, 0, 0, "has no [etcd] table"});
   if (!problems.empty()) return InvalidFile{problems};
   return *file.etcd;
--- a/src/cli/order_submission.cpp
+++ b/src/cli/order_submission.cpp
@@ -115,7 +115,7 @@
     order.ended = options_.dry_run || BoolField(order.state, "ended") || !order.state.contains("id");
   } else {
     order.code = session_.ReportFailedReply(order.agent.name, reply);
-    order.error = reply.Why();
+    order.error = reply.ErrorMessage();
     order.ended = true;
   }
 }
--- a/src/cli/relays_command.cpp
+++ b/src/cli/relays_command.cpp
@@ -75,7 +75,7 @@
   for (const RelayAnswer& answer : AskAll(query)) {
     const json::object* status = BodyOf(answer.reply);
     if (!status) {
-      const RequestFailed error{answer.socket, answer.reply.Why(), ExitCode::kUnreachable};
+      const RequestFailed error{answer.socket, answer.reply.ErrorMessage(), ExitCode::kUnreachable};
       code = Worst(code, Report(error, err));
       continue;
     }
--- a/src/cli/zones_etcd_commands.cpp
+++ b/src/cli/zones_etcd_commands.cpp
@@ -30,13 +30,13 @@
 Result<ZoneFailoverSettings> LoadZones(const ZonesOptions& options) {
   const std::string path = OperatorFilePath(options.operator_file);
   if (path.empty()) return MissingZoneFile{};
-  operator_config::Problems problems;
-  const auto file = operator_config::Load(path, problems);
-  if (problems.empty() && !file.regions) problems.push_back({path, 0, 0, "has no [regions] table"});
-  if (problems.empty() && !file.regions->together)
+  const auto file = operator_config::LoadOperatorFile(path);
+  operator_config::Problems problems = file.problems;
+  if (problems.empty() && !file.zone_failover) problems.push_back({path, 0, 0, "has no [regions] table"});
+  if (problems.empty() && !file.zone_failover->coordinated)
     problems.push_back({path, 0, 0, "has each proxy decide alone: there is nothing in common to show"});
   if (!problems.empty()) return InvalidFile{problems};
-  return *file.regions;
+  return *file.zone_failover;
 }
 
 Result<ZonesSetup> MakeSetup(const GlobalOptions& global, const ZonesOptions& options) {
--- a/tests/agent/fleet_file_test.cpp
+++ b/tests/agent/fleet_file_test.cpp
@@ -32,7 +32,7 @@
   std::string Check(const std::string& text) const {
     operator_config::Problems problems;
     ParseFleetFile(text, "f", problems);
-    return operator_config::Lines(problems);
+    return operator_config::FormatProblems(problems);
   }
 
   std::string folder_;
@@ -48,7 +48,7 @@
                    "listen = \"127.0.0.1:8080\"\nlabels = { zone = \"a\" }\nenvironment = { X = \"1\" }\n"
                    "limits = { descriptors = 1024 }\n"),
       "f", problems);
-  EXPECT_EQ(operator_config::Lines(problems), "");
+  EXPECT_EQ(operator_config::FormatProblems(problems), "");
   ASSERT_EQ(file.instances.size(), 1u);
   const InstanceDefinition& one = file.instances[0];
   EXPECT_EQ(one.control_socket, "/run/n1.sock");
@@ -72,7 +72,7 @@
     } else if (const auto agents = cli::ParseContext(text, name); !agents) {
       problems = agents.error();
     }
-    EXPECT_EQ(operator_config::Lines(problems), "");
+    EXPECT_EQ(operator_config::FormatProblems(problems), "");
   }
 }
 
--- a/tests/cli/context_test.cpp
+++ b/tests/cli/context_test.cpp
@@ -12,7 +12,7 @@
       "[[agent]]\nname = \"b\"\naddress = \"127.0.0.1:7443\"\ncertificate = \"c\"\nkey = \"k\"\n"
       "authority = \"ca\"\nserver_name = \"bay\"\n",
       "c");
-  ASSERT_TRUE(agents.has_value()) << operator_config::Lines(agents.error());
+  ASSERT_TRUE(agents.has_value()) << operator_config::FormatProblems(agents.error());
   ASSERT_EQ(agents->size(), 2u);
   const AgentTarget& by_socket = agents->front();
   EXPECT_EQ(by_socket.name, "a");
@@ -29,7 +29,7 @@
 TEST(Context, ProblemsAreLines) {
   const auto check = [](const std::string& text) {
     const auto agents = ParseContext(text, "c");
-    return agents ? std::string() : operator_config::Lines(agents.error());
+    return agents ? std::string() : operator_config::FormatProblems(agents.error());
   };
   EXPECT_EQ(check("[[agent]]\nname = \"a\"\nsocket = \"/s\"\n"), "");
   EXPECT_NE(check("").find("agent is missing"), std::string::npos);
