--- a/src/net/handler_memory.h
+++ b/src/net/handler_memory.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Memory for one pending handler of an event loop, set aside before it is needed.
+// Memory for one pending handler of an event loop, reserved before the handler is queued.
 #ifndef BADGERBRIDGE_NET_HANDLER_MEMORY_H_
 #define BADGERBRIDGE_NET_HANDLER_MEMORY_H_
 
@@ -11,58 +11,71 @@
 
 namespace badgerbridge::net {
 
-/// Room for one handler of up to kSize bytes together with what Asio adds to it.
+/// Storage for one handler of up to kSize bytes, together with what Asio adds to it. Not thread-safe.
 class HandlerMemory {
  public:
+  /// The size of the storage in bytes.
   static constexpr std::size_t kSize = 256;
 
-  /// Nothing if the room is taken, or too small.
-  void* Take(std::size_t size) {
-    if (taken_ || size > kSize) return nullptr;
-    taken_ = true;
-    return room_.data();
+  /// The storage, or nullptr if it is in use or smaller than `size` bytes.
+  void* Allocate(std::size_t size) {
+    if (in_use_ || size > kSize) return nullptr;
+    in_use_ = true;
+    return storage_.data();
   }
-  /// False if that is not this room's.
-  bool GiveBack(const void* memory) {
-    if (memory != room_.data()) return false;
-    taken_ = false;
+
+  /// Makes the storage available again if `memory` is its address. False, without effect, for another
+  /// address.
+  bool Deallocate(const void* memory) {
+    if (memory != storage_.data()) return false;
+    in_use_ = false;
     return true;
   }
 
  private:
-  alignas(std::max_align_t) std::array<std::byte, kSize> room_;
-  bool taken_ = false;
+  alignas(std::max_align_t) std::array<std::byte, kSize> storage_;
+  bool in_use_ = false;
 };
 
-/// An allocator, for boost::asio::bind_allocator, that uses a HandlerMemory if it is free, and otherwise the
-/// heap. So an operation that has the memory to itself can be started without fear of std::bad_alloc.
+/// An allocator for boost::asio::bind_allocator that uses a HandlerMemory if it is available, and otherwise
+/// the heap. An operation that has the memory to itself can be started without std::bad_alloc.
 template <typename T>
 class HandlerAllocator {
  public:
+  /// The type of the allocated objects, as the standard's allocator requirements name it.
   using value_type = T;
 
+  /// Shares the ownership of `memory` until the last object allocated from it is deallocated.
   explicit HandlerAllocator(std::shared_ptr<HandlerMemory> memory) : memory_(std::move(memory)) {}
+
+  /// Rebinds an allocator of another type to the same memory.
   template <typename U>
   HandlerAllocator(const HandlerAllocator<U>& other) : memory_(other.memory()) {}
 
+  /// Storage for `count` objects. Throws std::bad_alloc if the reserved memory is not available and the heap
+  /// has none.
   T* allocate(std::size_t count) {
     static_assert(alignof(T) <= alignof(std::max_align_t));
-    if (void* const reserved = memory_->Take(count * sizeof(T))) return static_cast<T*>(reserved);
+    if (void* const reserved = memory_->Allocate(count * sizeof(T))) return static_cast<T*>(reserved);
     return std::allocator<T>().allocate(count);
   }
+
+  /// Releases what allocate() returned for the same `count`.
   void deallocate(T* memory, std::size_t count) {
-    if (!memory_->GiveBack(memory)) std::allocator<T>().deallocate(memory, count);
+    if (!memory_->Deallocate(memory)) std::allocator<T>().deallocate(memory, count);
   }
 
+  /// The reserved memory.
   const std::shared_ptr<HandlerMemory>& memory() const { return memory_; }
 
+  /// True if both allocators use the same memory, so that either can deallocate what the other allocated.
   template <typename U>
   bool operator==(const HandlerAllocator<U>& other) const {
     return memory_ == other.memory();
   }
 
  private:
-  std::shared_ptr<HandlerMemory> memory_;  // outlives what is kept in it
+  std::shared_ptr<HandlerMemory> memory_;
 };
 
 }  // namespace badgerbridge::net
--- a/src/net/one_shot_timer.h
+++ b/src/net/one_shot_timer.h
@@ -19,44 +19,49 @@
 
 namespace badgerbridge::net {
 
-/// Runs a handler once, at a time or after a wait, unless it is disarmed or armed anew before.
+/// Runs a handler once, at a point in time or after a delay, unless it is disarmed or re-armed before.
 ///
-/// boost::asio::steady_timer alone does not promise that: a wait that has expired puts its handler into the
-/// queue of the io_context, and neither cancel() nor expires_at() takes it out again. In a process that was
-/// descheduled the expiry and other events become ready in the same turn of the loop; the other events'
+/// boost::asio::steady_timer alone does not guarantee that: a wait that has expired puts its handler into the
+/// queue of the io_context, and neither cancel() nor expires_at() removes it from there. In a process that
+/// was descheduled the expiry and other events become ready in the same turn of the loop; the other events'
 /// handlers then run first, and the queued handler would act on a state that they have changed. Here each
 /// arming has a generation number, and a handler of an earlier generation does nothing.
 ///
-/// Without memory for a wait it is begun again from the event loop until it succeeds, so arming does not fail
-/// with a handler whose copying does not throw. One that can't be copied may throw std::bad_alloc; the timer
-/// is not armed then.
+/// If there is no memory for a wait, it is started again from the event loop until it succeeds, so that
+/// arming does not fail with a handler whose copying does not throw. Arming with a handler that cannot be
+/// copied may throw std::bad_alloc; the timer is not armed then.
 ///
 /// Not thread-safe. It may be destroyed while armed, also from its own handler; the handler is not called
 /// then.
 class OneShotTimer {
  public:
+  /// The clock of the points in time.
   using Clock = std::chrono::steady_clock;
 
+  /// A timer that is not armed. `io` runs its handlers and must outlive it.
   explicit OneShotTimer(boost::asio::io_context& io) : io_(io), timer_(io) {}
+  /// Disarms it.
   ~OneShotTimer() { Disarm(); }
   OneShotTimer(const OneShotTimer&) = delete;
   OneShotTimer& operator=(const OneShotTimer&) = delete;
 
-  /// Calls `handler`, a function without arguments, from the event loop at `when` or soon after. Replaces
-  /// what was armed before.
+  /// Calls `handler`, a function without arguments, from the event loop at `when` or soon after. Replaces an
+  /// earlier arming.
   template <typename Handler>
   void ArmAt(Clock::time_point when, Handler handler) {
     timer_.expires_at(when);
-    Wait(std::move(handler));
+    Arm(std::move(handler));
   }
 
-  /// The same, `wait` from now.
+  /// Like ArmAt, `delay` from now.
   template <typename Handler>
-  void ArmAfter(Clock::duration wait, Handler handler) {
-    timer_.expires_after(wait);
-    Wait(std::move(handler));
+  void ArmAfter(Clock::duration delay, Handler handler) {
+    timer_.expires_after(delay);
+    Arm(std::move(handler));
   }
 
+  /// Keeps the handler from being called, also if it is queued already. No effect on a timer that is not
+  /// armed.
   void Disarm() {
     if (!armed()) return;
     ++state_->generation;
@@ -64,50 +69,50 @@
     timer_.cancel();
   }
 
-  /// False from when its handler begins.
+  /// True from the arming until the handler begins or the timer is disarmed.
   bool armed() const { return state_->armed; }
 
  private:
   struct State {
-    bool Awaits(std::uint64_t of_generation) const { return armed && generation == of_generation; }
+    bool IsArmedWith(std::uint64_t of_generation) const { return armed && generation == of_generation; }
 
     std::uint64_t generation = 0;
     bool armed = false;
-    HandlerMemory memory;  // of the next try
+    HandlerMemory retry_memory;  // for the handler that starts a failed wait again
   };
 
   template <typename Handler>
-  void Wait(Handler handler) {
+  void Arm(Handler handler) {
     ++state_->generation;
     state_->armed = false;
     if constexpr (std::is_copy_constructible_v<Handler>) {
       state_->armed = true;
-      TryToWait(std::move(handler));
+      StartWait(std::move(handler));
     } else {
-      auto shared = std::make_shared<Handler>(std::move(handler));
+      auto shared_handler = std::make_shared<Handler>(std::move(handler));
       state_->armed = true;
-      TryToWait([shared = std::move(shared)] { (*shared)(); });
+      StartWait([shared_handler = std::move(shared_handler)] { (*shared_handler)(); });
     }
   }
 
   template <typename Handler>
-  void TryToWait(Handler handler) {
+  void StartWait(Handler handler) {
     const std::uint64_t generation = state_->generation;
     try {
       timer_.async_wait([state = state_, generation, handler](const boost::system::error_code&) mutable {
-        if (!state->Awaits(generation)) return;
+        if (!state->IsArmedWith(generation)) return;
         state->armed = false;
         handler();
       });
     } catch (const std::bad_alloc&) {
-      const HandlerAllocator<void> memory(std::shared_ptr<HandlerMemory>(state_, &state_->memory));
+      const HandlerAllocator<void> memory(std::shared_ptr<HandlerMemory>(state_, &state_->retry_memory));
       boost::asio::post(io_, boost::asio::bind_allocator(memory, [this, state = state_, generation, handler] {
-                          if (state->Awaits(generation)) TryToWait(handler);
+                          if (state->IsArmedWith(generation)) StartWait(handler);
                         }));
     }
   }
 
-  boost::asio::io_context& io_;  // a timer's own executor takes memory from the heap
+  boost::asio::io_context& io_;  // posting by a timer's own executor takes memory from the heap
   boost::asio::steady_timer timer_;
   std::shared_ptr<State> state_ = std::make_shared<State>();  // outlives the timer while a handler is queued
 };
--- a/src/net/socket_state.cpp
+++ b/src/net/socket_state.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 int Descriptor(const tcp::socket& socket) {
-  // native_handle() is const in meaning, not in Asio's signature.
+  // native_handle() does not change the socket, but is not const in Asio.
   return const_cast<tcp::socket&>(socket).native_handle();
 }
 
@@ -37,7 +37,7 @@
   const ssize_t peeked = ::recv(Descriptor(socket), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (peeked == 0) return true;
   if (peeked < 0) return errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR;
-  // Data stands before the end, if there is one.
+  // Unread data precedes the end of the stream, if it has ended.
   pollfd state{Descriptor(socket), POLLRDHUP, 0};
   return ::poll(&state, 1, 0) > 0 && (state.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
@@ -48,7 +48,7 @@
   return static_cast<std::size_t>(bytes);
 }
 
-std::optional<std::chrono::milliseconds> SinceLastData(tcp::socket& socket) {
+std::optional<std::chrono::milliseconds> TimeSinceLastDataReceived(tcp::socket& socket) {
   tcp_info info{};
   socklen_t length = sizeof info;
   if (!socket.is_open() || ::getsockopt(Descriptor(socket), IPPROTO_TCP, TCP_INFO, &info, &length) != 0)
@@ -58,14 +58,16 @@
 }
 
 bool StopNewHandshakes(tcp::acceptor& acceptor) {
-  constexpr std::uint32_t kFlagsOffset = 13;  // of the TCP header, where a socket filter's packet begins
-  constexpr std::uint32_t kSyn = 0x02;
-  constexpr std::uint32_t kPass = 0xffffffff, kDrop = 0;
+  // A socket filter's packet begins with the TCP header (RFC 9293, section 3.1).
+  constexpr std::uint32_t kFlagsOffset = 13;
+  constexpr std::uint32_t kSynFlag = 0x02;
+  constexpr std::uint32_t kPassPacket = 0xffffffff;
+  constexpr std::uint32_t kDropPacket = 0;
   std::array<sock_filter, 4> program{{
       {BPF_LD | BPF_B | BPF_ABS, 0, 0, kFlagsOffset},
-      {BPF_JMP | BPF_JSET | BPF_K, 0, 1, kSyn},
-      {BPF_RET | BPF_K, 0, 0, kDrop},
-      {BPF_RET | BPF_K, 0, 0, kPass},
+      {BPF_JMP | BPF_JSET | BPF_K, 0, 1, kSynFlag},
+      {BPF_RET | BPF_K, 0, 0, kDropPacket},
+      {BPF_RET | BPF_K, 0, 0, kPassPacket},
   }};
   const sock_fprog filter{static_cast<unsigned short>(program.size()), program.data()};
   return ::setsockopt(acceptor.native_handle(), SOL_SOCKET, SO_ATTACH_FILTER, &filter, sizeof filter) == 0;
--- a/tests/net/one_shot_timer_test.cpp
+++ b/tests/net/one_shot_timer_test.cpp
@@ -1,13 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// OneShotTimer by a clock of the tests' own, so that expiries and other handlers are forced into one turn of
-// the event loop.
+// OneShotTimer with a virtual clock, so that expiries and other handlers are forced into one turn of the
+// event loop.
 #include "net/one_shot_timer.h"
 
 #include <gtest/gtest.h>
 
 #include <boost/asio/post.hpp>
 #include <chrono>
+#include <functional>
 #include <memory>
 #include <optional>
 #include <vector>
@@ -23,6 +24,7 @@
 
 class OneShotTimerTest : public ::testing::Test {
  protected:
+  // Runs the handlers that are ready now.
   void RunReady() {
     io_.restart();
     io_.poll();
@@ -31,26 +33,27 @@
     clock_.Advance(by);
     RunReady();
   }
-  // Runs `step` in the turn of the loop in which timers of kWait expire, when their handlers are queued: its
-  // own timer expires first, and handlers are queued in the order of the expiries.
+  // Runs `step` in the turn of the loop in which timers of kWait expire, while their handlers are queued: the
+  // step's own timer expires first, and handlers are queued in the order of the expiries.
   template <typename Step>
   void BeforeQueuedHandlers(Step step) {
-    earlier_.expires_after(kWait - milliseconds(1));
-    earlier_.async_wait([step](const boost::system::error_code&) { step(); });
+    earlier_timer_.expires_after(kWait - milliseconds(1));
+    earlier_timer_.async_wait([step](const boost::system::error_code&) { step(); });
   }
-  auto Count() {
+  // A handler that counts its calls in calls_.
+  auto CountCall() {
     return [this] { ++calls_; };
   }
 
   badgerbridge::testing::VirtualClock clock_;
   boost::asio::io_context io_;
-  boost::asio::steady_timer earlier_{io_};
+  boost::asio::steady_timer earlier_timer_{io_};
   OneShotTimer timer_{io_};
   int calls_ = 0;
 };
 
 TEST_F(OneShotTimerTest, RunsItsHandlerOnceAtItsTime) {
-  timer_.ArmAfter(kWait, Count());
+  timer_.ArmAfter(kWait, CountCall());
   EXPECT_TRUE(timer_.armed());
   AdvanceAndRun(kWait - milliseconds(1));
   EXPECT_EQ(calls_, 0);
@@ -62,22 +65,23 @@
 }
 
 TEST_F(OneShotTimerTest, RunsItsHandlerAtAPointInTime) {
-  timer_.ArmAt(OneShotTimer::Clock::now() + kWait, Count());
+  timer_.ArmAt(OneShotTimer::Clock::now() + kWait, CountCall());
   AdvanceAndRun(kWait - milliseconds(1));
   EXPECT_EQ(calls_, 0);
   AdvanceAndRun(milliseconds(1));
   EXPECT_EQ(calls_, 1);
 }
 
-TEST_F(OneShotTimerTest, APointInTimeThatHasPassedIsDueAtOnceAndNotFromWithin) {
-  timer_.ArmAt(OneShotTimer::Clock::now() - kWait, Count());
+TEST_F(OneShotTimerTest, APointInTimeThatHasPassedIsDueAtOnceButNotWithinTheCall) {
+  timer_.ArmAt(OneShotTimer::Clock::now() - kWait, CountCall());
   EXPECT_EQ(calls_, 0);
   RunReady();
   EXPECT_EQ(calls_, 1);
 }
 
-// What OneShotTimer is for: here the same order of events reaches the handler of a wait that was cancelled.
-TEST_F(OneShotTimerTest, ASteadyTimerAloneRunsAQueuedHandlerInSpiteOfCancel) {
+// The reason for OneShotTimer: with a steady_timer the same order of events calls the handler of a cancelled
+// wait.
+TEST_F(OneShotTimerTest, ASteadyTimerAloneRunsAQueuedHandlerDespiteCancel) {
   boost::asio::steady_timer plain(io_, kWait);
   bool ran_without_error = false;
   plain.async_wait([&](const boost::system::error_code& error) { ran_without_error = !error; });
@@ -87,7 +91,7 @@
 }
 
 TEST_F(OneShotTimerTest, DisarmedWhileItsExpiryIsQueuedItDoesNotRun) {
-  timer_.ArmAfter(kWait, Count());
+  timer_.ArmAfter(kWait, CountCall());
   bool disarmed = false;
   BeforeQueuedHandlers([&] {
     EXPECT_TRUE(timer_.armed());
@@ -104,7 +108,7 @@
 TEST_F(OneShotTimerTest, RearmedWhileItsExpiryIsQueuedOnlyTheNewHandlerRunsAtItsTime) {
   int old_calls = 0;
   timer_.ArmAfter(kWait, [&] { ++old_calls; });
-  BeforeQueuedHandlers([&] { timer_.ArmAfter(kWait, Count()); });
+  BeforeQueuedHandlers([&] { timer_.ArmAfter(kWait, CountCall()); });
   AdvanceAndRun(kWait);
   EXPECT_EQ(old_calls, 0);
   EXPECT_EQ(calls_, 0);
@@ -121,7 +125,7 @@
   timer_.ArmAfter(kWait, [&] { ++old_calls; });
   BeforeQueuedHandlers([&] {
     timer_.Disarm();
-    timer_.ArmAt(OneShotTimer::Clock::now(), Count());  // due in the same moment
+    timer_.ArmAt(OneShotTimer::Clock::now(), CountCall());  // due in the same moment
   });
   AdvanceAndRun(kWait);
   EXPECT_EQ(old_calls, 0);
@@ -131,7 +135,7 @@
 TEST_F(OneShotTimerTest, RearmedBeforeItsExpiryOnlyTheNewHandlerRuns) {
   int old_calls = 0;
   timer_.ArmAfter(kWait, [&] { ++old_calls; });
-  timer_.ArmAfter(2 * kWait, Count());
+  timer_.ArmAfter(2 * kWait, CountCall());
   AdvanceAndRun(kWait);
   EXPECT_EQ(calls_, 0);
   AdvanceAndRun(kWait);
@@ -147,7 +151,7 @@
   });
   AdvanceAndRun(kWait);
   EXPECT_EQ(calls_, 1);
-  timer_.ArmAfter(kWait, Count());
+  timer_.ArmAfter(kWait, CountCall());
   AdvanceAndRun(kWait);
   EXPECT_EQ(calls_, 2);
 }
@@ -168,7 +172,7 @@
 
 TEST_F(OneShotTimerTest, DestroyedWhileItsExpiryIsQueuedItDoesNotRun) {
   std::optional<OneShotTimer> timer(io_);
-  timer->ArmAfter(kWait, Count());
+  timer->ArmAfter(kWait, CountCall());
   BeforeQueuedHandlers([&] { timer.reset(); });
   AdvanceAndRun(kWait);
   EXPECT_FALSE(timer.has_value());
@@ -177,13 +181,13 @@
 
 TEST_F(OneShotTimerTest, DestroyedBeforeItsExpiryItDoesNotRun) {
   std::optional<OneShotTimer> timer(io_);
-  timer->ArmAfter(kWait, Count());
+  timer->ArmAfter(kWait, CountCall());
   timer.reset();
   AdvanceAndRun(kWait);
   EXPECT_EQ(calls_, 0);
 }
 
-TEST_F(OneShotTimerTest, ItMayBeDestroyedFromItsOwnHandlerWhichRunsOn) {
+TEST_F(OneShotTimerTest, DestroyedInItsOwnHandlerTheHandlerCompletes) {
   auto timer = std::make_unique<OneShotTimer>(io_);
   const auto kept = std::make_shared<int>(7);
   int seen = 0;
@@ -196,20 +200,20 @@
   EXPECT_EQ(kept.use_count(), 1);
 }
 
-TEST_F(OneShotTimerTest, DisarmOfOneThatIsNotArmedDoesNothing) {
+TEST_F(OneShotTimerTest, DisarmOfAnUnarmedTimerDoesNothing) {
   timer_.Disarm();
   EXPECT_FALSE(timer_.armed());
-  timer_.ArmAfter(kWait, Count());
+  timer_.ArmAfter(kWait, CountCall());
   AdvanceAndRun(kWait);
   timer_.Disarm();
   timer_.Disarm();
   EXPECT_EQ(calls_, 1);
-  timer_.ArmAfter(kWait, Count());
+  timer_.ArmAfter(kWait, CountCall());
   AdvanceAndRun(kWait);
   EXPECT_EQ(calls_, 2);
 }
 
-TEST_F(OneShotTimerTest, AMoveOnlyHandlerIsTakenAndLetGoWhenDisarmed) {
+TEST_F(OneShotTimerTest, AMoveOnlyHandlerIsAcceptedAndReleasedWhenDisarmed) {
   const auto held = std::make_shared<int>(0);
   timer_.ArmAfter(kWait, [only = std::make_unique<int>(1), held] { *held += *only; });
   EXPECT_EQ(held.use_count(), 2);
--- a/tests/net/socket_state_test.cpp
+++ b/tests/net/socket_state_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the operating system tells of real connections on loopback; each test waits for a condition.
+// The state of real connections on loopback, as the operating system reports it. Each test waits for a
+// condition, not for a time.
 #include "net/socket_state.h"
 
 #include <gtest/gtest.h>
@@ -22,12 +23,12 @@
 using std::chrono::milliseconds;
 using ErrorCode = boost::system::error_code;
 
-constexpr milliseconds kFarBeyondAnyNeed{20000};
+constexpr milliseconds kMaxWait{20000};  // far more than any condition needs
 
-// False if the condition does not hold within a time far beyond any need.
+// Waits until the condition holds; false if it does not within kMaxWait.
 template <typename Condition>
-bool Until(Condition holds) {
-  const auto limit = std::chrono::steady_clock::now() + kFarBeyondAnyNeed;
+bool WaitUntil(Condition holds) {
+  const auto limit = std::chrono::steady_clock::now() + kMaxWait;
   while (!holds()) {
     if (std::chrono::steady_clock::now() > limit) return false;
     std::this_thread::sleep_for(milliseconds(1));
@@ -39,108 +40,124 @@
  protected:
   SocketStateTest() : acceptor_(io_, {asio::ip::address_v4::loopback(), 0}) {}
 
-  // client_ and server_ are the ends of one connection then.
+  // Makes client_ and server_ the two ends of one connection.
   void Connect() {
     client_.connect(acceptor_.local_endpoint());
     acceptor_.accept(server_);
   }
   void Send(std::string_view text) { asio::write(client_, asio::buffer(text.data(), text.size())); }
-  std::string ReadAll(std::size_t size) {
+  std::string Receive(std::size_t size) { return Receive(server_, size); }
+  // Reads exactly `size` bytes.
+  static std::string Receive(tcp::socket& socket, std::size_t size) {
     std::string text(size, '\0');
-    asio::read(server_, asio::buffer(text));
+    asio::read(socket, asio::buffer(text));
     return text;
   }
+  // Closes the connection with a reset (SO_LINGER of 0 seconds).
   static void Reset(tcp::socket& socket) {
     socket.set_option(asio::socket_base::linger(true, 0));
     socket.close();
   }
 
+  // `count` connections that are not accepted yet; connection i has sent "r" and i.
+  std::vector<tcp::socket> ConnectAndSendIndex(int count) {
+    std::vector<tcp::socket> clients;
+    for (int i = 0; i < count; ++i) {
+      clients.emplace_back(io_);
+      clients.back().connect(acceptor_.local_endpoint());
+      const std::string text = "r" + std::to_string(i);
+      asio::write(clients.back(), asio::buffer(text));
+    }
+    return clients;
+  }
+
   asio::io_context io_;
   tcp::acceptor acceptor_;
-  tcp::socket client_{io_}, server_{io_};
+  tcp::socket client_{io_};
+  tcp::socket server_{io_};
 };
 
-TEST_F(SocketStateTest, UnreadBytesAreCountedAndLeftWhereTheyAre) {
+TEST_F(SocketStateTest, UnreadBytesAreCountedAndNotConsumed) {
   Connect();
   EXPECT_EQ(UnreadBytes(server_), 0u);
   Send("hello");
-  EXPECT_TRUE(Until([&] { return UnreadBytes(server_) == 5; }));
+  EXPECT_TRUE(WaitUntil([&] { return UnreadBytes(server_) == 5; }));
   Send(", you");
-  EXPECT_TRUE(Until([&] { return UnreadBytes(server_) == 10; }));
+  EXPECT_TRUE(WaitUntil([&] { return UnreadBytes(server_) == 10; }));
   EXPECT_EQ(UnreadBytes(server_), 10u);
-  EXPECT_EQ(ReadAll(10), "hello, you");
+  EXPECT_EQ(Receive(10), "hello, you");
   EXPECT_EQ(UnreadBytes(server_), 0u);
 }
 
-TEST_F(SocketStateTest, UnreadBytesStandBeforeAnEnd) {
+TEST_F(SocketStateTest, UnreadBytesAreCountedAfterThePeerHasClosed) {
   Connect();
   Send("last words");
   client_.close();
-  EXPECT_TRUE(Until([&] { return PeerHasClosed(server_); }));
+  EXPECT_TRUE(WaitUntil([&] { return PeerHasClosed(server_); }));
   EXPECT_EQ(UnreadBytes(server_), 10u);
-  EXPECT_EQ(ReadAll(10), "last words");
+  EXPECT_EQ(Receive(10), "last words");
   EXPECT_EQ(UnreadBytes(server_), 0u);
 }
 
-TEST_F(SocketStateTest, ASocketThatIsNotOpenHoldsNothing) {
+TEST_F(SocketStateTest, ASocketThatIsNotOpenHasNoState) {
   EXPECT_EQ(UnreadBytes(server_), 0u);
   EXPECT_FALSE(PeerHasClosed(server_));
   EXPECT_EQ(UnacknowledgedBytes(server_), 0u);
-  EXPECT_FALSE(SinceLastData(server_).has_value());
+  EXPECT_FALSE(TimeSinceLastDataReceived(server_).has_value());
 }
 
-TEST_F(SocketStateTest, APeerThatIsThereHasNotClosed) {
+TEST_F(SocketStateTest, AConnectedPeerHasNotClosed) {
   Connect();
   EXPECT_FALSE(PeerHasClosed(server_));
   Send("x");
-  ASSERT_TRUE(Until([&] { return UnreadBytes(server_) == 1; }));
+  ASSERT_TRUE(WaitUntil([&] { return UnreadBytes(server_) == 1; }));
   EXPECT_FALSE(PeerHasClosed(server_));
 }
 
-TEST_F(SocketStateTest, APeerThatHasClosedIsSeenWithNothingAhead) {
+TEST_F(SocketStateTest, APeerThatHasClosedIsDetectedWithoutUnreadBytes) {
   Connect();
   client_.close();
-  EXPECT_TRUE(Until([&] { return PeerHasClosed(server_); }));
+  EXPECT_TRUE(WaitUntil([&] { return PeerHasClosed(server_); }));
 }
 
-TEST_F(SocketStateTest, APeerThatHasOnlyEndedItsSendingHasClosed) {
+TEST_F(SocketStateTest, APeerThatHasOnlyShutDownItsSendingSideHasClosed) {
   Connect();
   client_.shutdown(tcp::socket::shutdown_send);
-  EXPECT_TRUE(Until([&] { return PeerHasClosed(server_); }));
+  EXPECT_TRUE(WaitUntil([&] { return PeerHasClosed(server_); }));
 }
 
-TEST_F(SocketStateTest, APeerThatHasClosedIsSeenBehindUnreadBytes) {
+TEST_F(SocketStateTest, APeerThatHasClosedIsDetectedBehindUnreadBytes) {
   Connect();
   Send("ahead");
   client_.shutdown(tcp::socket::shutdown_send);
-  EXPECT_TRUE(Until([&] { return PeerHasClosed(server_); }));
-  EXPECT_EQ(ReadAll(5), "ahead");
+  EXPECT_TRUE(WaitUntil([&] { return PeerHasClosed(server_); }));
+  EXPECT_EQ(Receive(5), "ahead");
   EXPECT_TRUE(PeerHasClosed(server_));
 }
 
 TEST_F(SocketStateTest, APeerThatHasResetHasClosed) {
   Connect();
   Reset(client_);
-  EXPECT_TRUE(Until([&] { return PeerHasClosed(server_); }));
+  EXPECT_TRUE(WaitUntil([&] { return PeerHasClosed(server_); }));
 }
 
-TEST_F(SocketStateTest, APeerThatHasResetBehindBytesHasClosed) {
+TEST_F(SocketStateTest, APeerThatHasResetBehindUnreadBytesHasClosed) {
   Connect();
   Send("ahead");
-  ASSERT_TRUE(Until([&] { return UnreadBytes(server_) == 5; }));
+  ASSERT_TRUE(WaitUntil([&] { return UnreadBytes(server_) == 5; }));
   Reset(client_);
-  EXPECT_TRUE(Until([&] { return PeerHasClosed(server_); }));
+  EXPECT_TRUE(WaitUntil([&] { return PeerHasClosed(server_); }));
 }
 
-TEST_F(SocketStateTest, WhatThePeersSystemHasTakenIsAcknowledged) {
+TEST_F(SocketStateTest, BytesThatThePeersSystemHasReceivedAreAcknowledged) {
   Connect();
   EXPECT_EQ(UnacknowledgedBytes(client_), 0u);
   Send("taken");  // the peer's program need not read it
-  EXPECT_TRUE(Until([&] { return UnacknowledgedBytes(client_) == 0; }));
+  EXPECT_TRUE(WaitUntil([&] { return UnacknowledgedBytes(client_) == 0; }));
 }
 
 // The peer's system takes no more than its buffer holds.
-TEST_F(SocketStateTest, WhatThePeersSystemHasNoRoomForIsUnacknowledged) {
+TEST_F(SocketStateTest, BytesBeyondThePeersReceiveBufferAreUnacknowledged) {
   Connect();
   client_.non_blocking(true);
   const std::string piece(1 << 16, 'x');
@@ -153,71 +170,65 @@
   std::string taken(1 << 16, '\0');
   std::size_t read = 0;
   server_.non_blocking(true);
-  EXPECT_TRUE(Until([&] {
+  EXPECT_TRUE(WaitUntil([&] {
     for (error.clear(); !error;) read += server_.read_some(asio::buffer(taken), error);
     return UnacknowledgedBytes(client_) == 0;
   }));
   EXPECT_LE(read, written);
 }
 
-// Read or not: the age is that of the data. A busy machine makes it older, never younger.
-TEST_F(SocketStateTest, TheAgeOfTheNewestDataIsKnown) {
-  constexpr milliseconds kPause{60}, kRounding{10};
+// The age is that of the data, read or not. A busy machine makes it older, never younger.
+TEST_F(SocketStateTest, TheTimeSinceTheLastDataIsReported) {
+  constexpr milliseconds kPause{60};
+  constexpr milliseconds kRounding{10};
   Connect();
   Send("a");
-  ASSERT_TRUE(Until([&] { return UnreadBytes(server_) == 1; }));
+  ASSERT_TRUE(WaitUntil([&] { return UnreadBytes(server_) == 1; }));
   std::this_thread::sleep_for(kPause);
-  const auto unread = SinceLastData(server_);
+  const auto unread = TimeSinceLastDataReceived(server_);
   ASSERT_TRUE(unread.has_value());
   EXPECT_GE(*unread, kPause - kRounding);
-  ReadAll(1);
-  const auto read = SinceLastData(server_);
+  Receive(1);
+  const auto read = TimeSinceLastDataReceived(server_);
   ASSERT_TRUE(read.has_value());
   EXPECT_GE(*read, kPause - kRounding);
   const auto before = std::chrono::steady_clock::now();
   Send("b");
-  ASSERT_TRUE(Until([&] { return UnreadBytes(server_) == 1; }));
-  const auto newest = SinceLastData(server_);
+  ASSERT_TRUE(WaitUntil([&] { return UnreadBytes(server_) == 1; }));
+  const auto newest = TimeSinceLastDataReceived(server_);
   const auto passed = std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - before);
   ASSERT_TRUE(newest.has_value());
   EXPECT_LE(*newest, passed + kRounding);
 }
 
-TEST_F(SocketStateTest, TheAgeOfDataThatCameWhileItsConnectionWaitedToBeAcceptedIsKnown) {
-  constexpr milliseconds kPause{60}, kRounding{10};
+TEST_F(SocketStateTest, TheTimeSinceDataReceivedBeforeTheAcceptIsReported) {
+  constexpr milliseconds kPause{60};
+  constexpr milliseconds kRounding{10};
   client_.connect(acceptor_.local_endpoint());
   Send("early");
   std::this_thread::sleep_for(kPause);
   acceptor_.accept(server_);
-  ASSERT_TRUE(Until([&] { return UnreadBytes(server_) == 5; }));
-  const auto age = SinceLastData(server_);
+  ASSERT_TRUE(WaitUntil([&] { return UnreadBytes(server_) == 5; }));
+  const auto age = TimeSinceLastDataReceived(server_);
   ASSERT_TRUE(age.has_value());
   EXPECT_GE(*age, kPause - kRounding);
 }
 
-TEST_F(SocketStateTest, OnceHandshakesStopWhatWasCompletedIsAcceptedAndNoLaterConnectComesUp) {
+TEST_F(SocketStateTest, OnceHandshakesStopCompletedConnectionsAreAcceptedAndNoLaterConnectCompletes) {
   constexpr int kEarlier = 3;
-  std::vector<tcp::socket> earlier;
-  for (int i = 0; i < kEarlier; ++i) {
-    earlier.emplace_back(io_);
-    earlier.back().connect(acceptor_.local_endpoint());
-    const std::string text = "r" + std::to_string(i);
-    asio::write(earlier.back(), asio::buffer(text));
-  }
+  std::vector<tcp::socket> earlier = ConnectAndSendIndex(kEarlier);
   ASSERT_TRUE(StopNewHandshakes(acceptor_));
 
   ErrorCode later_result = asio::error::would_block;
   tcp::socket later(io_);
   later.async_connect(acceptor_.local_endpoint(), [&](const ErrorCode& error) { later_result = error; });
 
-  // Also what an earlier connection sends now comes through: only a SYN is dropped.
-  for (auto& one : earlier) asio::write(one, asio::buffer("!", 1));
+  // Data that an earlier connection sends now is received too: only a SYN is dropped.
+  for (auto& client : earlier) asio::write(client, asio::buffer("!", 1));
   for (int i = 0; i < kEarlier; ++i) {
     tcp::socket accepted(io_);
     acceptor_.accept(accepted);
-    std::string text(3, '\0');
-    asio::read(accepted, asio::buffer(text));
-    EXPECT_EQ(text, "r" + std::to_string(i) + "!");
+    EXPECT_EQ(Receive(accepted, 3), "r" + std::to_string(i) + "!");
   }
   // A loopback connect comes up within its own system call; half a second is far beyond that, and short of
   // the second after which the SYN is sent again.
@@ -231,7 +242,7 @@
 
   // The SYN that is sent again finds the listener closed.
   acceptor_.close();
-  EXPECT_TRUE(Until([&] {
+  EXPECT_TRUE(WaitUntil([&] {
     io_.restart();
     io_.poll();
     return later_result != asio::error::would_block;
@@ -239,7 +250,7 @@
   EXPECT_EQ(later_result, asio::error::connection_refused);
 }
 
-TEST_F(SocketStateTest, HandshakesOfAListenerThatIsClosedCannotBeStopped) {
+TEST_F(SocketStateTest, StoppingHandshakesOfAClosedListenerFails) {
   acceptor_.close();
   EXPECT_FALSE(StopNewHandshakes(acceptor_));
 }
