--- a/src/etcd/channel.cpp
+++ b/src/etcd/channel.cpp
@@ -122,11 +122,11 @@
   ErrorCode error;
   auto token = asio::redirect_error(asio::use_awaitable, error);
   const auto last_received_at = last_received_at_;
-  net::ReadGrace grace;
+  net::ReadTimeoutGrace grace;
   do {
-    liveness_timer_.expires_after(net::ReadGrace::kPause);
+    liveness_timer_.expires_after(net::ReadTimeoutGrace::kRecheckInterval);
     co_await liveness_timer_.async_wait(token);
-  } while (last_received_at_ == last_received_at && Postpones(&grace));
+  } while (last_received_at_ == last_received_at && ShouldPostpone(&grace));
   co_return last_received_at_ != last_received_at;
 }
 
@@ -219,13 +219,14 @@
 
 // The timer is owned by the call's handler, and ends with the call.
 void Channel::ArmCallTimer(const std::shared_ptr<net::OneShotTimer>& timer, std::chrono::milliseconds timeout,
-                           CallId call, net::ReadGrace grace) {
+                           CallId call, net::ReadTimeoutGrace grace) {
   const auto on_timeout = [weak_channel = weak_from_this(), weak_timer = std::weak_ptr(timer), call,
                            grace]() mutable {
     const auto self = weak_channel.lock();
     const auto own_timer = weak_timer.lock();
     if (!self || !own_timer) return;
-    if (self->Postpones(&grace)) return self->ArmCallTimer(own_timer, net::ReadGrace::kPause, call, grace);
+    if (self->ShouldPostpone(&grace))
+      return self->ArmCallTimer(own_timer, net::ReadTimeoutGrace::kRecheckInterval, call, grace);
     self->CancelCall(call, Ending::kTimeout);
   };
   timer->ArmAfter(timeout, on_timeout);
--- a/src/etcd/channel.h
+++ b/src/etcd/channel.h
@@ -23,7 +23,7 @@
 #include "etcd/transport.h"
 #include "http_api/tls.h"
 #include "net/one_shot_timer.h"
-#include "net/read_grace.h"
+#include "net/read_timeout_grace.h"
 
 namespace badgerbridge::etcd {
 
@@ -72,8 +72,10 @@
   bool is_open() const { return is_open_ && !is_closed_; }        ///< Connected, and not closed.
   bool going_away() const { return http2_.going_away(); }         ///< The server takes no further calls.
   std::size_t open_calls() const { return http2_.open_calls(); }  ///< Calls that have not ended.
-  /// For a timeout of what is awaited on this channel: see net::ReadGrace::Postpones.
-  bool Postpones(net::ReadGrace* grace) const { return grace->Postpones(transport_.socket()); }
+  /// For a timeout of what is awaited on this channel: see net::ReadTimeoutGrace::ShouldPostpone.
+  bool ShouldPostpone(net::ReadTimeoutGrace* grace) const {
+    return grace->ShouldPostpone(transport_.socket());
+  }
 
  private:
   Channel(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address, ChannelOptions options,
@@ -85,7 +87,7 @@
   boost::asio::awaitable<void> MonitorLiveness();
   boost::asio::awaitable<bool> ReceivesUnreadBytes();
   void ArmCallTimer(const std::shared_ptr<net::OneShotTimer>& timer, std::chrono::milliseconds timeout,
-                    CallId call, net::ReadGrace grace = {});
+                    CallId call, net::ReadTimeoutGrace grace = {});
   void Flush();
   void CloseWith(const ConnectionError& error);
 
--- a/src/etcd/follower_link.cpp
+++ b/src/etcd/follower_link.cpp
@@ -74,8 +74,8 @@
 }
 
 void FollowerLink::OnTimer() {
-  if (channel_ && channel_->Postpones(&read_grace_))
-    return timer_.ArmAfter(net::ReadGrace::kPause, [this] { OnTimer(); });
+  if (channel_ && channel_->ShouldPostpone(&read_grace_))
+    return timer_.ArmAfter(net::ReadTimeoutGrace::kRecheckInterval, [this] { OnTimer(); });
   Follower::Actions actions;
   follower_.Tick(Now(), &actions);
   PerformAll(std::move(actions));
--- a/src/etcd/follower_link.h
+++ b/src/etcd/follower_link.h
@@ -19,7 +19,7 @@
 #include "etcd/channel.h"
 #include "etcd/follower.h"
 #include "net/one_shot_timer.h"
-#include "net/read_grace.h"
+#include "net/read_timeout_grace.h"
 
 namespace badgerbridge::etcd {
 
@@ -121,7 +121,7 @@
   std::deque<Follower::Action> queue_;
   bool is_performing_ = false;
   net::OneShotTimer timer_;
-  net::ReadGrace read_grace_;
+  net::ReadTimeoutGrace read_grace_;
 };
 
 }  // namespace badgerbridge::etcd
--- a/src/etcd/server_connection.cpp
+++ b/src/etcd/server_connection.cpp
@@ -127,7 +127,7 @@
   if (http2_->unsent_bytes() == 0 && !is_writing_) last_progress_at_ = now;
   if (pinged_at_ && last_received_at_ >= *pinged_at_) pinged_at_.reset();
   const bool ping_is_over = pinged_at_ && IsOver(options_.ping_timeout, *pinged_at_, now);
-  if (ping_is_over && !ping_grace_.Postpones(transport_.socket())) {
+  if (ping_is_over && !ping_grace_.ShouldPostpone(transport_.socket())) {
     CloseWith({ConnectionErrorCode::kClientUnresponsive, ""});
   } else if (IsOver(options_.stall_timeout, last_progress_at_, now)) {
     CloseWith({ConnectionErrorCode::kClientNotReading, ""});
--- a/src/etcd/server_connection.h
+++ b/src/etcd/server_connection.h
@@ -22,7 +22,7 @@
 #include "etcd/transport.h"
 #include "http_api/tls.h"
 #include "net/one_shot_timer.h"
-#include "net/read_grace.h"
+#include "net/read_timeout_grace.h"
 
 namespace badgerbridge::etcd {
 
@@ -103,7 +103,7 @@
   Clock::time_point last_busy_at_;      // with a call in progress
   Clock::time_point last_progress_at_;  // a write ended, or nothing was unsent
   std::optional<Clock::time_point> pinged_at_;
-  net::ReadGrace ping_grace_;
+  net::ReadTimeoutGrace ping_grace_;
   std::string output_;  // being written
   bool is_open_ = false;
   bool is_closed_ = false;
--- a/src/proxy/backend_attempt.cpp
+++ b/src/proxy/backend_attempt.cpp
@@ -198,7 +198,8 @@
 
 void BackendPool::Connection::OnAttemptTimeout() {
   // The response, or its rest, may have come in time and not been read yet.
-  if (read_grace_.Postpones(socket_)) return SetTimer(pool_->clock_.Now() + net::ReadGrace::kPause);
+  if (read_grace_.ShouldPostpone(socket_))
+    return SetTimer(pool_->clock_.Now() + net::ReadTimeoutGrace::kRecheckInterval);
   if (response_stalled_) return Abort(Outcome::kReset);
   // A backend that sends nothing may be a machine that has vanished: then its idle connections are as dead.
   pool_->CloseIdleSince(backend_, attempt_started_at_);
--- a/src/proxy/backend_connection.h
+++ b/src/proxy/backend_connection.h
@@ -14,7 +14,7 @@
 #include <optional>
 
 #include "net/one_shot_timer.h"
-#include "net/read_grace.h"
+#include "net/read_timeout_grace.h"
 #include "proxy/backend_codec.h"
 #include "proxy/backend_pool.h"
 
@@ -154,7 +154,7 @@
   BackendResponseReader reader_;
   bool response_stalled_ =
       false;  // a part of the response has come, and the timer bounds the wait for the rest
-  net::ReadGrace read_grace_;
+  net::ReadTimeoutGrace read_grace_;
 };
 
 }  // namespace badgerbridge::proxy
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -8,6 +8,7 @@
 #include <cmath>
 #include <fstream>
 #include <sstream>
+#include <utility>
 
 #include "settings/settings.h"
 
@@ -118,11 +119,10 @@
 }
 
 Settings ReadSettings(const json::value& settings) {
-  try {
-    return settings::ParseSettings(Flatten(settings));
-  } catch (const settings::BadSettings& bad) {
-    throw BadConfig({ConfigErrorCode::kInvalidSettings, "/settings", bad.what()});
-  }
+  settings::Result<Settings> parsed = settings::ParseSettings(Flatten(settings));
+  if (!parsed)
+    throw BadConfig({ConfigErrorCode::kInvalidSettings, "/settings", settings::Message(parsed.error())});
+  return std::move(*parsed);
 }
 
 // Divides the sockets between clients and backends.
--- a/src/proxy/discovery.cpp
+++ b/src/proxy/discovery.cpp
@@ -42,14 +42,14 @@
 
  private:
   void Expire() {
-    if (read_grace_.Postpones(stream_.socket()))
-      return timer_.ArmAfter(net::ReadGrace::kPause, [this] { Expire(); });
+    if (read_grace_.ShouldPostpone(stream_.socket()))
+      return timer_.ArmAfter(net::ReadTimeoutGrace::kRecheckInterval, [this] { Expire(); });
     stream_.close();
   }
 
   beast::tcp_stream& stream_;
   net::OneShotTimer timer_;
-  net::ReadGrace read_grace_;
+  net::ReadTimeoutGrace read_grace_;
 };
 
 }  // namespace
@@ -97,7 +97,7 @@
 }
 
 // Bytes of the open watch have come, and the handler that reads them has yet to run.
-bool Discovery::AwaitsRead() { return stream_ && read_grace_.Postpones(stream_->socket()); }
+bool Discovery::AwaitsRead() { return stream_ && read_grace_.ShouldPostpone(stream_->socket()); }
 
 bool Discovery::HasUnread() const { return stream_ && net::UnreadBytes(stream_->socket()) > 0; }
 
@@ -122,7 +122,8 @@
 }
 
 void Discovery::OnWatchdog() {
-  if (AwaitsRead()) return watchdog_.ArmAfter(net::ReadGrace::kPause, [this] { OnWatchdog(); });
+  if (AwaitsRead())
+    return watchdog_.ArmAfter(net::ReadTimeoutGrace::kRecheckInterval, [this] { OnWatchdog(); });
   if (!polls_) return Start();
   ++generation_;
   if (stream_) stream_->close();
@@ -131,7 +132,9 @@
 }
 
 void Discovery::MoveTo(asio::ip::tcp::endpoint address) {
-  if (AwaitsRead()) return move_timer_.ArmAfter(net::ReadGrace::kPause, [this, address] { MoveTo(address); });
+  if (AwaitsRead())
+    return move_timer_.ArmAfter(net::ReadTimeoutGrace::kRecheckInterval,
+                                [this, address] { MoveTo(address); });
   move_timer_.Disarm();
   address_ = std::move(address);
   reader_.ResetVersion();
--- a/src/proxy/discovery.h
+++ b/src/proxy/discovery.h
@@ -16,7 +16,7 @@
 #include <string_view>
 
 #include "net/one_shot_timer.h"
-#include "net/read_grace.h"
+#include "net/read_timeout_grace.h"
 #include "proxy/endpoint_list_reader.h"
 #include "proxy/error.h"
 #include "proxy/json_stream.h"
@@ -93,9 +93,9 @@
   Timing timing_;
   std::chrono::milliseconds backoff_;
   std::shared_ptr<boost::beast::tcp_stream> stream_;  // of the open watch
-  std::uint64_t generation_ = 0;  // of the newest Start(): an older one ends at its next step
-  bool awaits_response_ = false;  // a call whose response has not begun
-  net::ReadGrace read_grace_;     // of the open watch
+  std::uint64_t generation_ = 0;      // of the newest Start(): an older one ends at its next step
+  bool awaits_response_ = false;      // a call whose response has not begun
+  net::ReadTimeoutGrace read_grace_;  // of the open watch
   net::OneShotTimer move_timer_;
   net::OneShotTimer watchdog_;
 };
--- a/src/proxy/session_read.cpp
+++ b/src/proxy/session_read.cpp
@@ -63,7 +63,7 @@
     Close();  // the client has left
     return false;
   }
-  const Duration age = net::SinceLastData(socket_).value_or(std::chrono::milliseconds(0));
+  const Duration age = net::TimeSinceLastDataReceived(socket_).value_or(std::chrono::milliseconds(0));
   input_.Commit(bytes, listener_.clock_.Now() - age);
   return true;
 }
