--- a/include/badgerbridge/balancer.h
+++ b/include/badgerbridge/balancer.h
@@ -115,7 +115,7 @@
   TimePoint up_since{};                       ///< When it started; zero: long ago.
 };
 
-/// How an attempt ended. kFull, kConnectFailed and kNotSent prove that the backend did not act on it.
+/// How an attempt ended. kRejected, kConnectFailed and kNotSent prove that the backend did not act on it.
 enum class Outcome {
   kOk,             ///< Answered with success.
   kError,          ///< Answered with an error.
--- a/src/admin_api/name_lookup.h
+++ b/src/admin_api/name_lookup.h
@@ -11,7 +11,7 @@
 namespace badgerbridge::admin_api {
 
 /// The name at an index; empty if there is none, as for an endpoint whose zone the configuration does not
-/// list (index -1).
+/// list (an index beyond the last).
 inline std::string NameAt(const std::vector<std::string>& names, int index) {
   if (index < 0 || static_cast<std::size_t>(index) >= names.size()) return {};
   return names[static_cast<std::size_t>(index)];
--- a/src/cli/agent_session.h
+++ b/src/cli/agent_session.h
@@ -35,7 +35,7 @@
 struct AgentSessionSettings {
   std::vector<AgentTarget> agents;       ///< all that may be asked
   OutputFormat output;                   ///< the form of the results
-  std::chrono::milliseconds timeout{0};  ///< of the whole command; 0: each command's default
+  std::chrono::milliseconds timeout{0};  ///< of each request; 0: each command's default
 };
 
 /// One request to an agent's API.
--- a/src/cli/etcd_session.h
+++ b/src/cli/etcd_session.h
@@ -23,7 +23,7 @@
 
 namespace badgerbridge::cli {
 
-/// How long one command on etcd may take, unless the command line says otherwise.
+/// How long one call to etcd may take, its attempts included, unless the command line says otherwise.
 constexpr std::chrono::milliseconds kDefaultEtcdTimeout{5000};
 
 /// What all commands on etcd have in common.
--- a/src/cli/fleet_status.h
+++ b/src/cli/fleet_status.h
@@ -36,7 +36,7 @@
 /// What one agent answered.
 struct AgentStatus {
   AgentTarget target;            ///< the agent
-  boost::json::object status;    ///< empty: it did not answer
+  boost::json::object status;    ///< empty: it did not answer, or with an error
   std::uint64_t generation = 0;  ///< of the agent's state
 };
 
@@ -44,7 +44,7 @@
 struct FleetStatus {
   std::vector<AgentStatus> agents;          ///< in the order of the context
   std::vector<SelectedInstance> instances;  ///< in the order of their agents
-  ExitCode code = ExitCode::kSuccess;       ///< kUsage: a name that is not there; kUnreachable: no answer
+  ExitCode code = ExitCode::kSuccess;       ///< the worst of all: names that are not there, agents' errors
 };
 
 /// Asks the agents of the selection for their status. Faults are printed, and are in the code of the result.
--- a/src/etcd/channel.cpp
+++ b/src/etcd/channel.cpp
@@ -3,7 +3,6 @@
 
 #include <array>
 #include <boost/asio/co_spawn.hpp>
-#include <boost/asio/detached.hpp>
 #include <boost/asio/post.hpp>
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/ssl.hpp>
--- a/src/etcd/channel.h
+++ b/src/etcd/channel.h
@@ -62,8 +62,9 @@
   bool SendMessage(CallId call, std::string_view message, bool last);
   /// See Http2Client::CancelCall.
   void CancelCall(CallId call, Ending ending = Ending::kCancelled);
-  /// A call with one message each way. `on_completed` is called exactly once: within `timeout`, with
-  /// Ending::kTimeout at its end; from within only if the channel takes no more calls.
+  /// A call with one message each way. `on_completed` is called exactly once: after `timeout` at the
+  /// latest, with Ending::kTimeout (a little later where what has been received is still unread); from within
+  /// only if the channel takes no more calls.
   void CallUnary(const std::string& path, const HeaderFields& metadata, std::string_view message,
                  std::chrono::milliseconds timeout, OnUnaryCompleted on_completed);
   /// Closes the connection. `reason` is for people.
--- a/src/etcd/http2_client.cpp
+++ b/src/etcd/http2_client.cpp
@@ -29,7 +29,7 @@
   std::string output;
   std::size_t sent_bytes = 0;    // of output
   std::size_t messages = 0;      // received
-  bool last_sent = false;        // no further message of the request follows
+  bool last_queued = false;      // no further message of the request follows
   bool is_deferred = false;      // nghttp2 waits for resume_data
   bool is_unary = false;         // one message each way
   std::optional<Status> result;  // known before the stream is closed
@@ -76,7 +76,6 @@
 
   static int OnFrameReceived(nghttp2_session* session, const nghttp2_frame* frame, void* user_data) {
     Http2Client& self = Self(user_data);
-    if (frame->hd.type == NGHTTP2_PING && (frame->hd.flags & NGHTTP2_FLAG_ACK)) ++self.pongs_;
     if (frame->hd.type == NGHTTP2_GOAWAY) {
       self.going_away_ = true;
       self.last_processed_ = frame->goaway.last_stream_id;
@@ -85,7 +84,7 @@
     Call* call = FindCall(user_data, frame->hd.stream_id);
     if (!call) return 0;
     // The response is complete; the rest of the request is of no use.
-    if (!call->last_sent)
+    if (!call->last_queued)
       nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, frame->hd.stream_id, NGHTTP2_NO_ERROR);
     if (!call->result) call->result = call->StatusAtEndOfStream();
     return 0;
@@ -103,7 +102,7 @@
                              std::uint32_t* flags, nghttp2_data_source* source, void* user_data) {
     auto* call = static_cast<Call*>(source->ptr);
     const std::size_t copied = std::min(size, call->output.size() - call->sent_bytes);
-    if (copied == 0 && !call->last_sent) {
+    if (copied == 0 && !call->last_queued) {
       call->is_deferred = true;
       return NGHTTP2_ERR_DEFERRED;
     }
@@ -113,7 +112,7 @@
     if (call->sent_bytes == call->output.size()) {
       call->output.clear();
       call->sent_bytes = 0;
-      if (call->last_sent) *flags |= NGHTTP2_DATA_FLAG_EOF;
+      if (call->last_queued) *flags |= NGHTTP2_DATA_FLAG_EOF;
     }
     return static_cast<ssize_t>(copied);
   }
@@ -151,7 +150,7 @@
   if (going_away_ || error_ || calls_.size() >= limits_.max_concurrent_calls) return std::nullopt;
   auto call = std::make_unique<Call>(limits_.max_message_bytes, std::move(handler));
   call->output = FrameMessage(message);
-  call->last_sent = last;
+  call->last_queued = last;
   call->is_unary = last;
   HeaderFields fields = {
       {":method", "POST"},           {":scheme", scheme_}, {":path", path},
@@ -172,13 +171,13 @@
 
 bool Http2Client::SendMessage(CallId id, std::string_view message, bool last) {
   const auto found = calls_.find(id);
-  if (found == calls_.end() || found->second->last_sent || found->second->result) return false;
+  if (found == calls_.end() || found->second->last_queued || found->second->result) return false;
   if (unsent_bytes_ + message.size() > limits_.max_unsent_bytes) return false;
   Call& call = *found->second;
   const std::string framed = FrameMessage(message);
   call.output += framed;
   unsent_bytes_ += framed.size();
-  call.last_sent = last;
+  call.last_queued = last;
   if (std::exchange(call.is_deferred, false)) nghttp2_session_resume_data(session_.get(), id);
   return true;
 }
--- a/src/etcd/http2_client.h
+++ b/src/etcd/http2_client.h
@@ -76,7 +76,6 @@
   /// Ends all calls, as the connection has ended.
   void ConnectionLost(const ConnectionError& error);
 
-  std::uint64_t pongs() const { return pongs_; }            ///< Answers to PINGs.
   bool going_away() const { return going_away_; }           ///< GOAWAY was received: no further calls.
   std::size_t open_calls() const { return calls_.size(); }  ///< Calls that have not ended.
 
@@ -93,7 +92,6 @@
   Http2Limits limits_;
   std::map<CallId, std::unique_ptr<Call>> calls_;
   std::size_t unsent_bytes_ = 0;  // of all calls
-  std::uint64_t pongs_ = 0;
   bool going_away_ = false;
   CallId last_processed_ = INT32_MAX;  // by the server, as its GOAWAY says
   std::optional<ConnectionError> error_;
--- a/src/etcd/http2_server.cpp
+++ b/src/etcd/http2_server.cpp
@@ -130,7 +130,6 @@
   static int OnFrameReceived(nghttp2_session*, const nghttp2_frame* frame, void* user_data) {
     Http2Server& self = Self(user_data);
     const StreamId stream = frame->hd.stream_id;
-    if (frame->hd.type == NGHTTP2_PING && (frame->hd.flags & NGHTTP2_FLAG_ACK)) ++self.pongs_;
     const bool has_headers = frame->hd.type == NGHTTP2_HEADERS && frame->headers.cat == NGHTTP2_HCAT_REQUEST;
     if (has_headers) BeginCall(self, stream);
     if (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) HalfCloseCall(self, stream);
--- a/src/etcd/http2_server.h
+++ b/src/etcd/http2_server.h
@@ -113,7 +113,6 @@
   /// Ends all calls, as the connection has ended.
   void ConnectionLost(const ConnectionError& error);
 
-  std::uint64_t pongs() const { return pongs_; }              ///< Answers to PINGs.
   std::size_t unsent_bytes() const { return unsent_bytes_; }  ///< Of messages, in all calls.
   std::size_t unsent_bytes(StreamId stream) const;            ///< Of messages of one call.
   std::size_t open_calls() const { return calls_.size(); }    ///< Calls that are not over.
@@ -138,7 +137,6 @@
   Http2ServerHandler handler_;
   std::map<StreamId, std::unique_ptr<Call>> calls_;
   std::size_t unsent_bytes_ = 0;
-  std::uint64_t pongs_ = 0;
   StreamId last_accepted_ = INT32_MAX;  // by GoAway
   std::optional<ConnectionError> error_;
 };
--- a/src/http_api/client.h
+++ b/src/http_api/client.h
@@ -25,7 +25,7 @@
 
 /// The answer to a call, or why there is none.
 struct Reply {
-  unsigned status = 0;             ///< RFC 9110, section 15; 0: no answer came, and `error` is set
+  unsigned status = 0;             ///< RFC 9110, section 15; 0: no answer came, and `error` says why
   boost::json::value body;         ///< the answer's body
   std::optional<CallError> error;  ///< why there is no answer
 
--- a/src/net/handler_memory.h
+++ b/src/net/handler_memory.h
@@ -45,7 +45,7 @@
   /// The type of the allocated objects, as the standard's allocator requirements name it.
   using value_type = T;
 
-  /// Shares the ownership of `memory` until the last object allocated from it is deallocated.
+  /// Shares the ownership of `memory` with its copies; handlers hold one as long as their memory is in use.
   explicit HandlerAllocator(std::shared_ptr<HandlerMemory> memory) : memory_(std::move(memory)) {}
 
   /// Rebinds an allocator of another type to the same memory.
--- a/src/operator_config/operator_file.h
+++ b/src/operator_config/operator_file.h
@@ -39,7 +39,7 @@
   std::string key;                     ///< path of its private key, PEM
   std::string ca_certificate;          ///< path of the certificate of the members' authority, PEM
   std::string server_name;             ///< that the members' certificates must be for; empty: the address
-  std::chrono::milliseconds ping_interval{150};  ///< between two HTTP/2 pings
+  std::chrono::milliseconds ping_interval{150};  ///< without a received byte, until a PING is sent
   std::chrono::milliseconds ping_timeout{100};   ///< for the answer to a ping
 };
 
@@ -71,7 +71,7 @@
   std::vector<std::string> zones;                 ///< in the order of the proxies' configuration
   std::chrono::milliseconds lease{3000};          ///< time to live of a proxy's lease; whole seconds
   std::chrono::milliseconds heartbeat{250};       ///< between two reports of a proxy
-  std::chrono::milliseconds grant_hold{5000};     ///< for which capacity that was granted stays granted
+  std::chrono::milliseconds grant_hold{5000};     ///< how long, without etcd, quotas outlive the lease
   std::chrono::milliseconds recovery_step{400};   ///< between two steps of a recovery ramp
   std::chrono::milliseconds round_trip{1};        ///< between two zones without a link
   int transfer_price_percent = 10;                ///< of work that crosses between two zones without a link
--- a/src/operator_config/table_reader.h
+++ b/src/operator_config/table_reader.h
@@ -74,9 +74,6 @@
   /// To be called after the last key has been read: reports the keys that nothing has read.
   void Finish();
 
-  /// The name of the table in messages.
-  const std::string& where() const { return where_; }
-
  private:
   const toml::node* Find(std::string_view key);
   std::string QualifiedName(std::string_view key) const;
--- a/src/proxy/answer_buffer.h
+++ b/src/proxy/answer_buffer.h
@@ -24,7 +24,7 @@
   void Consume(std::size_t bytes) { unwritten_.remove_prefix(bytes); }
   /// Gives up what has not been written.
   void DropUnwritten() { unwritten_ = {}; }
-  /// Frees the memory of a written answer.
+  /// Empties the buffer once its answer has been written.
   void Release() { text_ = {}; }
 
  private:
--- a/src/proxy/backend_connection.cpp
+++ b/src/proxy/backend_connection.cpp
@@ -121,6 +121,7 @@
       return End(Outcome::kNotSent);
     case State::kWriting:
     case State::kAwaitingResponse:
+      // Where no write was begun, nothing has been sent.
       return Abort(write_started_ ? Outcome::kReset : Outcome::kNotSent);
     case State::kIdle:
       return Close();
--- a/src/proxy/backend_connection.h
+++ b/src/proxy/backend_connection.h
@@ -23,12 +23,12 @@
 /// One connection to a backend, with one attempt at a time. While it is idle, whatever can be read ends it:
 /// the backend has closed it, or has sent bytes that are unsolicited and must not become the next response.
 ///
-///     Connect()                              Reuse()
-///         │                                     │
-///         ▼                                     │
-///     kStarting ◄───────────────────────────────┤
-///         │ first byte                          │
-///         ▼                 response            │
+///     Connect()
+///         │
+///         ▼                       Reuse()
+///     kStarting ◄──────────────────────────────────┐
+///         │ first byte                             │
+///         ▼                            response    │
 ///     kWriting ─ last byte ─► kAwaitingResponse ─► kIdle
 ///         │ abort, while the write is under way    │
 ///         ▼                                        │
@@ -72,8 +72,9 @@
   void Withdraw(std::uint64_t attempt_number);
   /// Closes the connection; does nothing if it is closed.
   void Close();
-  /// Whether the backend has closed an idle connection, or sent unsolicited bytes, that the pending wait has
-  /// not reported yet. Asks the socket; notes unsolicited bytes in the pool.
+  /// Whether the backend has closed the connection, or has sent unsolicited bytes, of which no handler knows
+  /// yet. For a connection without an attempt that has begun. Asks the socket; notes unsolicited bytes in the
+  /// pool.
   bool CheckStale();
 
  private:
--- a/src/proxy/endpoint_list.h
+++ b/src/proxy/endpoint_list.h
@@ -34,8 +34,8 @@
   std::string kind;                                       ///< by name
   std::optional<boost::asio::ip::tcp::endpoint> address;  ///< none only if the backend is gone
   BackendState state = BackendState::kReady;              ///< whether it accepts requests
-  int cell = 0;                                           ///< backends of one cell share idempotency keys
-  double weight = 1;                                      ///< relative to other backends
+  int cell = 0;              ///< for classes whose deduplication scope is the cell
+  double weight = 1;         ///< relative to other backends
   double started_at_ms = 0;  ///< when it last started, Unix time in ms; 0: unknown
 };
 
--- a/src/proxy/error.cpp
+++ b/src/proxy/error.cpp
@@ -44,7 +44,7 @@
     case EndpointListErrorCode::kInvalidField:
       return error.where + " is missing or invalid: " + error.value;
     case EndpointListErrorCode::kMissingAddress:
-      return "endpoint " + error.where + " has no address and port: '" + error.value + "'";
+      return "endpoint " + error.where + " has no address and port: " + error.value;
   }
   return "invalid";
 }
--- a/src/proxy/error.h
+++ b/src/proxy/error.h
@@ -36,7 +36,8 @@
 /// The error as one line for people, without a line feed.
 std::string Message(const ConfigError& error);
 
-/// Thrown at start-up, where nothing can be done but to end the program.
+/// Thrown for a configuration that is not to be used: at start-up it ends the program, at a reload the former
+/// configuration stays.
 class BadConfig : public std::runtime_error {
  public:
   /// what() is the message of the error.
--- a/src/proxy/request_error.h
+++ b/src/proxy/request_error.h
@@ -8,8 +8,7 @@
 
 namespace badgerbridge::proxy {
 
-/// Why a request is rejected. Each names the header or limit at fault; the wrong value is the client's own
-/// and is not repeated to it, so that a rejection needs no memory.
+/// Why a request is rejected. The wrong value is the client's own and is not repeated to it.
 enum class RequestError {
   kSeveralBodyLengths,        ///< more than one Content-Length or Transfer-Encoding
   kMalformedContentLength,    ///< Content-Length is no whole number
--- a/src/proxy/request_input.cpp
+++ b/src/proxy/request_input.cpp
@@ -5,7 +5,6 @@
 #include <boost/asio/error.hpp>
 #include <boost/beast/http/error.hpp>
 #include <new>
-#include <utility>
 
 namespace badgerbridge::proxy {
 
--- a/src/proxy/session_list.h
+++ b/src/proxy/session_list.h
@@ -13,8 +13,8 @@
 
 class Session;
 
-/// Sessions in the order in which they became idle, the longest idle first. Shares their ownership with the
-/// handlers that wait for their sockets and timers.
+/// Sessions in the order in which their last answers ended, the earliest first. Shares their ownership with
+/// the handlers that wait for their sockets and timers.
 class SessionList {
  public:
   /// The form in which a session is added, so that adding it needs no memory.
@@ -26,7 +26,7 @@
   Position Append(Sessions& session) noexcept;
   /// Removes a session.
   void Remove(Position position) noexcept { sessions_.erase(position); }
-  /// Moves a session that has become idle to the end.
+  /// Moves a session whose answer has ended to the end.
   void MoveToBack(Position position) noexcept { sessions_.splice(sessions_.end(), sessions_, position); }
 
   /// All sessions, lingering ones included.
@@ -40,9 +40,10 @@
   /// Counts a lingering session that has been closed.
   void RemoveLingering() { --lingering_; }
 
-  /// Ends one session that can be spared, to make room for another. Its descriptor becomes free when the
-  /// client closes its side, or its linger time is over. None of those with a complete request that has not
-  /// been read is ended; one with an incomplete request is answered. False if none can be spared.
+  /// Ends one session that can be spared, to make room for another. An idle one is shut down, and one with an
+  /// incomplete request is answered first (or served, if the rest has come meanwhile): their descriptors
+  /// become free when the client closes its side, or the linger time is over. One that does not read its
+  /// answer is closed at once. False if none can be spared.
   bool Evict();
   /// Closes one lingering session, preferably one from which the close takes nothing away.
   void CloseOneLingering();
--- a/src/proxy/session_write.cpp
+++ b/src/proxy/session_write.cpp
@@ -5,7 +5,6 @@
 #include <boost/asio/post.hpp>
 #include <chrono>
 #include <string_view>
-#include <utility>
 
 #include "net/socket_state.h"
 #include "proxy/session.h"
@@ -28,7 +27,8 @@
   BeginAnswer(answer);
 }
 
-// The connection ends with this answer: what follows a malformed request can't be read as another.
+// The connection ends with this answer. After a malformed request nothing can be read as another; after the
+// other rejections, to read on would not be worth it.
 void Session::Reject(RequestError error) {
   client_keeps_alive_ = false;
   input_mode_ = InputMode::kDiscard;
@@ -94,7 +94,7 @@
 
 void Session::EndAnswer() {
   timer_.Disarm();
-  answer_.Release();  // an idle connection holds no answer
+  answer_.Release();
   since_ = listener_.clock_.Now();
   if (!keep_after_answer_)
     return BeginLinger(input_mode_ == InputMode::kDiscard ? InputMode::kDiscard : InputMode::kLeaveUnread);
--- a/src/proxy_main/main.cpp
+++ b/src/proxy_main/main.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The proxy's main: arguments, the operator's file, the configuration.
+#include <algorithm>
 #include <csignal>
 #include <cstdlib>
 #include <exception>
@@ -85,5 +86,6 @@
 
 int main(int count, char** arguments) {
   std::signal(SIGPIPE, SIG_IGN);
-  return badgerbridge::proxy_main::Main({arguments + 1, arguments + count});
+  // Without the program's name, if it has one: exec(3) can leave that out, too.
+  return badgerbridge::proxy_main::Main({arguments + std::min(count, 1), arguments + count});
 }
--- a/src/proxy_main/membership_source.cpp
+++ b/src/proxy_main/membership_source.cpp
@@ -85,7 +85,7 @@
   const bool is_first_list = !authority_reported_ && ledger_.is_authority(report.source) && report.EndsList();
   const bool was_rejecting = !ledger_.rejection(report.source).empty();
   auto changes = ledger_.ApplyReport(EtcdSource::Now(), report);
-  if (!changes) return;  // outdated or out of order: its source reports again
+  if (!changes) return;  // outdated, out of order, or changes before the first list
   LogRejection(report.source, was_rejecting);
   if (is_first_list) {
     authority_reported_ = true;
--- a/src/proxy_main/zone_traffic_recorder.h
+++ b/src/proxy_main/zone_traffic_recorder.h
@@ -40,7 +40,7 @@
 
  private:
   struct ReadyBackend {
-    int zone = 0;  // below 0: none of the configuration's
+    int zone = 0;  // beyond the last, or below 0: none of the configuration's
     double weight = 1;
     balancer::TimePoint up_since{};  // TimePoint{}: long ago
   };
