--- a/src/proxy/endpoint_list_codec.cpp
+++ b/src/proxy/endpoint_list_codec.cpp
@@ -13,17 +13,12 @@
 
 constexpr std::size_t kMaxShownBytes = 100;  // of a wrong value in an error
 
-// A wrong text as JSON has it: with its control characters escaped, on one line.
-std::string Quoted(std::string_view text) {
-  return json::serialize(json::value(text.substr(0, kMaxShownBytes)));
-}
-
 // What stands in place of the right value. Of an object or list, which may be large, only the kind.
 std::string Described(const json::value* found) {
   if (!found) return "nothing";
   if (found->is_object()) return "an object";
   if (found->is_array()) return "a list";
-  if (found->is_string()) return Quoted({found->get_string().data(), found->get_string().size()});
+  if (found->is_string()) return json::serialize(found->get_string().subview(0, kMaxShownBytes));
   return json::serialize(*found);
 }
 
@@ -69,7 +64,8 @@
   endpoint.state = DecodeState(*status);
   endpoint.address = http_api::ParseAddress(address);
   if (!endpoint.address && endpoint.state != BackendState::kGone) {
-    return EndpointListError{EndpointListErrorCode::kMissingAddress, Quoted(*name), Quoted(address)};
+    return EndpointListError{EndpointListErrorCode::kMissingAddress, endpoint.name.substr(0, kMaxShownBytes),
+                             std::string(address.substr(0, kMaxShownBytes))};
   }
   endpoint.zone = std::string(OptionalText(*object, "zone"));
   endpoint.kind = std::string(OptionalText(*object, "type"));
--- a/src/proxy/error.cpp
+++ b/src/proxy/error.cpp
@@ -1,8 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "proxy/error.h"
 
+#include <boost/json/serialize.hpp>
+#include <string_view>
+
 namespace badgerbridge::proxy {
 
+namespace {
+
+// A wrong text on one line: as JSON has it, with its control characters escaped.
+std::string Quoted(std::string_view text) { return boost::json::serialize(text); }
+
+}  // namespace
+
 std::string Message(const ConfigError& error) {
   switch (error.code) {
     case ConfigErrorCode::kMissingVariable:
@@ -44,7 +54,7 @@
     case EndpointListErrorCode::kInvalidField:
       return error.where + " is missing or invalid: " + error.value;
     case EndpointListErrorCode::kMissingAddress:
-      return "endpoint " + error.where + " has no address and port: " + error.value;
+      return "endpoint " + Quoted(error.where) + " has no address and port: " + Quoted(error.value);
   }
   return "invalid";
 }
--- a/tests/proxy/endpoint_list_reader_test.cpp
+++ b/tests/proxy/endpoint_list_reader_test.cpp
@@ -93,6 +93,19 @@
   EXPECT_EQ(address.code, EndpointListErrorCode::kMissingAddress);
   EXPECT_EQ(address.where, "x");
   EXPECT_EQ(address.value, "nowhere");
+  EXPECT_EQ(Message(address), R"(endpoint "x" has no address and port: "nowhere")");
+}
+
+TEST_F(EndpointListReaderTest, AnErrorIsOneLineWhateverTheListNames) {
+  const EndpointListError address =
+      reader
+          .Read(boost::json::parse(
+              R"({"index":6,"snapshot":true,"endpoints":[{"name":"a\nb","status":"Ready","address":"c\nd"}]})"))
+          .error();
+  EXPECT_EQ(Message(address).find('\n'), std::string::npos) << Message(address);
+  const EndpointListError large =
+      reader.Read(boost::json::parse(R"({"index":6,"snapshot":true,"endpoints":{"a":[1,2,3]}})")).error();
+  EXPECT_EQ(large.value, "an object");
 }
 
 }  // namespace
