--- a/bench/slopes_cli.cpp
+++ b/bench/slopes_cli.cpp
@@ -14,7 +14,8 @@
 #include <stdexcept>
 
 #include "allocations.h"
-#include "cli/commands.h"
+#include "cli/agent_session.h"
+#include "cli/members_command.h"
 #include "http_api/server.h"
 #include "slopes.h"
 #include "slopes_proxy.h"
@@ -76,13 +77,16 @@
   pid_t child_ = -1;
 };
 
-struct Told {
-  int code = 0;
-  double cpu_ms = 0, peak_bytes = 0, text_bytes = 0;
+// What one run of the command cost.
+struct CommandCost {
+  cli::ExitCode code = cli::ExitCode::kSuccess;
+  double cpu_ms = 0;
+  double peak_bytes = 0;
+  double text_bytes = 0;
 };
 
-Told AskMembers(const ScriptedAgent& agent) {
-  cli::Settings settings;
+CommandCost AskMembers(const ScriptedAgent& agent) {
+  cli::AgentSessionSettings settings;
   cli::AgentTarget target;
   target.name = "agent";
   target.target.unix_path = agent.socket();
@@ -92,16 +96,16 @@
   std::ostringstream err;
   cli::Selection all;
   all.all = true;
-  cli::Commands commands(settings, out, err);
+  cli::AgentSession session(settings, out, err);
   const std::size_t live = LiveBytes();
   ResetPeak();
   const double before = ThreadCpuMs();
-  Told told;
-  told.code = commands.Members(all);
-  told.cpu_ms = ThreadCpuMs() - before;
-  told.peak_bytes = static_cast<double>(PeakBytes() - live);
-  told.text_bytes = static_cast<double>(out.str().size());
-  return told;
+  CommandCost cost;
+  cost.code = cli::ShowMembers(session, all);
+  cost.cpu_ms = ThreadCpuMs() - before;
+  cost.peak_bytes = static_cast<double>(PeakBytes() - live);
+  cost.text_bytes = static_cast<double>(out.str().size());
+  return cost;
 }
 
 }  // namespace
@@ -113,18 +117,18 @@
   for (const int size : kSizes) {
     const ScriptedAgent agent(DescribedMembers(size));
     for (int repetition = 0; repetition < 3; ++repetition) {
-      const Told told = AskMembers(agent);
-      report.checks.Expect(told.code == cli::kAllDid, "badgerbridge-ctl members fails");
-      cpu.Add(size, told.cpu_ms);
-      peak.Add(size, told.peak_bytes);
-      text.Add(size, told.text_bytes);
+      const CommandCost cost = AskMembers(agent);
+      report.checks.Expect(cost.code == cli::ExitCode::kSuccess, "badgerbridge-ctl members fails");
+      cpu.Add(size, cost.cpu_ms);
+      peak.Add(size, cost.peak_bytes);
+      text.Add(size, cost.text_bytes);
     }
   }
   report.Fit(cpu, "tool_members_ms_per_backend");
   report.Fit(peak, "tool_members_peak_bytes_per_backend");
   report.Fit(text, "tool_members_text_bytes_per_backend");
   const ScriptedAgent agent(DescribedMembers(100000));
-  report.Figure("tool_members_100000", AskMembers(agent).code == cli::kAllDid ? 1 : 0,
+  report.Figure("tool_members_100000", AskMembers(agent).code == cli::ExitCode::kSuccess ? 1 : 0,
                 "badgerbridge-ctl members: shows 100,000 backends of one proxy (1) or fails (0)");
 }
 
