--- a/src/etcd/client.cpp
+++ b/src/etcd/client.cpp
@@ -126,7 +126,6 @@
   endpoint_ = (endpoint_ + 1) % settings_.endpoints.size();
 }
 
-// A pause from the upper half of the backoff, which doubles.
 milliseconds Client::DrawBackoff(milliseconds* backoff) {
   const auto half = static_cast<std::uint64_t>(backoff->count() / 2);
   const milliseconds pause(static_cast<std::int64_t>(half + random_() % (half + 1)));
--- a/src/etcd/client.h
+++ b/src/etcd/client.h
@@ -69,6 +69,7 @@
   boost::asio::awaitable<Result<std::string>> CallOnChannel(std::string path, std::string request,
                                                             std::chrono::milliseconds timeout);
   void SelectNextEndpoint();
+  // Draws a pause from the upper half of `backoff`, and doubles that up to the longest.
   std::chrono::milliseconds DrawBackoff(std::chrono::milliseconds* backoff);
 
   boost::asio::io_context& io_;
--- a/src/etcd/http2_client.h
+++ b/src/etcd/http2_client.h
@@ -58,7 +58,7 @@
 
   /// Begins a call of `path`, "/package.Service/Method", with its first message. With `last` that is the
   /// only message of the request, and exactly one is due in response. Nothing if the connection takes no more
-  /// calls; the handler is not used then.
+  /// calls (after a GOAWAY or an error, or at the limit of open calls); the handler is not used then.
   std::optional<CallId> BeginCall(const std::string& path, const HeaderFields& metadata,
                                   std::string_view message, bool last, CallHandler handler);
   /// Sends a further message of a call begun without `last`. False if the call has ended, its last message
--- a/src/proxy/json_stream.h
+++ b/src/proxy/json_stream.h
@@ -28,7 +28,7 @@
   explicit JsonStream(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
   /// Removes bytes from the front of `bytes` up to the end of the next item, or all of them if it is not
-  /// complete.
+  /// complete. Errors: kNotAnObject, kInvalidJson, kTooLong; what is left in `bytes` is unspecified then.
   EndpointListResult<Item> Next(std::string_view& bytes);
   /// The object that Next() has found; once.
   boost::json::value Take();
--- a/src/proxy/session.h
+++ b/src/proxy/session.h
@@ -14,7 +14,9 @@
 //   kAwaitingFirst --time over, eviction--> kLingering
 //   kIdle --time over, eviction, drain, stop--> kLingering
 //   any state --client has left--> kClosed
-//   kAnswering, kLingering --time over--> kClosed
+//   kAnswering, kLingering --time over, room needed--> kClosed
+//
+// After an exception, a request that is owed an answer goes to kAnswering with a fixed 500.
 #ifndef BADGERBRIDGE_PROXY_SESSION_H_
 #define BADGERBRIDGE_PROXY_SESSION_H_
 
@@ -79,7 +81,9 @@
 
   /// Shuts the connection down between requests. No effect once a request has begun to come.
   void ShutdownIfIdle() noexcept;
-  /// Answers an incomplete request, and ends the connection; for when the limit of clients is reached.
+  /// For when the limit of clients is reached: reads what has come. A request that is complete then is
+  /// served; an incomplete one is answered with an error, and the connection ends. No effect unless a request
+  /// is on its way in.
   void RejectPartialRequest() noexcept;
   /// Closes at once, whatever the client is owed.
   void Close() noexcept;
@@ -112,7 +116,8 @@
   };
 
   // session.cpp: transitions of the beginning and the end, and time limits.
-  // Runs one step of a handler. Without memory, for instance, it may end in the midst of its changes.
+  // Runs one step of a handler. An exception (memory may run out in the midst of its changes) goes to
+  // Recover, which answers what is owed.
   template <typename Step>
   void Guarded(Step step) noexcept {
     try {
@@ -154,7 +159,7 @@
   void BeginAnswer(const Answer& answer) noexcept;
   void WriteSome();
   void AwaitWritable();
-  void PostWritten();
+  void PostEndAnswer();
   void EndAnswer();
   bool HasNextRequestCome() const;
 
--- a/src/proxy/session_write.cpp
+++ b/src/proxy/session_write.cpp
@@ -67,7 +67,7 @@
     }
     answer_.Consume(bytes);
   }
-  PostWritten();
+  PostEndAnswer();
 }
 
 void Session::AwaitWritable() {
@@ -79,7 +79,7 @@
 
 // From the event loop: the caller may be in the midst of other sessions' work, and many answers in a row
 // must not nest.
-void Session::PostWritten() {
+void Session::PostEndAnswer() {
   asio::post(listener_.io_, [self = shared_from_this()] {
     if (self->state_ == State::kAnswering) self->Guarded([&session = *self] { session.EndAnswer(); });
   });
