--- a/tests/etcd/channel_test.cpp
+++ b/tests/etcd/channel_test.cpp
@@ -283,6 +283,9 @@
     ASSERT_GT(*watch, 0);
     ASSERT_TRUE(Until([&] { return received.size() >= 2; }));
   }
+  // The handlers of a call that is still open refer to members of this fixture, which end before the channel.
+  void TearDown() override { channel->Close("the test ends"); }
+
   int ReceivedEvents() const {
     int events = 0;
     for (const auto& response : received) events += response.events_size();
