--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The agent of one machine: keeps the instances of a fleet file and serves its API, all on one io_context.
+/// The agent of one machine: runs and supervises the instances of a fleet file and serves the HTTP API, all
+/// on one io_context.
 #ifndef BADGERBRIDGE_AGENT_AGENT_H_
 #define BADGERBRIDGE_AGENT_AGENT_H_
 
@@ -19,18 +20,19 @@
 
 namespace badgerbridge::agent {
 
-/// Runs while the io_context does. Destroying it leaves the instances running. Not thread-safe.
+/// Active while the io_context runs. Destroying it leaves the instances running. Not thread-safe.
 class Agent {
  public:
-  /// Reads the state, adopts what runs, listens, and starts what shall run. `file` must be free of problems.
+  /// Restores the stored state, adopts running instances, opens the API sockets, and starts the instances
+  /// that are desired to run. `file` must have been parsed without problems.
   static Result<std::unique_ptr<Agent>> Create(boost::asio::io_context& io, const FleetFile& file,
                                                std::shared_ptr<Disk> disk = std::make_shared<Disk>());
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
 
-  /// What it knows of instances and orders.
+  /// The instances and orders. Valid as long as the agent.
   const FleetController& controller() const { return runtime_->controller(); }
-  /// Where it listens with TLS; nothing without [agent.tls].
+  /// The address of the TLS listener; nullopt without [agent.tls].
   std::optional<boost::asio::ip::tcp::endpoint> tls_address() const;
 
  private:
--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -18,7 +18,7 @@
 namespace json = boost::json;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kMaxOrderWait{30000};  // of a long poll
+constexpr milliseconds kMaxOrderWait{30000};  // upper bound of wait_ms
 constexpr std::int64_t kDefaultLogLines = 50;
 constexpr std::int64_t kMaxLogLines = 10000;
 
@@ -44,19 +44,20 @@
   return request.path == "/v1/apply" ? http_api::Role::kAdmin : http_api::Role::kOperator;
 }
 
-/// What follows the prefix; empty if the path does not begin with it, or ends there.
-std::string After(std::string_view path, std::string_view prefix) {
+/// The part of the path after the prefix; empty if the path does not begin with the prefix or has nothing
+/// after it.
+std::string RemovePrefix(std::string_view path, std::string_view prefix) {
   return path.starts_with(prefix) ? std::string(path.substr(prefix.size())) : std::string();
 }
 
 /// A path below /v1/instances/.
 struct InstancePath {
   std::string name;
-  std::string rest;  // from the slash on; empty: the instance itself
+  std::string rest;  // begins with a slash; empty for the instance itself
 };
 
 std::optional<InstancePath> ParseInstancePath(std::string_view path) {
-  const std::string below = After(path, "/v1/instances/");
+  const std::string below = RemovePrefix(path, "/v1/instances/");
   if (below.empty()) return std::nullopt;
   const std::size_t slash = below.find('/');
   if (slash == std::string::npos) return InstancePath{below, ""};
@@ -101,7 +102,7 @@
     co_return http_api::Response{200, EncodeStatus(agent_)};
   }
   if (request.path == "/v1/orders") co_return http_api::Response{200, EncodeOrderList(agent_.controller())};
-  if (const std::string id = After(request.path, "/v1/orders/"); !id.empty()) {
+  if (const std::string id = RemovePrefix(request.path, "/v1/orders/"); !id.empty()) {
     http_api::Response response = co_await GetOrder(id, request);
     co_return response;
   }
@@ -115,7 +116,7 @@
       co_return response;
     }
   }
-  if (const std::string name = After(request.path, "/v1/logs/"); !name.empty())
+  if (const std::string name = RemovePrefix(request.path, "/v1/logs/"); !name.empty())
     co_return GetLog(name, request);
   co_return UnknownCall();
 }
@@ -159,7 +160,7 @@
   const auto found = agent_.controller().instances().find(name);
   if (found == agent_.controller().instances().end()) co_return UnknownInstance(name);
   if (found->second.pid == 0) co_return http_api::Error(409, "the instance " + name + " does not run");
-  // What changes something is in the audit log before it is done.
+  // A write is recorded in the audit log before it is performed.
   if (is_write && !agent_.Audit(peer.name, "asked", {{"instance", name}, {"path", path}}))
     co_return http_api::Error(507, "the agent cannot write its audit log, and asks nothing without it");
   const std::string socket = ParseDefinition(found->second.definition).value().control_socket;
--- a/src/agent/agent_api.h
+++ b/src/agent/agent_api.h
@@ -14,22 +14,22 @@
 
 namespace badgerbridge::agent {
 
-/// Answers requests. For the event loop of the runtime; not thread-safe.
+/// Handles API requests on the runtime's event loop; not thread-safe.
 class AgentApi {
  public:
   /// The runtime must outlive the API.
   explicit AgentApi(AgentRuntime& agent) : agent_(agent) {}
 
-  /// The answer to one request, which may wait for instances.
+  /// Returns the response to one request. May suspend until instances respond.
   boost::asio::awaitable<http_api::Response> Handle(http_api::Request request, http_api::Peer peer);
 
  private:
   boost::asio::awaitable<http_api::Response> HandleGet(http_api::Request request, http_api::Peer peer);
   boost::asio::awaitable<http_api::Response> HandlePost(http_api::Request request, http_api::Peer peer);
   boost::asio::awaitable<http_api::Response> GetInstance(std::string name);
-  /// With wait_ms, answers once the order has ended, or that time is over.
+  /// Long-polls with wait_ms: responds when the order has ended or after that time.
   boost::asio::awaitable<http_api::Response> GetOrder(std::string id, http_api::Request request);
-  /// Sends the request on to the instance's control API, and its answer back.
+  /// Forwards the request to the instance's control API and returns its response.
   boost::asio::awaitable<http_api::Response> ForwardToInstance(std::string name, std::string path,
                                                                http_api::Peer peer, bool is_write);
   http_api::Response GetLog(const std::string& name, const http_api::Request& request) const;
--- a/src/agent/agent_persistence.cpp
+++ b/src/agent/agent_persistence.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the runtime keeps on disk: orders as they are accepted, the state, and the audit log.
+// Persistence of the runtime: accepted orders, the state file, and the audit log.
 #include <boost/asio/post.hpp>
 #include <iostream>
 
@@ -11,8 +11,8 @@
 namespace badgerbridge::agent {
 namespace {
 
-constexpr Time kSaveRetryDelay{2000};  // after the disk has refused
-/// Ended tasks remembered as audited before those of forgotten orders are dropped.
+constexpr Time kSaveRetryDelay{2000};  // after a failed write of the state
+/// Size of audited_tasks_ at which the entries of pruned orders are removed.
 constexpr std::size_t kMaxAuditedTasks = 4 * kMaxOrders * 16;
 
 }  // namespace
@@ -34,8 +34,8 @@
     Audit("agent", "not taken after all", {{"order", order.id}, {"why", reason}});
     return AgentError{AgentErrorKind::kOrderNotStored, "", reason};
   }
-  is_handling_events_ =
-      true;  // the answers to the actions are handled once the caller has described the order
+  // Events that result from the actions are queued, so that the response describes the order as accepted.
+  is_handling_events_ = true;
   Perform(actions);
   is_handling_events_ = false;
   boost::asio::post(io_, [this, alive = alive_] {
@@ -52,23 +52,23 @@
 
 void AgentRuntime::SaveChanges() {
   const std::vector<std::string> changes = controller_.TakeChanges();
-  if (is_unsaved_) return;  // RetrySave writes everything
+  if (is_unsaved_) return;  // RetrySave() writes all records
   if (const Result<void> saved = store_.Append(changes); !saved) {
     is_unsaved_ = true;
     retry_save_at_ = MonotonicNow() + kSaveRetryDelay;
     std::cerr << "badgerbridge-agent: " << Message(saved.error())
-              << "; new orders are refused until that works again\n";
+              << "; rejecting new orders until the state can be stored again\n";
     return;
   }
-  // A failed compaction leaves the old file in use, and is tried again with the next change.
-  if (store_.WantsCompaction()) static_cast<void>(store_.Compact(AllRecords()));
+  // A failed compaction leaves the old file in use, and is attempted again with the next change.
+  if (store_.NeedsCompaction()) static_cast<void>(store_.Compact(AllRecords()));
 }
 
 void AgentRuntime::RetrySave(Time now) {
   if (!is_unsaved_ || now < retry_save_at_) return;
   is_unsaved_ = !store_.Compact(AllRecords());
   retry_save_at_ = now + kSaveRetryDelay;
-  if (!is_unsaved_) std::cerr << "badgerbridge-agent: the state is on disk again\n";
+  if (!is_unsaved_) std::cerr << "badgerbridge-agent: the state is stored again; accepting new orders\n";
 }
 
 std::string AgentRuntime::DiskHealth() const {
@@ -85,7 +85,7 @@
   Result<void> written = audit_log_.Append(lines);
   if (written) return written;
   for (const std::string& line : lines)
-    std::cerr << "badgerbridge-agent: the audit log cannot be written: " << line << '\n';
+    std::cerr << "badgerbridge-agent: cannot write the audit log; the line was: " << line << '\n';
   return written;
 }
 
--- a/src/agent/agent_restore.cpp
+++ b/src/agent/agent_restore.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The start of the runtime: state directory, stored records, running processes, and the fleet file.
+// Startup of the runtime: creates the state directory, restores stored records, adopts running processes, and
+// compares the state with the fleet file.
 #include <sys/stat.h>
 #include <unistd.h>
 
@@ -16,7 +17,7 @@
 namespace badgerbridge::agent {
 namespace {
 
-constexpr std::uint64_t kMaxAuditLogBytes = 4 << 20;  // of one file
+constexpr std::uint64_t kMaxAuditLogBytes = 4 << 20;  // per file
 constexpr int kMaxOldAuditLogs = 4;
 
 Result<void> MakeDirectory(const std::string& path) {
@@ -36,7 +37,8 @@
           settings.max_consecutive_crashes};
 }
 
-/// Differs between agents that start at one moment, and between starts of one agent.
+/// Differs between agents that start at the same time and between starts of one agent, so that their restart
+/// backoffs are not synchronized.
 std::uint64_t JitterSeed() {
   return static_cast<std::uint64_t>(UnixMilliseconds()) ^ static_cast<std::uint64_t>(getpid());
 }
@@ -51,7 +53,7 @@
   if (!store) return store.error();
   if (store->dropped_bytes() > 0)
     std::cerr << "badgerbridge-agent: the last " << store->dropped_bytes()
-              << " bytes of the state were torn and are dropped\n";
+              << " bytes of the state file are an incomplete batch; dropping them\n";
   std::unique_ptr<AgentRuntime> runtime(new AgentRuntime(io, file, std::move(*store)));
   if (const Result<void> restored = runtime->Restore(file); !restored) return restored.error();
   return runtime;
@@ -83,13 +85,13 @@
   const std::map<std::string, pid_t> adopted = AdoptProcesses();
   controller_.FinishRestore(MonotonicNow(), boot_id == ReadBootId(), adopted);
   if (const Result<void> saved = store_.Compact(AllRecords()); !saved) return saved.error();
-  SkipAuditOfEndedTasks();
+  MarkEndedTasksAudited();
   Audit("agent", "started",
         {{"pid", getpid()}, {"adopted", adopted.size()}, {"generation", controller_.generation()}});
-  return is_new ? Result<void>() : WarnOfFileChanges(file);
+  return is_new ? Result<void>() : WarnAboutFileChanges(file);
 }
 
-/// Also finds the boot that the stored times belong to.
+/// Also sets `boot_id` to the boot to which the stored times belong.
 Result<void> AgentRuntime::RestoreRecords(const std::vector<std::string>& records, std::string& boot_id) {
   for (const std::string& record : records) {
     if (const auto recorded_boot = DecodeBootRecord(record)) {
@@ -101,7 +103,8 @@
   return {};
 }
 
-/// All before any of them is reported: the controller starts those that it does not know to run.
+/// Finds all running processes before the controller handles an event, since the controller starts each
+/// desired instance that is not reported as running.
 std::map<std::string, pid_t> AgentRuntime::AdoptProcesses() {
   std::map<std::string, pid_t> adopted;
   for (const auto& [name, instance] : controller_.instances()) {
@@ -113,8 +116,8 @@
   return adopted;
 }
 
-/// The ends that were restored are in the audit log of the previous agent.
-void AgentRuntime::SkipAuditOfEndedTasks() {
+/// Marks restored ended tasks as audited: the previous agent wrote them to the audit log.
+void AgentRuntime::MarkEndedTasksAudited() {
   for (const OrderState& order : controller_.orders()) {
     for (const InstanceTask& task : order.tasks) {
       if (IsTerminal(task.state)) audited_tasks_.insert(order.order.id + "/" + task.instance);
@@ -122,14 +125,15 @@
   }
 }
 
-Result<void> AgentRuntime::WarnOfFileChanges(const FleetFile& file) const {
+Result<void> AgentRuntime::WarnAboutFileChanges(const FleetFile& file) const {
   DefinitionTexts stored;
   for (const auto& [name, instance] : controller_.instances()) stored[name] = instance.definition;
   const auto changes = DiffDefinitions(stored, SerializeDefinitions(file.instances));
   if (!changes) return changes.error();
   if (changes->empty()) return {};
-  std::cerr << "badgerbridge-agent: the fleet file differs from what was last applied in " << changes->size()
-            << " instances, which stay as they are; see badgerbridge-ctl diff, and apply\n";
+  std::cerr
+      << "badgerbridge-agent: the fleet file differs from what was last applied in " << changes->size()
+      << " instances; keeping the stored definitions; see badgerbridge-ctl diff and badgerbridge-ctl apply\n";
   return {};
 }
 
--- a/src/agent/agent_runtime.cpp
+++ b/src/agent/agent_runtime.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Events, actions and the work that is due by time. The start is in agent_restore.cpp, orders, state and
-// audit log in agent_persistence.cpp.
+// Events, actions and timed work. Startup is in agent_restore.cpp; orders, state and audit log are in
+// agent_persistence.cpp.
 #include "agent/agent_runtime.h"
 
 #include <algorithm>
@@ -23,9 +23,9 @@
 using std::chrono::milliseconds;
 
 constexpr Time kMinLogCheckInterval{1000};
-constexpr Time kMaxIdleTime{60000};  // between two looks at what is due
+constexpr Time kMaxIdleTime{60000};  // between two runs of RunDueWork()
 constexpr milliseconds kMaxStatusWait{60};
-constexpr std::size_t kMaxExitLogBytes = 200;  // of the log's last line, in the description of an exit
+constexpr std::size_t kMaxExitLogBytes = 200;  // of the last log line quoted in the description of an exit
 
 }  // namespace
 
@@ -40,14 +40,14 @@
 
 void AgentRuntime::HandleEvent(Event event) {
   events_.push_back(std::move(event));
-  if (is_handling_events_) return;  // the call below on the stack takes it
+  if (is_handling_events_) return;  // the outer call handles it
   is_handling_events_ = true;
   while (!events_.empty()) {
     const Event next = std::move(events_.front());
     events_.pop_front();
     std::vector<Action> actions;
     controller_.Handle(MonotonicNow(), next, &actions);
-    SaveChanges();  // before the actions: a successor of this process must know of what was done
+    SaveChanges();  // before the actions, so that the stored state covers every performed action
     Perform(actions);
   }
   is_handling_events_ = false;
@@ -58,11 +58,11 @@
 
 void AgentRuntime::Perform(const std::vector<Action>& actions) {
   for (const Action& action : actions) {
-    std::visit([this](const auto& one) { Do(one); }, action);
+    std::visit([this](const auto& one) { PerformOne(one); }, action);
   }
 }
 
-void AgentRuntime::Do(const Spawn& action) { events_.push_back(SpawnInstance(action)); }
+void AgentRuntime::PerformOne(const Spawn& action) { events_.push_back(SpawnInstance(action)); }
 
 Event AgentRuntime::SpawnInstance(const Spawn& action) {
   const Result<InstanceDefinition> definition = ParseDefinition(action.definition);
@@ -74,7 +74,8 @@
     Watch(action.instance, std::move(*started));
     return Spawned{action.instance, pid};
   }
-  // A process that was started otherwise and holds the lock is the instance.
+  // The start also fails if a process that this agent did not start holds the lock; it is adopted as the
+  // instance.
   if (auto found = FindProcess(paths)) {
     const pid_t pid = found->pid;
     Watch(action.instance, std::move(*found));
@@ -83,14 +84,14 @@
   return SpawnFailed{action.instance, Message(started.error())};
 }
 
-void AgentRuntime::Do(const Call& action) {
+void AgentRuntime::PerformOne(const Call& action) {
   const auto instance = controller_.instances().find(action.instance);
   const bool is_known = instance != controller_.instances().end();
   const std::string socket = is_known ? ControlSocketOf(instance->second) : "";
   asio::co_spawn(io_, CallInstance(action.instance, socket, action.drain, action.deadline), asio::detached);
 }
 
-void AgentRuntime::Do(const Signal& action) { processes_.Signal(action.instance, action.number); }
+void AgentRuntime::PerformOne(const Signal& action) { processes_.Signal(action.instance, action.number); }
 
 asio::awaitable<void> AgentRuntime::CallInstance(std::string instance, std::string socket, bool drain,
                                                  Time deadline) {
@@ -124,7 +125,7 @@
   HandleEvent(Exited{name, how});
 }
 
-// ---- work by time -------------------------------------------------------------------------------------
+// ---- timed work ---------------------------------------------------------------------------------------
 
 void AgentRuntime::RunDueWork() {
   const Time now = MonotonicNow();
@@ -141,7 +142,7 @@
     BoundLogSize(PathsOf(name).log, settings_.max_log_bytes);
 }
 
-/// One timer for all that is due, so that an idle agent wakes up only to poll.
+/// Uses one timer for all timed work, so that an idle agent wakes up only to poll.
 void AgentRuntime::ScheduleWork() {
   const Time now = MonotonicNow();
   Time next = now + kMaxIdleTime;
--- a/src/agent/agent_runtime.h
+++ b/src/agent/agent_runtime.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The agent without its servers: carries out what a FleetController decides with processes, calls, files and
-/// the clock, and keeps the state and the audit log on disk.
+/// The agent without its API servers: performs the actions of a FleetController on processes, control sockets
+/// and files, and stores the state and the audit log on disk.
 #ifndef BADGERBRIDGE_AGENT_AGENT_RUNTIME_H_
 #define BADGERBRIDGE_AGENT_AGENT_RUNTIME_H_
 
@@ -33,8 +33,9 @@
 /// Runs on one event loop; not thread-safe. Destroying it leaves the instances running.
 class AgentRuntime {
  public:
-  /// Opens the state, restores it, and adopts what runs. A state without records takes the file's instances;
-  /// otherwise a file that differs from the state is only warned about. Start() makes it act.
+  /// Opens and restores the stored state, and adopts running instances. An empty state is initialized with
+  /// the instances of the file. Otherwise the stored definitions stay in force, and a file that differs from
+  /// them causes only a warning. No instance is started or polled before Start().
   static Result<std::unique_ptr<AgentRuntime>> Create(boost::asio::io_context& io, const FleetFile& file,
                                                       std::shared_ptr<Disk> disk);
   /// Leaves the instances running.
@@ -42,37 +43,38 @@
   AgentRuntime(const AgentRuntime&) = delete;
   AgentRuntime& operator=(const AgentRuntime&) = delete;
 
-  /// Starts what shall run, and begins to poll.
+  /// Starts the instances that are desired to run, and begins polling.
   void Start() { HandleEvent(Tick{}); }
 
-  /// What it knows of instances and orders.
+  /// The instances and orders. Valid as long as the runtime.
   const FleetController& controller() const { return controller_; }
-  /// The [agent] table that it was made with.
+  /// The [agent] table of the fleet file given to Create().
   const AgentSettings& settings() const { return settings_; }
-  /// MonotonicNow() when the runtime was made.
+  /// MonotonicNow() when the runtime was created.
   Time started_at() const { return started_at_; }
 
-  /// Validates the order and, unless it is a dry run, accepts it: only once it is in the audit log and on
-  /// disk. A rejection is a result; an error means that nothing of the order has happened (kStoreUnavailable,
-  /// kOrderNotAudited, kOrderNotStored).
+  /// Validates the order. Unless it is a dry run, writes it to the audit log and to the state file before
+  /// accepting it. A rejection is a result. An error (kStoreUnavailable, kOrderNotAudited, kOrderNotStored)
+  /// means that the order had no effect.
   Result<ValidationResult> SubmitOrder(const Order& order, bool dry_run);
 
-  /// Writes one line to the audit log; a line that cannot be written goes to the error output.
+  /// Writes one line to the audit log. A line that cannot be written is printed to standard error.
   Result<void> Audit(std::string_view author, std::string_view action, const boost::json::object& details);
 
-  /// Polls all that run, and waits for the answers, but not for those that do not come at once.
+  /// Polls all running instances, and waits at most kMaxStatusWait for their responses.
   boost::asio::awaitable<void> RefreshStatus();
-  /// Returns after any change, or after `max_wait`; also without a change.
+  /// Returns after any change or after `max_wait`. May return early without a change, so the caller checks
+  /// its condition again.
   boost::asio::awaitable<void> WaitForChange(std::chrono::milliseconds max_wait) {
     return changes_.Wait(max_wait);
   }
-  /// The newest answer of the instance's process; nullptr: there is none.
+  /// The latest status of the instance's current process; nullptr if it has not responded yet.
   const InstancePoller::LatestStatus* FindStatus(const std::string& instance) const {
     return poller_.FindStatus(instance);
   }
-  /// "ok", or what cannot be written, for people.
+  /// "ok", or a readable text that says which file cannot be written.
   std::string DiskHealth() const;
-  /// Where the instance keeps its files.
+  /// The paths of the lock file and the log of the instance.
   InstancePaths PathsOf(const std::string& instance) const;
 
  private:
@@ -81,14 +83,14 @@
   Result<void> Restore(const FleetFile& file);
   Result<void> RestoreRecords(const std::vector<std::string>& records, std::string& boot_id);
   std::map<std::string, pid_t> AdoptProcesses();
-  void SkipAuditOfEndedTasks();
-  Result<void> WarnOfFileChanges(const FleetFile& file) const;
+  void MarkEndedTasksAudited();
+  Result<void> WarnAboutFileChanges(const FleetFile& file) const;
 
   void HandleEvent(Event event);
   void Perform(const std::vector<Action>& actions);
-  void Do(const Spawn& action);
-  void Do(const Call& action);
-  void Do(const Signal& action);
+  void PerformOne(const Spawn& action);
+  void PerformOne(const Call& action);
+  void PerformOne(const Signal& action);
   Event SpawnInstance(const Spawn& action);
   void Watch(const std::string& instance, Process process);
   void HandleExit(const std::string& instance, pid_t pid, const std::string& description);
@@ -114,10 +116,10 @@
   Time started_at_;
   ProcessTable processes_;
   InstancePoller poller_;
-  std::set<std::string> audited_tasks_;  // "order/instance" of ended tasks that are in the audit log
-  std::deque<Event> events_;             // not handled yet
+  std::set<std::string> audited_tasks_;  // "order/instance" of ended tasks that were written to the audit log
+  std::deque<Event> events_;             // queue of events to handle
   bool is_handling_events_ = false;
-  bool is_unsaved_ = false;  // the disk did not take the newest changes
+  bool is_unsaved_ = false;  // the latest changes could not be stored
   Time retry_save_at_{0};
   Time bound_logs_at_{0};
   net::OneShotTimer work_timer_;
--- a/src/agent/agent_state_codec.h
+++ b/src/agent/agent_state_codec.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The record of the boot whose clock the stored times are of.
+/// The stored record of the boot id. Stored times are CLOCK_MONOTONIC values and are valid within one boot
+/// only.
 #ifndef BADGERBRIDGE_AGENT_AGENT_STATE_CODEC_H_
 #define BADGERBRIDGE_AGENT_AGENT_STATE_CODEC_H_
 
@@ -11,10 +12,10 @@
 
 namespace badgerbridge::agent {
 
-/// The record of a boot id.
+/// Returns the record as a JSON text.
 std::string EncodeBootRecord(const std::string& boot_id);
 
-/// The boot id; nothing if the record is another one, or none.
+/// The boot id; nullopt if the text is a record of another kind or malformed.
 std::optional<std::string> DecodeBootRecord(std::string_view record);
 
 }  // namespace badgerbridge::agent
--- a/src/agent/audit_log.cpp
+++ b/src/agent/audit_log.cpp
@@ -20,10 +20,10 @@
 
 std::string FormatUtcNow() {
   const std::time_t seconds = std::time(nullptr);
-  std::tm parts{};
-  gmtime_r(&seconds, &parts);
+  std::tm utc{};
+  gmtime_r(&seconds, &utc);
   char text[32];
-  std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%SZ", &parts);
+  std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%SZ", &utc);
   return text;
 }
 
@@ -36,9 +36,9 @@
 
 void AuditLog::Open() {
   file_ = FileDescriptor(open(path_.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600));
-  struct stat about {};
-  const bool is_known = file_.is_open() && fstat(file_.get(), &about) == 0;
-  size_ = is_known ? static_cast<std::uint64_t>(about.st_size) : 0;
+  struct stat file_status {};
+  const bool has_status = file_.is_open() && fstat(file_.get(), &file_status) == 0;
+  size_ = has_status ? static_cast<std::uint64_t>(file_status.st_size) : 0;
 }
 
 void AuditLog::Rotate() {
--- a/src/agent/audit_log.h
+++ b/src/agent/audit_log.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The audit log: who changed what, when, and with what result. One JSON line each, synced.
+/// The audit log: author, time, action and result of each change. Each entry is one JSON line, synced to
+/// disk.
 #ifndef BADGERBRIDGE_AGENT_AUDIT_LOG_H_
 #define BADGERBRIDGE_AGENT_AUDIT_LOG_H_
 
@@ -18,16 +19,17 @@
 
 namespace badgerbridge::agent {
 
-/// An append-only file that is rotated at a size; PATH.1 is the newest of the old files. A file that cannot
-/// be opened is tried again with each Append. Not thread-safe.
+/// An append-only file, rotated by size; PATH.1 is the newest of the rotated files. If the file cannot be
+/// opened, each Append() attempts to open it again. Not thread-safe.
 class AuditLog {
  public:
-  /// `max_bytes` is the size at which the file is rotated, `max_old_files` how many old files are kept.
+  /// Rotates the file at `max_bytes`, and keeps `max_old_files` rotated files.
   AuditLog(std::string path, std::uint64_t max_bytes, int max_old_files);
 
-  /// Appends lines without line ends and syncs them. AgentErrorKind::kAuditLogIo if they are not on disk.
+  /// Appends the lines, given without line ends, and syncs them. Fails with AgentErrorKind::kAuditLogIo if
+  /// they are not on disk.
   Result<void> Append(const std::vector<std::string>& lines);
-  /// Whether the newest Append has succeeded.
+  /// Whether the latest Append() succeeded.
   bool ok() const { return ok_; }
 
  private:
@@ -43,14 +45,14 @@
   bool ok_ = true;
 };
 
-/// One line: the time of the wall clock, the author, what was done, and further members.
+/// One line with the wall-clock time, the author, the action, and the members of `details`.
 std::string EncodeAuditLine(std::string_view author, std::string_view action,
                             const boost::json::object& details);
 
-/// The details of a submitted order and what became of it.
+/// The details of a submitted order and the result of its validation.
 boost::json::object EncodeAuditOrder(const Order& order, const ValidationResult& validation);
 
-/// The line for a task that has ended.
+/// The line for the result of an ended task.
 std::string EncodeAuditResult(const Order& order, const InstanceTask& task);
 
 }  // namespace badgerbridge::agent
--- a/src/agent/change_signal.h
+++ b/src/agent/change_signal.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Wakes coroutines that wait for any change of the agent's state.
+/// Notifies coroutines that wait for a change of the agent's state.
 #ifndef BADGERBRIDGE_AGENT_CHANGE_SIGNAL_H_
 #define BADGERBRIDGE_AGENT_CHANGE_SIGNAL_H_
 
@@ -12,16 +12,16 @@
 
 namespace badgerbridge::agent {
 
-/// One timer for all that wait: the shortest wait ends all of them, so each waiter checks its condition and
-/// may have to wait again. For one event loop; not thread-safe.
+/// All waiters share one timer, so the shortest wait ends all of them: each waiter checks its condition and
+/// may have to wait again. Runs on one event loop; not thread-safe.
 class ChangeSignal {
  public:
-  /// Waits run on `io`, which must outlive the signal.
+  /// `io` must outlive the signal.
   explicit ChangeSignal(boost::asio::io_context& io) : timer_(io) {}
 
   /// Ends all waits.
   void Notify() { timer_.cancel(); }
-  /// Returns after `max_wait`, or sooner.
+  /// Returns after `max_wait` at the latest, and earlier after Notify() or when another wait expires.
   boost::asio::awaitable<void> Wait(std::chrono::milliseconds max_wait);
 
  private:
--- a/src/agent/child_process.cpp
+++ b/src/agent/child_process.cpp
@@ -15,17 +15,18 @@
 namespace badgerbridge::agent {
 namespace {
 
-/// Descriptors below this one are replaced or closed; the child keeps its own above it until exec.
-constexpr int kFirstKeptDescriptor = 64;
-constexpr int kExecFailed = 127;  // exit code
+/// Descriptors below this one are replaced or closed. Until exec, the child keeps the descriptors that it
+/// needs at or above this number.
+constexpr int kMinKeptDescriptor = 64;
+constexpr int kExecFailedExitCode = 127;
 
-/// Tells the parent what failed, with errno, and ends the child.
+/// Reports the failed operation and errno to the parent, and exits.
 [[noreturn]] void ReportAndExit(int report, const char* what) {
   const int number = errno;
   char text[256];
   const int size = std::snprintf(text, sizeof text, "%d %s", number, what);
   [[maybe_unused]] const ssize_t written = write(report, text, static_cast<std::size_t>(size));
-  _exit(kExecFailed);
+  _exit(kExecFailedExitCode);
 }
 
 void LimitResource(int resource, std::int64_t value, int report, const char* what) {
@@ -34,27 +35,28 @@
   if (setrlimit(static_cast<__rlimit_resource>(resource), &limit) != 0) ReportAndExit(report, what);
 }
 
-/// Puts the standard streams and the lock in place and closes all else. Returns the report's new descriptor.
-int ArrangeDescriptors(const ChildSetup& setup) {
-  // Above all descriptors that are about to be replaced.
-  const int report = fcntl(setup.report, F_DUPFD_CLOEXEC, kFirstKeptDescriptor);
-  const int lock = fcntl(setup.lock, F_DUPFD_CLOEXEC, kFirstKeptDescriptor);
-  const int log = fcntl(setup.log, F_DUPFD_CLOEXEC, kFirstKeptDescriptor);
+/// Sets up the standard streams and the lock, and closes all other descriptors. Returns the report's new
+/// descriptor.
+int SetUpDescriptors(const ChildSetup& setup) {
+  // Duplicates above the range of descriptors that are replaced below.
+  const int report = fcntl(setup.report, F_DUPFD_CLOEXEC, kMinKeptDescriptor);
+  const int lock = fcntl(setup.lock, F_DUPFD_CLOEXEC, kMinKeptDescriptor);
+  const int log = fcntl(setup.log, F_DUPFD_CLOEXEC, kMinKeptDescriptor);
   const int null_input = open("/dev/null", O_RDONLY);
-  if (report < 0 || lock < 0 || log < 0 || null_input < 0) _exit(kExecFailed);
+  if (report < 0 || lock < 0 || log < 0 || null_input < 0) _exit(kExecFailedExitCode);
   if (dup2(null_input, STDIN_FILENO) < 0 || dup2(log, STDOUT_FILENO) < 0 || dup2(log, STDERR_FILENO) < 0)
     ReportAndExit(report, "redirect its output");
   if (lock == kLockDescriptor || dup2(lock, kLockDescriptor) < 0) ReportAndExit(report, "hold its lock");
-  for (int number = kLockDescriptor + 1; number < kFirstKeptDescriptor; ++number) close(number);
+  for (int number = kLockDescriptor + 1; number < kMinKeptDescriptor; ++number) close(number);
 #ifdef SYS_close_range
-  // Also what this agent was given by its parent must not reach the instance.
-  constexpr unsigned kCloseRangeCloexec = 4;  // CLOSE_RANGE_CLOEXEC
-  syscall(SYS_close_range, static_cast<unsigned>(kFirstKeptDescriptor), ~0u, kCloseRangeCloexec);
+  // Descriptors that the agent inherited from its own parent must not leak into the instance.
+  constexpr unsigned kCloseRangeCloexec = 4;  // CLOSE_RANGE_CLOEXEC of linux/close_range.h
+  syscall(SYS_close_range, static_cast<unsigned>(kMinKeptDescriptor), ~0u, kCloseRangeCloexec);
 #endif
   return report;
 }
 
-/// The child writes its own pid, so that the file is right also if the agent dies now.
+/// The child writes its own pid, so that the file is correct even if the agent dies right after the fork.
 void WritePidToLock(int report) {
   char text[64];
   const int size = std::snprintf(text, sizeof text, "%ld\n", static_cast<long>(getpid()));
@@ -99,7 +101,7 @@
 
 void RunChild(const ChildSetup& setup) {
   setsid();
-  const int report = ArrangeDescriptors(setup);
+  const int report = SetUpDescriptors(setup);
   WritePidToLock(report);
   ResetSignals();
   const InstanceDefinition& definition = setup.definition;
--- a/src/agent/child_process.h
+++ b/src/agent/child_process.h
@@ -2,7 +2,7 @@
 //
 /// \file
 /// The part of StartProcess that runs in the child, between fork(2) and execve(2). Only async-signal-safe
-/// functions are called there, so all that allocates is prepared before.
+/// functions may be called there, so everything that allocates memory is prepared before the fork.
 #ifndef BADGERBRIDGE_AGENT_CHILD_PROCESS_H_
 #define BADGERBRIDGE_AGENT_CHILD_PROCESS_H_
 
@@ -13,13 +13,13 @@
 
 namespace badgerbridge::agent {
 
-/// The descriptor on which an instance holds its lock. All higher ones are closed.
+/// The descriptor that holds the lock of an instance. The child closes all higher descriptors.
 constexpr int kLockDescriptor = 3;
 
-/// A null-terminated array of C strings, as execve(2) takes it, with the memory behind it.
+/// Owns a null-terminated array of C strings in the form that execve(2) expects.
 class CStringArray {
  public:
-  /// Takes the strings over.
+  /// The strings need no terminating null characters.
   explicit CStringArray(std::vector<std::string> strings);
   CStringArray(const CStringArray&) = delete;
   CStringArray& operator=(const CStringArray&) = delete;
@@ -32,20 +32,21 @@
   std::vector<char*> pointers_;
 };
 
-/// All that the child needs.
+/// The inputs of RunChild(). The references must be valid until execve(2).
 struct ChildSetup {
   const InstanceDefinition& definition;  ///< working directory and limits
-  const CStringArray& arguments;         ///< the first is the program's path
+  const CStringArray& arguments;         ///< the first is the path of the program
   const CStringArray& environment;       ///< as NAME=value
   int lock = -1;                         ///< descriptor of the locked file
   int log = -1;                          ///< descriptor of the log
-  int report = -1;  ///< close-on-exec pipe: what failed is written there, as "errno text"
+  int report = -1;  ///< close-on-exec pipe to the parent, for the failed operation as "errno text"
 };
 
-/// The instance's environment: the agent's own without its settings, then those of the definition.
+/// The environment of the instance: the agent's own environment without proxy settings, then the variables of
+/// the definition.
 std::vector<std::string> BuildEnvironment(const InstanceDefinition& definition);
 
-/// Replaces the child by the instance. Ends the child if that fails.
+/// Executes the program of the instance. If that fails, reports the error to the parent and exits.
 [[noreturn]] void RunChild(const ChildSetup& setup);
 
 }  // namespace badgerbridge::agent
--- a/src/agent/clock.h
+++ b/src/agent/clock.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The clocks of the agent.
+/// Monotonic time, wall-clock time and the boot id.
 #ifndef BADGERBRIDGE_AGENT_CLOCK_H_
 #define BADGERBRIDGE_AGENT_CLOCK_H_
 
@@ -12,13 +12,14 @@
 
 namespace badgerbridge::agent {
 
-/// CLOCK_MONOTONIC: the clock of the boot, so that stored times mean the same to the next agent process.
+/// CLOCK_MONOTONIC, which counts from the boot, so that stored times stay valid for later agent processes of
+/// the same boot.
 Time MonotonicNow();
 
-/// The wall clock in milliseconds since the epoch; for people only, since it may jump.
+/// The wall clock in milliseconds since the epoch. For display only, since it may jump.
 std::int64_t UnixMilliseconds();
 
-/// The id of this boot of the machine, which stored times belong to. Empty if the system gives none.
+/// The id of the current boot, to which stored times belong. Empty if the system provides none.
 std::string ReadBootId();
 
 }  // namespace badgerbridge::agent
--- a/src/agent/disk.h
+++ b/src/agent/disk.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The system calls that change files of the agent's state.
+/// The system calls that modify the agent's state file.
 #ifndef BADGERBRIDGE_AGENT_DISK_H_
 #define BADGERBRIDGE_AGENT_DISK_H_
 
@@ -12,13 +12,13 @@
 
 namespace badgerbridge::agent {
 
-/// Writes to the file system. A test replaces it by one that fails. Every error is an errno of
-/// std::generic_category(); none means success.
+/// Writes to the file system; tests override it to inject failures. Errors are errno values of
+/// std::generic_category(); an empty error code means success.
 class Disk {
  public:
-  /// Closes nothing: files belong to the caller.
+  /// Closes no file: the caller owns the descriptors.
   virtual ~Disk() = default;
-  /// Writes all bytes, or fails; then some of them may have been written.
+  /// Writes all bytes. After a failure, some of them may have been written.
   virtual std::error_code Write(int file, std::string_view bytes);
   /// fdatasync(2).
   virtual std::error_code Sync(int file);
--- a/src/agent/error.cpp
+++ b/src/agent/error.cpp
@@ -10,8 +10,8 @@
 std::string DamageMessage(const AgentError& error) {
   const std::string first = std::to_string(error.first_byte);
   return error.where + " is damaged from byte " + first + " to " + std::to_string(error.last_byte) +
-         ", with good state behind it; restore it, or cut it at byte " + first +
-         " to go on from there (instances that run are adopted in either case)";
+         ", and intact batches follow; restore the file, or truncate it at byte " + first +
+         " to continue from there (running instances are adopted in either case)";
 }
 
 std::string StartMessage(const AgentError& error) {
@@ -30,12 +30,12 @@
     case AgentErrorKind::kStoreInUse:
       return error.where + " is in use by another agent";
     case AgentErrorKind::kStoreTooLarge:
-      return error.where + " is too large to be a state";
+      return error.where + " is too large for a state file";
     case AgentErrorKind::kStoreTruncated:
-      return "cannot read " + error.where + ": it shrinks";
+      return "cannot read " + error.where + ": the file shrank while it was read";
     case AgentErrorKind::kStoreInvalidBatch:
       return error.where + ": the batch at byte " + std::to_string(error.first_byte) +
-             " is no list of records";
+             " is not a JSON array of records";
     case AgentErrorKind::kStoreDamaged:
       return DamageMessage(error);
     case AgentErrorKind::kAlreadyRunning:
--- a/src/agent/error.h
+++ b/src/agent/error.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The errors of the agent: what went wrong, where, and the value that was wrong.
+/// The errors of the agent and their messages.
 #ifndef BADGERBRIDGE_AGENT_ERROR_H_
 #define BADGERBRIDGE_AGENT_ERROR_H_
 
@@ -12,48 +12,48 @@
 
 namespace badgerbridge::agent {
 
-/// What went wrong.
+/// The cause of an error.
 enum class AgentErrorKind {
   kNone = 0,           ///< no error; never in a failed result
   kStoreIo,            ///< a system call on the state file failed
   kStoreInUse,         ///< another process holds the lock of the state file
-  kStoreTooLarge,      ///< the state file is larger than any state can be
+  kStoreTooLarge,      ///< the state file is larger than the accepted maximum
   kStoreTruncated,     ///< the state file shrank while it was read
-  kStoreInvalidBatch,  ///< a batch with a correct checksum is no JSON array
+  kStoreInvalidBatch,  ///< a batch with a correct checksum is not a JSON array
   kStoreDamaged,       ///< intact batches follow a damaged one
   kAuditLogIo,         ///< the audit log could not be written
-  kStateDirectory,     ///< a directory of the state could not be made
+  kStateDirectory,     ///< a directory of the state could not be created
   kAlreadyRunning,     ///< another process holds the lock of the instance
   kStartFailed,        ///< the process could not be started
-  kWatchFailed,        ///< the process was started, but no pidfd could be opened for it
+  kWatchFailed,        ///< the process was started, but its pidfd could not be opened
   kInvalidDefinition,  ///< a stored definition of an instance is malformed
   kInvalidRecord,      ///< a stored record is malformed
-  kInvalidRequest,     ///< a member of a request's body is malformed
+  kInvalidRequest,     ///< a member of a request body is missing or malformed
   kListenFailed,       ///< a socket of the agent's API could not be opened
-  kStoreUnavailable,   ///< no order is accepted, since the state is not on disk
-  kOrderNotStored,     ///< an order was not accepted, since it could not be stored
-  kOrderNotAudited,    ///< an order was not accepted, since it could not be written to the audit log
+  kStoreUnavailable,   ///< orders are rejected while the state cannot be stored
+  kOrderNotStored,     ///< the order was not accepted because it could not be stored
+  kOrderNotAudited,    ///< the order was not accepted because it could not be written to the audit log
 };
 
-/// One error of the agent. Which of the members are set depends on `kind`.
+/// An error of the agent. `kind` determines which members are set.
 struct AgentError {
-  AgentErrorKind kind = AgentErrorKind::kNone;  ///< what went wrong
+  AgentErrorKind kind = AgentErrorKind::kNone;  ///< cause
   std::string where;                            ///< the operation, file or member at fault
-  std::string detail;                           ///< the value that was wrong, or what is wrong with it
+  std::string detail;                           ///< the invalid value, or why it is invalid
   int error_number = 0;                         ///< errno; 0: no system call failed
-  std::uint64_t first_byte = 0;                 ///< of a damaged file: where the damage begins
-  std::uint64_t last_byte = 0;                  ///< of a damaged file: where the damage ends
+  std::uint64_t first_byte = 0;                 ///< offset at which the damage of a file begins
+  std::uint64_t last_byte = 0;                  ///< offset at which the damage of a file ends
 };
 
-/// One line for people, without a line end.
+/// A readable message of one line, without a line end.
 std::string Message(const AgentError& error);
 
 /// A value, or the error that prevented it.
 template <typename T>
 using Result = boost::system::result<T, AgentError>;
 
-/// Called by boost::system::result when the value of a failed result is taken; throws std::runtime_error with
-/// the message of the error.
+/// Called by boost::system::result on access to the value of a failed result. Throws std::runtime_error with
+/// Message(error).
 [[noreturn]] void throw_exception_from_error(const AgentError& error, const boost::source_location& location);
 
 }  // namespace badgerbridge::agent
--- a/src/agent/file_descriptor.h
+++ b/src/agent/file_descriptor.h
@@ -10,11 +10,11 @@
 /// Owns a file descriptor and closes it when destroyed. Movable, not copyable.
 class FileDescriptor {
  public:
-  /// Takes ownership of `number`; a negative one stands for no descriptor.
+  /// Takes ownership of `number`; a negative number means no descriptor.
   explicit FileDescriptor(int number = -1) : number_(number) {}
   /// Closes the descriptor, if there is one.
   ~FileDescriptor();
-  /// Takes ownership from `other`, which holds none then.
+  /// Takes ownership from `other`, which is left empty.
   FileDescriptor(FileDescriptor&& other) noexcept : number_(other.Release()) {}
   /// Closes its own descriptor and takes ownership from `other`.
   FileDescriptor& operator=(FileDescriptor&& other) noexcept;
@@ -23,9 +23,9 @@
 
   /// The descriptor; negative if there is none.
   int get() const { return number_; }
-  /// Whether a descriptor is held.
+  /// Whether this object owns a descriptor.
   bool is_open() const { return number_ >= 0; }
-  /// Gives up ownership without closing, and returns the descriptor.
+  /// Returns the descriptor and releases ownership without closing it.
   int Release();
 
  private:
--- a/src/agent/fleet_controller.cpp
+++ b/src/agent/fleet_controller.cpp
@@ -13,7 +13,7 @@
 namespace badgerbridge::agent {
 namespace {
 
-bool Names(const Order& order, const std::string& instance) {
+bool NamesInstance(const Order& order, const std::string& instance) {
   return std::find(order.instances.begin(), order.instances.end(), instance) != order.instances.end();
 }
 
@@ -48,12 +48,12 @@
   return result;
 }
 
-/// Every open order that shares an instance with `order` begins no further task.
+/// An open order that shares an instance with `order` is marked as superseded and begins no further task.
 void FleetController::MarkSuperseded(const Order& order) {
   for (OrderState& open : state_.orders) {
     if (open.ended || !open.superseded_by.empty()) continue;
     const bool shared = std::any_of(open.tasks.begin(), open.tasks.end(), [&](const InstanceTask& task) {
-      return !IsTerminal(task.state) && Names(order, task.instance);
+      return !IsTerminal(task.state) && NamesInstance(order, task.instance);
     });
     if (!shared) continue;
     open.superseded_by = order.id;
@@ -97,7 +97,7 @@
   if (order.ended) state_.MarkChanged(order);
 }
 
-/// Returns how many tasks still run.
+/// Returns the number of tasks that are still running.
 unsigned FleetController::ResumeTasks(Time now, OrderState& order, std::vector<Action>& actions) {
   unsigned running = 0;
   for (InstanceTask& task : order.tasks) {
@@ -108,7 +108,8 @@
   return running;
 }
 
-/// Begins pending tasks as far as Order::max_parallel allows, or ends them if none may begin any more.
+/// Begins pending tasks up to Order::max_parallel running ones, or ends them if the order was superseded or
+/// halted.
 void FleetController::BeginTasks(Time now, OrderState& order, unsigned running,
                                  std::vector<Action>& actions) {
   for (InstanceTask& task : order.tasks) {
@@ -123,14 +124,14 @@
       continue;
     }
     if (order.order.max_parallel > 0 && running >= order.order.max_parallel) continue;
-    // A superseded order may still have to hand the instance over.
+    // A superseded order may not have handed the instance over yet.
     if (state_.FindRunningTask(task.instance).task) continue;
     runner.Begin();
     if (task.state == TaskState::kRunning) ++running;
   }
 }
 
-/// Outside of orders: starts what shall run, and drains what shall be drained.
+/// Restores the desired state of an instance: starts its process, and drains it again, if needed.
 void FleetController::Supervise(Time now, Instance& instance, std::vector<Action>& actions) {
   if (Supervisor::ShouldStart(now, instance)) {
     instance.start_in_flight = true;
@@ -172,7 +173,8 @@
 void FleetController::On(Time now, const Exited& event) {
   Instance* instance = state_.FindInstance(event.instance);
   if (!instance || instance->pid == 0) return;
-  // A call in flight stays so: it ends by itself, and its answer must not be taken for that of a later call.
+  // A call in flight stays in flight until it ends, so that its result is not mistaken for that of a later
+  // call.
   instance->pid = 0;
   instance->observation.reset();
   instance->unresponsive_reason.clear();
@@ -196,7 +198,7 @@
   instance->unresponsive_reason = event.reason.empty() ? "no answer" : event.reason;
 }
 
-RunningTask FleetController::EndCall(Time now, const std::string& name) {
+RunningTask FleetController::CompleteCall(Time now, const std::string& name) {
   Instance* instance = state_.FindInstance(name);
   if (!instance || !instance->call_in_flight) return {};
   instance->call_in_flight = false;
@@ -209,26 +211,26 @@
 }
 
 void FleetController::On(Time now, const CallSucceeded& event) {
-  const RunningTask running = EndCall(now, event.instance);
+  const RunningTask running = CompleteCall(now, event.instance);
   if (!running.task) return;
   Instance& instance = state_.instances.at(event.instance);
   const bool drained = running.task->steps[running.task->step_index] == Step::kCallDrain;
   instance.desired_drained = drained && !EndsProcess(*running.task);
   state_.MarkChanged(instance);
-  std::vector<Action> none;
-  TaskRunner(state_, *running.order, *running.task, now, none).MoveToNextStep();
+  std::vector<Action> unused_actions;
+  TaskRunner(state_, *running.order, *running.task, now, unused_actions).MoveToNextStep();
 }
 
 void FleetController::On(Time now, const CallFailed& event) {
-  const RunningTask running = EndCall(now, event.instance);
+  const RunningTask running = CompleteCall(now, event.instance);
   if (!running.task) return;
-  std::vector<Action> none;
-  TaskRunner(state_, *running.order, *running.task, now, none).ScheduleCallRetry(event.reason);
+  std::vector<Action> unused_actions;
+  TaskRunner(state_, *running.order, *running.task, now, unused_actions).ScheduleCallRetry(event.reason);
 }
 
 void FleetController::On(Time, const Tick&) {}
 
-// ---- what the shell asks ------------------------------------------------------------------------------
+// ---- queries ------------------------------------------------------------------------------------------
 
 std::string FleetController::DescribeStep(const OrderState& order, const InstanceTask& task) const {
   return agent::DescribeStep(state_, order, task);
@@ -245,7 +247,7 @@
 
 std::optional<Time> FleetController::NextWakeup(Time now) const { return FindNextWakeup(state_, now); }
 
-// ---- what is stored -----------------------------------------------------------------------------------
+// ---- persistence --------------------------------------------------------------------------------------
 
 std::vector<std::string> FleetController::TakeChanges() {
   std::vector<std::string> records;
@@ -281,7 +283,7 @@
         task.step_started_at = now;
         task.ended_at = now;
       }
-      // A signal of the previous agent may not have been sent.
+      // The previous agent may have stopped before it performed the action.
       task.action_sent = false;
       task.killed = false;
       task.retry_at = Time(0);
--- a/src/agent/fleet_controller.h
+++ b/src/agent/fleet_controller.h
@@ -1,20 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Orders to a fleet of instances: the pure core of the agent. Events and the time go in, actions come out;
-/// there is no socket, clock, file or process here, and a FleetController is a value that can be copied,
-/// stored and restored.
+/// The pure core of the agent: carries out orders and supervises a fleet of instances. Its inputs are events
+/// and the time, its outputs are actions. It uses no socket, clock, file or process. A FleetController is a
+/// value: it can be copied, stored and restored.
 ///
 /// Invariants (checked at each step by tests/agent/fleet_controller_random_test.cpp):
-/// - An instance is worked on by one order at most. An order that names an instance of an open order is a
-///   conflict unless it supersedes; then the other order hands the instance over between two steps, and
+/// - At most one order works on an instance. An order that names an instance of an open order is a conflict
+///   unless it supersedes that order. A superseded order hands its instances over between two steps and
 ///   begins no further instance.
 /// - An order id is carried out once, however often it is submitted.
-/// - Every task of an accepted order ends once, by its deadline and the time that ending a step takes, and
-/// its
-///   outcome never changes.
-/// - An instance is started only while it is known not to run. SIGKILL is sent only as an order's force_after
-///   says, and kTerminationGracePeriod after the process's SIGTERM at the earliest.
+/// - Every task of an accepted order ends once, at the latest at its deadline plus the time to end its step.
+///   Its outcome never changes.
+/// - An instance is started only when it has no process. SIGKILL is sent only as specified by force_after,
+///   and at the earliest kTerminationGracePeriod after the SIGTERM of the process.
 #ifndef BADGERBRIDGE_AGENT_FLEET_CONTROLLER_H_
 #define BADGERBRIDGE_AGENT_FLEET_CONTROLLER_H_
 
@@ -33,51 +32,53 @@
 
 namespace badgerbridge::agent {
 
-/// Carries out orders and supervises instances. Not thread-safe.
+/// Orders, instances and their supervision; see the invariants above. Not thread-safe.
 class FleetController {
  public:
-  /// `seed` is of the jitter on restarts.
+  /// `seed` initializes the jitter of the restart backoff.
   explicit FleetController(std::uint64_t seed = 1, const RestartPolicy& policy = {})
       : supervisor_(seed, policy) {}
 
-  /// Adds an instance; for the first fleet file. False if the name is taken or kMaxInstances is reached.
+  /// Adds an instance of the initial fleet file. Returns false if the name exists or kMaxInstances is
+  /// reached.
   bool AddInstance(const std::string& name, const std::string& definition, bool desired_running) {
     return state_.AddInstance(name, definition, desired_running);
   }
 
-  /// What would become of the order; nothing changes.
+  /// The result that Submit() would have; changes nothing.
   ValidationResult Validate(const Order& order) const { return ValidateOrder(state_, order); }
-  /// Validates the order, and begins it if it is accepted. `unix_ms` is the wall clock, for people. Actions
-  /// are appended to `actions`; none if the order is rejected.
+  /// Validates the order, and begins it if it is accepted. `unix_ms` is the wall clock, for display only.
+  /// Appends to `actions`, nothing if the order is rejected.
   ValidationResult Submit(Time now, std::int64_t unix_ms, const Order& order, std::vector<Action>* actions);
-  /// Takes one event in. Actions are appended to `actions`.
+  /// Handles one event and advances orders and supervision. Appends to `actions`.
   void Handle(Time now, const Event& event, std::vector<Action>* actions);
 
   /// All instances, by name.
   const std::map<std::string, Instance>& instances() const { return state_.instances; }
-  /// By generation, the newest last.
+  /// All remembered orders by generation, the newest last.
   const std::vector<OrderState>& orders() const { return state_.orders; }
-  /// The newest order of this id; nullptr: there is none.
+  /// The newest order of this id; nullptr if there is none.
   const OrderState* FindOrder(const std::string& id) const { return state_.FindOrder(id); }
-  /// Of the newest accepted order; 0: none was accepted yet.
+  /// The generation of the newest accepted order; 0 before the first one.
   std::uint64_t generation() const { return state_.generation; }
-  /// What a task is doing, in words for people, without the time.
+  /// A readable text of the current step of a task, without its duration.
   std::string DescribeStep(const OrderState& order, const InstanceTask& task) const;
-  /// Whether an order or the start of the instance waits for what only a poll tells: poll soon.
+  /// Whether an order or the start of the instance waits for an observation, so that it must be polled soon.
   bool NeedsFrequentPolling(const std::string& instance) const;
-  /// When the next Tick is due at the latest; nothing: no time matters.
+  /// The latest time of the next Tick; nullopt if nothing depends on time.
   std::optional<Time> NextWakeup(Time now) const;
 
-  /// The records that have changed since the last call, to be stored (order_codec.h).
+  /// The records to store: those that changed since the last call (order_codec.h).
   std::vector<std::string> TakeChanges();
-  /// All records.
+  /// All records, for a compaction of the state file.
   std::vector<std::string> AllRecords() const;
-  /// Reads one record back, over what there is. AgentErrorKind::kInvalidRecord if it is none.
+  /// Restores one record, replacing an older one. Fails with AgentErrorKind::kInvalidRecord if it is
+  /// malformed.
   Result<void> RestoreRecord(std::string_view record);
-  /// Called once after the last record. No task ends, but one in the midst of a step takes the step up again.
-  /// On another boot than that of the records (`same_boot` false) stored times mean nothing, and open orders
-  /// count from now. `running` is all instances that were found running, by name: one that it does not name
-  /// is started again.
+  /// Must be called once after the last record. No task ends; an interrupted step is started again. Stored
+  /// times are invalid after a reboot (`same_boot` is false), so the times of orders and tasks then restart
+  /// at `now`. `running` maps the names of all instances found running to their pids; other desired instances
+  /// are started again.
   void FinishRestore(Time now, bool same_boot, const std::map<std::string, pid_t>& running);
 
  private:
@@ -90,8 +91,9 @@
   void On(Time now, const CallSucceeded& event);
   void On(Time now, const CallFailed& event);
   void On(Time now, const Tick& event);
-  /// The running task whose call has ended; no task: the call was not of a task's step.
-  RunningTask EndCall(Time now, const std::string& instance);
+  /// Marks the call of the instance as ended. Returns the running task if the call belongs to its current
+  /// step, else no task.
+  RunningTask CompleteCall(Time now, const std::string& instance);
   void MarkSuperseded(const Order& order);
   void RecordOrder(Time now, std::int64_t unix_ms, const Order& order);
   void Advance(Time now, std::vector<Action>& actions);
--- a/src/agent/fleet_file.cpp
+++ b/src/agent/fleet_file.cpp
@@ -140,7 +140,7 @@
   return listen;
 }
 
-/// The path of the control socket, from the operator's file of the instance.
+/// Reads the path of the control socket from the operator file of the instance. Empty if there is none.
 std::string ReadControlSocket(TableReader& table, const std::string& path, Problems& problems) {
   if (path.empty()) return "";
   const auto file = operator_config::LoadOperatorFile(path);
@@ -181,11 +181,10 @@
   return definition;
 }
 
-/// Reports values that two instances must not share.
+/// Reports values that are used by more than one instance.
 class UniqueValues {
  public:
-  /// Notes that instance `owner` has `value` at `key`; reports it if another one has it. Empty values are
-  /// none.
+  /// Records that instance `owner` has `value` at `key`, and reports a duplicate. Ignores empty values.
   void Add(const std::string& value, const std::string& owner, TableReader& table, const char* key) {
     if (value.empty()) return;
     const auto [known, is_new] = owners_.emplace(value, owner);
--- a/src/agent/fleet_file.h
+++ b/src/agent/fleet_file.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The fleet file (TOML): what an agent keeps on its machine, and how it is reached. deploy/fleet.toml lists
-/// every key.
+/// The fleet file (TOML): the instances of an agent and the settings of the agent. deploy/fleet.toml lists
+/// all keys.
 #ifndef BADGERBRIDGE_AGENT_FLEET_FILE_H_
 #define BADGERBRIDGE_AGENT_FLEET_FILE_H_
 
@@ -22,44 +22,44 @@
 
 namespace badgerbridge::agent {
 
-/// The agent's API over TLS. Files are PEM.
+/// The [agent.tls] table: the agent's API over TLS. All files are PEM.
 struct TlsSettings {
   std::string listen;                           ///< address:port
   std::string certificate;                      ///< path of the agent's certificate chain
-  std::string key;                              ///< path of its private key
-  std::string client_ca;                        ///< path of the authority of client certificates
-  std::map<std::string, http_api::Role> roles;  ///< by a client certificate's common name
+  std::string key;                              ///< path of the private key of the certificate
+  std::string client_ca;                        ///< path of the CA certificates that verify clients
+  std::map<std::string, http_api::Role> roles;  ///< by common name of the client certificate
 };
 
 /// The [agent] table.
 struct AgentSettings {
-  std::string name;                                ///< what tools call this agent
-  std::string state_dir;                           ///< absolute path of the directory of its state
-  std::string socket;                              ///< absolute path of its API's Unix socket
-  std::vector<uid_t> allow_uids;                   ///< peers on the socket beside its own uid and root
-  std::size_t max_connections = 32;                ///< to each of its servers
-  std::optional<TlsSettings> tls;                  ///< nothing: no TLS
+  std::string name;                  ///< name under which tools show this agent
+  std::string state_dir;             ///< absolute path of the state directory
+  std::string socket;                ///< absolute path of the Unix socket of the API
+  std::vector<uid_t> allow_uids;     ///< allowed socket peers besides root and the agent's own uid
+  std::size_t max_connections = 32;  ///< per server: Unix socket and TLS
+  std::optional<TlsSettings> tls;    ///< nullopt: no TLS
   std::chrono::milliseconds poll_interval{5000};   ///< between two polls of an idle instance
-  std::uint64_t max_log_bytes = 8 << 20;           ///< of an instance's log; one old file is kept as well
-  std::chrono::milliseconds initial_backoff{200};  ///< before the first restart after a crash
-  std::chrono::milliseconds max_backoff{10000};    ///< before any restart
-  std::chrono::milliseconds min_uptime{10000};     ///< a process that ended sooner has crashed
-  int max_consecutive_crashes = 5;                 ///< then an instance is given up
+  std::uint64_t max_log_bytes = 8 << 20;           ///< per instance log; one rotated file is kept as well
+  std::chrono::milliseconds initial_backoff{200};  ///< after the first crash; doubles with each further one
+  std::chrono::milliseconds max_backoff{10000};    ///< upper bound of the backoff
+  std::chrono::milliseconds min_uptime{10000};     ///< a process that ends earlier counts as crashed
+  int max_consecutive_crashes = 5;                 ///< restarts of the instance stop at this number
 };
 
-/// A whole fleet file.
+/// A parsed fleet file.
 struct FleetFile {
   AgentSettings agent;                        ///< the [agent] table
-  std::vector<InstanceDefinition> instances;  ///< the [[instance]] tables, in the order of the file
+  std::vector<InstanceDefinition> instances;  ///< the [[instance]] tables, in file order
 };
 
-constexpr std::size_t kMaxFleetFileBytes = 1 << 20;  ///< of a fleet file's text
+constexpr std::size_t kMaxFleetFileBytes = 1 << 20;  ///< size limit of a fleet file
 
-/// Checks the whole text, and the operator's files that it names. `file` is the name for the problems, all of
-/// which are appended to `problems`; the result counts only if none was.
+/// Parses and checks the text and the operator files that it names. `file` names the text in problems.
+/// Appends all problems to `problems`; the result is valid only if there were none.
 FleetFile ParseFleetFile(std::string_view text, const std::string& file, operator_config::Problems& problems);
 
-/// Reads and parses the file at `path`, with the same rules.
+/// Like ParseFleetFile(), for the file at `path`.
 FleetFile LoadFleetFile(const std::string& path, operator_config::Problems& problems);
 
 }  // namespace badgerbridge::agent
--- a/src/agent/fleet_state.h
+++ b/src/agent/fleet_state.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// All that a FleetController knows: instances, orders, and which of them have to be stored again.
+/// The state of a FleetController: instances, orders, and which of them have unsaved changes.
 #ifndef BADGERBRIDGE_AGENT_FLEET_STATE_H_
 #define BADGERBRIDGE_AGENT_FLEET_STATE_H_
 
@@ -16,39 +16,38 @@
 
 namespace badgerbridge::agent {
 
-/// A task that is running, and its order. Both null: there is none.
+/// A running task and its order; both null if there is none.
 struct RunningTask {
-  OrderState* order = nullptr;   ///< that the task belongs to
-  InstanceTask* task = nullptr;  ///< that works on the instance
+  OrderState* order = nullptr;   ///< owner of the task
+  InstanceTask* task = nullptr;  ///< element of order->tasks
 };
 
-/// A value: copied to undo an order that could not be stored.
+/// A copyable value: a copy is restored if an accepted order cannot be stored.
 struct FleetState {
   std::map<std::string, Instance> instances;  ///< by name
   std::vector<OrderState> orders;             ///< by generation, the newest last
   std::uint64_t generation = 0;               ///< of the newest accepted order
-  std::set<std::string> changed_instances;    ///< names of those to be stored; also of removed ones
-  std::set<std::string> changed_orders;       ///< ids of those to be stored
+  std::set<std::string> changed_instances;    ///< names to store, including removed instances
+  std::set<std::string> changed_orders;       ///< ids to store
 
-  /// Adds an instance that is not desired to run yet unless `desired_running`. False if the name is taken or
-  /// kMaxInstances is reached.
+  /// Returns false, and adds nothing, if the name exists or kMaxInstances is reached.
   bool AddInstance(const std::string& name, const std::string& definition, bool desired_running);
-  /// The instance of this name; nullptr: there is none.
+  /// Returns nullptr if there is no instance of this name.
   Instance* FindInstance(const std::string& name);
-  /// The instance of this name; nullptr: there is none.
+  /// Returns nullptr if there is no instance of this name.
   const Instance* FindInstance(const std::string& name) const;
-  /// The newest order of this id; nullptr: there is none.
+  /// The newest order of this id; nullptr if there is none.
   const OrderState* FindOrder(const std::string& id) const;
-  /// The task that works on the instance now. There is at most one.
+  /// The running task of the instance. At most one task of an instance is running.
   RunningTask FindRunningTask(const std::string& instance);
-  /// The task that works on the instance now; nullptr: none does.
+  /// The running task of the instance; nullptr if there is none.
   const InstanceTask* FindRunningTask(const std::string& instance) const;
-  /// Forgets the oldest ended orders beyond kMaxOrders.
+  /// Removes the oldest ended orders while there are more than kMaxOrders orders.
   void PruneEndedOrders();
 
-  /// Has the instance stored with the next changes.
+  /// Marks the instance to be stored with the next TakeChanges().
   void MarkChanged(const Instance& instance) { changed_instances.insert(instance.name); }
-  /// Has the order stored with the next changes.
+  /// Marks the order to be stored with the next TakeChanges().
   void MarkChanged(const OrderState& order) { changed_orders.insert(order.order.id); }
 };
 
--- a/src/agent/instance_definition.cpp
+++ b/src/agent/instance_definition.cpp
@@ -27,7 +27,7 @@
   return {AgentErrorKind::kInvalidDefinition, std::string(text), std::move(reason)};
 }
 
-/// Throws std::exception for a member that is missing or of another type, as Boost.JSON's accessors do.
+/// Throws std::exception if a member is missing or has another type, as Boost.JSON's accessors do.
 InstanceDefinition DecodeDefinition(const json::object& object) {
   const auto read_text = [&](const char* key) { return std::string(object.at(key).as_string()); };
   InstanceDefinition definition;
@@ -54,7 +54,7 @@
   return std::move(value.get_object());
 }
 
-/// Which members differ, and how: "descriptors: 0 -> 512; ...".
+/// Lists the members that differ: "descriptors: 0 -> 512; ...".
 std::string DescribeChange(const json::object& from, const json::object& to) {
   std::string description;
   for (const auto& [key, value] : to) {
--- a/src/agent/instance_log.cpp
+++ b/src/agent/instance_log.cpp
@@ -11,12 +11,12 @@
 namespace badgerbridge::agent {
 namespace {
 
-constexpr std::size_t kMaxLastLineBytes = 4096;      // searched for the last line
-constexpr std::size_t kMaxBytesPerFile = 256 << 10;  // read for the last lines
+constexpr std::size_t kMaxLastLineBytes = 4096;      // read at the end to find the last line
+constexpr std::size_t kMaxBytesPerFile = 256 << 10;  // read at the end of each file
 constexpr std::size_t kCopyBufferBytes = 1 << 16;
 
-/// The last bytes of the file, `max_bytes` at most. Empty if it cannot be read.
-std::string ReadEnd(const std::string& path, std::size_t max_bytes) {
+/// Reads at most `max_bytes` at the end of the file. Returns an empty string if it cannot be read.
+std::string ReadTail(const std::string& path, std::size_t max_bytes) {
   std::ifstream file(path, std::ios::binary | std::ios::ate);
   if (!file) return "";
   const std::streamoff size = file.tellg();
@@ -33,7 +33,7 @@
 bool IsPrintableAscii(char character) { return character >= ' ' && character <= '~'; }
 
 /// Copies the last `max_bytes` of a file of `size` bytes to another file.
-void CopyEnd(const std::string& from, std::uint64_t size, const std::string& to, std::uint64_t max_bytes) {
+void CopyTail(const std::string& from, std::uint64_t size, const std::string& to, std::uint64_t max_bytes) {
   std::ifstream input(from, std::ios::binary);
   input.seekg(static_cast<std::streamoff>(size - max_bytes));
   std::ofstream output(to, std::ios::binary | std::ios::trunc);
@@ -50,7 +50,7 @@
 }  // namespace
 
 std::string ReadLastLine(const std::string& path, std::size_t max_bytes) {
-  const std::string text = ReadEnd(path, kMaxLastLineBytes);
+  const std::string text = ReadTail(path, kMaxLastLineBytes);
   const std::size_t last = text.find_last_not_of(" \r\n");
   if (last == std::string::npos) return "";
   const std::size_t line_end = text.rfind('\n', last);
@@ -61,7 +61,7 @@
 }
 
 std::vector<std::string> ReadLastLines(const std::string& path, std::size_t max_lines) {
-  const std::string text = ReadEnd(path + ".1", kMaxBytesPerFile) + ReadEnd(path, kMaxBytesPerFile);
+  const std::string text = ReadTail(path + ".1", kMaxBytesPerFile) + ReadTail(path, kMaxBytesPerFile);
   std::vector<std::string> lines;
   std::size_t end = text.size();
   while (end > 0 && lines.size() < max_lines) {
@@ -79,12 +79,12 @@
 }
 
 void BoundLogSize(const std::string& path, std::uint64_t max_bytes) {
-  struct stat about {};
-  if (stat(path.c_str(), &about) != 0) return;
-  const auto size = static_cast<std::uint64_t>(about.st_size);
+  struct stat file_status {};
+  if (stat(path.c_str(), &file_status) != 0) return;
+  const auto size = static_cast<std::uint64_t>(file_status.st_size);
   if (size <= max_bytes) return;
-  // The newest part alone: a process that writes a great deal between two looks must not fill the disk twice.
-  CopyEnd(path, size, path + ".1", max_bytes);
+  // Copies the end only: a process that writes much between two checks must not use twice that disk space.
+  CopyTail(path, size, path + ".1", max_bytes);
   if (truncate(path.c_str(), 0) != 0) std::perror(path.c_str());
 }
 
--- a/src/agent/instance_poller.cpp
+++ b/src/agent/instance_poller.cpp
@@ -16,9 +16,9 @@
 
 namespace asio = boost::asio;
 
-constexpr Time kFrequentPollInterval{50};   // while an order waits for what an instance reports
+constexpr Time kFrequentPollInterval{50};   // while FleetController::NeedsFrequentPolling()
 constexpr Time kStartingPollInterval{250};  // while an instance starts
-constexpr Time kMaxStartingTime{10000};     // a process that has not answered for longer is not starting
+constexpr Time kMaxStartingTime{10000};     // after it, an unresponsive process does not count as starting
 
 }  // namespace
 
@@ -42,7 +42,7 @@
   next_poll_.erase(instance);
 }
 
-/// An instance that an order waits for is due soon, whatever was planned before.
+/// An instance that needs frequent polling is due soon, whatever was planned before.
 Time InstancePoller::DueTime(const std::string& instance, Time now) {
   const Time due = next_poll_[instance];
   return controller_.NeedsFrequentPolling(instance) ? std::min(due, now + kFrequentPollInterval) : due;
@@ -97,7 +97,7 @@
       co_await http_api::CallUnix(socket, "GET", "/v1/status", "", kInstanceCallTimeout);
   if (!*alive) co_return;
   polling_.erase(instance);
-  // A reply of a process that has ended meanwhile says nothing of its successor.
+  // A reply of a process that has ended since does not describe the new process.
   if (processes_.FindPid(instance) == pid) HandleReply(instance, pid, requested_at, reply);
 }
 
@@ -106,17 +106,17 @@
   const auto status = reply.ok() ? DecodeProxyStatus(reply.body) : std::nullopt;
   const Time now = MonotonicNow();
   const Time spawned_at = controller_.instances().at(instance).spawned_at;
-  // Another process may have the socket.
-  const bool is_own = status && status->pid == static_cast<std::uint64_t>(pid);
-  if (is_own) {
+  // Another process may listen on the control socket.
+  const bool is_from_current_process = status && status->pid == static_cast<std::uint64_t>(pid);
+  if (is_from_current_process) {
     latest_[instance] = {reply.body.as_object(), requested_at};
     callbacks_.on_event(Observed{instance, status->observation, requested_at});
   } else {
     callbacks_.on_event(
         Unresponsive{instance, status ? "another process answers on its socket" : reply.ErrorMessage()});
   }
-  const bool may_be_starting = !is_own && now - spawned_at < kMaxStartingTime;
-  const bool reports_starting = is_own && status->observation.state == "starting";
+  const bool may_be_starting = !is_from_current_process && now - spawned_at < kMaxStartingTime;
+  const bool reports_starting = is_from_current_process && status->observation.state == "starting";
   Time interval = poll_interval_;
   if (may_be_starting || reports_starting) interval = kStartingPollInterval;
   if (controller_.NeedsFrequentPolling(instance)) interval = kFrequentPollInterval;
--- a/src/agent/instance_poller.h
+++ b/src/agent/instance_poller.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Asks running instances for their status, as often as what waits for it needs.
+/// Polls the status of running instances; more often while an order or a start waits for it.
 #ifndef BADGERBRIDGE_AGENT_INSTANCE_POLLER_H_
 #define BADGERBRIDGE_AGENT_INSTANCE_POLLER_H_
 
@@ -21,48 +21,48 @@
 
 namespace badgerbridge::agent {
 
-/// The bound on one call to an instance.
+/// The timeout of one call to the control API of an instance.
 constexpr std::chrono::milliseconds kInstanceCallTimeout{1000};
 
-/// The path of the control socket of a definition; empty if the definition is malformed.
+/// The path of the control socket, from the definition of the instance; empty if the definition is malformed.
 std::string ControlSocketOf(const Instance& instance);
 
-/// Polls instances on the event loop; not thread-safe.
+/// Runs on one event loop; not thread-safe.
 class InstancePoller {
  public:
-  /// The newest answer of an instance.
+  /// The latest status response of an instance.
   struct LatestStatus {
-    boost::json::object status;  ///< as the instance gave it
+    boost::json::object status;  ///< unchanged response body
     Time requested_at{0};        ///< when the poll was sent
   };
-  /// What the poller calls; on_event with Observed or Unresponsive.
+  /// Called on the event loop. on_event gets an Observed or an Unresponsive.
   struct Callbacks {
     std::function<void(Event)> on_event;       ///< after each poll
     std::function<void()> on_schedule_change;  ///< NextPoll() has changed
   };
 
-  /// `poll_interval` is that of idle instances. The references must outlive the poller.
+  /// `poll_interval` applies to idle instances. The references must outlive the poller.
   InstancePoller(boost::asio::io_context& io, const FleetController& controller,
                  const ProcessTable& processes, Time poll_interval, Callbacks callbacks);
-  /// Polls that are out are not reported any more.
+  /// Polls in flight are not reported any more.
   ~InstancePoller();
   InstancePoller(const InstancePoller&) = delete;
   InstancePoller& operator=(const InstancePoller&) = delete;
 
-  /// The instance has a new process: polls it soon.
+  /// Polls the instance as soon as possible. Called when it has a new process.
   void Track(const std::string& instance) { next_poll_[instance] = Time(0); }
-  /// The process of the instance has ended.
+  /// Discards the status and the schedule of the instance. Called when its process has ended.
   void Forget(const std::string& instance);
-  /// Begins the polls that are due.
+  /// Starts the polls that are due and not in flight.
   void PollDue(Time now);
-  /// Begins a poll of every running instance that is not being polled.
+  /// Starts a poll of each running instance that has none in flight.
   void PollAll();
-  /// When the next poll is due; nothing: none is.
+  /// The time of the next poll; nullopt if no poll is planned.
   std::optional<Time> NextPoll(Time now);
 
-  /// The newest answer of the instance's process; nullptr: there is none.
+  /// The latest status of the instance's current process; nullptr if there is none.
   const LatestStatus* FindStatus(const std::string& instance) const;
-  /// Whether a poll of a running instance is out whose last answer is from before `time`.
+  /// Whether a poll is in flight of a running instance whose latest status was requested before `time`.
   bool AwaitsAnswerSince(Time time) const;
 
  private:
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The agent's program: keeps the instances of one machine.
+/// The main program badgerbridge-agent.
 #include <CLI/CLI.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -15,7 +15,8 @@
 
 using namespace badgerbridge;
 
-/// Runs the event loop until it is stopped. What one handler throws must not end the agent.
+/// Runs the event loop until it is stopped. An exception of one handler is printed and must not end the
+/// agent.
 void RunUntilStopped(boost::asio::io_context& io) {
   while (!io.stopped()) {
     try {
@@ -26,7 +27,7 @@
   }
 }
 
-/// Keeps the file's instances until SIGTERM or SIGINT. Returns the exit code.
+/// Runs the agent until SIGTERM or SIGINT. Returns the exit code.
 int RunAgent(const agent::FleetFile& file) {
   boost::asio::io_context io(1);
   const auto agent = agent::Agent::Create(io, file);
@@ -38,7 +39,7 @@
   signals.async_wait([&](const boost::system::error_code& error, int) {
     if (!error) io.stop();
   });
-  std::cerr << "badgerbridge-agent: " << file.agent.name << " answers on " << file.agent.socket << '\n';
+  std::cerr << "badgerbridge-agent: " << file.agent.name << " listens on " << file.agent.socket << '\n';
   RunUntilStopped(io);
   return 0;
 }
--- a/src/agent/order_codec.cpp
+++ b/src/agent/order_codec.cpp
@@ -11,8 +11,8 @@
 
 namespace json = boost::json;
 
-// The readers below throw std::exception for a member that is missing or of another type, as Boost.JSON's own
-// accessors do; DecodeRecord turns that into an AgentError.
+// The functions below throw std::exception if a member is missing or has another type, as Boost.JSON's
+// accessors do. DecodeRecord() converts the exception into an AgentError.
 
 std::string ReadText(const json::object& object, std::string_view key) {
   return std::string(object.at(key).as_string());
@@ -48,7 +48,7 @@
   for (const json::value& step : object.at("steps").as_array()) {
     const int number = step.to_number<int>();
     if (number < 0 || number > static_cast<int>(Step::kRemoveInstance))
-      throw std::runtime_error("unknown step");
+      throw std::runtime_error("unknown step number");
     steps.push_back(static_cast<Step>(number));
   }
   return steps;
@@ -75,7 +75,7 @@
   task.instance = ReadText(object, "instance");
   task.steps = ReadSteps(object);
   task.step_index = ReadNumber<std::size_t>(object, "at");
-  if (task.step_index > task.steps.size()) throw std::runtime_error("a step beyond the last");
+  if (task.step_index > task.steps.size()) throw std::runtime_error("the step index is past the last step");
   task.state = ReadTaskState(object);
   task.started_at = ReadTime(object, "began");
   task.step_started_at = ReadTime(object, "step_began");
--- a/src/agent/order_codec.h
+++ b/src/agent/order_codec.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The stored form of instances and orders (JSON records), and the wire names of verbs and task states. The
-/// one place where the names of stored data meet those of the code.
+/// The stored form of instances and orders (JSON records), and the wire names of verbs and task states. Only
+/// this codec maps the names of stored data to those of the code.
 #ifndef BADGERBRIDGE_AGENT_ORDER_CODEC_H_
 #define BADGERBRIDGE_AGENT_ORDER_CODEC_H_
 
@@ -15,24 +15,25 @@
 
 namespace badgerbridge::agent {
 
-/// The wire name: start, stop, drain, undrain, reload, restart or apply.
+/// The wire name of the verb: start, stop, drain, undrain, reload, restart or apply.
 std::string_view VerbName(Verb verb);
-/// The verb of this wire name; nothing: there is none.
+/// The verb of this wire name; nullopt if there is none.
 std::optional<Verb> ParseVerb(std::string_view name);
-/// The wire name: waiting, running, done, failed, superseded or "not begun".
+/// The wire name of the state: waiting, running, done, failed, superseded or "not begun".
 std::string_view TaskStateName(TaskState state);
 
-/// The record of an instance, without what is known of its process.
+/// The record of an instance, without the state of its process.
 std::string EncodeInstance(const Instance& instance);
-/// The record that says that there is no instance of this name any more.
+/// The record that removes the instance of this name.
 std::string EncodeRemovedInstance(const std::string& name);
-/// The record of an order and its tasks. Without definitions if it has ended: then the instances have them.
+/// The record of an order and its tasks. An ended order is stored without definitions, since its instances
+/// have them.
 std::string EncodeOrder(const OrderState& order);
 /// The record of the newest generation.
 std::string EncodeGeneration(std::uint64_t generation);
 
-/// Reads any such record into the state, replacing what it names. AgentErrorKind::kInvalidRecord if it is
-/// none; the state is unchanged then.
+/// Applies a record to the state, replacing the instance or order that it names. If the record is malformed,
+/// fails with AgentErrorKind::kInvalidRecord and leaves the state unchanged.
 Result<void> DecodeRecord(std::string_view record, FleetState& state);
 
 }  // namespace badgerbridge::agent
--- a/src/agent/order_validation.cpp
+++ b/src/agent/order_validation.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using Code = ValidationResult::Code;
-/// Nothing: the check has passed.
+/// nullopt if the check passed.
 using Rejection = std::optional<ValidationResult>;
 
 ValidationResult Invalid(std::string message) { return {Code::kInvalid, std::move(message), ""}; }
@@ -56,7 +56,7 @@
   return std::nullopt;
 }
 
-/// Whether the order would add the instance, if there is none of this name.
+/// Whether the order adds the instance if it does not exist.
 bool AddsInstance(const Order& order, const std::string& name) {
   return order.verb == Verb::kApply && !RemovesInstance(order, name);
 }
@@ -76,13 +76,13 @@
   return std::nullopt;
 }
 
-/// Whether the task of an open order keeps `order` from being accepted.
+/// Whether the task of an open order prevents the acceptance of `order`.
 bool ConflictsWith(const Order& order, const OrderState& open, const InstanceTask& task) {
   if (IsTerminal(task.state)) return false;
   const auto& names = order.instances;
   if (std::find(names.begin(), names.end(), task.instance) == names.end()) return false;
   if (!order.supersede) return true;
-  // Two orders that both wait to take over would have no order between them.
+  // Only one order may wait to take over an instance: two of them would have no defined sequence.
   return !open.superseded_by.empty() && task.state != TaskState::kPending;
 }
 
@@ -154,7 +154,7 @@
   if (const Rejection rejection = CheckSize(order)) return *rejection;
   if (const Rejection rejection = CheckTimes(order)) return *rejection;
   if (const Rejection rejection = CheckInstances(state, order)) return *rejection;
-  // Before the generation: an open order in the way is what the author has to know first.
+  // Checked before the generation, so that the author learns of a conflicting open order first.
   if (const Rejection rejection = CheckConflicts(state, order)) return *rejection;
   if (const Rejection rejection = CheckGeneration(state, order)) return *rejection;
   if (const Rejection rejection = CheckOpenOrders(state)) return *rejection;
--- a/src/agent/order_validation.h
+++ b/src/agent/order_validation.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Whether an order may be accepted. Pure: nothing changes.
+/// Validation of orders, without side effects.
 #ifndef BADGERBRIDGE_AGENT_ORDER_VALIDATION_H_
 #define BADGERBRIDGE_AGENT_ORDER_VALIDATION_H_
 
@@ -12,26 +12,27 @@
 
 namespace badgerbridge::agent {
 
-/// What became of a submitted order.
+/// The outcome of a submitted order.
 struct ValidationResult {
-  /// The outcome, or the reason of the rejection.
+  /// Acceptance, or the reason of the rejection.
   enum class Code {
-    kAccepted = 0,         ///< nothing is in the way
-    kDuplicate = 1,        ///< the id is known; the order is carried out once
-    kConflict = 2,         ///< another open order holds one of its instances
-    kStale = 3,            ///< one of its instances has changed since its author looked
-    kUnknownInstance = 4,  ///< it names an instance that does not exist
+    kAccepted = 0,         ///< all checks passed
+    kDuplicate = 1,        ///< an order of this id exists; it is not carried out again
+    kConflict = 2,         ///< an open order works on one of its instances
+    kStale = 3,            ///< an instance changed after expected_generation
+    kUnknownInstance = 4,  ///< an instance of the order does not exist
     kInvalid = 5,          ///< the order itself is malformed
   };
   Code code = Code::kAccepted;    ///< the outcome
-  std::string message;            ///< for people: what is in the way, whose it is, and how to go on
-  std::string conflicting_order;  ///< id of the order in the way, or of the duplicate
+  std::string message;            ///< readable text: the cause, its author, and what to do
+  std::string conflicting_order;  ///< id of the conflicting or the existing order
 
-  /// Whether the order may be, or was, accepted.
+  /// Whether the order passed all checks.
   bool accepted() const { return code == Code::kAccepted; }
 };
 
-/// Checks the order itself, then its instances, then conflicts with open orders, then its generation.
+/// Checks, in this order, the order itself, its instances, conflicts with open orders, its generation, and
+/// the number of open orders. Returns the first rejection.
 ValidationResult ValidateOrder(const FleetState& state, const Order& order);
 
 }  // namespace badgerbridge::agent
--- a/src/agent/process.cpp
+++ b/src/agent/process.cpp
@@ -60,19 +60,19 @@
   return Pipe{FileDescriptor(ends[0]), FileDescriptor(ends[1])};
 }
 
-/// All bytes up to the end; the end comes once the child has executed its program, or has ended.
+/// Reads until end of file, which occurs when the child has executed its program or has ended.
 std::string ReadToEnd(int file) {
   std::string text;
-  char piece[256];
+  char buffer[256];
   for (;;) {
-    const ssize_t count = read(file, piece, sizeof piece);
+    const ssize_t count = read(file, buffer, sizeof buffer);
     if (count == 0) return text;
     if (count < 0 && errno != EINTR) return text;
-    if (count > 0) text.append(piece, static_cast<std::size_t>(count));
+    if (count > 0) text.append(buffer, static_cast<std::size_t>(count));
   }
 }
 
-/// From a report of the child: "errno text".
+/// Parses a report of the child: "errno text".
 AgentError ParseReport(const std::string& report) {
   int error_number = 0;
   std::from_chars(report.data(), report.data() + report.size(), error_number);
@@ -84,7 +84,7 @@
   Process process;
   process.pid = pid;
   process.is_child = true;
-  process.pidfd = OpenPidfd(pid);  // a child's pid is not reused before it is reaped
+  process.pidfd = OpenPidfd(pid);  // the pid of a child is not reused before it is reaped
   if (!process.pidfd.is_open()) {
     const int error_number = errno;
     kill(pid, SIGKILL);
@@ -95,7 +95,7 @@
   return process;
 }
 
-/// The pid that the lock's holder has written; nothing if that is no pid of another process.
+/// The pid in the lock file; nullopt if it is not a valid pid of another process.
 std::optional<pid_t> ReadPid(int lock) {
   char text[64] = {};
   if (pread(lock, text, sizeof text - 1, 0) <= 0) return std::nullopt;
@@ -104,13 +104,13 @@
   return pid;
 }
 
-/// Whether the process has the lock's file open where an instance has it.
+/// Whether the process has the lock file open as kLockDescriptor.
 bool HoldsLock(pid_t pid, int lock) {
-  struct stat own {};
-  struct stat held {};
+  struct stat own_status {};
+  struct stat held_status {};
   const std::string path = "/proc/" + std::to_string(pid) + "/fd/" + std::to_string(kLockDescriptor);
-  if (fstat(lock, &own) != 0 || stat(path.c_str(), &held) != 0) return false;
-  return own.st_ino == held.st_ino && own.st_dev == held.st_dev;
+  if (fstat(lock, &own_status) != 0 || stat(path.c_str(), &held_status) != 0) return false;
+  return own_status.st_ino == held_status.st_ino && own_status.st_dev == held_status.st_dev;
 }
 
 std::string DescribeExit(int status) {
@@ -127,7 +127,7 @@
   constexpr int kStartTimeField = 22;
   std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
   const std::string text((std::istreambuf_iterator<char>(file)), {});
-  const std::size_t name_end = text.rfind(')');  // the name may hold any character
+  const std::size_t name_end = text.rfind(')');  // the command name may contain any character
   if (name_end == std::string::npos) return std::nullopt;
   std::istringstream fields(text.substr(name_end + 1));
   std::string field;
@@ -166,7 +166,7 @@
 std::optional<Process> FindProcess(const InstancePaths& paths) {
   const FileDescriptor lock(open(paths.lock.c_str(), O_RDWR | O_CLOEXEC));
   if (!lock.is_open()) return std::nullopt;
-  // A lock that nobody holds: the pid in the file is of a process that has ended.
+  // If the lock is free, the process whose pid is in the file has ended.
   if (flock(lock.get(), LOCK_EX | LOCK_NB) == 0) return std::nullopt;
   const auto pid = ReadPid(lock.get());
   if (!pid) return std::nullopt;
@@ -177,7 +177,7 @@
   const auto start_time = ReadStartTime(*pid);
   if (!start_time) return std::nullopt;
   process.start_time = *start_time;
-  // The pid may have been reused, unless its process has the file open.
+  // The pid may have been reused; the right process has the lock file open.
   if (!HoldsLock(*pid, lock.get())) return std::nullopt;
   return process;
 }
--- a/src/agent/process.h
+++ b/src/agent/process.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The processes of instances. Each holds a lock on a file of its own (flock(2), inherited through exec and
-/// released at its end, however it ends): an instance is never started while it runs, whatever the agent
-/// remembers. A process is referred to by a pidfd (pidfd_open(2)), so that a recycled pid is never signalled.
+/// The processes of instances. Each process holds a lock on its own file (flock(2)). The lock is inherited
+/// through exec and released when the process ends, so that an instance is never started twice, regardless of
+/// the stored state. A process is identified by a pidfd (pidfd_open(2)), so that a signal never reaches a
+/// process with a reused pid.
 #ifndef BADGERBRIDGE_AGENT_PROCESS_H_
 #define BADGERBRIDGE_AGENT_PROCESS_H_
 
@@ -19,35 +20,35 @@
 
 namespace badgerbridge::agent {
 
-/// Where an instance keeps its files.
+/// The files of an instance.
 struct InstancePaths {
-  std::string lock;  ///< locked by the process; holds its pid
-  std::string log;   ///< standard output and error
+  std::string lock;  ///< path; the file is locked by the process and contains its pid
+  std::string log;   ///< path of the log of standard output and standard error
 };
 
 /// A process of an instance.
 struct Process {
-  pid_t pid = 0;                 ///< of the process
-  std::uint64_t start_time = 0;  ///< ticks since the boot, field 22 of /proc/PID/stat
+  pid_t pid = 0;                 ///< process id
+  std::uint64_t start_time = 0;  ///< clock ticks since the boot, field 22 of /proc/PID/stat
   FileDescriptor pidfd;          ///< readable once the process has ended
-  bool is_child = false;         ///< of this agent: its exit status can be read
+  bool is_child = false;         ///< child of this agent, so that its exit status is available
 };
 
-/// Starts the instance in a session of its own, its output appended to the log. It outlives the agent. On
-/// failure nothing runs; AgentErrorKind::kAlreadyRunning where the lock is held.
+/// Starts the instance in a new session, so that it outlives the agent. Its output is appended to the log. On
+/// failure the instance has no new process; the error is AgentErrorKind::kAlreadyRunning if the lock is held.
 Result<Process> StartProcess(const InstanceDefinition& definition, const InstancePaths& paths);
 
-/// The process that holds the lock; nothing if there is none.
+/// The process that holds the lock; nullopt if there is none.
 std::optional<Process> FindProcess(const InstancePaths& paths);
 
-/// Signals that process and no other. False if it has ended.
+/// Sends the signal through the pidfd. Returns false if the process has ended.
 bool SendSignal(const Process& process, int number);
 
-/// How the process ended, for people: "exited with 0", "was killed by signal 9 (Killed)", or "ended" where
-/// this agent has not started it. Nothing while it runs. Never waits.
+/// A readable text of how the process ended: "exited with 0", "was killed by signal 9 (Killed)", or "ended"
+/// if it is not a child of this agent. nullopt while it runs. Does not block.
 std::optional<std::string> ReapProcess(const Process& process);
 
-/// The start time of a process, in ticks since the boot; nothing if it does not run.
+/// The start time of a process, in clock ticks since the boot; nullopt if it does not run.
 std::optional<std::uint64_t> ReadStartTime(pid_t pid);
 
 }  // namespace badgerbridge::agent
--- a/src/agent/process_table.cpp
+++ b/src/agent/process_table.cpp
@@ -51,7 +51,7 @@
   const auto found = entries_.find(instance);
   if (found == entries_.end() || found->second.process.pid != pid) return;
   const std::optional<std::string> description = ReapProcess(found->second.process);
-  // Under load a pidfd has been reported readable while its process ran (docs/agent.md): wait again.
+  // Under load a pidfd was reported readable while its process was still running (docs/agent.md).
   if (!description) return AwaitExit(instance, pid);
   entries_.erase(found);
   on_exit_(instance, pid, *description);
--- a/src/agent/process_table.h
+++ b/src/agent/process_table.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The running processes of all instances of an agent, and their ends.
+/// The running processes of all instances, and the notification of their exits.
 #ifndef BADGERBRIDGE_AGENT_PROCESS_TABLE_H_
 #define BADGERBRIDGE_AGENT_PROCESS_TABLE_H_
 
@@ -19,27 +19,27 @@
 
 namespace badgerbridge::agent {
 
-/// Holds one process an instance until its end. Destroying the table leaves the processes alone. For one
-/// event loop; not thread-safe.
+/// Holds at most one process per instance until the process ends. Destroying the table leaves the processes
+/// running. Runs on one event loop; not thread-safe.
 class ProcessTable {
  public:
-  /// Called from the event loop when a process has ended, after it has left the table. `description` as
-  /// ReapProcess gives it.
+  /// Called on the event loop when a process has ended, after its removal from the table. `description` is
+  /// the text of ReapProcess().
   using ExitHandler =
       std::function<void(const std::string& instance, pid_t pid, const std::string& description)>;
 
-  /// Watches processes on `io`, which must outlive the table.
+  /// `io` must outlive the table.
   ProcessTable(boost::asio::io_context& io, ExitHandler on_exit);
   /// Leaves the processes running.
   ~ProcessTable();
   ProcessTable(const ProcessTable&) = delete;
   ProcessTable& operator=(const ProcessTable&) = delete;
 
-  /// Takes the process of the instance in, and watches for its end.
+  /// Adds the process of the instance, replacing an earlier one, and watches it for its end.
   void Add(const std::string& instance, Process process);
-  /// The pid of the instance's process; 0: there is none.
+  /// The pid of the instance's process; 0 if it has none.
   pid_t FindPid(const std::string& instance) const;
-  /// Sends the signal, if the instance has a process.
+  /// Sends the signal if the instance has a process, else does nothing.
   void Signal(const std::string& instance, int number) const;
   /// The names of the instances that have a process.
   std::vector<std::string> Instances() const;
--- a/src/agent/request_body.cpp
+++ b/src/agent/request_body.cpp
@@ -12,9 +12,9 @@
 
 namespace json = boost::json;
 
-constexpr std::size_t kMaxAliasLength = 64;  // bytes of the name that a person gives for the audit log
+constexpr std::size_t kMaxAliasLength = 64;  // bytes of the member "as", which is appended to the author
 
-/// The members that orders of every verb share.
+/// Reads the members that all verbs have in common.
 Order ReadCommonMembers(RequestBody& body, const http_api::Peer& peer) {
   Order order;
   order.id = body.ReadText("id").value_or("");
@@ -34,7 +34,7 @@
 
 const json::value* RequestBody::Find(const char* key) {
   if (error_) return nullptr;
-  asked_.insert(key);
+  read_keys_.insert(key);
   const json::value* value = object_.if_contains(key);
   return value && !value->is_null() ? value : nullptr;
 }
@@ -97,7 +97,8 @@
 Result<void> RequestBody::Finish() {
   for (const auto& [key, value] : object_) {
     if (error_) break;
-    if (!asked_.contains(std::string_view(key.data(), key.size()))) Fail("unknown member", std::string(key));
+    if (!read_keys_.contains(std::string_view(key.data(), key.size())))
+      Fail("unknown member", std::string(key));
   }
   if (error_) return *error_;
   return {};
--- a/src/agent/request_body.h
+++ b/src/agent/request_body.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Reads the members of a request's JSON body, and orders from them. The one place where the names of the
-/// API's requests meet those of the code.
+/// Reads JSON bodies of API requests, and the orders in them. Only this file's functions map the names of API
+/// requests to those of the code.
 #ifndef BADGERBRIDGE_AGENT_REQUEST_BODY_H_
 #define BADGERBRIDGE_AGENT_REQUEST_BODY_H_
 
@@ -21,25 +21,25 @@
 
 namespace badgerbridge::agent {
 
-/// Reads members one after another and keeps the first error, which Finish() returns; after it, what is read
-/// is empty. A member that is null counts as missing. The object must outlive the reader.
+/// Reads members one by one. Keeps the first error, which Finish() returns; reads after it return empty
+/// values. A null member counts as missing.
 class RequestBody {
  public:
-  /// Reads `object`, which must outlive the reader.
+  /// `object` must outlive the reader.
   explicit RequestBody(const boost::json::object& object) : object_(object) {}
 
-  /// A string; nothing if it is missing.
+  /// A string; nullopt if it is missing.
   std::optional<std::string> ReadText(const char* key);
-  /// A whole number from 0 to `max`; nothing if it is missing.
+  /// An integer from 0 to `max`; nullopt if it is missing.
   std::optional<std::int64_t> ReadNumber(const char* key, std::int64_t max);
-  /// False if it is missing.
+  /// A boolean; false if it is missing.
   bool ReadFlag(const char* key);
-  /// A list of strings; empty if it is missing.
+  /// An array of strings; empty if it is missing.
   std::vector<std::string> ReadTexts(const char* key);
-  /// The member "verb": any but Verb::kApply.
+  /// The member "verb", which may be any verb but Verb::kApply.
   Verb ReadVerb();
 
-  /// The first error; else one if a member was never asked for. All errors are
+  /// Returns the first error, or an error if the object has a member that was not read. All errors are
   /// AgentErrorKind::kInvalidRequest.
   Result<void> Finish();
 
@@ -48,27 +48,27 @@
   void Fail(std::string_view where, std::string detail);
 
   const boost::json::object& object_;
-  std::set<std::string, std::less<>> asked_;
+  std::set<std::string, std::less<>> read_keys_;
   std::optional<AgentError> error_;
 };
 
-/// An order as requested, and whether it is to be validated only.
+/// A requested order.
 struct OrderRequest {
-  Order order;           ///< with the peer as its author
-  bool dry_run = false;  ///< nothing is carried out
+  Order order;           ///< the author is the peer
+  bool dry_run = false;  ///< validate only
 };
 
-/// A fleet file as requested to be applied. Its order has no instances yet.
+/// A request to apply or compare a fleet file. Its order has no instances yet.
 struct FleetRequest {
-  OrderRequest order_request;  ///< of Verb::kApply
-  std::string fleet_text;      ///< of the fleet file
-  std::string file_name;       ///< for the problems of the fleet file
+  OrderRequest order_request;  ///< with Verb::kApply
+  std::string fleet_text;      ///< content of the fleet file
+  std::string file_name;       ///< name of the fleet file in reported problems
 };
 
-/// The body of POST /v1/orders.
+/// Parses the body of POST /v1/orders.
 Result<OrderRequest> ParseOrderRequest(const boost::json::object& body, const http_api::Peer& peer);
 
-/// The body of POST /v1/apply and /v1/diff.
+/// Parses the body of POST /v1/apply and POST /v1/diff.
 Result<FleetRequest> ParseFleetRequest(const boost::json::object& body, const http_api::Peer& peer);
 
 }  // namespace badgerbridge::agent
--- a/src/agent/response_codec.cpp
+++ b/src/agent/response_codec.cpp
@@ -22,7 +22,7 @@
   return instance.desired_drained ? "drained" : "running";
 }
 
-/// Labels and address of a definition; none if it is malformed.
+/// Adds the labels and the listen address of the definition; both are empty if it is malformed.
 void AddDefinition(const Instance& instance, json::object& answer) {
   json::object labels;
   std::string listen;
--- a/src/agent/response_codec.h
+++ b/src/agent/response_codec.h
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The JSON of the agent's API answers. The one place where the names of the API's answers meet those of the
-/// code.
+/// JSON bodies of API responses. Only this codec maps the names of API responses to those of the code.
 #ifndef BADGERBRIDGE_AGENT_RESPONSE_CODEC_H_
 #define BADGERBRIDGE_AGENT_RESPONSE_CODEC_H_
 
@@ -15,30 +14,30 @@
 
 namespace badgerbridge::agent {
 
-/// The answer to GET /v1/status.
+/// The response body of GET /v1/status.
 boost::json::object EncodeStatus(const AgentRuntime& agent);
 
-/// One instance, with the newest status that it gave of itself.
+/// One instance with its latest reported status.
 boost::json::object EncodeInstanceStatus(const AgentRuntime& agent, const Instance& instance);
 
-/// An order without its instances.
+/// An order without its tasks.
 boost::json::object EncodeOrderSummary(const OrderState& order);
 
-/// An order with what each of its instances is doing, or how that ended.
+/// An order with the current step or the outcome of each task.
 boost::json::object EncodeOrderStatus(const FleetController& controller, const OrderState& order);
 
-/// The answer to GET /v1/orders.
+/// The response body of GET /v1/orders.
 boost::json::object EncodeOrderList(const FleetController& controller);
 
-/// The answer to a submitted order that is a rejection (`status` 400 and more), a dry run, or the state of
-/// the accepted or known order.
+/// The response body of a submitted order: the rejection if `status` is 400 or more, the result of a dry run,
+/// or the state of the accepted or existing order.
 boost::json::object EncodeSubmission(const FleetController& controller, const Order& order,
                                      const ValidationResult& validation, unsigned status, bool dry_run);
 
-/// The changes that a fleet file would make.
+/// The member "changes": the differences between the stored definitions and a fleet file.
 boost::json::array EncodeChanges(const std::vector<DefinitionChange>& changes);
 
-/// The answer to GET /v1/logs/NAME.
+/// The response body of GET /v1/logs/NAME.
 boost::json::object EncodeLog(const std::string& instance, const std::vector<std::string>& lines);
 
 }  // namespace badgerbridge::agent
--- a/src/agent/status_codec.cpp
+++ b/src/agent/status_codec.cpp
@@ -15,7 +15,7 @@
   return error ? 0 : number;
 }
 
-/// The member as an object; nullptr if it is none.
+/// nullptr if the member is missing or not an object.
 const json::object* ReadObject(const json::object& object, const char* key) {
   const json::value* value = object.if_contains(key);
   return value ? value->if_object() : nullptr;
--- a/src/agent/status_codec.h
+++ b/src/agent/status_codec.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A proxy's answer to GET /v1/status, as far as the agent reads it.
+/// Decodes the members that the agent uses of a proxy's response to GET /v1/status.
 #ifndef BADGERBRIDGE_AGENT_STATUS_CODEC_H_
 #define BADGERBRIDGE_AGENT_STATUS_CODEC_H_
 
@@ -13,13 +13,13 @@
 
 namespace badgerbridge::agent {
 
-/// What a proxy reports of itself.
+/// The decoded status of a proxy.
 struct ProxyStatus {
-  Observation observation;  ///< what the controller needs of it
-  std::uint64_t pid = 0;    ///< of the process that has answered; 0: it does not say
+  Observation observation;  ///< input of the controller
+  std::uint64_t pid = 0;    ///< responding process; 0 if the response has no pid
 };
 
-/// Nothing if the value is no status. Numbers that are missing or malformed are 0.
+/// Returns nullopt if the value is not a status. Missing or malformed numbers are 0.
 std::optional<ProxyStatus> DecodeProxyStatus(const boost::json::value& value);
 
 }  // namespace badgerbridge::agent
--- a/src/agent/step_description.cpp
+++ b/src/agent/step_description.cpp
@@ -19,8 +19,8 @@
   return "waiting for it to be ready" + InParentheses(instance.unresponsive_reason);
 }
 
-/// Why the step's call has not succeeded yet, if that is known.
-std::string CallTrouble(const Instance& instance, const InstanceTask& task) {
+/// The last error of the step's call in parentheses; empty if there is none.
+std::string FormatCallError(const Instance& instance, const InstanceTask& task) {
   return InParentheses(task.last_call_error.empty() ? instance.unresponsive_reason : task.last_call_error);
 }
 
@@ -50,9 +50,9 @@
     case Step::kAwaitReady:
       return DescribeAwaitReady(*instance);
     case Step::kCallDrain:
-      return "telling it to drain" + CallTrouble(*instance, task);
+      return "telling it to drain" + FormatCallError(*instance, task);
     case Step::kCallUndrain:
-      return "telling it to take work again" + CallTrouble(*instance, task);
+      return "telling it to take work again" + FormatCallError(*instance, task);
     case Step::kAwaitDrained:
       return DescribeAwaitDrained(*instance);
     case Step::kTerminate:
--- a/src/agent/step_description.h
+++ b/src/agent/step_description.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// What a task is doing, in words for people.
+/// Readable texts for the steps of tasks.
 #ifndef BADGERBRIDGE_AGENT_STEP_DESCRIPTION_H_
 #define BADGERBRIDGE_AGENT_STEP_DESCRIPTION_H_
 
@@ -11,10 +11,11 @@
 
 namespace badgerbridge::agent {
 
-/// What the task is doing now, without the time; the wire name of its state if it has ended.
+/// A readable text of the current step, without its duration; the wire name of the state if the task has
+/// ended.
 std::string DescribeStep(const FleetState& state, const OrderState& order, const InstanceTask& task);
 
-/// A duration in seconds, rounded to tenths: "3.7 s".
+/// The duration in seconds, rounded to tenths: "3.7 s".
 std::string FormatSeconds(Time time);
 
 }  // namespace badgerbridge::agent
--- a/src/agent/store.cpp
+++ b/src/agent/store.cpp
@@ -16,7 +16,7 @@
 
 namespace json = boost::json;
 
-/// A rename or a new file lasts once its directory is synced.
+/// A rename or a new file is durable only once its directory is synced.
 void SyncDirectoryOf(const std::string& path) {
   const std::size_t slash = path.rfind('/');
   const std::string name = slash == std::string::npos ? "." : path.substr(0, slash + 1);
@@ -24,21 +24,21 @@
   if (directory.is_open()) fsync(directory.get());
 }
 
-/// The file that a compaction writes; removed again unless it has taken the place of the old one.
-class SuccessorFile {
+/// The temporary file of a compaction. Removed on destruction unless it was renamed over the state file.
+class TemporaryFile {
  public:
-  explicit SuccessorFile(std::string path)
+  explicit TemporaryFile(std::string path)
       : path_(std::move(path)),
         file_(open(path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600)) {}
-  ~SuccessorFile() {
+  ~TemporaryFile() {
     if (file_.is_open()) unlink(path_.c_str());
   }
-  SuccessorFile(const SuccessorFile&) = delete;
-  SuccessorFile& operator=(const SuccessorFile&) = delete;
+  TemporaryFile(const TemporaryFile&) = delete;
+  TemporaryFile& operator=(const TemporaryFile&) = delete;
 
   const FileDescriptor& file() const { return file_; }
   const std::string& path() const { return path_; }
-  /// The file has been renamed: it stays, and belongs to the caller.
+  /// Called after the rename: keeps the file, and moves its ownership to the caller.
   FileDescriptor Keep() { return std::move(file_); }
 
  private:
@@ -72,11 +72,11 @@
 }
 
 Result<std::string> Store::ReadFile() const {
-  struct stat about {};
-  if (fstat(file_.get(), &about) != 0) return IoError("read", errno);
-  if (about.st_size > static_cast<off_t>(kMaxFileSize))
+  struct stat file_status {};
+  if (fstat(file_.get(), &file_status) != 0) return IoError("read", errno);
+  if (file_status.st_size > static_cast<off_t>(kMaxFileBytes))
     return AgentError{AgentErrorKind::kStoreTooLarge, path_, ""};
-  std::string text(static_cast<std::size_t>(about.st_size), '\0');
+  std::string text(static_cast<std::size_t>(file_status.st_size), '\0');
   std::size_t done = 0;
   while (done < text.size()) {
     const ssize_t count =
@@ -89,7 +89,8 @@
   return text;
 }
 
-/// Takes the records of all intact batches from the beginning on; returns how many bytes those are.
+/// Reads the records of all batches up to the first that is not intact. Returns the size in bytes of these
+/// batches.
 Result<std::size_t> Store::ReadBatches(std::string_view text) {
   std::size_t offset = 0;
   while (const auto batch = FindBatch(text.substr(offset))) {
@@ -103,8 +104,8 @@
   return offset;
 }
 
-/// What follows the intact batches must be less than one batch. An intact one behind it means damage in
-/// between.
+/// Only one torn batch may follow the intact batches. An intact batch after it means that the file is damaged
+/// in between.
 Result<void> Store::CheckTornEnd(std::string_view text, std::size_t intact_size) const {
   std::size_t line_end = text.find('\n', intact_size);
   while (line_end != std::string_view::npos && line_end + 1 < text.size()) {
@@ -134,8 +135,7 @@
   const std::error_code write_error = disk_->Write(file_.get(), batch);
   const std::error_code error = write_error ? write_error : disk_->Sync(file_.get());
   if (error) {
-    // Also after a failed sync: it is not known what the disk holds then, and it must not come back as
-    // stored.
+    // Truncates also after a failed sync: the batch may be on disk, and must not be read back as stored.
     has_torn_end_ = static_cast<bool>(disk_->Truncate(file_.get(), size_));
     return Fail(write_error ? "write to" : "sync", error);
   }
@@ -144,23 +144,23 @@
   return {};
 }
 
-/// Writes, syncs and locks the new file, then renames it over the old one.
-std::error_code Store::WriteSuccessor(int file, const std::string& successor, const std::string& batch) {
+/// Writes, syncs and locks the temporary file, then renames it over the state file.
+std::error_code Store::WriteCompacted(int file, const std::string& temporary_path, const std::string& batch) {
   if (const auto error = disk_->Write(file, batch)) return error;
   if (const auto error = disk_->Sync(file)) return error;
   if (flock(file, LOCK_EX | LOCK_NB) != 0) return {errno, std::generic_category()};
-  return disk_->Rename(successor, path_);
+  return disk_->Rename(temporary_path, path_);
 }
 
 Result<void> Store::Compact(const std::vector<std::string>& records) {
-  SuccessorFile successor(path_ + ".new");
-  if (!successor.file().is_open())
+  TemporaryFile temporary(path_ + ".new");
+  if (!temporary.file().is_open())
     return Fail("make the successor of", std::error_code(errno, std::generic_category()));
   const std::string batch = EncodeBatch(records);
-  if (const auto error = WriteSuccessor(successor.file().get(), successor.path(), batch))
+  if (const auto error = WriteCompacted(temporary.file().get(), temporary.path(), batch))
     return Fail("compact", error);
   SyncDirectoryOf(path_);
-  file_ = successor.Keep();
+  file_ = temporary.Keep();
   size_ = batch.size();
   compacted_size_ = batch.size();
   has_torn_end_ = false;
--- a/src/agent/supervisor.cpp
+++ b/src/agent/supervisor.cpp
@@ -23,8 +23,8 @@
   instance.start_not_before = now + NextBackoff(instance.consecutive_crashes);
 }
 
-/// Doubles with each crash. The upper half is jitter: instances that ended together must not all be started
-/// at one moment.
+/// Doubles with each crash. The upper half is random, so that instances that ended together are not started
+/// at the same time.
 Time Supervisor::NextBackoff(int crashes) {
   Time backoff = policy_.initial_backoff;
   for (int i = 1; i < crashes && backoff < policy_.max_backoff; ++i) backoff *= 2;
--- a/src/agent/task_runner.cpp
+++ b/src/agent/task_runner.cpp
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The course of a task: beginning, handing over, deadline and escalation. What each step does is in
-// task_runner_steps.cpp.
+// The life cycle of a task: start, handover, deadline and escalation. The steps are in task_runner_steps.cpp.
 #include "agent/task_runner.h"
 
 #include <algorithm>
@@ -70,7 +69,8 @@
   return RunCurrentStep();
 }
 
-/// Finds the instance; an apply order makes it if it does not exist. False: the task has ended without it.
+/// Finds the instance; an apply order creates a missing one. Returns false if the task has ended because
+/// there is none.
 bool TaskRunner::EnsureInstance() {
   instance_ = state_.FindInstance(task_.instance);
   if (instance_) return true;
@@ -88,14 +88,15 @@
   return true;
 }
 
-/// Whether force_after applies to what the task is doing now.
-bool TaskRunner::MayForce() const {
+/// Whether force_after applies to the current step.
+bool TaskRunner::MayForceTermination() const {
   return order_.order.force_after && IsBeforeProcessEnd(task_) && instance_->pid != 0 && !task_.killed;
 }
 
-/// Once force_after is over: cuts the drain short for SIGTERM, then sends SIGKILL. Nothing: neither is due.
+/// After force_after, skips the rest of the drain to the SIGTERM step, then sends SIGKILL. Returns nullopt if
+/// neither is due.
 std::optional<StepProgress> TaskRunner::EscalateTermination() {
-  if (!MayForce() || Elapsed() < *order_.order.force_after) return std::nullopt;
+  if (!MayForceTermination() || Elapsed() < *order_.order.force_after) return std::nullopt;
   if (task_.steps[task_.step_index] != Step::kTerminate) {
     const auto terminate = std::find(task_.steps.begin(), task_.steps.end(), Step::kTerminate);
     task_.step_index = static_cast<std::size_t>(terminate - task_.steps.begin());
@@ -116,7 +117,7 @@
 }
 
 bool TaskRunner::IsPastDeadline() const {
-  const Time slack = MayForce() || task_.killed ? kForceAfterSlack : Time(0);
+  const Time slack = MayForceTermination() || task_.killed ? kForceAfterSlack : Time(0);
   if (Elapsed() < order_.order.deadline + slack) return false;
   return MayHandOver() || task_.steps[task_.step_index] == Step::kTerminate;
 }
@@ -130,7 +131,7 @@
     if (step == Step::kAwaitDrained) message += "; it goes on draining";
     return Fail(std::move(message));
   }
-  // A change that got no further than the drain leaves the instance as it was before the order.
+  // A task that did not get past the drain leaves the instance as it was before the order.
   if (instance_->desired_drained) return Fail(message + "; it goes on draining, as it was told before");
   if (!instance_->call_in_flight) {
     instance_->call_in_flight = true;
@@ -139,7 +140,7 @@
   return Fail(message + "; taken back, it runs as before");
 }
 
-/// Whether the order that superseded this one names the same instance.
+/// Whether the superseding order names the same instance.
 bool TaskRunner::IsTakenOver() const {
   if (order_.superseded_by.empty()) return false;
   const OrderState* successor = state_.FindOrder(order_.superseded_by);
@@ -148,7 +149,8 @@
                      [&](const InstanceTask& other) { return other.instance == task_.instance; });
 }
 
-/// Between two steps, and in those that only wait: what is in flight (a call, a start, a SIGTERM) ends first.
+/// Whether the instance can be handed over: between two steps and during steps that only wait, but not while
+/// a call, a start or a SIGTERM is in flight.
 bool TaskRunner::MayHandOver() const {
   if (task_.step_index >= task_.steps.size()) return true;
   const Instance* instance = std::as_const(state_).FindInstance(task_.instance);
@@ -166,7 +168,7 @@
   }
 }
 
-/// Whether the instance was observed since the current step began.
+/// Whether the instance was polled after the current step began.
 bool TaskRunner::HasFreshObservation() const {
   return instance_->observation && instance_->observed_at > task_.step_started_at;
 }
--- a/src/agent/task_runner.h
+++ b/src/agent/task_runner.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Carries one instance's task forward, step by step. Pure: what has to be done outside goes into actions.
+/// Executes the steps of a task. Without I/O: effects outside of the state are appended as actions.
 #ifndef BADGERBRIDGE_AGENT_TASK_RUNNER_H_
 #define BADGERBRIDGE_AGENT_TASK_RUNNER_H_
 
@@ -14,37 +14,37 @@
 
 namespace badgerbridge::agent {
 
-/// How far TaskRunner::RunStep came.
+/// The result of running a step.
 enum class StepProgress {
-  kAdvanced,  ///< the next step is current; run it
-  kBlocked,   ///< the step waits for an event or for time, or the task has ended
+  kAdvanced,  ///< the next step is current and can be run
+  kBlocked,   ///< the step waits for an event or a time, or the task has ended
 };
 
-/// How long after its deadline a task whose process may be killed is still followed: for what may come after
-/// a SIGTERM at the deadline, and for the end of a killed process to be seen.
+/// The extension of the deadline of a task whose process may be killed: the grace period after a SIGTERM at
+/// the deadline, and 1 s to detect the end of the killed process.
 constexpr Time kForceAfterSlack = kTerminationGracePeriod + Time(1000);
 
-/// After a call to an instance, the least time to the next.
+/// The minimum time between the end of a call to an instance and the next call.
 constexpr Time kCallRetryDelay{250};
 
-/// Works on one task at one moment. Holds references; lives no longer than the call that made it.
+/// Runs one task at one point in time. Holds references, so it must not outlive the call that created it.
 class TaskRunner {
  public:
-  /// `task` is one of `order`, which is one of `state`. Actions are appended to `actions`.
+  /// `task` must be an element of `order`, and `order` one of `state`. Appends to `actions`.
   TaskRunner(FleetState& state, OrderState& order, InstanceTask& task, Time now, std::vector<Action>& actions)
       : state_(state), order_(order), task_(task), now_(now), actions_(actions) {}
 
-  /// Begins the first step, and runs on until a step waits or the task has ended.
+  /// Starts the task, and runs steps until one waits or the task has ended.
   void Begin();
-  /// Runs on until a step waits or the task has ended. Ends as superseded where the order that superseded
-  /// this one names the instance too, and nothing is in flight.
+  /// Runs steps until one waits or the task has ended. Ends the task as superseded if the superseding order
+  /// names the instance too and no action is in flight.
   void Resume();
 
-  /// The current step is done: the next one becomes current.
+  /// Completes the current step and makes the next one current, without running it.
   void MoveToNextStep();
-  /// The current step's call was not accepted: it is attempted again later.
+  /// Schedules another attempt of the current step's call, which failed.
   void ScheduleCallRetry(const std::string& reason);
-  /// Ends the task for good.
+  /// Ends the task. `outcome` must be a terminal state. A failure halts an order with max_parallel.
   void End(TaskState outcome, std::string message);
 
  private:
@@ -62,7 +62,7 @@
   StepProgress RunRemoveInstance();
 
   bool EnsureInstance();
-  bool MayForce() const;
+  bool MayForceTermination() const;
   std::optional<StepProgress> EscalateTermination();
   bool IsPastDeadline() const;
   StepProgress FailAtDeadline();
--- a/src/agent/task_runner_steps.cpp
+++ b/src/agent/task_runner_steps.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What each step of a task does.
+// The steps of a task.
 #include <algorithm>
 #include <csignal>
 
@@ -37,7 +37,7 @@
   return StepProgress::kBlocked;
 }
 
-/// Only says that the instance shall run; the supervision starts its process.
+/// Only sets the desired state; FleetController::Supervise() starts the process.
 StepProgress TaskRunner::RunStartProcess() {
   const bool runs = instance_->pid != 0;
   if (!task_.action_sent) {
@@ -63,11 +63,11 @@
   return Advance();
 }
 
-/// Issues the call; CallSucceeded or CallFailed decides how it goes on.
+/// Issues the call; its CallSucceeded or CallFailed completes or repeats the step.
 StepProgress TaskRunner::RunCall(bool drain) {
   const bool runs = instance_->pid != 0;
   const bool starts = order_.order.verb == Verb::kStart;
-  // What this order has just started takes work without being told.
+  // An instance that this order has just started accepts requests without an undrain.
   if (starts && runs && instance_->spawned_at >= task_.started_at) return Advance();
   if (!runs) return EndsProcess(task_) || starts ? Advance() : Fail(NotRunningMessage());
   if (task_.action_sent || instance_->call_in_flight || now_ < task_.retry_at) return StepProgress::kBlocked;
@@ -93,7 +93,7 @@
     instance_->desired_drained = false;
     state_.MarkChanged(*instance_);
   }
-  // A process whose start is in flight cannot be signalled yet.
+  // A process whose start is in flight has no pid for the signal yet.
   if (instance_->start_in_flight) return StepProgress::kBlocked;
   if (instance_->pid == 0) {
     const bool did_nothing = !task_.action_sent && task_.step_index == 0 && task_.message.empty();
@@ -138,7 +138,7 @@
 }
 
 StepProgress TaskRunner::RunRemoveInstance() {
-  // The answer of a call must not be taken for that of a later instance of the same name.
+  // The result of a call in flight must not be attributed to a later instance of the same name.
   if (instance_->call_in_flight) return StepProgress::kBlocked;
   state_.MarkChanged(*instance_);
   state_.instances.erase(task_.instance);
--- a/src/agent/task_steps.h
+++ b/src/agent/task_steps.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The steps of an instance's task: which ones an order takes, and what they mean for its control flow.
+/// The steps of a task for each verb, and their properties.
 #ifndef BADGERBRIDGE_AGENT_TASK_STEPS_H_
 #define BADGERBRIDGE_AGENT_TASK_STEPS_H_
 
@@ -13,23 +13,23 @@
 
 namespace badgerbridge::agent {
 
-/// Whether a Verb::kApply order removes the instance, having no definition for it.
+/// Whether a Verb::kApply order removes the instance: it has no definition, or an empty one.
 bool RemovesInstance(const Order& order, const std::string& instance);
 
-/// The steps that the order takes with the instance, in order.
+/// The steps of the order for the instance, in order of execution.
 std::vector<Step> PlanSteps(const Order& order, const std::string& instance);
 
-/// Whether the task ends the process at some step: then an instance that does not run, or does not drain, is
-/// no obstacle to it.
+/// Whether a step of the task ends the process. Such a task does not fail if the instance has no process to
+/// drain.
 bool EndsProcess(const InstanceTask& task);
 
-/// Whether the task ends the process and has not got past that step yet.
+/// Whether the task ends the process and has not completed that step yet.
 bool IsBeforeProcessEnd(const InstanceTask& task);
 
-/// Whether the step waits for what only a poll of the instance tells.
+/// Whether the step waits for an observation of the instance, which only a poll delivers.
 bool AwaitsObservation(Step step);
 
-/// The message of a task that has succeeded.
+/// The message of a succeeded task.
 std::string_view SuccessMessage(Verb verb);
 
 }  // namespace badgerbridge::agent
--- a/src/agent/wakeup.cpp
+++ b/src/agent/wakeup.cpp
@@ -9,11 +9,11 @@
 namespace badgerbridge::agent {
 namespace {
 
-/// The earliest of the times that it is given.
+/// Accumulates the earliest of several times.
 class Earliest {
  public:
   void Add(Time time) { earliest_ = earliest_ ? std::min(*earliest_, time) : time; }
-  /// Adds the time unless it is over.
+  /// Adds the time if it is in the future.
   void AddIfAfter(Time now, Time time) {
     if (time > now) Add(time);
   }
@@ -23,7 +23,7 @@
   std::optional<Time> earliest_;
 };
 
-/// When force_after next takes effect on the task, with SIGTERM or with SIGKILL.
+/// The time at which force_after next sends SIGTERM or SIGKILL.
 std::optional<Time> NextForceTime(const FleetState& state, const Order& order, const InstanceTask& task) {
   if (!order.force_after || task.killed) return std::nullopt;
   const Time force_at = task.started_at + *order.force_after;
--- a/src/agent/wakeup.h
+++ b/src/agent/wakeup.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// When time alone next matters to the controller.
+/// The next time at which the controller must handle a Tick.
 #ifndef BADGERBRIDGE_AGENT_WAKEUP_H_
 #define BADGERBRIDGE_AGENT_WAKEUP_H_
 
@@ -11,8 +11,8 @@
 
 namespace badgerbridge::agent {
 
-/// When the next Tick is due at the latest; nothing: no time matters. A start whose backoff is over may give
-/// a time before `now`.
+/// The latest time of the next Tick; nullopt if nothing depends on time. May be before `now` for a start
+/// whose backoff has passed.
 std::optional<Time> FindNextWakeup(const FleetState& state, Time now);
 
 }  // namespace badgerbridge::agent
--- a/tests/agent/agent_fixture.h
+++ b/tests/agent/agent_fixture.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// What the tests of the agent as a process share.
+/// The fixture of the tests that run the agent as a process.
 #ifndef BADGERBRIDGE_TESTS_AGENT_AGENT_FIXTURE_H_
 #define BADGERBRIDGE_TESTS_AGENT_AGENT_FIXTURE_H_
 
@@ -20,25 +20,26 @@
 
 namespace badgerbridge::agent {
 
-/// "result: text" of one instance in the output of `badgerbridge-ctl ... -o json`.
+/// Returns "result: text" of one instance from the output of `badgerbridge-ctl ... -o json`, or the error of
+/// the agent or the tool.
 inline std::string ResultOf(const standins::CommandResult& result, const std::string& instance) {
   boost::system::error_code error;
   const boost::json::value answer = boost::json::parse(result.out, error);
   if (error || !answer.is_array()) return result.out + result.err;
   for (const boost::json::value& agent : answer.as_array()) {
     if (!agent.as_object().contains("order")) return std::string(agent.at("error").as_string());
-    for (const boost::json::value& part : agent.at("order").at("instances").as_array()) {
-      if (part.at("instance").as_string() == instance)
-        return std::string(part.at("result").as_string()) + ": " + std::string(part.at("text").as_string());
+    for (const boost::json::value& task : agent.at("order").at("instances").as_array()) {
+      if (task.at("instance").as_string() == instance)
+        return std::string(task.at("result").as_string()) + ": " + std::string(task.at("text").as_string());
     }
   }
   return "no line";
 }
 
-/// A site with an agent and proxies as processes, and stand-ins for what they talk to.
+/// Runs an agent and proxies as processes against simulated peers.
 class AgentTest : public ::testing::Test {
  protected:
-  /// Makes the site; nothing runs yet. `agent_extra` are further lines of the [agent] table.
+  /// Creates the site without starting a process. `agent_extra` contains further lines of the [agent] table.
   void Start(int proxies = 3, const std::string& agent_extra = "") {
     standins::SiteSettings settings;
     settings.proxies = proxies;
@@ -47,13 +48,13 @@
     settings.agent_extra = agent_extra;
     site = std::make_unique<standins::Site>(io, settings);
   }
-  /// Makes the site, starts the agent, and waits until all proxies are ready.
+  /// Creates the site, starts the agent, and waits until all proxies are ready.
   void StartReady(int proxies = 3, const std::string& agent_extra = "") {
     Start(proxies, agent_extra);
     site->StartAgent();
     ASSERT_TRUE(site->Until([&] { return site->All("ready"); })) << site->Read("agent.err");
   }
-  /// The pids of all instances, by name.
+  /// The pids of all instances by name, from /v1/status.
   std::map<std::string, pid_t> Pids() {
     std::map<std::string, pid_t> pids;
     const http_api::Reply reply = site->Call("GET", "/v1/status");
--- a/tests/agent/agent_orders_test.cpp
+++ b/tests/agent/agent_orders_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Orders to real processes: badgerbridge-agent, badgerbridge-ctl and badgerbridge against stand-ins on
+// Orders with badgerbridge-agent, badgerbridge-ctl and badgerbridge as processes, against simulated peers on
 // loopback.
 #include <sys/wait.h>
 #include <unistd.h>
@@ -41,7 +41,7 @@
   EXPECT_NE(not_running.out.find("does not run; it last exited with 0"), std::string::npos)
       << not_running.out;
   EXPECT_EQ(ResultOf(site->Ctl({"start", "n2", "-o", "json"}), "n2"), "done: ready");
-  // The account is on disk: who, what, when, result.
+  // The audit log records the author, the order and its results.
   const std::string audit = site->Read("state/audit.log");
   for (const char* expected :
        {R"("what":"order")", R"("verb":"stop")", R"("text":"stopped")", R"("who":"uid )"})
@@ -70,13 +70,13 @@
   EXPECT_EQ(
       ResultOf(drained, "n2").find("failed: not in time: telling it to drain (no answer within 1000 ms)"), 0u)
       << ResultOf(drained, "n2");
-  const auto terminated = std::chrono::steady_clock::now();  // or a little later
+  const auto sigterm_time = std::chrono::steady_clock::now();  // at the SIGTERM or slightly later
   const CommandResult stop = site->Ctl({"stop", "n2", "--deadline", "1s", "-o", "json"});
   EXPECT_EQ(ResultOf(stop, "n2").find("failed: not in time: waiting for its end after SIGTERM"), 0u);
-  EXPECT_EQ(kill(pid, 0), 0) << "nobody said that it may be killed";
+  EXPECT_EQ(kill(pid, 0), 0) << "without force_after the process is not killed";
   const CommandResult force =
       site->Ctl({"stop", "n2", "--force-after", "500ms", "--deadline", "5s", "-o", "json"});
-  EXPECT_GE(std::chrono::steady_clock::now() - terminated, milliseconds(3700));
+  EXPECT_GE(std::chrono::steady_clock::now() - sigterm_time, milliseconds(3700));
   EXPECT_EQ(ResultOf(force, "n2").find("done: stopped; killed after "), 0u) << ResultOf(force, "n2");
   EXPECT_NE(ResultOf(force, "n2").find(" s, as force_after said"), std::string::npos)
       << ResultOf(force, "n2");
@@ -85,7 +85,7 @@
 
 TEST_F(AgentTest, InstanceThatNeverDrainsDelaysNoOther) {
   StartReady();
-  // Clients that ignore that the proxy drains: a request every 100 ms, each on its own connection.
+  // Clients that ignore the drain of the proxy: a request every 100 ms, each on a new connection.
   auto stop = std::make_shared<bool>(false);
   int sent_count = 0;
   const auto send_requests = [&, stop]() -> asio::awaitable<void> {
@@ -115,7 +115,7 @@
 
 TEST_F(AgentTest, ConflictingOrderIsRejectedAlsoAfterTheAgentWasKilled) {
   StartReady();
-  kill(site->PidOf("n2"), SIGSTOP);  // so that the first stays open
+  kill(site->PidOf("n2"), SIGSTOP);  // so that the first order stays open
   const auto first =
       site->BeginCtl({"drain", "--all", "--deadline", "20s", "--id", "first", "--as", "ana", "-o", "json"});
   ASSERT_TRUE(site->Until([&] { return site->Call("GET", "/v1/orders/first").ok(); }));
@@ -128,12 +128,12 @@
   site->KillAgent(SIGKILL);
   EXPECT_EQ(site->Ctl({"status", "--timeout", "300ms"}).code, 5);
   site->StartAgent();
-  EXPECT_EQ(Pids(), before) << "adopted, and none started again";
+  EXPECT_EQ(Pids(), before) << "all instances are adopted, none is started again";
   const CommandResult third = site->Ctl({"stop", "n2"});
   EXPECT_EQ(third.code, 3) << third.err;
   const CommandResult again =
       site->Ctl({"drain", "--all", "--id", "first", "--deadline", "20s", "--no-wait", "-o", "json"});
-  EXPECT_EQ(again.code, 0) << "the same order again is the same order: " << again.err;
+  EXPECT_EQ(again.code, 0) << "a repeated order id must succeed: " << again.err;
   const CommandResult takes_over =
       site->Ctl({"stop", "n2", "--supersede", "--force-after", "0ms", "--deadline", "10s", "-o", "json"});
   EXPECT_EQ(takes_over.code, 0) << takes_over.err << takes_over.out;
@@ -150,7 +150,7 @@
   const auto command = site->BeginCtl({"drain", "--all", "-o", "json"});
   ASSERT_TRUE(site->Until([&] { return site->StateOf("n1") == "draining"; }));
   site->KillAgent(SIGKILL);
-  // Half a batch, as a crash in the midst of a write leaves it.
+  // A partial batch, as a crash during a write leaves it.
   std::ofstream(site->folder() + "/state/state", std::ios::app | std::ios::binary)
       << "0badc0de 99 [{\"order\":";
   site->StartAgent();
@@ -158,8 +158,9 @@
   EXPECT_EQ(drained.code, 0) << drained.err;
   for (const char* name : {"n1", "n2", "n3"}) EXPECT_EQ(ResultOf(drained, name), "done: drained");
   EXPECT_EQ(Pids(), pids);
-  EXPECT_NE(site->Read("agent.err").find("torn and are dropped"), std::string::npos);
-  // Two agents never keep one state.
+  EXPECT_NE(site->Read("agent.err").find("bytes of the state file are an incomplete batch; dropping them"),
+            std::string::npos);
+  // A second agent on the same state directory must exit with an error.
   const pid_t second = fork();
   if (second == 0) {
     if (!std::freopen("/dev/null", "w", stderr)) _exit(9);
@@ -213,11 +214,11 @@
   StartReady(2);
   EXPECT_EQ(ResultOf(site->Ctl({"reload", "n1", "-o", "json"}), "n1"), "done: reloaded");
   site->Write("n1.json", "{ bad");
-  const CommandResult refused = site->Ctl({"reload", "--all", "-o", "json"});
-  EXPECT_EQ(refused.code, 1);
-  EXPECT_EQ(ResultOf(refused, "n1").find("failed: refused the configuration: the configuration is not JSON"),
+  const CommandResult rejected = site->Ctl({"reload", "--all", "-o", "json"});
+  EXPECT_EQ(rejected.code, 1);
+  EXPECT_EQ(ResultOf(rejected, "n1").find("failed: refused the configuration: the configuration is not JSON"),
             0u);
-  EXPECT_EQ(ResultOf(refused, "n2"), "done: reloaded");
+  EXPECT_EQ(ResultOf(rejected, "n2"), "done: reloaded");
   EXPECT_EQ(site->StateOf("n1"), "ready");
 }
 
@@ -230,18 +231,18 @@
   site->Write("new.toml", text);
   const CommandResult diff = site->Ctl({"diff", site->folder() + "/new.toml"});
   EXPECT_NE(diff.out.find("descriptors: 0 -> 512"), std::string::npos) << diff.out;
-  const CommandResult dry = site->Ctl({"apply", site->folder() + "/new.toml", "--dry-run"});
-  EXPECT_NE(dry.out.find("would be asked"), std::string::npos) << dry.out << dry.err;
+  const CommandResult dry_run = site->Ctl({"apply", site->folder() + "/new.toml", "--dry-run"});
+  EXPECT_NE(dry_run.out.find("would be asked"), std::string::npos) << dry_run.out << dry_run.err;
   EXPECT_EQ(Pids(), before);
   const CommandResult applied = site->Ctl({"apply", site->folder() + "/new.toml", "-o", "json"});
   EXPECT_EQ(applied.code, 0) << applied.err;
   EXPECT_EQ(ResultOf(applied, "n2"), "done: applied, ready");
   EXPECT_EQ(Pids().at("n1"), before.at("n1"));
   EXPECT_NE(Pids().at("n2"), before.at("n2"));
-  // What was applied outlives the agent; the old file is not taken again by itself.
+  // The applied definitions persist over a restart of the agent. The old file is not applied automatically.
   site->KillAgent(SIGTERM);
-  const auto running = before.at("n1");
-  EXPECT_EQ(kill(running, 0), 0) << "instances outlive the agent";
+  const auto running_pid = before.at("n1");
+  EXPECT_EQ(kill(running_pid, 0), 0) << "instances outlive the agent";
   site->StartAgent();
   EXPECT_NE(site->Read("agent.err").find("differs from what was last applied in 1 instances"),
             std::string::npos);
--- a/tests/agent/agent_robustness_test.cpp
+++ b/tests/agent/agent_robustness_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Agent and tool under misbehaving peers and unusual environments: silent connections and incomplete requests
-// at Unix sockets, another process on an instance's control socket, a state that outgrows its bound,
-// terminals, shells, missing rights.
+// Agent and tool under faulty peers and unusual environments: idle connections and incomplete requests on
+// Unix sockets, another process on the control socket of an instance, a state file that needs compaction,
+// terminals, shells, and missing permissions.
 #include <gtest/gtest.h>
 #include <pty.h>
 #include <sys/stat.h>
@@ -33,10 +33,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A site with an agent and proxies as processes.
+/// Runs an agent and proxies as processes.
 class AgentRobustnessTest : public ::testing::Test {
  protected:
-  /// Starts the agent, and waits until all proxies are ready. `agent_extra` are lines of the [agent] table.
+  /// Starts the agent, and waits until all proxies are ready. `agent_extra` contains further lines of the
+  /// [agent] table.
   void Start(int proxies, const std::string& agent_extra = "") {
     SiteSettings settings;
     settings.proxies = proxies;
@@ -46,8 +47,8 @@
     site->StartAgent();
     ASSERT_TRUE(site->Until([&] { return site->All("ready"); })) << site->Read("agent.err");
   }
-  /// Connections that send nothing: as many of `count` as the server's backlog takes.
-  std::vector<Local::socket> ConnectSilently(const std::string& path, int count) {
+  /// Opens up to `count` connections that send nothing, as many as the server's backlog accepts.
+  std::vector<Local::socket> OpenIdleConnections(const std::string& path, int count) {
     std::vector<Local::socket> sockets;
     for (int i = 0; i < count; ++i) {
       Local::socket socket(io);
@@ -64,69 +65,71 @@
   std::unique_ptr<Site> site;
 };
 
-TEST_F(AgentRobustnessTest, SilentConnectionsDelayAnOperatorOnlyBriefly) {
+TEST_F(AgentRobustnessTest, IdleConnectionsDelayAnOperatorOnlyBriefly) {
   Start(1);
   for (const std::string& path : {site->folder() + "/agent.sock", site->folder() + "/n1.sock"}) {
-    const auto silent = ConnectSilently(path, 500);
-    EXPECT_GT(silent.size(), 60u) << "the backlog is full: the tool's connect meets EAGAIN";
+    const auto idle = OpenIdleConnections(path, 500);
+    EXPECT_GT(idle.size(), 60u)
+        << "the backlog must be full, so that the connect of the tool fails with EAGAIN";
     const CommandResult result = site->Ctl({"get", "n1"});
     EXPECT_EQ(result.code, 0) << path << ": " << result.err;
     EXPECT_LT(result.took, seconds(5)) << path;
     EXPECT_EQ(result.out.find("converters: "), std::string::npos) << result.out;
-    EXPECT_EQ(result.out.find("E0"), std::string::npos) << "numbers as people write them:\n" << result.out;
+    EXPECT_EQ(result.out.find("E0"), std::string::npos) << "numbers must not be in scientific notation:\n"
+                                                        << result.out;
   }
-  // One that is not there at all is said at once.
+  // An unreachable agent is reported at once.
   site->KillAgent(SIGKILL);
   const CommandResult result = site->Ctl({"status"});
   EXPECT_EQ(result.code, 5);
-  EXPECT_EQ(result.out, "") << "no empty table";
+  EXPECT_EQ(result.out, "") << "no table without an agent";
 }
 
 TEST_F(AgentRobustnessTest, IncompleteRequestTimesOutAndChangesNothing) {
   Start(1);
-  Local::socket half(io);
-  half.connect(Local::endpoint(site->folder() + "/agent.sock"));
-  asio::write(half,
+  Local::socket incomplete(io);
+  incomplete.connect(Local::endpoint(site->folder() + "/agent.sock"));
+  asio::write(incomplete,
               asio::buffer(std::string("POST /v1/orders HTTP/1.1\r\nHost: x\r\nContent-Length: 90\r\n\r\n"
                                        R"({"id":"half","verb":"stop","inst)")));
-  EXPECT_EQ(site->Ctl({"status"}).code, 0) << "others are served meanwhile";
+  EXPECT_EQ(site->Ctl({"status"}).code, 0) << "other requests are served meanwhile";
   bool ended = false;
-  char piece = 0;
-  half.async_read_some(asio::buffer(&piece, 1),
-                       [&](boost::system::error_code error, std::size_t) { ended = !!error; });
-  ASSERT_TRUE(site->Until([&] { return ended; })) << "its time has an end";
+  char buffer = 0;
+  incomplete.async_read_some(asio::buffer(&buffer, 1),
+                             [&](boost::system::error_code error, std::size_t) { ended = !!error; });
+  ASSERT_TRUE(site->Until([&] { return ended; })) << "the incomplete request must time out";
   EXPECT_EQ(site->StateOf("n1"), "ready");
   EXPECT_EQ(site->Call("GET", "/v1/orders/half").status, 404u);
 }
 
 TEST_F(AgentRobustnessTest, MalformedJsonIsReportedWithItsPosition) {
   Start(1);
-  for (const auto& [body, says] :
+  for (const auto& [body, expected_error] :
        {std::pair(R"({"verb":})", "the body is no JSON: syntax error at byte 8"),
         std::pair("{} {}", "the body has more after its JSON, from byte 3 on"),
         std::pair(R"({"verb":"dra)", "the body is no JSON: incomplete JSON at byte 12"),
         std::pair("[1]", "the body is no JSON object")}) {
     const http_api::Reply reply = site->Call("POST", "/v1/orders", body);
     EXPECT_EQ(reply.status, 400u);
-    EXPECT_EQ(reply.ErrorMessage(), says) << body;
+    EXPECT_EQ(reply.ErrorMessage(), expected_error) << body;
   }
 }
 
-TEST_F(AgentRobustnessTest, AnswerOfAnotherProcessIsNotTakenForTheInstances) {
+TEST_F(AgentRobustnessTest, ResponseOfAnotherProcessIsNotAttributedToTheInstance) {
   Start(2);
   const std::string path = site->folder() + "/n1.sock";
   unlink(path.c_str());
-  http_api::UnixServer stranger(
+  http_api::UnixServer other_server(
       io, path, {}, {}, [](http_api::Request, http_api::Peer) -> asio::awaitable<http_api::Response> {
         co_return http_api::Response{200, json::object{{"state", "drained"}, {"pid", 1}}};
       });
   ASSERT_TRUE(site->Until([&] { return site->StateOf("n1") == "silent"; }));
   const CommandResult status = site->Ctl({"status"});
   EXPECT_NE(status.out.find("another process answers on its socket"), std::string::npos) << status.out;
-  // An order to it does not believe the stranger's "drained".
+  // The status "drained" of the other process must not complete an order.
   const CommandResult drain = site->Ctl({"drain", "n1", "n2", "--deadline", "3s"});
   EXPECT_EQ(drain.code, 1) << drain.out;
-  EXPECT_EQ(site->StateOf("n2"), "drained") << "and the other does as told";
+  EXPECT_EQ(site->StateOf("n2"), "drained") << "the order completes on the other instance";
 }
 
 TEST_F(AgentRobustnessTest, StateIsCompactedAndRestoredComplete) {
@@ -139,7 +142,7 @@
     const std::string body = R"({"id":"order-)" + std::to_string(orders) + std::string(40, 'x') +
                              R"(","verb":"undrain","instances":["n1","n2"],"as":")" + std::string(64, 'w') +
                              "\"}";
-    // Until the one before has ended.
+    // The order is a conflict until the previous one has ended.
     ASSERT_TRUE(site->Until([&] { return site->Call("POST", "/v1/orders", body).status == 202; }));
     const auto size = std::filesystem::file_size(state);
     compacted = size < largest;
@@ -156,7 +159,7 @@
   EXPECT_EQ(site->PidOf("n1"), pid) << "adopted";
 }
 
-/// Runs badgerbridge-ctl on a terminal of its own, and returns what it printed there.
+/// Runs badgerbridge-ctl on a pseudo-terminal, and returns its output.
 std::string RunOnTerminal(Site& site, std::vector<std::string> arguments, bool no_color) {
   arguments.insert(arguments.begin(),
                    {Binary("badgerbridge-ctl"), "--context", site.folder() + "/context.toml"});
@@ -171,9 +174,9 @@
     _exit(127);
   }
   std::string out;
-  char piece[4096];
-  for (ssize_t n = 0; (n = read(master, piece, sizeof piece)) > 0;)
-    out.append(piece, static_cast<std::size_t>(n));
+  char buffer[4096];
+  for (ssize_t n = 0; (n = read(master, buffer, sizeof buffer)) > 0;)
+    out.append(buffer, static_cast<std::size_t>(n));
   close(master);
   waitpid(pid, nullptr, 0);
   return out;
@@ -183,21 +186,21 @@
   Start(2);
   ASSERT_EQ(site->Ctl({"drain", "n2"}).code, 0);
   const std::string plain = site->Ctl({"status"}).out;
-  EXPECT_EQ(plain.find('\x1b'), std::string::npos) << "none in a pipe";
+  EXPECT_EQ(plain.find('\x1b'), std::string::npos) << "no colors in a pipe";
   EXPECT_NE(RunOnTerminal(*site, {"status"}, false).find("\x1b["), std::string::npos);
   EXPECT_EQ(RunOnTerminal(*site, {"status"}, true).find('\x1b'), std::string::npos);
   EXPECT_NE(RunOnTerminal(*site, {"undrain", "n2"}, false).find("instances"), std::string::npos)
-      << "its progress";
-  EXPECT_EQ(site->Ctl({"drain", "n2"}).err, "") << "none in a pipe";
+      << "progress is shown on a terminal";
+  EXPECT_EQ(site->Ctl({"drain", "n2"}).err, "") << "no progress in a pipe";
 }
 
-/// The output of a shell script, and its exit code.
+/// Runs a shell script, and returns its output followed by "exit CODE".
 std::string RunShell(const std::string& script) {
   std::string out;
   FILE* pipe = popen(script.c_str(), "r");
   if (!pipe) return "no shell";
-  char piece[4096];
-  for (std::size_t n = 0; (n = fread(piece, 1, sizeof piece, pipe)) > 0;) out.append(piece, n);
+  char buffer[4096];
+  for (std::size_t n = 0; (n = fread(buffer, 1, sizeof buffer, pipe)) > 0;) out.append(buffer, n);
   const int status = pclose(pipe);
   return out + "exit " + std::to_string(WEXITSTATUS(status));
 }
@@ -213,15 +216,15 @@
   EXPECT_EQ(complete("badgerbridge-ctl dr", 1), "drain\nexit 0");
   EXPECT_EQ(complete("badgerbridge-ctl mem", 1), "members\nexit 0");
   EXPECT_EQ(complete("badgerbridge-ctl drain --dead", 2), "--deadline\nexit 0");
-  // Names of instances come from the agents; the tool runs while this thread waits, and the agent is a
-  // process.
+  // Instance names come from the agent, which is another process, so blocking this thread is safe.
   EXPECT_EQ(complete("badgerbridge-ctl drain \"\"", 2), "n1 n2\nexit 0");
 }
 
 TEST(Scripts, MissingPackagesWithoutRootPrintTheCommand) {
   std::string folder = ::testing::TempDir() + "rights_XXXXXX";
   ASSERT_NE(mkdtemp(folder.data()), nullptr);
-  std::ofstream(folder + "/id") << "#!/bin/sh\necho 1000\n";  // not root, on a machine with none of the tools
+  std::ofstream(folder + "/id")
+      << "#!/bin/sh\necho 1000\n";  // PATH has no tool but these two; the user is not root
   std::ofstream(folder + "/dirname") << "#!/bin/sh\necho " SOURCE_DIR "/scripts\n";
   for (const char* name : {"/id", "/dirname"}) chmod((folder + name).c_str(), 0755);
   const std::string out = RunShell("PATH=" + folder + " /bin/sh " SOURCE_DIR "/scripts/packages 2>&1");
--- a/tests/agent/fleet_controller_random_test.cpp
+++ b/tests/agent/fleet_controller_random_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Random schedules of orders, crashes, unresponsive instances and restarts of the agent against the pure
-// core, from fixed seeds; the invariants of fleet_controller.h are checked at each step.
+// Runs random schedules of orders, crashes, unresponsive instances and agent restarts on a FleetController,
+// from fixed seeds, and checks the invariants of fleet_controller.h at each step.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 namespace badgerbridge::agent {
 namespace {
 
-/// How often what the schedules are for has happened.
+/// How often the schedules produced the events under test.
 struct Counts {
   std::uint64_t accepted = 0;
   std::uint64_t conflicts = 0;
@@ -39,29 +39,29 @@
   }
 };
 
-/// A controller and simulated processes that obey its actions, late and not always.
-class Simulation {
+/// A controller and simulated processes that perform its actions with delays and failures.
+class FleetSimulation {
  public:
-  explicit Simulation(std::uint64_t seed) : random_(seed), controller_(seed) {
+  explicit FleetSimulation(std::uint64_t seed) : random_(seed), controller_(seed) {
     for (int i = 0; i < 6; ++i) controller_.AddInstance("n" + std::to_string(i), "old", false);
   }
 
-  /// Lets a little time pass, lets one thing happen, and checks the invariants.
+  /// Advances the time, produces one random event, and checks the invariants.
   void Step() {
     now_ += Time(RandomBelow(120));
     actions_.clear();
-    const std::uint64_t percentile = RandomBelow(100);
-    if (percentile < 12) {
+    const std::uint64_t random_percent = RandomBelow(100);
+    if (random_percent < 12) {
       SubmitRandomOrder();
-    } else if (percentile < 70) {
-      AnswerSomething();
-    } else if (percentile < 76) {
+    } else if (random_percent < 70) {
+      CompleteRandomAction();
+    } else if (random_percent < 76) {
       CrashRandomInstance();
-    } else if (percentile < 78) {
+    } else if (random_percent < 78) {
       if (RandomBelow(6) == 0) RestartAgent();
-    } else if (percentile < 80) {
+    } else if (random_percent < 80) {
       ToggleUnresponsive(RandomInstance());
-    } else if (percentile < 82) {
+    } else if (random_percent < 82) {
       now_ += Time(5000);
       Handle(Tick{});
     } else {
@@ -71,7 +71,7 @@
     CheckInvariants();
   }
 
-  /// Without new orders and unresponsive instances every order must end.
+  /// Checks that every order ends without new orders and unresponsive instances.
   void Settle() {
     unresponsive_.clear();
     for (int i = 0; i < 5000; ++i) {
@@ -80,7 +80,7 @@
       Handle(Tick{});
       PerformActions();
       actions_.clear();
-      AnswerSomething();
+      CompleteRandomAction();
       PerformActions();
       CheckInvariants();
       const auto& orders = controller_.orders();
@@ -99,9 +99,9 @@
     bool drained = false;
     bool terminating = false;
     std::uint64_t reloads = 0;
-    Time sigterm_at{0};  // of the first
+    Time sigterm_at{0};  // time of the first SIGTERM; 0: none
   };
-  /// Calls that are out, by instance; the value: whether it is a drain.
+  /// Calls in flight by instance; true for a drain, false for an undrain.
   using PendingCalls = std::map<std::string, bool>;
 
   std::uint64_t RandomBelow(std::uint64_t limit) { return random_() % limit; }
@@ -141,7 +141,7 @@
     const ValidationResult result = controller_.Submit(now_, 0, order, &actions_);
     if (result.accepted()) {
       ++counts_.accepted;
-      EXPECT_FALSE(is_known) << "carried out twice";
+      EXPECT_FALSE(is_known) << "an order id was accepted twice";
       EXPECT_EQ(controller_.generation(), before + 1);
       return;
     }
@@ -151,21 +151,21 @@
     EXPECT_FALSE(result.message.empty());
   }
 
-  /// Answers a start, a call or a poll, drawn at random.
-  void AnswerSomething() {
-    if (!starting_.empty() && RandomBelow(2)) return AnswerSpawn(*starting_.begin());
-    if (!calls_.empty() && RandomBelow(2)) return AnswerCall(*calls_.begin());
-    AnswerPoll(RandomInstance());
+  /// Completes a start, a call or a poll, chosen at random.
+  void CompleteRandomAction() {
+    if (!starting_.empty() && RandomBelow(2)) return CompleteSpawn(*starting_.begin());
+    if (!calls_.empty() && RandomBelow(2)) return CompleteCall(*calls_.begin());
+    CompletePoll(RandomInstance());
   }
 
-  void AnswerSpawn(std::string name) {
+  void CompleteSpawn(std::string name) {
     starting_.erase(name);
     if (RandomBelow(5) == 0) return Handle(SpawnFailed{name, "cannot be started"});
     processes_[name] = {++last_pid_, false, false, 0, Time(0)};
     Handle(Spawned{name, last_pid_});
   }
 
-  void AnswerCall(PendingCalls::value_type call) {
+  void CompleteCall(PendingCalls::value_type call) {
     const auto& [name, drain] = call;
     calls_.erase(name);
     Process& process = processes_[name];
@@ -174,7 +174,7 @@
     Handle(CallSucceeded{name});
   }
 
-  void AnswerPoll(const std::string& name) {
+  void CompletePoll(const std::string& name) {
     Process& process = processes_[name];
     if (process.pid == 0) return;
     if (unresponsive_.contains(name)) return Handle(Unresponsive{name, "no answer"});
@@ -199,13 +199,14 @@
     Handle(Exited{name, description});
   }
 
-  /// The agent is killed: what was in flight is lost, what was stored is restored, what runs is adopted.
+  /// Simulates a kill and restart of the agent: calls in flight are lost, stored records are restored,
+  /// running processes are adopted.
   void RestartAgent() {
     ++counts_.restarts;
     FleetController restored(RandomBelow(1000));
     for (const std::string& record : stored_) EXPECT_TRUE(restored.RestoreRecord(record).has_value());
     calls_.clear();
-    // A start that was in flight may have succeeded.
+    // A start in flight may have succeeded.
     for (const std::string& name : starting_) {
       if (RandomBelow(2)) processes_[name] = {++last_pid_, false, false, 0, Time(0)};
     }
@@ -220,7 +221,7 @@
     Handle(Tick{});
   }
 
-  /// Stores the changes, and carries out all actions, also those that follow from a SIGKILL.
+  /// Stores the changes and performs all actions, including those that follow from a SIGKILL.
   void PerformActions() {
     for (std::string& record : controller_.TakeChanges()) stored_.push_back(std::move(record));
     if (stored_.size() > 300) stored_ = controller_.AllRecords();
@@ -249,7 +250,7 @@
 
   void Perform(const Signal& signal) {
     Process& process = processes_[signal.instance];
-    EXPECT_NE(process.pid, 0) << "a signal to none";
+    EXPECT_NE(process.pid, 0) << "a signal without a process";
     if (signal.number == SIGKILL) {
       ++counts_.kills;
       CheckSigkill(signal.instance);
@@ -262,7 +263,7 @@
     }
   }
 
-  /// SIGKILL is sent only by an order's force_after, and after the grace period.
+  /// SIGKILL is sent only for an order with force_after, and after the grace period.
   void CheckSigkill(const std::string& name) {
     for (const OrderState& order : controller_.orders()) {
       for (const InstanceTask& task : order.tasks) {
@@ -277,9 +278,10 @@
     ADD_FAILURE() << "killed without an order";
   }
 
-  /// Those of fleet_controller.h. Orders that have ended before are looked at only at each 100th step.
+  /// Checks the invariants of fleet_controller.h. Orders that ended in an earlier step are checked only at
+  /// each 100th step.
   void CheckInvariants() {
-    std::map<std::string, int> holders;
+    std::map<std::string, int> running_task_counts;
     std::uint64_t last_generation = 0;
     const bool checks_all = ++checks_ % 100 == 0;
     for (const OrderState& order : controller_.orders()) {
@@ -287,7 +289,7 @@
       if (order.ended) ended_orders_.insert(order.order.id);
       EXPECT_GT(order.generation, last_generation);
       last_generation = order.generation;
-      CheckOrder(order, holders);
+      CheckOrder(order, running_task_counts);
     }
     EXPECT_LE(controller_.orders().size(), kMaxOrders + kMaxOrders / 2);
     for (const auto& [name, instance] : controller_.instances()) {
@@ -296,14 +298,14 @@
     }
   }
 
-  void CheckOrder(const OrderState& order, std::map<std::string, int>& holders) {
+  void CheckOrder(const OrderState& order, std::map<std::string, int>& running_task_counts) {
     unsigned running = 0;
     bool all_terminal = true;
     for (const InstanceTask& task : order.tasks) {
       all_terminal = all_terminal && IsTerminal(task.state);
       if (task.state == TaskState::kRunning) {
         ++running;
-        EXPECT_EQ(++holders[task.instance], 1) << "two orders at one instance";
+        EXPECT_EQ(++running_task_counts[task.instance], 1) << "two orders work on one instance";
         CheckDeadline(order.order, task);
       }
       CheckOutcome(order.order, task);
@@ -312,7 +314,7 @@
     EXPECT_TRUE(order.order.max_parallel == 0 || running <= order.order.max_parallel);
   }
 
-  /// A task ends by its deadline, and by what ending its step takes.
+  /// A task ends at its deadline plus the time to end its current step.
   void CheckDeadline(const Order& order, const InstanceTask& task) {
     if (starting_.contains(task.instance) || calls_.contains(task.instance)) return;
     const Time grace_period = order.force_after ? kTerminationGracePeriod : Time(0);
@@ -325,7 +327,7 @@
     const std::string outcome = std::string(TaskStateName(task.state)) + task.message;
     const auto known = outcomes_.find(key);
     if (known != outcomes_.end()) {
-      EXPECT_EQ(known->second, outcome) << "a final result changed";
+      EXPECT_EQ(known->second, outcome) << "the outcome of an ended task changed";
     } else if (IsTerminal(task.state)) {
       EXPECT_FALSE(task.message.empty());
       if (task.state == TaskState::kSuperseded) ++counts_.superseded;
@@ -339,12 +341,12 @@
   Time now_{1000000};
   pid_t last_pid_ = 0;
   int next_order_ = 0;
-  std::vector<Action> actions_;               // not carried out yet
+  std::vector<Action> actions_;               // not performed yet
   std::map<std::string, Process> processes_;  // by instance
   std::set<std::string> starting_;            // instances whose start is in flight
-  std::set<std::string> unresponsive_;        // instances
+  std::set<std::string> unresponsive_;        // instances that do not respond
   PendingCalls calls_;
-  std::vector<std::string> killed_;  // instances whose process has got SIGKILL
+  std::vector<std::string> killed_;  // instances whose process received SIGKILL
   std::vector<std::string> stored_ = controller_.AllRecords();
   std::map<std::string, std::string> outcomes_;  // of ended tasks, by "order/instance"
   std::set<std::string> ended_orders_;           // ids
@@ -357,7 +359,7 @@
   Counts counts;
   std::uint64_t steps = 0;
   for (std::uint64_t seed = GetParam(); seed < GetParam() + 10; ++seed) {
-    Simulation simulation(seed);
+    FleetSimulation simulation(seed);
     for (int i = 0; i < 5000; ++i) {
       simulation.Step();
       ++steps;
@@ -367,7 +369,7 @@
     if (HasFailure()) FAIL() << "seed " << seed << ", at the end";
     counts += simulation.counts();
   }
-  // The schedules reach what they are for.
+  // The schedules must produce the events under test.
   EXPECT_EQ(steps, 50000u);
   EXPECT_GT(counts.accepted, 1000u);
   EXPECT_GT(counts.conflicts, 200u);
--- a/tests/agent/fleet_controller_test.cpp
+++ b/tests/agent/fleet_controller_test.cpp
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-/// The actions of one kind.
+/// The actions of one type, in order.
 template <typename Kind>
 std::vector<Kind> ActionsOf(const std::vector<Action>& actions) {
   std::vector<Kind> found;
@@ -21,7 +21,7 @@
   return found;
 }
 
-/// An order of the author ana, with defaults for the rest.
+/// An order with the author "ana" and defaults for all other members.
 Order MakeOrder(const std::string& id, Verb verb, std::vector<std::string> instances) {
   Order order;
   order.id = id;
@@ -31,10 +31,11 @@
   return order;
 }
 
-/// A controller, the time, and the actions of the newest event. Tests play the instances.
+/// A controller, the current time, and the actions of the latest event. Each test produces the events of the
+/// instances.
 class FleetControllerTest : public ::testing::Test {
  protected:
-  /// Adds `count` instances n1, n2, ... and has them started and ready, by an order "start".
+  /// Adds `count` instances n1, n2, ..., and starts them with an order "start" until they are ready.
   void Start(int count) {
     std::vector<std::string> names;
     for (int i = 1; i <= count; ++i) {
@@ -48,29 +49,29 @@
     }
     ASSERT_TRUE(fleet.FindOrder("start")->ended);
   }
-  /// Submits the order now; `actions` are its actions.
+  /// Submits the order at `now`; its actions are in `actions`.
   ValidationResult Submit(const Order& order) {
     actions.clear();
     return fleet.Submit(now, 0, order, &actions);
   }
-  /// Handles the event now, and returns its actions.
+  /// Handles the event at `now`, and returns its actions.
   const std::vector<Action>& Handle(const Event& event) {
     actions.clear();
     fleet.Handle(now, event, &actions);
     return actions;
   }
-  /// The instance reports its state and its counts of reloads, a millisecond later.
+  /// Advances the time by 1 ms, and reports a state and reload counts of the instance.
   void Observe(const std::string& name, const std::string& state, std::uint64_t applied = 0,
-               std::uint64_t refused = 0) {
+               std::uint64_t rejected = 0) {
     now += Time(1);
-    Observation seen;
-    seen.state = state;
-    seen.reloads_applied = applied;
-    seen.reloads_rejected = refused;
-    seen.reload_error = "seed is not a number";
-    Handle(Observed{name, seen, now});
+    Observation observation;
+    observation.state = state;
+    observation.reloads_applied = applied;
+    observation.reloads_rejected = rejected;
+    observation.reload_error = "seed is not a number";
+    Handle(Observed{name, observation, now});
   }
-  /// Lets time pass, with a Tick at its end.
+  /// Advances the time, then handles a Tick.
   void Wait(int ms) {
     now += Time(ms);
     Handle(Tick{});
@@ -83,7 +84,6 @@
     ADD_FAILURE() << instance;
     return fleet.FindOrder(order)->tasks.front();
   }
-  /// The name of the instance's state.
   std::string StateName(const std::string& name) {
     return std::string(InstanceStateName(fleet.instances().at(name)));
   }
@@ -118,7 +118,7 @@
   Observe("n1", "drained");
   EXPECT_EQ(TaskOf("d", "n1").state, TaskState::kSucceeded);
   EXPECT_FALSE(fleet.NeedsFrequentPolling("n1"));
-  // A drained instance that dies comes back, and is drained again.
+  // A drained instance whose process ends is started and drained again.
   Handle(Exited{"n1", "was killed by signal 9"});
   Wait(250);
   ASSERT_EQ(ActionsOf<Spawn>(actions).size(), 1u);
@@ -135,33 +135,33 @@
   now += Time(1000);
   Order stop = MakeOrder("s", Verb::kStop, {"n2", "n3"});
   stop.author = "bela";
-  const ValidationResult verdict = Submit(stop);
-  EXPECT_EQ(verdict.code, ValidationResult::Code::kConflict);
-  EXPECT_EQ(verdict.conflicting_order, "d");
-  EXPECT_EQ(verdict.message,
+  const ValidationResult result = Submit(stop);
+  EXPECT_EQ(result.code, ValidationResult::Code::kConflict);
+  EXPECT_EQ(result.conflicting_order, "d");
+  EXPECT_EQ(result.message,
             "n2 is held by drain (order d, generation 2) by ana, telling it to drain; wait for it "
             "(badgerbridge-ctl "
             "orders "
             "d), or take over with --supersede");
   EXPECT_TRUE(actions.empty());
   EXPECT_EQ(fleet.FindOrder("s"), nullptr);
-  // One that does not meet it goes on beside it.
+  // An order without common instances is accepted.
   EXPECT_EQ(Submit(MakeOrder("s3", Verb::kStop, {"n3"})).code, ValidationResult::Code::kAccepted);
 }
 
 TEST_F(FleetControllerTest, OrderAgainstAnOldGenerationIsStale) {
   Start(2);
-  const std::uint64_t seen = fleet.generation();
+  const std::uint64_t seen_generation = fleet.generation();
   Submit(MakeOrder("d", Verb::kDrain, {"n1"}));
   Handle(CallSucceeded{"n1"});
   Observe("n1", "drained");
-  Order late = MakeOrder("u", Verb::kUndrain, {"n1"});
-  late.expected_generation = seen;
-  const ValidationResult verdict = Submit(late);
-  EXPECT_EQ(verdict.code, ValidationResult::Code::kStale);
-  EXPECT_NE(verdict.message.find("drain (order d) of ana"), std::string::npos) << verdict.message;
-  late.instances = {"n2"};  // untouched since
-  EXPECT_EQ(Submit(late).code, ValidationResult::Code::kAccepted);
+  Order stale = MakeOrder("u", Verb::kUndrain, {"n1"});
+  stale.expected_generation = seen_generation;
+  const ValidationResult result = Submit(stale);
+  EXPECT_EQ(result.code, ValidationResult::Code::kStale);
+  EXPECT_NE(result.message.find("drain (order d) of ana"), std::string::npos) << result.message;
+  stale.instances = {"n2"};  // not changed since
+  EXPECT_EQ(Submit(stale).code, ValidationResult::Code::kAccepted);
   Order other = MakeOrder("x", Verb::kStop, {"n1"});
   other.expected_generation = 99;
   EXPECT_EQ(Submit(other).code, ValidationResult::Code::kStale);
@@ -180,7 +180,7 @@
   Order restart = MakeOrder("r", Verb::kRestart, {"n1", "n2", "n3"});
   restart.max_parallel = 2;
   Submit(restart);
-  Handle(CallSucceeded{"n1"});  // n1 drains; n2's call is out; n3 waits
+  Handle(CallSucceeded{"n1"});  // n1 is draining; the call to n2 is in flight; n3 is pending
   Order stop = MakeOrder("s", Verb::kStop, {"n1", "n2"});
   stop.author = "bela";
   stop.supersede = true;
@@ -188,7 +188,7 @@
   EXPECT_EQ(TaskOf("r", "n1").state, TaskState::kSuperseded);
   EXPECT_EQ(TaskOf("r", "n1").message,
             "superseded by order s while draining (0 requests open, 0 connections)");
-  EXPECT_EQ(TaskOf("r", "n2").state, TaskState::kRunning) << "its call is out";
+  EXPECT_EQ(TaskOf("r", "n2").state, TaskState::kRunning) << "its call is in flight";
   EXPECT_EQ(TaskOf("r", "n3").message, "not begun: superseded by order s");
   EXPECT_EQ(TaskOf("s", "n1").state, TaskState::kRunning);
   EXPECT_EQ(TaskOf("s", "n2").state, TaskState::kPending);
@@ -270,7 +270,8 @@
   EXPECT_EQ(TaskOf("s", "n1").message, "stopped; killed after 3.7 s, as force_after said");
 }
 
-// It hangs: it does not take the order to drain. The roll goes on to SIGTERM, and only then may it be killed.
+// A hung instance accepts no drain call. force_after skips the drain and sends SIGTERM; SIGKILL follows only
+// after the grace period.
 TEST_F(FleetControllerTest, ForceAfterCutsTheDrainButNotTheGracePeriod) {
   Start(2);
   Order roll = MakeOrder("r", Verb::kRestart, {"n1", "n2"});
@@ -287,13 +288,14 @@
   Handle(CallFailed{"n1", "no answer"});
   Wait(3699);
   EXPECT_TRUE(ActionsOf<Signal>(actions).empty());
-  EXPECT_EQ(TaskOf("r", "n1").state, TaskState::kRunning) << "the deadline waits for the end that it ordered";
+  EXPECT_EQ(TaskOf("r", "n1").state, TaskState::kRunning)
+      << "the deadline is extended for the process to end";
   Wait(1);
   ASSERT_EQ(ActionsOf<Signal>(actions).size(), 1u);
   EXPECT_EQ(ActionsOf<Signal>(actions)[0].number, SIGKILL);
   Handle(Exited{"n1", "was killed by signal 9"});
   ASSERT_EQ(ActionsOf<Spawn>(actions).size(), 1u);
-  // No signal meant for the one that was killed reaches its successor.
+  // The new process must not receive a signal that was meant for the killed one.
   Handle(Spawned{"n1", ++pid});
   Wait(500);
   EXPECT_TRUE(ActionsOf<Signal>(actions).empty());
@@ -301,7 +303,7 @@
   EXPECT_EQ(TaskOf("r", "n1").message, "restarted, ready; killed after 4.7 s, as force_after said");
 }
 
-// A SIGTERM of an earlier order counts: the process has had its time.
+// The grace period starts with the first SIGTERM of the process, even if an earlier order sent it.
 TEST_F(FleetControllerTest, GracePeriodCountsFromTheFirstSigtermOfTheProcess) {
   Start(1);
   Order stop = MakeOrder("s1", Verb::kStop, {"n1"});
@@ -319,7 +321,7 @@
   EXPECT_EQ(ActionsOf<Signal>(actions)[0].number, SIGKILL);
 }
 
-// A new agent can't know whether the SIGTERM of the old one went out.
+// A restarted agent cannot know whether the previous agent sent the SIGTERM.
 TEST_F(FleetControllerTest, RestoredAgentSendsSigtermAgainBeforeSigkill) {
   Start(1);
   Order stop = MakeOrder("s", Verb::kStop, {"n1"});
@@ -389,7 +391,7 @@
   EXPECT_NE(TaskOf("start", "n1").message.find("ROUTER_CONFIG is not set"), std::string::npos);
   Wait(1000000);
   EXPECT_TRUE(ActionsOf<Spawn>(actions).empty());
-  Submit(MakeOrder("again", Verb::kStart, {"n1"}));  // a person may try again
+  Submit(MakeOrder("again", Verb::kStart, {"n1"}));  // an operator may start the instance again
   EXPECT_EQ(ActionsOf<Spawn>(actions).size(), 1u);
 }
 
@@ -407,7 +409,7 @@
   EXPECT_EQ(StateName("n1"), "ready");
 }
 
-TEST_F(FleetControllerTest, ReloadEndsByTheInstancesOwnCounts) {
+TEST_F(FleetControllerTest, ReloadEndsByTheCountsThatTheInstanceReports) {
   Start(2);
   Submit(MakeOrder("r", Verb::kReload, {"n1", "n2"}));
   EXPECT_TRUE(ActionsOf<Signal>(actions).empty());
@@ -436,7 +438,7 @@
     Handle(CallSucceeded{name});
     Observe(name, "drained");
     EXPECT_EQ(fleet.instances().at(name).definition, std::string("definition ") + name)
-        << "not before it stopped";
+        << "the definition changes only after the process has ended";
     Handle(Exited{name, "exited with 0"});
   }
   EXPECT_EQ(fleet.instances().count("n2"), 0u);
@@ -462,9 +464,9 @@
   force.verb = Verb::kStop;
   force.force_after = Time(60000);
   EXPECT_EQ(Submit(force).code, Code::kInvalid);
-  Order endless = MakeOrder("x", Verb::kStop, {"n1"});
-  endless.deadline = Time(0);
-  EXPECT_EQ(Submit(endless).code, Code::kInvalid);
+  Order without_deadline = MakeOrder("x", Verb::kStop, {"n1"});
+  without_deadline.deadline = Time(0);
+  EXPECT_EQ(Submit(without_deadline).code, Code::kInvalid);
   EXPECT_EQ(fleet.generation(), 1u);
 }
 
@@ -489,8 +491,8 @@
 }
 
 TEST_F(FleetControllerTest, MalformedRecordIsAnError) {
-  for (const char* bad : {"", "{", "[]", R"({"order":"x"})", R"({"instance":1})", R"({"generation":"x"})"})
-    EXPECT_EQ(FleetController().RestoreRecord(bad).error().kind, AgentErrorKind::kInvalidRecord) << bad;
+  for (const char* record : {"", "{", "[]", R"({"order":"x"})", R"({"instance":1})", R"({"generation":"x"})"})
+    EXPECT_EQ(FleetController().RestoreRecord(record).error().kind, AgentErrorKind::kInvalidRecord) << record;
 }
 
 }  // namespace
--- a/tests/agent/fleet_file_test.cpp
+++ b/tests/agent/fleet_file_test.cpp
@@ -76,7 +76,7 @@
   }
 }
 
-TEST_F(FleetFileTest, EachProblemIsReportedOnALine) {
+TEST_F(FleetFileTest, EachProblemIsReportedOnItsOwnLine) {
   EXPECT_EQ(Check("x = 1\n"),
             "f:1:1: agent is missing; give an [agent] table\n"
             "f:1:1: x is no key here; known are agent, instance\n");
--- a/tests/agent/store_test.cpp
+++ b/tests/agent/store_test.cpp
@@ -34,7 +34,7 @@
   void Write(const std::string& text) const {
     std::ofstream(path_, std::ios::binary | std::ios::trunc) << text;
   }
-  /// Opens the store at path_; the test fails if that fails.
+  /// Opens the store at path_; throws, and so fails the test, on an error.
   Store Open(std::shared_ptr<Disk> disk = std::make_shared<Disk>()) const {
     return Store::Open(path_, std::move(disk)).value();
   }
@@ -43,28 +43,28 @@
   std::string folder_, path_;
 };
 
-/// Fails one call of a kind, after a number of others.
+/// Fails one call of a kind after a number of successful ones.
 struct FailingDisk : Disk {
-  // Calls of each kind until one fails; 0: none does.
+  // The number of the call that fails, counted from the next one; 0: none.
   int fail_write = 0;
   int fail_sync = 0;
   int fail_truncate = 0;
   int fail_rename = 0;
-  bool partly = false;  // the failing write leaves half of its bytes
+  bool writes_half = false;  // the failing write writes half of its bytes
 
   static std::error_code Error() { return {ENOSPC, std::generic_category()}; }
-  static bool Due(int* left) { return *left > 0 && --*left == 0; }
+  static bool IsDue(int* left) { return *left > 0 && --*left == 0; }
   std::error_code Write(int file, std::string_view bytes) override {
-    if (!Due(&fail_write)) return Disk::Write(file, bytes);
-    if (partly) Disk::Write(file, bytes.substr(0, bytes.size() / 2));
+    if (!IsDue(&fail_write)) return Disk::Write(file, bytes);
+    if (writes_half) Disk::Write(file, bytes.substr(0, bytes.size() / 2));
     return Error();
   }
-  std::error_code Sync(int file) override { return Due(&fail_sync) ? Error() : Disk::Sync(file); }
+  std::error_code Sync(int file) override { return IsDue(&fail_sync) ? Error() : Disk::Sync(file); }
   std::error_code Truncate(int file, std::uint64_t size) override {
-    return Due(&fail_truncate) ? Error() : Disk::Truncate(file, size);
+    return IsDue(&fail_truncate) ? Error() : Disk::Truncate(file, size);
   }
   std::error_code Rename(const std::string& from, const std::string& to) override {
-    return Due(&fail_rename) ? Error() : Disk::Rename(from, to);
+    return IsDue(&fail_rename) ? Error() : Disk::Rename(from, to);
   }
 };
 
@@ -86,17 +86,17 @@
     store.Append({R"({"a":1})"});
     store.Append({R"({"b":2})", R"({"c":3})"});
   }
-  const std::string whole = Read();
-  const std::size_t first = whole.find('\n') + 1;
-  for (std::size_t size = 0; size < whole.size(); ++size) {
-    Write(whole.substr(0, size));
+  const std::string intact = Read();
+  const std::size_t first = intact.find('\n') + 1;
+  for (std::size_t size = 0; size < intact.size(); ++size) {
+    Write(intact.substr(0, size));
     Store store = Open();
     const Texts expected = size < first ? Texts{} : Texts{R"({"a":1})"};
     EXPECT_EQ(store.TakeRecords(), expected) << size;
     EXPECT_EQ(store.dropped_bytes(), size < first ? size : size - first) << size;
-    // And it goes on behind what is whole.
-    const bool tried = size % 16 == 0 || size + 1 == whole.size();
-    EXPECT_TRUE(!tried || store.Append({R"({"d":4})"}).has_value()) << size;
+    // Later batches are appended after the intact ones.
+    const bool appends = size % 16 == 0 || size + 1 == intact.size();
+    EXPECT_TRUE(!appends || store.Append({R"({"d":4})"}).has_value()) << size;
   }
   EXPECT_EQ(Records().back(), R"({"d":4})");
 }
@@ -106,24 +106,24 @@
     Store store = Open();
     for (int i = 0; i < 3; ++i) store.Append({R"({"a":)" + std::to_string(i) + "}"});
   }
-  const std::string whole = Read();
-  const std::size_t first = whole.find('\n') + 1, second = whole.find('\n', first) + 1;
+  const std::string intact = Read();
+  const std::size_t first = intact.find('\n') + 1, second = intact.find('\n', first) + 1;
   for (std::size_t at = first; at < second - 1; ++at) {
-    std::string spoilt = whole;
-    spoilt[at] = static_cast<char>(spoilt[at] ^ 1);
-    if (spoilt[at] == '\n') continue;
-    Write(spoilt);
+    std::string damaged = intact;
+    damaged[at] = static_cast<char>(damaged[at] ^ 1);
+    if (damaged[at] == '\n') continue;
+    Write(damaged);
     const Result<Store> store = Store::Open(path_);
     if (store) FAIL() << "byte " << at;
     EXPECT_EQ(store.error().kind, AgentErrorKind::kStoreDamaged);
     EXPECT_NE(Message(store.error()).find("damaged from byte " + std::to_string(first)), std::string::npos)
         << Message(store.error());
-    EXPECT_EQ(Read(), spoilt) << "nothing is lost by refusing";
+    EXPECT_EQ(Read(), damaged) << "a failed open does not modify the file";
   }
 }
 
 TEST_F(StoreTest, FailedAppendStoresNothingAndTheNextSucceeds) {
-  for (const bool partly : {false, true}) {
+  for (const bool writes_half : {false, true}) {
     for (const char* which : {"write", "sync"}) {
       std::filesystem::remove(path_);
       const auto disk = std::make_shared<FailingDisk>();
@@ -131,7 +131,7 @@
         Store store = Open(disk);
         ASSERT_TRUE(store.Append({R"({"a":1})"}).has_value());
         (which[0] == 'w' ? disk->fail_write : disk->fail_sync) = 1;
-        disk->partly = partly;
+        disk->writes_half = writes_half;
         EXPECT_FALSE(store.Append({R"({"lost":1})"}).has_value());
         ASSERT_TRUE(store.last_error());
         EXPECT_NE(Message(*store.last_error()).find("No space left"), std::string::npos)
@@ -139,7 +139,7 @@
         EXPECT_TRUE(store.Append({R"({"b":2})"}).has_value());
         EXPECT_FALSE(store.last_error());
       }
-      EXPECT_EQ(Records(), (Texts{R"({"a":1})", R"({"b":2})"})) << which << partly;
+      EXPECT_EQ(Records(), (Texts{R"({"a":1})", R"({"b":2})"})) << which << writes_half;
     }
   }
 }
@@ -150,7 +150,7 @@
     Store store = Open(disk);
     ASSERT_TRUE(store.Append({R"({"a":1})"}).has_value());
     disk->fail_write = 1;
-    disk->partly = true;
+    disk->writes_half = true;
     disk->fail_truncate = 1;
     EXPECT_FALSE(store.Append({R"({"lost":1})"}).has_value());
     disk->fail_truncate = 1;
@@ -178,23 +178,23 @@
     EXPECT_TRUE(store.Compact({R"({"all":1})"}).has_value());
     EXPECT_TRUE(store.Append({R"({"c":3})"}).has_value());
     EXPECT_EQ(Store::Open(path_).error().kind, AgentErrorKind::kStoreInUse)
-        << "the new file is locked as the old one was";
+        << "the new file must be locked like the old one";
   }
   EXPECT_EQ(Records(), (Texts{R"({"all":1})", R"({"c":3})"}));
 }
 
-TEST_F(StoreTest, GrownFileWantsCompaction) {
+TEST_F(StoreTest, GrownFileNeedsCompaction) {
   Store store = Open();
   const std::string record = "\"" + std::string(65536, 'x') + "\"";
   int appended = 0;
-  while (!store.WantsCompaction() && appended < 1000) {
+  while (!store.NeedsCompaction() && appended < 1000) {
     EXPECT_TRUE(store.Append({record}).has_value());
     ++appended;
   }
   EXPECT_GT(appended, 12);
   EXPECT_LT(appended, 20);
   EXPECT_TRUE(store.Compact({record}).has_value());
-  EXPECT_FALSE(store.WantsCompaction());
+  EXPECT_FALSE(store.NeedsCompaction());
   EXPECT_LT(store.size(), 70000u);
 }
 
@@ -209,7 +209,7 @@
 }
 
 TEST_F(StoreTest, FullDeviceFailsTheWrite) {
-  // /dev/full takes nothing: a write to it fails with ENOSPC.
+  // Every write to /dev/full fails with ENOSPC.
   const FileDescriptor full(open("/dev/full", O_WRONLY));
   if (!full.is_open()) GTEST_SKIP() << "no /dev/full here";
   Disk disk;
