--- a/src/proxy/backend_attempt.cpp
+++ b/src/proxy/backend_attempt.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The exchange of one attempt on a connection to a backend: from its begin to its end.
+// One attempt on a connection to a backend: sends the request and reads the response.
 #include <algorithm>
 #include <boost/asio/post.hpp>
 #include <boost/beast/http.hpp>
@@ -14,14 +14,15 @@
 namespace http = boost::beast::http;
 namespace {
 
-constexpr int kTurnsToHandleList =
-    4;  // from the read of an endpoint list to the end of its handling, and more
-constexpr int kMaxPostponedTurns = 20;  // of the event loop, each of which handles up to 128 descriptors
+// Event loop iterations that are enough to handle an endpoint list after it has been read.
+constexpr int kIterationsToHandleList = 4;
+// Each iteration of the event loop handles up to 128 descriptors.
+constexpr int kMaxPostponedIterations = 20;
 
 }  // namespace
 
-// Called at the end of a write. Without memory for one of its later steps the operation is destroyed without
-// a call: whether the last byte has been written is not known then.
+// Called when a write ends. If memory runs out between two steps of the write, Asio destroys the handler
+// without calling it; then it is unknown whether the last byte was written.
 class BackendPool::Connection::WriteHandler {
  public:
   explicit WriteHandler(std::shared_ptr<Connection> connection) : connection_(std::move(connection)) {}
@@ -44,28 +45,28 @@
   attempt_ = std::move(attempt);
   outcome_if_unwritten_ = Outcome::kConnectFailed;
   attempt_number_ = ++pool_->attempt_count_;
-  postponed_turns_ = 0;
-  turns_to_postpone_ = 0;
+  postponed_iterations_ = 0;
+  iterations_to_postpone_ = 0;
   attempt_started_at_ = pool_->clock_.Now();
 }
 
-// A drain that discovery has sent and nobody has read yet comes first. What has just been read is handled
-// within some further turns of the event loop.
+// Postpones the attempt while an endpoint list from discovery is unread, since it may drain this backend. A
+// list that has just been read is handled within a few more iterations of the event loop.
 void BackendPool::Connection::Begin() {
   const bool has_unread_list = pool_->has_unread_list_ && pool_->has_unread_list_();
-  if (has_unread_list) turns_to_postpone_ = kTurnsToHandleList;
-  const bool may_postpone = turns_to_postpone_ > 0 && postponed_turns_ < kMaxPostponedTurns;
+  if (has_unread_list) iterations_to_postpone_ = kIterationsToHandleList;
+  const bool may_postpone = iterations_to_postpone_ > 0 && postponed_iterations_ < kMaxPostponedIterations;
   if (may_postpone) {
-    if (!has_unread_list) --turns_to_postpone_;
+    if (!has_unread_list) --iterations_to_postpone_;
     return PostponeBegin();
   }
-  // Meanwhile the connection may have been closed, or the backend have sent unsolicited bytes.
-  if (postponed_turns_ > 0 && CheckStale()) return End(Outcome::kConnectFailed);
+  // While the attempt was postponed, the backend may have closed the connection or sent unsolicited bytes.
+  if (postponed_iterations_ > 0 && CheckStale()) return End(Outcome::kConnectFailed);
   Write();
 }
 
 void BackendPool::Connection::PostponeBegin() {
-  ++postponed_turns_;
+  ++postponed_iterations_;
   SetTimer(std::min(attempt_.deadline, attempt_.begin_before));
   asio::post(pool_->io_, [self = shared_from_this(), number = attempt_number_] {
     if (self->state_ != State::kStarting || self->attempt_number_ != number) return;
@@ -73,10 +74,9 @@
   });
 }
 
-// The one place that decides whether the attempt may still be sent, when its first byte is about to be
-// written: the connection may have taken its time to come up, this process may have been descheduled, and
-// what the client did meanwhile may be unhandled at its socket. Returns nothing if it may, else how the
-// attempt ends.
+// Decides, just before the first byte is written, whether the attempt may still be sent: connecting may have
+// been slow, this process may have been descheduled, and the client may have disconnected without the event
+// having been handled yet. Returns nullopt if the attempt may be sent, otherwise its outcome.
 std::optional<Outcome> BackendPool::Connection::OutcomeIfNotSendable(TimePoint now) const {
   if (!pool_->AcceptsRequests(backend_, address_)) return Outcome::kConnectFailed;
   if (now >= attempt_.deadline || now >= attempt_.begin_before) return Outcome::kConnectFailed;
@@ -84,7 +84,7 @@
   return std::nullopt;
 }
 
-// All that needs no check comes first, so that little stands between the check and the first byte.
+// Composes the message before the check, to keep the time between the check and the first byte short.
 void BackendPool::Connection::Write() {
   Compose();
   const TimePoint now = pool_->clock_.Now();
@@ -95,7 +95,7 @@
   write_pending_ = true;
   http::async_write(socket_, message_, WriteHandler(shared_from_this()));
   write_started_ = true;
-  // The request counts at the backend when its last byte has come.
+  // The backend runs the request once it has received the last byte, so the timer bounds the whole write.
   SetTimer(std::min(attempt_.deadline, attempt_.begin_before));
   ParseOrRead();
 }
@@ -110,7 +110,7 @@
 
 void BackendPool::Connection::OnWritten(beast::error_code error) {
   if (state_ == State::kAborting) {
-    // Aborted while the write was pending. Only now is it known whether the last byte was written.
+    // The attempt was aborted while the write was pending; the end of the write decides the outcome.
     End(error ? outcome_if_unwritten_ : outcome_if_written_);
   } else if (state_ == State::kWriting) {
     if (error) return End(Outcome::kConnectFailed);
@@ -146,8 +146,8 @@
   }
 }
 
-// A backend sends a response in one go: one that stops short, on a connection that stays open, will not
-// become complete, and the client's time is better spent on another attempt.
+// Backends send a response in one piece. A partial response on an open connection is unlikely to be
+// completed, so the wait for the rest is short and leaves time for another attempt.
 void BackendPool::Connection::OnIncompleteResponse() {
   response_stalled_ = state_ == State::kAwaitingResponse;
   if (response_stalled_)
@@ -164,22 +164,22 @@
 void BackendPool::Connection::OnResponse() {
   BackendResponse& response = reader_.response();
   const unsigned status = response.result_int();
-  const bool has_certain_end = HasCertainEnd(response);
-  // Bytes that came before the request was complete are no response to it.
-  if (state_ == State::kWriting || status < 200 || (status == 200 && !has_certain_end))
+  const bool has_explicit_end = HasExplicitEnd(response);
+  // A response received before the request was completely written cannot be a response to it.
+  if (state_ == State::kWriting || status < 200 || (status == 200 && !has_explicit_end))
     return Abort(Outcome::kReset);
   AttemptResult result = DecodeBackendResponse(response, pool_->records_load_reports_);
-  // Bytes behind a good response belong to no request; the response stands.
-  const bool has_bytes_behind = reader_.HasUnparsedBytes();
-  if (has_bytes_behind) pool_->last_unsolicited_at_ = pool_->clock_.Now();
-  const bool is_reusable = has_certain_end && response.keep_alive() && !has_bytes_behind && !CheckStale();
+  // Bytes after a valid response are unsolicited; the response itself is still used.
+  const bool has_trailing_bytes = reader_.HasUnparsedBytes();
+  if (has_trailing_bytes) pool_->last_unsolicited_at_ = pool_->clock_.Now();
+  const bool is_reusable = has_explicit_end && response.keep_alive() && !has_trailing_bytes && !CheckStale();
   Complete(std::move(result), is_reusable);
 }
 
 void BackendPool::Connection::Complete(AttemptResult result, bool is_reusable) {
   const AttemptCallback on_end = std::exchange(attempt_.on_end, nullptr);
   ReleaseAttempt();
-  on_end(std::move(result));  // first: what follows may fail
+  on_end(std::move(result));  // before the steps below, which may fail
   if (is_reusable) {
     pool_->AddIdle(shared_from_this());
   } else {
@@ -187,7 +187,7 @@
   }
 }
 
-// An idle connection holds nothing of the last request.
+// Frees the memory of the last request and response, so that an idle connection holds none.
 void BackendPool::Connection::ReleaseAttempt() {
   reader_.Release();
   message_.clear();
@@ -197,18 +197,18 @@
 }
 
 void BackendPool::Connection::OnAttemptTimeout() {
-  // The response, or its rest, may have come in time and not been read yet.
+  // The response or the rest of it may have arrived in time and still be unread in the socket.
   if (read_grace_.ShouldPostpone(socket_))
     return SetTimer(pool_->clock_.Now() + net::ReadTimeoutGrace::kRecheckInterval);
   if (response_stalled_) return Abort(Outcome::kReset);
-  // A backend that sends nothing may be a machine that has vanished: then its idle connections are as dead.
+  // If the host of the backend has disappeared, its idle connections are dead as well.
   pool_->CloseIdleSince(backend_, attempt_started_at_);
   Abort(Outcome::kTimeout);
 }
 
-// The attempt has failed at the backend's side. While the write is pending, its handler alone knows whether
-// the complete request was written: to call that "not sent" would let a request that is not idempotent run
-// twice.
+// Ends an attempt that has failed. While the write is pending, the outcome is decided by the write handler,
+// which learns whether the complete request was written: reporting such an attempt as not sent could run a
+// request that is not idempotent twice.
 void BackendPool::Connection::Abort(Outcome outcome) {
   if (state_ != State::kWriting || !write_pending_) return End(outcome);
   outcome_if_written_ = outcome;
--- a/src/proxy/backend_codec.cpp
+++ b/src/proxy/backend_codec.cpp
@@ -10,8 +10,8 @@
 namespace http = boost::beast::http;
 namespace {
 
-constexpr std::size_t kMaxLoadReportBytes = 200;  // the rest of an X-Backend-Load is cut off
-constexpr unsigned kHttpVersion = 11;             // as Beast writes HTTP/1.1
+constexpr std::size_t kMaxLoadReportBytes = 200;  // a longer X-Backend-Load is truncated
+constexpr unsigned kHttpVersion = 11;             // HTTP/1.1 in Beast's notation
 
 }  // namespace
 
@@ -33,7 +33,7 @@
   message.set("X-Time-Left-Ms", std::to_string(static_cast<long>(std::ceil(time_left.count()))));
 }
 
-bool HasCertainEnd(const BackendResponse& response) {
+bool HasExplicitEnd(const BackendResponse& response) {
   const auto lengths = response.count(http::field::content_length);
   const auto codings = response.count(http::field::transfer_encoding);
   if (lengths + codings != 1) return false;
@@ -65,7 +65,7 @@
 void BackendResponseReader::Begin() {
   interim_responses_ = 0;
   BeginNextResponse();
-  buffer_.prepare(kMaxReadBytes);  // once the request is written, its response must be read
+  buffer_.prepare(kMaxReadBytes);  // may throw here, but not once the request is written
 }
 
 void BackendResponseReader::BeginNextResponse() {
@@ -92,13 +92,13 @@
     buffer_.consume(parser_->put(buffer_.data(), error));
     if (error == http::error::need_more) error = {};
   }
-  // A response of which a part was read is none, nor is a chunk with a head that does not end.
+  // A truncated response is invalid, and so is a chunk whose header fills the buffer.
   if (error || buffer_.size() == buffer_.max_size()) return Status::kInvalid;
   if (!parser_->is_done()) return Status::kIncomplete;
   return IsInterim() ? Status::kInterim : Status::kComplete;
 }
 
-// One behind more than kMaxInterimResponses is taken as final.
+// After kMaxInterimResponses interim responses, the next response counts as final whatever its status.
 bool BackendResponseReader::IsInterim() {
   const unsigned status = parser_->get().result_int();
   if (status < 100 || status >= 200 || status == 101) return false;
--- a/src/proxy/backend_codec.h
+++ b/src/proxy/backend_codec.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The HTTP/1.1 messages between the proxy and a backend (RFC 9112), and the platform's headers in them. No
-// I/O.
+// Encodes requests to backends and decodes their responses: HTTP/1.1 (RFC 9112) with the platform's headers.
+// No I/O.
 #ifndef BADGERBRIDGE_PROXY_BACKEND_CODEC_H_
 #define BADGERBRIDGE_PROXY_BACKEND_CODEC_H_
 
@@ -28,50 +28,51 @@
   std::string account;          ///< X-Account; empty: none
 };
 
-/// How one attempt ended.
+/// The result of one attempt.
 struct AttemptResult {
   Outcome outcome = Outcome::kUnknown;  ///< for the decision module
   std::string body;                     ///< of a response with status 200
   std::string content_type;             ///< of a response with status 200
-  std::string load_report = {};         ///< X-Backend-Load of a complete response, if it is recorded
+  std::string load_report = {};         ///< X-Backend-Load of a complete response; empty unless recorded
 };
 
-/// A request to a backend, as Beast writes it. Its body refers to the body of the ForwardedRequest.
+/// A request to a backend. Its body is a view of the body of the ForwardedRequest.
 using BackendRequest = boost::beast::http::request<boost::beast::http::span_body<const char>>;
 
 /// A response of a backend.
 using BackendResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-/// Sets all of `message` but the time that is left. `request` must outlive the body of `message`.
+/// Sets all of `message` except X-Time-Left-Ms. `request` must outlive the body of `message`.
 void ComposeBackendRequest(const ForwardedRequest& request, BackendRequest& message);
 
 /// Sets X-Time-Left-Ms, rounded up to whole milliseconds.
 void SetTimeLeft(Duration time_left, BackendRequest& message);
 
-/// Whether the end of a response is certain: it has exactly one length, or is chunked. Beast takes an unknown
-/// transfer coding as none, and a response without a length as lasting to the end of the connection, where a
-/// broken connection looks the same as a complete response (RFC 9112, section 8).
-bool HasCertainEnd(const BackendResponse& response);
+/// Whether the end of a response is explicit: it has exactly one Content-Length or is chunked. Beast ignores
+/// an unknown transfer coding and reads a response without a length until the connection closes, which makes
+/// a broken connection look like a complete response (RFC 9112, section 8).
+bool HasExplicitEnd(const BackendResponse& response);
 
-/// What a final response means for its attempt. Moves the body out of a response with status 200.
+/// Maps a final response to the result of its attempt. Moves the body out of a response with status 200.
 AttemptResult DecodeBackendResponse(BackendResponse& response, bool record_load_report);
 
-/// Reads one response from the bytes of a connection, past the interim responses ahead of it. Beast's own
-/// read operations are not used: they do not tell that a head has begun until all of it is there.
+/// Parses one response from the bytes of a connection and skips the interim responses before it. Beast's read
+/// operations are not used because they don't report a partial header.
 class BackendResponseReader {
  public:
-  /// What the bytes that have come so far are.
+  /// The state of the response after the bytes read so far.
   enum class Status {
     kIncomplete,  ///< more bytes are needed
     kInterim,     ///< an interim response (1xx) is complete: BeginNextResponse(), then parse again
     kComplete,    ///< the final response is complete
-    kInvalid,     ///< no response, a truncated one, or one that is too large
+    kInvalid,     ///< not an HTTP response, truncated, or too large
   };
 
-  /// Begins the response to a new request, and takes the memory for its first read. Throws std::bad_alloc.
+  /// Prepares for the response to a new request and allocates the memory for the first read. Throws
+  /// std::bad_alloc.
   void Begin();
 
-  /// Begins the response that follows an interim one.
+  /// Prepares for the response that follows an interim one.
   void BeginNextResponse();
 
   /// Releases all memory. Begin() must be called before the next use.
@@ -80,16 +81,16 @@
   /// The memory for the next read from the connection.
   boost::asio::mutable_buffer PrepareRead();
 
-  /// `byte_count` bytes have been read into the memory that PrepareRead() gave.
+  /// Adds the `byte_count` bytes that have been read into the memory from PrepareRead().
   void CommitRead(std::size_t byte_count) { buffer_.commit(byte_count); }
 
-  /// Parses what has been read. `error`: how the last read ended.
+  /// Parses the bytes read so far. `error`: the result of the last read.
   Status Parse(boost::beast::error_code error);
 
-  /// Whether bytes stand behind what has been parsed.
+  /// Whether the buffer holds bytes that have not been parsed.
   bool HasUnparsedBytes() const { return buffer_.size() > 0; }
 
-  /// The response that Parse() has found complete.
+  /// The response; valid after Parse() has returned kInterim or kComplete.
   BackendResponse& response() { return parser_->get(); }
 
  private:
@@ -97,7 +98,7 @@
 
   static constexpr std::size_t kMaxBodyBytes = 64 << 10;
   static constexpr std::size_t kMaxHeaderBytes = 16 << 10;
-  static constexpr std::size_t kMaxReadBytes = 4096;  // of one read
+  static constexpr std::size_t kMaxReadBytes = 4096;  // per read
   static constexpr int kMaxInterimResponses = 16;
 
   boost::beast::flat_buffer buffer_{kMaxHeaderBytes + kMaxBodyBytes};
--- a/src/proxy/backend_connection.cpp
+++ b/src/proxy/backend_connection.cpp
@@ -11,9 +11,9 @@
 using asio::ip::tcp;
 namespace {
 
-constexpr double kMaxIdleFraction =
-    0.75;  // of the backend's idle timeout: closed before the backend may close it
-constexpr double kMaxConnectFraction = 0.25;  // of an attempt's time
+// Closes an idle connection before the backend closes it.
+constexpr double kMaxFractionOfIdleTimeout = 0.75;
+constexpr double kMaxConnectFractionOfAttempt = 0.25;
 
 }  // namespace
 
@@ -28,22 +28,23 @@
 }
 
 void BackendPool::Connection::StartConnecting() {
-  // Most of the client's time must be left for another backend, or for the client to send it elsewhere.
+  // Leaves most of the time for an attempt on another backend, or for the client to use another proxy.
   const Duration time_left = attempt_.deadline - attempt_started_at_;
-  SetTimer(attempt_started_at_ + std::min(pool_->limits_.connect_timeout, time_left * kMaxConnectFraction));
+  SetTimer(attempt_started_at_ +
+           std::min(pool_->limits_.connect_timeout, time_left * kMaxConnectFractionOfAttempt));
   pool_->connector_(socket_, address_, [self = shared_from_this()](beast::error_code error) {
     self->RunStep([&] { self->OnConnected(error); });
   });
 }
 
 void BackendPool::Connection::OnConnected(beast::error_code error) {
-  if (state_ != State::kStarting) return;  // ended meanwhile
-  // Without a descriptor of its own the attempt was never sent, through no fault of the backend.
+  if (state_ != State::kStarting) return;  // the attempt has ended
+  // The proxy has run out of file descriptors: nothing was sent, and the backend is not at fault.
   if (error == asio::error::no_descriptors) return End(Outcome::kNotSent);
   if (error) return End(Outcome::kConnectFailed);
   socket_.set_option(tcp::no_delay(true), error);
   socket_.non_blocking(true, error);
-  // Closed before the first byte, the backend never had the request.
+  // The backend has closed the connection before the first byte, so it has not received the request.
   if (CheckStale()) return End(Outcome::kConnectFailed);
   Begin();
 }
@@ -65,13 +66,13 @@
   state_ = State::kIdle;
   idle_since_ = pool_->clock_.Now();
   RunStep([this] {
-    SetTimer(idle_since_ + pool_->limits_.idle_timeout * kMaxIdleFraction);
+    SetTimer(idle_since_ + pool_->limits_.idle_timeout * kMaxFractionOfIdleTimeout);
     AwaitInput();
   });
 }
 
 void BackendPool::Connection::AwaitInput() {
-  if (has_input_wait_) return;  // of an earlier idle time; the response should have ended it
+  if (has_input_wait_) return;  // a wait from an earlier idle period is still pending
   socket_.async_wait(tcp::socket::wait_read,
                      [self = shared_from_this()](beast::error_code error) { self->OnInput(error); });
   has_input_wait_ = true;
@@ -80,18 +81,18 @@
 void BackendPool::Connection::OnInput(beast::error_code error) {
   has_input_wait_ = false;
   if (state_ == State::kIdle && (error || CheckStale())) Close();
-  // A spurious wake-up.
+  // Still idle: a spurious wake-up.
   if (state_ == State::kIdle) RunStep([this] { AwaitInput(); });
 }
 
 void BackendPool::Connection::Cancel(std::uint64_t attempt_number) {
-  if (attempt_number != attempt_number_) return;  // it has ended, and the connection has another
+  if (attempt_number != attempt_number_) return;  // it has ended; the connection runs a later attempt
   if (state_ == State::kStarting) return End(Outcome::kConnectFailed);
   if (state_ == State::kWriting || state_ == State::kAwaitingResponse) Abort(Outcome::kCancelled);
 }
 
-// While the write is pending, its handler alone knows whether the last byte was written; until it has been,
-// the backend does not begin.
+// A backend starts a request only after the last byte. While the write is pending, its handler decides
+// whether the last byte was written.
 void BackendPool::Connection::Withdraw(std::uint64_t attempt_number) {
   if (attempt_number != attempt_number_) return;
   if (state_ == State::kStarting) return End(Outcome::kNotSent);
@@ -115,13 +116,14 @@
 }
 
 void BackendPool::Connection::OnStepFailed(const std::exception& error) noexcept {
-  std::cerr << "a connection to a backend failed: " << error.what() << '\n';
+  std::cerr << "cannot continue on a connection to a backend, ending the attempt or closing the connection: "
+            << error.what() << '\n';
   switch (state_) {
     case State::kStarting:
       return End(Outcome::kNotSent);
     case State::kWriting:
     case State::kAwaitingResponse:
-      // Where no write was begun, nothing has been sent.
+      // Without a started write, nothing has been sent.
       return Abort(write_started_ ? Outcome::kReset : Outcome::kNotSent);
     case State::kIdle:
       return Close();
--- a/src/proxy/backend_connection.h
+++ b/src/proxy/backend_connection.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A connection to a backend and the attempt on it. Only the pool (proxy/backend_pool.cpp) uses it.
-// backend_connection.cpp has the connection's life, backend_attempt.cpp the exchange of an attempt.
+// backend_connection.cpp implements connecting, idling and closing, backend_attempt.cpp an attempt.
 #ifndef BADGERBRIDGE_PROXY_BACKEND_CONNECTION_H_
 #define BADGERBRIDGE_PROXY_BACKEND_CONNECTION_H_
 
@@ -20,8 +20,9 @@
 
 namespace badgerbridge::proxy {
 
-/// One connection to a backend, with one attempt at a time. While it is idle, whatever can be read ends it:
-/// the backend has closed it, or has sent bytes that are unsolicited and must not become the next response.
+/// One connection to a backend, with one attempt at a time. An idle connection is closed as soon as it
+/// becomes readable: the backend has either closed it or sent unsolicited bytes, which must not be parsed as
+/// the response to the next request.
 ///
 ///     Connect()
 ///         │
@@ -30,7 +31,7 @@
 ///         │ first byte                             │
 ///         ▼                            response    │
 ///     kWriting ─ last byte ─► kAwaitingResponse ─► kIdle
-///         │ abort, while the write is under way    │
+///         │ abort while the write is pending       │
 ///         ▼                                        │
 ///     kAborting ─ end of the write ─► kClosed ◄────┘ (and from every state)
 ///
@@ -38,16 +39,16 @@
 /// event loop's thread only. The pool must outlive all operations.
 class BackendPool::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  /// One attempt, as the pool hands it over.
+  /// One attempt to run on the connection.
   struct Attempt {
-    std::shared_ptr<const ForwardedRequest> request;  ///< what is sent
-    std::shared_ptr<Requester> requester;             ///< the client; may be none
-    TimePoint deadline{};                             ///< when the attempt ends as timed out
-    TimePoint begin_before{};                         ///< by when its last byte must be written
+    std::shared_ptr<const ForwardedRequest> request;  ///< the request to send
+    std::shared_ptr<Requester> requester;             ///< the client; may be null
+    TimePoint deadline{};                             ///< when the attempt times out
+    TimePoint begin_before{};                         ///< when its last byte must have been written
     AttemptCallback on_end;                           ///< called exactly once
   };
 
-  /// Not connected yet. Counts as open from here on.
+  /// Creates an unconnected connection, which counts as open in the pool until Close().
   Connection(BackendPool& pool, BackendId backend, boost::asio::ip::tcp::endpoint address);
 
   /// The backend it belongs to.
@@ -56,39 +57,40 @@
   const boost::asio::ip::tcp::endpoint& address() const { return address_; }
   /// When it last became idle.
   TimePoint idle_since() const { return idle_since_; }
-  /// The number of the attempt on it, or of the last one; unique in the pool.
+  /// The number of the current or last attempt on this connection; unique in the pool.
   std::uint64_t attempt_number() const { return attempt_number_; }
 
-  /// Opens the connection for an attempt.
+  /// Opens the connection and runs an attempt on it.
   void Connect(Attempt attempt);
-  /// Begins an attempt on an idle connection that the pool has taken out of its list.
+  /// Runs an attempt on an idle connection that the pool has removed from its list of idle connections.
   void Reuse(Attempt attempt);
-  /// Keeps the connection for the next attempt. May close it at once.
+  /// Keeps the connection open for the next attempt. May close it before returning.
   void BecomeIdle();
-  /// Ends an attempt that has not ended as cancelled, or as could not connect if it has not begun. Does
-  /// nothing if the connection has another attempt by now.
+  /// Ends the attempt with kCancelled, or with kConnectFailed if its last byte has not been written. Does
+  /// nothing if the attempt has ended.
   void Cancel(std::uint64_t attempt_number);
-  /// Ends an attempt of which not all has been written as not sent. One that has been written goes on.
+  /// Ends the attempt with kNotSent unless its last byte has been written; otherwise the attempt continues.
   void Withdraw(std::uint64_t attempt_number);
-  /// Closes the connection; does nothing if it is closed.
+  /// Closes the connection; does nothing if it is already closed. Does not end the attempt.
   void Close();
-  /// Whether the backend has closed the connection, or has sent unsolicited bytes, of which no handler knows
-  /// yet. For a connection without an attempt that has begun. Asks the socket; notes unsolicited bytes in the
-  /// pool.
+  /// Whether the backend has closed the connection or sent unsolicited bytes. Checks the socket itself, as
+  /// the handler may not have run yet, and records the time of unsolicited bytes in the pool. Must not be
+  /// called between the first byte of a request and the end of its response.
   bool CheckStale();
 
  private:
   enum class State {
-    kStarting,          // connecting, or about to begin on a connection that was idle
+    kStarting,          // connecting, or about to write the request
     kWriting,           // from the first byte of the request to its last
     kAwaitingResponse,  // the request is written
     kIdle,              // no attempt
-    kAborting,          // the attempt has failed; the end of its write is awaited
+    kAborting,          // the attempt has failed; waiting for its write to end
     kClosed,
   };
   class WriteHandler;
 
-  // Runs one step of a handler. If it throws, std::bad_alloc say, the attempt ends as what is known of it.
+  // Runs one step of a handler. If it throws (std::bad_alloc, for example), ends the attempt with the outcome
+  // that fits how far it got.
   template <typename Step>
   void RunStep(Step step) noexcept {
     try {
@@ -99,7 +101,7 @@
   }
   void OnStepFailed(const std::exception& error) noexcept;
 
-  // The connection's life.
+  // Connecting, idling and closing.
   void StartConnecting();
   void OnConnected(boost::beast::error_code error);
   void AwaitInput();
@@ -108,13 +110,13 @@
   void OnTimer();
   void CloseSocket();
 
-  // An attempt, up to its first byte.
+  // The attempt before its first byte.
   void SetAttempt(Attempt attempt);
   void Begin();
   void PostponeBegin();
   std::optional<Outcome> OutcomeIfNotSendable(TimePoint now) const;
 
-  // Its exchange.
+  // Sending the request and reading the response.
   void Write();
   void Compose();
   void OnWritten(boost::beast::error_code error);
@@ -125,7 +127,7 @@
   void OnInterimResponse();
   void OnResponse();
 
-  // Its end.
+  // The end of the attempt.
   void OnAttemptTimeout();
   void Complete(AttemptResult result, bool is_reusable);
   void ReleaseAttempt();
@@ -139,22 +141,22 @@
   net::OneShotTimer timer_;
   State state_ = State::kStarting;
   TimePoint idle_since_{};
-  bool has_input_wait_ = false;  // a wait of the idle connection is pending
+  bool has_input_wait_ = false;  // waiting for the idle connection to become readable
 
   Attempt attempt_;
   std::uint64_t attempt_number_ = 0;
   TimePoint attempt_started_at_{};
-  int postponed_turns_ = 0;                                 // of the event loop, so far
-  int turns_to_postpone_ = 0;                               // still to come
-  bool write_started_ = false;                              // of this attempt
-  bool write_pending_ = false;                              // started and not ended
-  Outcome outcome_if_written_ = Outcome::kUnknown;          // in kAborting, if all was written
-  Outcome outcome_if_unwritten_ = Outcome::kConnectFailed;  // in kAborting, if not all was written
+  int postponed_iterations_ = 0;    // iterations of the event loop that the attempt has waited
+  int iterations_to_postpone_ = 0;  // iterations that it still has to wait
+  bool write_started_ = false;      // the write of the current attempt
+  bool write_pending_ = false;      // started and not ended
+  Outcome outcome_if_written_ = Outcome::kUnknown;          // in kAborting, if the last byte was written
+  Outcome outcome_if_unwritten_ = Outcome::kConnectFailed;  // in kAborting, if it was not
 
   BackendRequest message_;
   BackendResponseReader reader_;
-  bool response_stalled_ =
-      false;  // a part of the response has come, and the timer bounds the wait for the rest
+  // A part of the response has been received, and the timer bounds the wait for the rest.
+  bool response_stalled_ = false;
   net::ReadTimeoutGrace read_grace_;
 };
 
--- a/src/proxy/backend_pool.cpp
+++ b/src/proxy/backend_pool.cpp
@@ -16,9 +16,10 @@
 using asio::ip::tcp;
 namespace {
 
-constexpr Duration kUnsolicitedMemory{60000};  // what one backend does, others of its make may do too
+// Unsolicited bytes from one backend affect all backends for this time, as others may run the same software.
+constexpr Duration kUnsolicitedBytesWindow{60000};
 
-// The callback of an attempt, and the memory that its call takes.
+// The callback of an attempt, with preallocated memory for posting it.
 struct Completion {
   explicit Completion(BackendPool::AttemptCallback callback) : on_end(std::move(callback)) {}
 
@@ -52,7 +53,7 @@
   for (const Endpoint& endpoint : list.endpoints) UpdateBackend(endpoint);
 }
 
-// A backend that is gone is sent nothing more. Attempts that are in flight have what they need.
+// Attempts in flight on removed backends continue: their connections do not depend on the entry in backends_.
 void BackendPool::RemoveUnlisted(const EndpointList& snapshot) {
   std::unordered_set<BackendId> listed;
   for (const Endpoint& endpoint : snapshot.endpoints) listed.insert(endpoint.entry.server);
@@ -89,29 +90,28 @@
   for (const auto& connection : std::exchange(backend.idle, {})) connection->Close();
 }
 
-// Closes the connections of a backend that have been idle since before a time: nothing has come on them
-// since.
+// Closes the connections of a backend that became idle before `before`.
 void BackendPool::CloseIdleSince(BackendId backend, TimePoint before) {
   const auto found = backends_.find(backend);
   if (found == backends_.end()) return;
-  const auto idle = found->second.idle;  // a copy: each removes itself
+  const auto idle = found->second.idle;  // a copy, because Close() removes the connection from the list
   for (const auto& connection : idle) {
     if (connection->idle_since() < before) connection->Close();
   }
 }
 
-// The grace period after a drain is not used: the notification may have been on its way for long, and what
-// has not begun can be sent elsewhere.
+// Does not use the grace period after a drain: the notification may have been delayed, and an attempt that
+// has not begun can be sent to another backend.
 bool BackendPool::AcceptsRequests(BackendId backend, const tcp::endpoint& address) const {
   const auto found = backends_.find(backend);
   return found != backends_.end() && found->second.IsReadyAt(address);
 }
 
-// The newest that has been idle for long enough.
-std::shared_ptr<BackendPool::Connection> BackendPool::TakeIdle(Backend& backend) {
+// Removes and returns the most recently used connection that has been idle for long enough; null if none.
+std::shared_ptr<BackendPool::Connection> BackendPool::AcquireIdle(Backend& backend) {
   const TimePoint now = clock_.Now();
-  const bool must_rest = now - last_unsolicited_at_ < kUnsolicitedMemory;
-  const TimePoint latest_idle_since = must_rest ? now - limits_.min_idle_after_unsolicited : now;
+  const bool requires_idle_time = now - last_unsolicited_at_ < kUnsolicitedBytesWindow;
+  const TimePoint latest_idle_since = requires_idle_time ? now - limits_.min_idle_after_unsolicited : now;
   for (std::size_t at = backend.idle.size(); at-- > 0;) {
     if (backend.idle[at]->idle_since() > latest_idle_since) continue;
     std::shared_ptr<Connection> newest = std::move(backend.idle[at]);
@@ -122,7 +122,7 @@
   return nullptr;
 }
 
-// At the limit, closes the connection that has been idle the longest. False if there is none.
+// At the limit of connections, closes the one that has been idle the longest. Returns false if none is idle.
 bool BackendPool::EvictConnection() {
   if (open_connections_ < limits_.max_connections) return true;
   std::shared_ptr<Connection> oldest;
@@ -135,9 +135,9 @@
   return true;
 }
 
-// Calls back through the queue of the io_context, also where the attempt ends at once: the caller is in the
-// midst of its actions.
-BackendPool::AttemptCallback BackendPool::Deferred(AttemptCallback on_end) {
+// Wraps the callback so that it is always posted to the io_context, even if the attempt ends within Send():
+// the caller must not be re-entered.
+BackendPool::AttemptCallback BackendPool::PostedCallback(AttemptCallback on_end) {
   return [this, completion = std::make_shared<Completion>(std::move(on_end))](AttemptResult result) {
     const net::HandlerAllocator<void> memory(
         std::shared_ptr<net::HandlerMemory>(completion, &completion->memory));
@@ -152,7 +152,7 @@
                                              Duration timeout, TimePoint begin_before, AttemptCallback on_end,
                                              std::shared_ptr<Requester> requester) {
   const TimePoint deadline = clock_.Now() + timeout;
-  AttemptCallback deferred = Deferred(std::move(on_end));
+  AttemptCallback deferred = PostedCallback(std::move(on_end));
   const auto found = backends_.find(backend);
   if (found == backends_.end() || !AcceptsRequests(backend, found->second.address)) {
     deferred({Outcome::kConnectFailed, {}, {}});
@@ -160,7 +160,7 @@
   }
   Connection::Attempt attempt{std::move(request), std::move(requester), deadline, begin_before,
                               std::move(deferred)};
-  std::shared_ptr<Connection> connection = TakeIdle(found->second);
+  std::shared_ptr<Connection> connection = AcquireIdle(found->second);
   if (connection) {
     connection->Reuse(std::move(attempt));
   } else if (EvictConnection()) {
@@ -191,7 +191,7 @@
   } catch (const std::exception&) {
     return connection->Close();
   }
-  connection->BecomeIdle();  // may close it at once
+  connection->BecomeIdle();  // may close it before returning
   if (idle.size() > limits_.max_idle_per_backend) std::shared_ptr(idle.front())->Close();
 }
 
--- a/src/proxy/backend_pool.h
+++ b/src/proxy/backend_pool.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The pools of connections to backends, and one attempt at a time on each connection.
+// Pools the connections to backends and makes attempts on them, one at a time on each connection.
 #ifndef BADGERBRIDGE_PROXY_BACKEND_POOL_H_
 #define BADGERBRIDGE_PROXY_BACKEND_POOL_H_
 
@@ -25,98 +25,101 @@
 /// loop's thread only; must outlive the io_context's last handler.
 class BackendPool {
  public:
-  /// Bounds of the pool.
+  /// Limits on connections and waits.
   struct Limits {
-    /// The bounds that the proxy's configuration sets; the others stay at their defaults.
+    /// Takes the limits that the proxy's configuration sets; the others keep their defaults.
     static Limits From(const Config& config);
 
     std::size_t max_connections = 480;  ///< to all backends together
-    /// Idle connections to one backend. What a burst leaves over costs both sides.
+    /// Idle connections per backend. Connections left over from a burst cost memory and descriptors on both
+    /// sides.
     std::size_t max_idle_per_backend = 16;
-    /// Between two requests on a connection, for kUnsolicitedMemory after a backend has sent unsolicited
-    /// bytes: one that responds twice does so some milliseconds apart, and the second response would pass for
-    /// the next request's. To wait always would cost connections (brink, ten seeds: 0.808 of the score for
-    /// 0.828).
+    /// Minimum idle time of a connection before its next request, enforced for kUnsolicitedBytesWindow after
+    /// a backend has sent unsolicited bytes: a faulty backend that responds twice does so a few milliseconds
+    /// apart, and the second response would be taken for that of the next request. Enforcing it always would
+    /// need more connections (scenario brink, ten seeds: a score of 0.808 instead of 0.828).
     Duration min_idle_after_unsolicited{20};
-    Duration connect_timeout{250};  ///< for a connection to come up, and for the rest of a partial response
+    Duration connect_timeout{250};  ///< for connecting, and for the rest of a partial response
     Duration idle_timeout{15000};   ///< after which the backend may close an idle connection
   };
-  /// Takes the result of an attempt.
+  /// Receives the result of an attempt.
   using AttemptCallback = std::function<void(AttemptResult)>;
-  /// Connects a socket to an address and calls back once with the result; never from within the call.
+  /// Connects a socket to an address and calls back exactly once with the result, never from within the call.
   using Connector = std::function<void(boost::asio::ip::tcp::socket&, const boost::asio::ip::tcp::endpoint&,
                                        std::function<void(boost::system::error_code)>)>;
   class Connection;
 
-  /// Refers to one attempt, also after its end. A default one refers to none.
+  /// Refers to one attempt and stays valid after its end. A default-constructed handle refers to none.
   struct AttemptHandle {
-    std::weak_ptr<Connection> connection;  ///< where the attempt was begun
-    std::uint64_t number = 0;              ///< tells it from other attempts on the same connection
+    std::weak_ptr<Connection> connection;  ///< the connection that runs the attempt
+    std::uint64_t number = 0;              ///< identifies the attempt among those on the connection
   };
 
-  /// A pool without backends; Update() brings them.
+  /// Creates a pool without backends; Update() adds them. `clock` must outlive the pool.
   BackendPool(boost::asio::io_context& io, const ProxyClock& clock, Limits limits);
   /// Closes the idle connections.
   ~BackendPool();
   BackendPool(const BackendPool&) = delete;
   BackendPool& operator=(const BackendPool&) = delete;
 
-  /// Takes over the backends of a list: all of a snapshot, or the changed ones.
+  /// Applies a list: a snapshot replaces all backends, a change updates those that it names.
   void Update(const EndpointList& list);
-  /// From here on results have the load reports of responses.
+  /// Makes later results carry the load reports of responses.
   void RecordLoadReports() { records_load_reports_ = true; }
-  /// Whether a backend accepts requests.
+  /// Whether at least one backend accepts requests.
   bool HasReadyBackend() const;
-  /// Replaces the system's connect.
+  /// Replaces the function that connects sockets (default: async_connect).
   void SetConnector(Connector connector) { connector_ = std::move(connector); }
-  /// `has_unread_list` is asked before an attempt's first byte. While it is true, discovery has sent a list
-  /// that nobody has read, as in a process that was descheduled; the attempt waits for that, a bounded number
-  /// of turns of the event loop.
+  /// `has_unread_list` is called before the first byte of each attempt. It returns true while a list from
+  /// discovery is unread in its socket, as after the process was descheduled. The attempt then waits for a
+  /// bounded number of iterations of the event loop.
   void SetUnreadListCheck(std::function<bool()> has_unread_list) {
     has_unread_list_ = std::move(has_unread_list);
   }
-  /// `observer` is called when the first byte of an attempt is about to be written.
+  /// `observer` is called just before the first byte of each attempt is written.
   void SetAttemptObserver(std::function<void(BackendId, const ForwardedRequest&)> observer) {
     on_attempt_begin_ = std::move(observer);
   }
 
-  /// Makes one attempt. `on_end` is called exactly once, never from within this call. The first byte is
-  /// written before `begin_before`, and only to a backend that is ready by then; else the attempt ends as
-  /// could not connect. It ends as not sent if `requester`, which may be none, has left by then.
+  /// Makes one attempt. `on_end` is called exactly once, never from within this call. The attempt ends with
+  /// kConnectFailed unless the backend is ready when the first byte is written and the whole request is
+  /// written before `begin_before`. It ends with kNotSent if the client of `requester` (may be null) has
+  /// disconnected before the first byte.
   AttemptHandle Send(BackendId backend, std::shared_ptr<const ForwardedRequest> request, Duration timeout,
                      TimePoint begin_before, AttemptCallback on_end,
                      std::shared_ptr<Requester> requester = nullptr);
 
-  /// Stops waiting for an attempt: it ends as cancelled, unless it has ended or is known not to have run.
+  /// Stops waiting for an attempt. It ends with kCancelled, or with kConnectFailed if its last byte has not
+  /// been written. Does nothing if it has ended.
   void Cancel(const AttemptHandle& attempt);
-  /// The response is of no use any more: unless the request has been written as a whole, the attempt ends as
-  /// not sent and never runs.
+  /// Withdraws an attempt whose response is no longer needed: it ends with kNotSent and never runs, unless
+  /// the whole request has been written.
   void Withdraw(const AttemptHandle& attempt);
 
-  /// Connections that are connecting, in use or idle.
+  /// The number of connections that are connecting, in use or idle.
   std::size_t open_connections() const { return open_connections_; }
-  /// Backends of the endpoint list.
+  /// The number of backends in the endpoint list.
   std::size_t backend_count() const { return backends_.size(); }
 
  private:
   struct Backend {
-    bool IsReadyAt(const boost::asio::ip::tcp::endpoint& of_connection) const {
-      return address == of_connection && state == BackendState::kReady;
+    bool IsReadyAt(const boost::asio::ip::tcp::endpoint& connection_address) const {
+      return address == connection_address && state == BackendState::kReady;
     }
 
     boost::asio::ip::tcp::endpoint address;
     BackendState state = BackendState::kGone;
-    std::vector<std::shared_ptr<Connection>> idle;  // the newest last
+    std::vector<std::shared_ptr<Connection>> idle;  // most recently used last
   };
 
   void RemoveUnlisted(const EndpointList& snapshot);
   void UpdateBackend(const Endpoint& endpoint);
   void CloseIdle(Backend& backend);
-  std::shared_ptr<Connection> TakeIdle(Backend& backend);
+  std::shared_ptr<Connection> AcquireIdle(Backend& backend);
   bool EvictConnection();
-  AttemptCallback Deferred(AttemptCallback on_end);
+  AttemptCallback PostedCallback(AttemptCallback on_end);
 
-  // Called by connections.
+  // Called by Connection.
   bool AcceptsRequests(BackendId backend, const boost::asio::ip::tcp::endpoint& address) const;
   void AddIdle(std::shared_ptr<Connection> connection);
   void RemoveIdle(const Connection& connection);
--- a/src/proxy/balancer_types.h
+++ b/src/proxy/balancer_types.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The decision module's types that the proxy uses.
+// The types of the decision module (include/badgerbridge/balancer.h) that the proxy uses.
 #ifndef BADGERBRIDGE_PROXY_BALANCER_TYPES_H_
 #define BADGERBRIDGE_PROXY_BALANCER_TYPES_H_
 
--- a/src/proxy/clock.h
+++ b/src/proxy/clock.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The clock of a proxy.
+// A monotonic clock that reads as Unix time.
 #ifndef BADGERBRIDGE_PROXY_CLOCK_H_
 #define BADGERBRIDGE_PROXY_CLOCK_H_
 
@@ -10,16 +10,17 @@
 
 namespace badgerbridge::proxy {
 
-/// Reads as Unix time in milliseconds, so that discovery's start times need no more than a cast, but is
-/// driven by the steady clock, so that the decision module's time never jumps.
+/// Returns Unix time in milliseconds, so that start times from discovery can be used without conversion. The
+/// system clock is read once, at construction; the steady clock advances the time from then on, so that the
+/// decision module's time never jumps.
 class ProxyClock {
  public:
-  /// The clock of timers.
+  /// The clock that timers use.
   using Steady = std::chrono::steady_clock;
 
-  /// The current time.
+  /// The current time; never goes backwards.
   TimePoint Now() const { return Epoch() + Duration(Steady::now() - steady_); }
-  /// A time for a timer; rounded up, since a timer must not expire before it.
+  /// Converts a time for use by a timer. Rounds up, since a timer must not expire before `at`.
   Steady::time_point ToSteady(TimePoint at) const {
     return steady_ + std::chrono::ceil<Steady::duration>(at - Epoch());
   }
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -16,15 +16,16 @@
 namespace json = boost::json;
 namespace {
 
-constexpr std::size_t kReservedSockets =
-    48;                                  // listener, discovery, epoll, logs, and some to accept and reject
-constexpr std::size_t kMinSockets = 64;  // with fewer there is nothing left to serve with
-constexpr double kBytesPerClient = 144 << 10;   // a request and its answer at their largest
-constexpr double kClientShareOfSockets = 0.55;  // requests take up to a third of all, so spares for others
-constexpr double kClientShareOfMemory = 0.5;
+// For the listener, discovery, epoll, logs, and connections that are accepted only to be rejected.
+constexpr std::size_t kReservedSockets = 48;
+constexpr std::size_t kMinSockets = 64;        // fewer leave no sockets for requests
+constexpr double kBytesPerClient = 144 << 10;  // a request and its answer of maximum size
+// Requests use up to a third of all sockets; the rest of this fraction is left for other clients.
+constexpr double kClientFractionOfSockets = 0.55;
+constexpr double kClientFractionOfMemory = 0.5;
 constexpr double kBytesPerMegabyte = 1 << 20;
 
-std::string PlainValue(const json::value& value) {
+std::string ScalarText(const json::value& value) {
   std::string text = value.is_string() ? std::string(value.get_string()) : json::serialize(value);
   const auto is_separator = [](char byte) {
     return byte == ' ' || byte == ',' || byte == '\n' || byte == '\r';
@@ -35,7 +36,7 @@
 
 void FlattenInto(const std::string& path, const json::value& value, std::string& lines);
 
-// A list of plain values is one line; of objects, a count and lines for each.
+// An array of scalars becomes one line; an array of objects becomes a count and the lines of each object.
 void FlattenArray(const std::string& path, const std::string& prefix, const json::array& array,
                   std::string& lines) {
   const bool has_objects = !array.empty() && array.front().is_object();
@@ -47,7 +48,7 @@
   std::string list;
   for (const json::value& item : array) {
     if (!list.empty()) list += ',';
-    list += PlainValue(item);
+    list += ScalarText(item);
   }
   lines += path + "=" + list + "\n";
 }
@@ -59,7 +60,7 @@
   } else if (const json::array* array = value.if_array()) {
     FlattenArray(path, prefix, *array, lines);
   } else if (!value.is_null()) {
-    lines += path + "=" + PlainValue(value) + "\n";
+    lines += path + "=" + ScalarText(value) + "\n";
   }
 }
 
@@ -83,8 +84,8 @@
   return found && found->is_string() ? std::string(found->get_string()) : std::string();
 }
 
-// The names in a list of names, or of objects that have one.
-std::vector<std::string> Names(const json::value& root, std::string_view pointer) {
+// Reads an array of strings, or the "name" members of an array of objects.
+std::vector<std::string> ReadNames(const json::value& root, std::string_view pointer) {
   std::vector<std::string> names;
   const json::value* found = Find(root, pointer);
   if (!found || !found->is_array()) return names;
@@ -93,22 +94,22 @@
   return names;
 }
 
-// The variable, or the member where it is not set.
+// The value of the environment variable, or of the JSON member if the variable is unset or empty.
 std::string Override(const json::value& root, std::string_view pointer, const char* variable,
                      const Environment& environment) {
   const char* value = environment(variable);
   return value && *value ? value : TextOrEmpty(root, pointer);
 }
 
-boost::asio::ip::tcp::endpoint Address(const json::value& root, std::string_view pointer,
-                                       const char* variable, const Environment& environment) {
+boost::asio::ip::tcp::endpoint ReadAddress(const json::value& root, std::string_view pointer,
+                                           const char* variable, const Environment& environment) {
   const std::string text = Override(root, pointer, variable, environment);
   const auto address = ParseAddress(text);
   if (!address) throw BadConfig({ConfigErrorCode::kInvalidAddress, variable, text});
   return *address;
 }
 
-std::uint64_t Seed(const json::value& root) {
+std::uint64_t ReadSeed(const json::value& root) {
   constexpr int kHexadecimal = 16;
   const std::string text = TextOrEmpty(root, "/seed");
   std::uint64_t seed = 0;
@@ -125,14 +126,14 @@
   return std::move(*parsed);
 }
 
-// Divides the sockets between clients and backends.
+// Divides the sockets between clients and backends; memory limits the clients further.
 void SetConnectionLimits(const json::value& root, Config& config) {
   const auto sockets = static_cast<std::size_t>(NumberOr(root, "/limits/sockets", 1024));
   if (sockets < kMinSockets)
     throw BadConfig({ConfigErrorCode::kTooFewSockets, "/limits/sockets", std::to_string(sockets)});
-  const double by_memory =
-      NumberOr(root, "/limits/memory_mb", 192) * kBytesPerMegabyte * kClientShareOfMemory / kBytesPerClient;
-  const auto for_clients = static_cast<std::size_t>((sockets - kReservedSockets) * kClientShareOfSockets);
+  const double by_memory = NumberOr(root, "/limits/memory_mb", 192) * kBytesPerMegabyte *
+                           kClientFractionOfMemory / kBytesPerClient;
+  const auto for_clients = static_cast<std::size_t>((sockets - kReservedSockets) * kClientFractionOfSockets);
   config.max_clients = std::max<std::size_t>(1, std::min(for_clients, static_cast<std::size_t>(by_memory)));
   config.max_backend_connections = sockets - kReservedSockets - for_clients;
 }
@@ -155,14 +156,14 @@
 
   Config config;
   config.name = Override(root, "/name", "ROUTER_NAME", environment);
-  config.listen = Address(root, "/listen", "ROUTER_LISTEN", environment);
-  config.discovery = Address(root, "/discovery", "ROUTER_DISCOVERY", environment);
-  config.seed = Seed(root);
+  config.listen = ReadAddress(root, "/listen", "ROUTER_LISTEN", environment);
+  config.discovery = ReadAddress(root, "/discovery", "ROUTER_DISCOVERY", environment);
+  config.seed = ReadSeed(root);
   config.settings = ReadSettings(*settings);
-  config.classes = Names(*settings, "/classes");
-  config.tenants = Names(*settings, "/tenants");
-  config.zones = Names(*settings, "/zones");
-  config.kinds = Names(*settings, "/kinds");
+  config.classes = ReadNames(*settings, "/classes");
+  config.tenants = ReadNames(*settings, "/tenants");
+  config.zones = ReadNames(*settings, "/zones");
+  config.kinds = ReadNames(*settings, "/kinds");
   config.connect_timeout = Duration(NumberOr(*settings, "/permissions/connectTimeoutMs", 250));
   config.backend_idle_timeout = Duration(NumberOr(*settings, "/permissions/connIdleMs", 15000));
   SetConnectionLimits(root, config);
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -18,36 +18,36 @@
 
 namespace badgerbridge::proxy {
 
-/// What a proxy is started with.
+/// The configuration of a proxy.
 struct Config {
-  std::string name;                          ///< of this proxy
-  boost::asio::ip::tcp::endpoint listen;     ///< where clients connect
-  boost::asio::ip::tcp::endpoint discovery;  ///< where the endpoint list is
-  std::uint64_t seed = 0;                    ///< of all random numbers
-  std::size_t max_clients = 0;               ///< connections that the limits leave for clients
-  std::size_t max_backend_connections = 0;   ///< connections that the limits leave for backends
-  Settings settings;                         ///< of the decision module
+  std::string name;                          ///< this proxy's name
+  boost::asio::ip::tcp::endpoint listen;     ///< address for clients
+  boost::asio::ip::tcp::endpoint discovery;  ///< address of discovery
+  std::uint64_t seed = 0;                    ///< seed of all random number generators
+  std::size_t max_clients = 0;               ///< maximum number of client connections
+  std::size_t max_backend_connections = 0;   ///< maximum number of backend connections
+  Settings settings;                         ///< settings of the decision module
   std::vector<std::string> classes;          ///< names of service classes, by the decision module's indices
   std::vector<std::string> tenants;          ///< names of tenants, by the decision module's indices
   std::vector<std::string> zones;            ///< names of zones, by the decision module's indices
   std::vector<std::string> kinds;            ///< names of kinds of backends, by the decision module's indices
-  Duration connect_timeout{250};             ///< for a connection to a backend
+  Duration connect_timeout{250};             ///< for connecting to a backend
   Duration backend_idle_timeout{15000};      ///< after which a backend closes an idle connection
-  boost::json::value known;                  ///< the last list of backends, in discovery's form; null: none
+  boost::json::value known;  ///< last known list of backends, as sent by discovery; null: none
 };
 
 /// Looks an environment variable up, as getenv does.
 using Environment = std::function<const char*(const char*)>;
 
-/// Reads the file that ROUTER_CONFIG names; the other variables override what it says. Throws BadConfig.
+/// Reads the file named by ROUTER_CONFIG; other environment variables override its values. Throws BadConfig.
 Config ReadConfig(const Environment& environment);
-/// The same for the text of a file. Throws BadConfig.
+/// Parses the text of a configuration file, with the same overrides. Throws BadConfig.
 Config ParseConfig(std::string_view json, const Environment& environment);
-/// Reads the file once more, at SIGHUP. The address of discovery is taken from the file alone then: the
-/// environment is as old as this process.
+/// Reads the file again after SIGHUP. Takes the address of discovery from the file only, since the
+/// environment still holds the value from process start.
 ConfigResult<Config> RereadConfig(const Environment& environment);
 
-/// Nested JSON as the path=value lines that ParseSettings reads.
+/// Flattens nested JSON into the path=value lines that ParseSettings reads.
 std::string Flatten(const boost::json::value& settings);
 
 using http_api::ParseAddress;
--- a/src/proxy/discovery.cpp
+++ b/src/proxy/discovery.cpp
@@ -24,14 +24,14 @@
 namespace http = boost::beast::http;
 namespace {
 
-constexpr std::size_t kMaxListBytes = 4 << 20;  // far more than the list of any deployment
-constexpr std::size_t kMaxReadBytes = 16384;    // of one read
-constexpr unsigned kHttpVersion = 11;           // as Beast writes HTTP/1.1
+constexpr std::size_t kMaxListBytes = 4 << 20;  // far larger than the list of any deployment
+constexpr std::size_t kMaxReadBytes = 16384;    // per read
+constexpr unsigned kHttpVersion = 11;           // HTTP/1.1 in Beast's notation
 
 void LogFailure(std::string_view reason) { std::cerr << "discovery: " << reason << '\n'; }
 
-// Closes a stream unless what is awaited on it has come by a time. What has come by then and is not read yet,
-// since this process was descheduled, is read first.
+// Closes a stream at a deadline. If bytes have arrived by then but are unread because this process was
+// descheduled, lets the stream read them first.
 class ReadDeadline {
  public:
   ReadDeadline(asio::io_context& io, beast::tcp_stream& stream) : stream_(stream), timer_(io) {}
@@ -54,11 +54,11 @@
 
 }  // namespace
 
-// One connection to discovery, and the response on it.
+// One connection to discovery, with the parser of its response.
 struct Discovery::Connection {
   Connection(asio::io_context& io, std::shared_ptr<beast::tcp_stream> opened)
       : stream(std::move(opened)), deadline(io, *stream) {
-    parser.body_limit(boost::none);  // it lasts; what is kept of it is bounded by JsonStream
+    parser.body_limit(boost::none);  // the response is endless; JsonStream limits what is buffered
   }
 
   std::shared_ptr<beast::tcp_stream> stream;
@@ -79,15 +79,15 @@
       on_failed_(std::move(on_failed)),
       timing_(timing),
       backoff_(timing.min_backoff),
-      move_timer_(io),
+      address_change_timer_(io),
       watchdog_(io) {}
 
 Discovery::Timing Discovery::Timing::For(bool polls) {
   Timing timing;
   if (polls) {
-    timing.connect_timeout = std::chrono::milliseconds(1000);   // a lost first packet is sent again by then
-    timing.response_timeout = std::chrono::milliseconds(2200);  // it rejects a call that has waited for 2 s
-    timing.message_timeout = std::chrono::milliseconds(2400);   // the decision module paces the next call
+    timing.connect_timeout = std::chrono::milliseconds(1000);   // enough to retransmit a lost SYN
+    timing.response_timeout = std::chrono::milliseconds(2200);  // discovery rejects calls queued for 2 s
+    timing.message_timeout = std::chrono::milliseconds(2400);   // then the decision module polls again
   }
   return timing;
 }
@@ -96,25 +96,25 @@
   if (!(polls_ && (awaits_response_ || AwaitsRead()))) Start();
 }
 
-// Bytes of the open watch have come, and the handler that reads them has yet to run.
+// Whether bytes of the open watch have arrived that its read handler has not processed.
 bool Discovery::AwaitsRead() { return stream_ && read_grace_.ShouldPostpone(stream_->socket()); }
 
 bool Discovery::HasUnread() const { return stream_ && net::UnreadBytes(stream_->socket()) > 0; }
 
 void Discovery::Start() {
-  // Closed, not cancelled: what the old watch has just completed must not lead it to another step.
+  // Closes the stream instead of cancelling its operations: one that has just completed must not let the old
+  // watch start another.
   if (stream_) stream_->close();
   ArmWatchdog();
   try {
     asio::co_spawn(io_, Run(++generation_), asio::detached);
   } catch (const std::exception& error) {
-    LogFailure(error.what());  // the watchdog tries again
+    LogFailure(error.what());  // the watchdog retries
   }
 }
 
-// Without memory for one of its steps a coroutine ends without an error. Each of its waits is shorter than
-// the watchdog's, which begins anew at each step that shows it alive, so that the watch does not end for
-// good.
+// Restarts a watch whose coroutine has ended silently, which happens when memory for one of its steps runs
+// out. The timer is longer than any wait of the coroutine and is rearmed at each attempt and each message.
 void Discovery::ArmWatchdog() {
   const auto longest_wait =
       timing_.connect_timeout + timing_.response_timeout + timing_.message_timeout + timing_.max_backoff;
@@ -131,11 +131,11 @@
   on_failed_();
 }
 
-void Discovery::MoveTo(asio::ip::tcp::endpoint address) {
+void Discovery::ChangeAddress(asio::ip::tcp::endpoint address) {
   if (AwaitsRead())
-    return move_timer_.ArmAfter(net::ReadTimeoutGrace::kRecheckInterval,
-                                [this, address] { MoveTo(address); });
-  move_timer_.Disarm();
+    return address_change_timer_.ArmAfter(net::ReadTimeoutGrace::kRecheckInterval,
+                                          [this, address] { ChangeAddress(address); });
+  address_change_timer_.Disarm();
   address_ = std::move(address);
   reader_.ResetVersion();
   backoff_ = timing_.min_backoff;
@@ -164,7 +164,8 @@
   }
 }
 
-// Jitter on the upper half: proxies that lost discovery together must not return together.
+// Adds jitter to the upper half of the backoff, so that proxies that lost discovery at the same time
+// reconnect at different times.
 std::chrono::milliseconds Discovery::NextBackoff() {
   const auto half = backoff_.count() / 2;
   const auto wait = half + static_cast<long>(random_() % static_cast<std::uint64_t>(half + 1));
@@ -179,7 +180,7 @@
   if (is_open) co_await ReadMessages(connection, generation);
 }
 
-// Sends the request and reads the head of the response. False where that fails.
+// Sends the request and reads the header of the response. Returns false on failure.
 asio::awaitable<bool> Discovery::Open(Connection& connection, std::uint64_t generation) {
   beast::tcp_stream& stream = *connection.stream;
   beast::error_code error;
@@ -203,8 +204,8 @@
   co_return true;
 }
 
-// A discovery that is cut off sends nothing, and one that hangs may send a part of a message and no more:
-// only complete messages count as a sign of life.
+// Only complete messages extend the deadline: an unreachable discovery sends nothing, and one that hangs may
+// send part of a message.
 asio::awaitable<void> Discovery::ReadMessages(Connection& connection, std::uint64_t generation) {
   beast::error_code error;
   auto token = asio::redirect_error(asio::use_awaitable, error);
@@ -231,8 +232,8 @@
   }
 }
 
-// Handles bytes of the watch. Returns whether a message, a list or a heartbeat, was completed by them. Where
-// that fails, changes are missing from then on, and only a snapshot brings them back.
+// Handles bytes of the watch. Returns whether they completed a message (a list or a heartbeat). On failure
+// resets the version, because changes may have been lost and only a snapshot restores them.
 EndpointListResult<bool> Discovery::HandleBytes(JsonStream& stream, std::string_view bytes,
                                                 std::uint64_t generation) {
   try {
--- a/src/proxy/discovery.h
+++ b/src/proxy/discovery.h
@@ -23,48 +23,48 @@
 
 namespace badgerbridge::proxy {
 
-/// Watches the endpoint list by HTTP streaming. Used on the event loop's thread only; must outlive the
-/// io_context's last handler.
+/// Watches the endpoint list by HTTP streaming or polling. Used on the event loop's thread only; must outlive
+/// the io_context's last handler.
 class Discovery {
  public:
-  /// Whatever fails, a discovery that can be reached is heard again less than 6 s after its last message, and
-  /// one that returns, less than 6 s after its return.
+  /// Timeouts and backoff. Together they bound the time without messages: if discovery is reachable, less
+  /// than 6 s after its last message; after an outage, less than 6 s after it is reachable again.
   struct Timing {
-    /// `polls`: calls wait for their turn at one service, and the decision module paces them. Otherwise
-    /// discovery is an agent on this machine that pushes lists, and each attempt is free. What it has sent
-    /// while no watch is open counts as notified at once, so a watch is tried several times a second.
+    /// `polls`: calls queue at one central service, and the decision module decides when to call. Otherwise
+    /// discovery is an agent on this machine that pushes lists, and connecting to it is cheap. The platform
+    /// counts what the agent sends while no watch is open as delivered at once, so a failed watch is retried
+    /// several times a second.
     static Timing For(bool polls);
 
-    std::chrono::milliseconds connect_timeout{400};   ///< for the connection
-    std::chrono::milliseconds response_timeout{400};  ///< for the response to begin
-    std::chrono::milliseconds message_timeout{
-        2800};                                  ///< from one message to the next: a heartbeat comes every 2 s
-    std::chrono::milliseconds min_backoff{50};  ///< after the first failure
-    std::chrono::milliseconds max_backoff{200};  ///< after many
+    std::chrono::milliseconds connect_timeout{400};   ///< for connecting
+    std::chrono::milliseconds response_timeout{400};  ///< for the header of the response
+    std::chrono::milliseconds message_timeout{2800};  ///< between messages; heartbeats come every 2 s
+    std::chrono::milliseconds min_backoff{50};        ///< after the first failure
+    std::chrono::milliseconds max_backoff{200};       ///< upper limit
   };
-  /// Takes a list that has come.
+  /// Receives each list.
   using OnList = std::function<void(EndpointList)>;
 
-  /// `polls`: the decision module decides on each call, and `on_failed` is called when one has ended.
-  /// Otherwise the watch is kept open from here. Nothing happens before Watch().
+  /// `polls`: the decision module decides when to call, and `on_failed` is called when a call has ended.
+  /// Otherwise this class keeps the watch open. Nothing is sent before Watch().
   Discovery(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address, EndpointListReader reader,
             bool polls, std::uint64_t seed, OnList on_list, std::function<void()> on_failed, Timing timing);
 
-  /// Opens the watch, in place of one that is open. A call that waits for its response goes on, since another
-  /// one would only lose its turn, and so does a watch whose next message has come and is not read yet.
-  /// Either ends in time by itself.
+  /// Opens the watch and replaces an open one. When polling, keeps a call that waits for its response, since
+  /// a new call would go to the end of the queue, and a watch with an unread message. Their timeouts end
+  /// both.
   void Watch();
 
-  /// Goes on at another address, from a snapshot: versions count for the discovery that gave them. What the
-  /// old one has written by now is read first.
-  void MoveTo(boost::asio::ip::tcp::endpoint address);
+  /// Switches to another discovery address and requests a snapshot, because versions are valid only at the
+  /// discovery that issued them. Reads what the old one has already sent first.
+  void ChangeAddress(boost::asio::ip::tcp::endpoint address);
 
-  /// Whether bytes of the open watch have come that nobody has read.
+  /// Whether the socket of the open watch holds unread bytes.
   bool HasUnread() const;
 
-  /// The names and the version of the list.
+  /// The reader, with the names and version of the current list.
   const EndpointListReader& reader() const { return reader_; }
-  /// Where discovery is.
+  /// The current address of discovery.
   const boost::asio::ip::tcp::endpoint& address() const { return address_; }
 
  private:
@@ -93,10 +93,10 @@
   Timing timing_;
   std::chrono::milliseconds backoff_;
   std::shared_ptr<boost::beast::tcp_stream> stream_;  // of the open watch
-  std::uint64_t generation_ = 0;      // of the newest Start(): an older one ends at its next step
-  bool awaits_response_ = false;      // a call whose response has not begun
+  std::uint64_t generation_ = 0;      // counts Start(); coroutines of older generations end at the next step
+  bool awaits_response_ = false;      // a call is open whose response has not begun
   net::ReadTimeoutGrace read_grace_;  // of the open watch
-  net::OneShotTimer move_timer_;
+  net::OneShotTimer address_change_timer_;
   net::OneShotTimer watchdog_;
 };
 
--- a/src/proxy/endpoint_list_codec.cpp
+++ b/src/proxy/endpoint_list_codec.cpp
@@ -11,10 +11,10 @@
 namespace json = boost::json;
 namespace {
 
-constexpr std::size_t kMaxShownBytes = 100;  // of a wrong value in an error
+constexpr std::size_t kMaxShownBytes = 100;  // of an invalid value in an error message
 
-// What stands in place of the right value. Of an object or list, which may be large, only the kind.
-std::string Described(const json::value* found) {
+// Describes an invalid value for an error message. Objects and arrays may be large and are only named.
+std::string Describe(const json::value* found) {
   if (!found) return "nothing";
   if (found->is_object()) return "an object";
   if (found->is_array()) return "a list";
@@ -23,7 +23,7 @@
 }
 
 EndpointListError InvalidField(std::string_view field, const json::value* found) {
-  return {EndpointListErrorCode::kInvalidField, std::string(field), Described(found)};
+  return {EndpointListErrorCode::kInvalidField, std::string(field), Describe(found)};
 }
 
 BackendState DecodeState(std::string_view status) {
@@ -40,7 +40,7 @@
   return View(found->get_string());
 }
 
-// Empty if there is no such text.
+// Empty if the field is missing or not a string.
 std::string_view OptionalText(const json::object& object, std::string_view field) {
   const json::value* found = object.if_contains(field);
   return found && found->is_string() ? View(found->get_string()) : std::string_view();
--- a/src/proxy/endpoint_list_codec.h
+++ b/src/proxy/endpoint_list_codec.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Discovery's wire format: the request for its list and the JSON of lists. The one file with its field names.
-// No I/O.
+// Discovery's wire format: the request target and the JSON of endpoint lists. All of its field names are in
+// the implementation of this header. No I/O.
 #ifndef BADGERBRIDGE_PROXY_ENDPOINT_LIST_CODEC_H_
 #define BADGERBRIDGE_PROXY_ENDPOINT_LIST_CODEC_H_
 
@@ -14,10 +14,10 @@
 
 namespace badgerbridge::proxy {
 
-/// The target of the HTTP request that watches the list from a version on; 0: from a snapshot on.
+/// The target of the HTTP request that watches changes after a version; 0: begins with a snapshot.
 std::string EndpointListTarget(std::uint64_t version);
 
-/// Decodes a list. An unknown status of an endpoint counts as draining: it is no leave to send.
+/// Decodes a list. An endpoint with an unknown status counts as draining, so that it gets no requests.
 EndpointListResult<ListedEndpoints> DecodeEndpointList(const boost::json::value& value);
 
 }  // namespace badgerbridge::proxy
--- a/src/proxy/endpoint_list_reader.cpp
+++ b/src/proxy/endpoint_list_reader.cpp
@@ -14,7 +14,7 @@
 constexpr BackendId kFnvOffsetBasis = 2166136261u;  // FNV-1a, 32 bits
 constexpr BackendId kFnvPrime = 16777619u;
 
-// The count of names if it is none of them.
+// Returns names.size() if the name is not found.
 int IndexOf(const std::vector<std::string>& names, std::string_view name) {
   return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
@@ -27,14 +27,15 @@
 
 }  // namespace
 
-// Derived from the name, so that an id is the same at every proxy and after each restart: the decision module
-// places backends on its ring by id, and proxies that number them differently would crowd on the same few.
+// Derives the id from the name, so that it is the same in every proxy and after each restart. The decision
+// module places backends on a hash ring by id; different ids per proxy would concentrate load on few
+// backends.
 BackendId EndpointListReader::IdOf(const std::string& name) {
   const auto known = ids_.find(name);
   if (known != ids_.end()) return known->second;
   BackendId id = HashOf(name);
   auto [at, added] = names_.emplace(id, name);
-  // Of two names with one hash the later one takes the next free id.
+  // On a hash collision the later name gets the next free id.
   while (!added) std::tie(at, added) = names_.emplace(++id, name);
   ids_.emplace(at->second, id);
   return id;
@@ -69,19 +70,20 @@
     list.endpoints.push_back(std::move(endpoint));
   }
   version_ = version;
-  Forget(list);
+  RemoveGoneNames(list);
   return list;
 }
 
-// Backends are replaced by new ones, under new names, for as long as this proxy runs.
-void EndpointListReader::Forget(const EndpointList& list) {
+// Removes the names of backends that are gone: replaced backends have new names, so the map would grow
+// without limit.
+void EndpointListReader::RemoveGoneNames(const EndpointList& list) {
   std::unordered_set<BackendId> present;
   for (const Endpoint& endpoint : list.endpoints) {
     if (endpoint.entry.state != BackendState::kGone) present.insert(endpoint.entry.server);
   }
   if (!list.snapshot) {
     for (const Endpoint& endpoint : list.endpoints) {
-      if (!present.contains(endpoint.entry.server)) ForgetId(endpoint.entry.server);
+      if (!present.contains(endpoint.entry.server)) RemoveId(endpoint.entry.server);
     }
     return;
   }
@@ -89,10 +91,10 @@
   for (const auto& [id, name] : names_) {
     if (!present.contains(id)) gone.push_back(id);
   }
-  for (const BackendId id : gone) ForgetId(id);
+  for (const BackendId id : gone) RemoveId(id);
 }
 
-void EndpointListReader::ForgetId(BackendId id) {
+void EndpointListReader::RemoveId(BackendId id) {
   const auto found = names_.find(id);
   if (found == names_.end()) return;
   ids_.erase(found->second);
--- a/src/proxy/endpoint_list_reader.h
+++ b/src/proxy/endpoint_list_reader.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Turns lists of named backends into lists with the ids and indices of the decision module. No I/O.
+// Maps the names in endpoint lists to the ids and indices of the decision module. No I/O.
 #ifndef BADGERBRIDGE_PROXY_ENDPOINT_LIST_READER_H_
 #define BADGERBRIDGE_PROXY_ENDPOINT_LIST_READER_H_
 
@@ -18,34 +18,34 @@
 
 namespace badgerbridge::proxy {
 
-/// Keeps the id of each listed name and the version of the list. Not thread-safe.
+/// Holds the id of each listed name and the version of the list. Not thread-safe.
 class EndpointListReader {
  public:
-  /// `config` gives the names of zones and kinds, by their indices.
+  /// Copies the names of zones and kinds, in index order, from `config`.
   explicit EndpointListReader(const Config& config) : zones_(config.zones), kinds_(config.kinds) {}
-  /// The other one must not be used any more.
+  /// The moved-from reader must not be used again.
   EndpointListReader(EndpointListReader&&) = default;
 
-  /// Reads a list in discovery's form. On an error nothing has changed.
+  /// Decodes a list in discovery's format and assigns ids. Changes nothing on error.
   EndpointListResult<EndpointList> Read(const boost::json::value& value);
-  /// Assigns ids to the backends of a list, and forgets the names of those that are gone.
+  /// Assigns ids to the backends of a list and removes the names of those that are gone.
   EndpointList Resolve(bool snapshot, std::uint64_t version, const std::vector<ListedEndpoint>& listed);
 
   /// The version of the last list; 0: none.
   std::uint64_t version() const { return version_; }
-  /// The list has not changed up to a version.
+  /// Records that the list is unchanged up to a version.
   void SetVersion(std::uint64_t version) { version_ = version; }
-  /// Forgets the version, so that the next list asked for is a snapshot.
+  /// Resets the version, so that the next request asks for a snapshot.
   void ResetVersion() { version_ = 0; }
-  /// Names that are in the list.
+  /// The number of names in the list.
   std::size_t name_count() const { return ids_.size(); }
-  /// The name of a backend; empty if it has left the list.
+  /// The name of a backend; empty if it is not in the list.
   std::string NameOf(BackendId id) const;
 
  private:
   BackendId IdOf(const std::string& name);
-  void Forget(const EndpointList& list);
-  void ForgetId(BackendId id);
+  void RemoveGoneNames(const EndpointList& list);
+  void RemoveId(BackendId id);
 
   std::vector<std::string> zones_;
   std::vector<std::string> kinds_;
--- a/src/proxy/error.cpp
+++ b/src/proxy/error.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A wrong text on one line: as JSON has it, with its control characters escaped.
+// Quotes an invalid text as a JSON string, which escapes control characters and keeps it on one line.
 std::string Quoted(std::string_view text) { return boost::json::serialize(text); }
 
 }  // namespace
--- a/src/proxy/json_stream.cpp
+++ b/src/proxy/json_stream.cpp
@@ -9,7 +9,7 @@
 
 bool IsSpace(char byte) { return byte == '\n' || byte == '\r' || byte == ' ' || byte == '\t'; }
 
-// By its number: the byte itself may be a control character.
+// Reports the byte as a number, since it may be a control character.
 EndpointListError NotAnObject(char first_byte) {
   return {EndpointListErrorCode::kNotAnObject, "", std::to_string(static_cast<unsigned char>(first_byte))};
 }
@@ -24,7 +24,7 @@
   return ParseObject(bytes);
 }
 
-// Up to the first byte of an object, the end of an empty line, or the end of the bytes.
+// Skips to the first byte of an object, the end of an empty line, or the end of the input.
 EndpointListResult<JsonStream::Item> JsonStream::SkipSpace(std::string_view& bytes) {
   while (!bytes.empty() && bytes.front() != '{') {
     const char byte = bytes.front();
--- a/src/proxy/json_stream.h
+++ b/src/proxy/json_stream.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Splits a stream of bytes into JSON objects, as a watch on the endpoint list brings them: in any pieces,
-// each on one line or indented over several, with empty lines between. No I/O.
+// Splits the byte stream of an endpoint list watch into JSON objects. The bytes may be split anywhere;
+// objects may span several lines and be separated by empty lines. No I/O.
 #ifndef BADGERBRIDGE_PROXY_JSON_STREAM_H_
 #define BADGERBRIDGE_PROXY_JSON_STREAM_H_
 
@@ -14,23 +14,23 @@
 
 namespace badgerbridge::proxy {
 
-/// Reads one stream. After an error it must not be used any more.
+/// Parses one stream. Must not be used after an error.
 class JsonStream {
  public:
-  /// What Next() has found.
+  /// The kind of item that Next() has found.
   enum class Item {
     kNone,       ///< nothing: more bytes are needed
     kEmptyLine,  ///< an empty line between objects: a heartbeat
     kObject,     ///< an object, which Take() returns
   };
 
-  /// `max_bytes`: of one object.
+  /// `max_bytes`: the maximum length of one object.
   explicit JsonStream(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  /// Removes bytes from the front of `bytes` up to the end of the next item, or all of them if it is not
-  /// complete. Errors: kNotAnObject, kInvalidJson, kTooLong; what is left in `bytes` is unspecified then.
+  /// Removes the bytes up to the end of the next item from the front of `bytes`, or all of them if the item
+  /// is incomplete. Errors: kNotAnObject, kInvalidJson, kTooLong; the content of `bytes` is then unspecified.
   EndpointListResult<Item> Next(std::string_view& bytes);
-  /// The object that Next() has found; once.
+  /// Moves out the object that Next() has found. Must be called once for each kObject.
   boost::json::value Take();
 
  private:
@@ -39,7 +39,7 @@
 
   std::size_t max_bytes_;
   boost::json::stream_parser parser_;
-  std::size_t object_bytes_ = 0;  // of the object that has begun; 0: none has
+  std::size_t object_bytes_ = 0;  // parsed bytes of a partial object; 0: none
   bool line_is_empty_ = true;
 };
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -36,7 +36,7 @@
 RequestId Proxy::Accept(Submit submit, std::shared_ptr<const ForwardedRequest> forwarded,
                         std::shared_ptr<Requester> requester) {
   const TimePoint now = clock_.Now();
-  // Whatever needs memory comes first: once it is in the table, it must be in requests_.
+  // Inserts into requests_ first, which may throw: a request in the table must always have an entry there.
   OpenRequest& request = requests_[kNoRequestId];
   request.forwarded = std::move(forwarded);
   request.requester = std::move(requester);
@@ -66,7 +66,7 @@
 
 void Proxy::UpdateList(EndpointListKind kind, const EndpointList& list) {
   if (kind != EndpointListKind::kCached) last_list_at_ = clock_.Now();
-  backends_.Update(list);  // first: what the decision module does about it needs the addresses
+  backends_.Update(list);  // first, because the actions of the decision module need the addresses
   if (observer_) observer_->OnEndpointList(clock_.Now(), list);
   EndpointListUpdate update;
   update.kind = kind;
@@ -85,7 +85,7 @@
   ProcessActions();
 }
 
-// Actions that the table adds while others are carried out wait until those are done: they keep their order.
+// Performs the actions of the table in order. Actions added meanwhile are performed after the current ones.
 void Proxy::ProcessActions() {
   if (processing_) return;
   processing_ = true;
@@ -95,8 +95,9 @@
       try {
         std::visit([this](const auto& alternative) { Perform(alternative); }, action);
       } catch (const std::exception& error) {
-        // Its request is ended by the deadline fallback; the other actions must go on.
-        std::cerr << "an action could not be carried out: " << error.what() << '\n';
+        // The deadline fallback ends the request of this action; the other actions must still be performed.
+        std::cerr << "cannot perform an action of the request table, continuing with the next: "
+                  << error.what() << '\n';
       }
     }
   }
@@ -104,8 +105,9 @@
   try {
     ArmTimer();
   } catch (const std::exception& error) {
-    std::cerr << "a timer could not be set: " << error.what() << '\n';
-    timer_at_ = kNever;  // the next call sets it
+    std::cerr << "cannot set the timer of the request table, retrying at the next event: " << error.what()
+              << '\n';
+    timer_at_ = kNever;  // the next call of ArmTimer() sets it
   }
 }
 
@@ -130,7 +132,7 @@
     table_.AttemptEnded(clock_.Now(), action, Outcome::kNotSent, &actions_);
     throw;
   }
-  // Its client has left since the table added the action: it never runs.
+  // The client has disconnected since the table added the action, so the attempt is not sent.
   if (request == requests_.end()) return ReportAttemptEnd(attempt, Outcome::kNotSent);
   try {
     if (observer_) observer_->OnAttemptSent(clock_.Now(), action, request->second.submit);
@@ -139,7 +141,7 @@
         [this, action](AttemptResult result) { OnAttemptEnd(action, std::move(result)); },
         request->second.requester);
   } catch (const std::exception& error) {
-    std::cerr << "an attempt could not be begun: " << error.what() << '\n';
+    std::cerr << "cannot begin an attempt, reporting it as not sent: " << error.what() << '\n';
     ReportAttemptEnd(attempt, Outcome::kNotSent);
   }
 }
@@ -165,15 +167,15 @@
   ProcessActions();
 }
 
-// The table must be notified of each end. Without the memory for that, it is notified in the next
-// ProcessActions().
+// Notifies the table that an attempt has ended. If that fails for lack of memory, the next ProcessActions()
+// retries it.
 void Proxy::ReportAttemptEnd(OutstandingAttempts::iterator attempt, Outcome outcome) {
   attempt->second.unreported_outcome = outcome;
   try {
     table_.AttemptEnded(clock_.Now(), attempt->second.action, outcome, &actions_);
     attempts_.erase(attempt);
   } catch (const std::exception& error) {
-    std::cerr << "an attempt's end could not be noted: " << error.what() << '\n';
+    std::cerr << "cannot record the end of an attempt, retrying at the next event: " << error.what() << '\n';
     has_unreported_ends_ = true;
   }
 }
@@ -186,10 +188,10 @@
   }
 }
 
-// The one place where a client is answered.
+// Every answer to a client is sent here.
 void Proxy::Perform(const request_table::Respond& action) {
   const auto found = requests_.find(action.request);
-  if (found == requests_.end()) return;  // its client has left since
+  if (found == requests_.end()) return;  // the client has disconnected
   OpenRequest request = std::move(found->second);
   requests_.erase(found);
   request.answer.status = StatusOf(action.outcome);
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Between the sockets and the table of requests (src/request_table): passes events to the table, carries out
-// its actions, and keeps what the table has no need of: bodies, and the clients to answer.
+// Connects the sockets with the table of requests (src/request_table): passes events to the table, performs
+// its actions, and holds the request bodies and the clients waiting for answers.
 #ifndef BADGERBRIDGE_PROXY_PROXY_H_
 #define BADGERBRIDGE_PROXY_PROXY_H_
 
@@ -27,64 +27,64 @@
 
 using request_table::RequestCounters;
 
-/// Observes the traffic of a proxy (src/zone_failover), and changes nothing.
+/// Observes the traffic of a proxy without changing it (implemented in src/zone_failover).
 class TrafficObserver {
  public:
   virtual ~TrafficObserver() = default;
-  /// A list, or a change to it, has been taken over.
+  /// Called when a list, or a change to it, has been applied.
   virtual void OnEndpointList(TimePoint now, const EndpointList& list) = 0;
-  /// A request has come.
+  /// Called when a request has been received.
   virtual void OnRequest(TimePoint now, const Submit& submit) = 0;
-  /// An attempt of a request that was accepted as `submit` begins; OnAttemptEnded follows exactly once.
+  /// Called when an attempt begins; `submit` describes its request. OnAttemptEnded follows exactly once.
   virtual void OnAttemptSent(TimePoint now, const request_table::Send& send, const Submit& submit) = 0;
-  /// An attempt has ended. `load_report`: X-Backend-Load of its response; empty: none.
+  /// Called when an attempt has ended. `load_report`: X-Backend-Load of its response; empty: none.
   virtual void OnAttemptEnded(TimePoint now, const request_table::Send& send, Outcome outcome,
                               std::string_view load_report) = 0;
 };
 
-/// Serves requests by means of the table of requests and the pool of connections to backends. Used on the
-/// event loop's thread only.
+/// Serves requests with the table of requests and the pool of connections to backends. Used on the event
+/// loop's thread only.
 class Proxy {
  public:
-  /// `clock` and `backends` must outlive it, and it must outlive the io_context's last handler.
+  /// `clock` and `backends` must outlive the proxy, which must outlive the io_context's last handler.
   Proxy(boost::asio::io_context& io, const ProxyClock& clock, BackendPool& backends, const Config& config);
 
   /// `subscribe` is called when the decision module polls the endpoint list.
   void SetSubscribeHandler(std::function<void()> subscribe) { subscribe_ = std::move(subscribe); }
 
-  /// Accepts a request, whose `request` is set here and whose `due` is when the client gives up. The
-  /// requester is given its answer exactly once, before that, unless ClientDisconnected comes first. If it
-  /// throws, the request has not been accepted.
+  /// Accepts a request and returns its id, replacing `submit.request`; `submit.due` is the client's deadline.
+  /// The requester gets exactly one answer before the deadline, unless ClientDisconnected() is called first.
+  /// If this throws, the request has not been accepted.
   RequestId Accept(Submit submit, std::shared_ptr<const ForwardedRequest> forwarded,
                    std::shared_ptr<Requester> requester);
-  /// The client of a request has left; it is not answered any more.
+  /// Reports that the client of a request has disconnected; the request gets no answer.
   void ClientDisconnected(RequestId request);
-  /// Takes over a list.
+  /// Applies a list, or a change to it.
   void UpdateList(EndpointListKind kind, const EndpointList& list);
-  /// A poll of the endpoint list has failed.
+  /// Reports that a poll of the endpoint list has failed.
   void EndpointListFailed();
-  /// Limits how much may go to each zone from here on.
+  /// Replaces the limits on the traffic to each zone.
   void UpdateZoneQuotas(balancer::ZoneQuotas quotas);
-  /// `observer` is notified from here on, and must outlive this; may be null.
+  /// Sets the observer, which must outlive the proxy; may be null.
   void SetTrafficObserver(TrafficObserver* observer) {
     observer_ = observer;
     backends_.RecordLoadReports();
   }
-  /// False: a list is on its way in slices, and what is there of it is too little to serve from.
+  /// `complete` is false while a list is applied in slices and too few backends are known to serve requests.
   void SetListComplete(bool complete) { list_complete_ = complete; }
   /// Whether requests can be served.
   bool CanServe() const { return list_complete_ && backends_.HasReadyBackend(); }
-  /// Requests that have no answer yet.
+  /// The number of requests without an answer.
   std::size_t open_requests() const { return table_.open(); }
-  /// Counters by service class.
+  /// Counters of requests, indexed by service class.
   const std::vector<RequestCounters>& counters() const { return table_.counters(); }
-  /// When a list last came that was not cached.
+  /// When the last list was received; cached lists don't count.
   TimePoint last_list_at() const { return last_list_at_; }
   /// The decision module's state of each backend.
   std::vector<BackendView> Inspect() const { return table_.Inspect(); }
 
  private:
-  // A request that has no answer yet.
+  // A request without an answer.
   struct OpenRequest {
     std::shared_ptr<const ForwardedRequest> forwarded;
     std::shared_ptr<Requester> requester;
@@ -96,11 +96,11 @@
   struct OutstandingAttempt {
     request_table::Send action;
     BackendPool::AttemptHandle handle;
-    std::optional<Outcome> unreported_outcome;  // it has ended, and the table could not be notified
+    std::optional<Outcome> unreported_outcome;  // set if it has ended and notifying the table failed
   };
   using OutstandingAttempts = std::unordered_map<RequestId, OutstandingAttempt>;
 
-  static constexpr RequestId kNoRequestId = 0;  // in requests_: one that is not in the table yet
+  static constexpr RequestId kNoRequestId = 0;  // key in requests_ until the table has assigned an id
 
   void ProcessActions();
   void Perform(const request_table::Send& action);
@@ -120,14 +120,14 @@
   std::function<void()> subscribe_;
   TrafficObserver* observer_ = nullptr;
   std::unordered_map<RequestId, OpenRequest> requests_;
-  OutstandingAttempts attempts_;  // one a request at most; one may outlast its request
+  OutstandingAttempts attempts_;  // at most one per request; may outlive its request
   bool has_unreported_ends_ = false;
   TimePoint last_list_at_{};
-  request_table::RequestTable::Actions actions_;  // of the table, not begun yet
+  request_table::RequestTable::Actions actions_;  // actions of the table that have not been performed
   bool processing_ = false;
   bool list_complete_ = true;
   net::OneShotTimer timer_;
-  TimePoint timer_at_;  // when the timer is due
+  TimePoint timer_at_;  // when the timer expires
 };
 
 }  // namespace badgerbridge::proxy
--- a/src/proxy_main/proxy_process.cpp
+++ b/src/proxy_main/proxy_process.cpp
@@ -157,7 +157,7 @@
 // invalid file changes nothing.
 void ProxyProcess::Reload() {
   try {
-    discovery_->MoveTo(proxy::RereadConfig(environment_).value().discovery);
+    discovery_->ChangeAddress(proxy::RereadConfig(environment_).value().discovery);
     ++reloads_.applied;
     reloads_.last_error.clear();
   } catch (const std::exception& error) {
--- a/tests/proxy/backend_attempt_test.cpp
+++ b/tests/proxy/backend_attempt_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One attempt on a connection to a scripted backend: its outcome, and when it may begin.
+// Tests one attempt on a connection to a scripted backend: its outcome, and when it may begin.
 #include <gtest/gtest.h>
 
 #include "proxy/backend_pool_harness.h"
@@ -52,7 +52,7 @@
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kReset);
   script = [](Wire& wire) { wire.Close(); };
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kReset);
-  EXPECT_EQ(peer.requests.size(), 2u) << "sent again by itself";
+  EXPECT_EQ(peer.requests.size(), 2u) << "the pool must not resend by itself";
 }
 
 TEST_F(BackendAttemptTest, ATruncatedResponseIsAReset) {
@@ -65,7 +65,7 @@
   EXPECT_EQ(results.back().body, "");
 }
 
-TEST_F(BackendAttemptTest, ResponsesWithoutACertainEndAreResets) {
+TEST_F(BackendAttemptTest, ResponsesWithoutAnExplicitEndAreResets) {
   std::string reply;
   Peer peer(io, [&](Wire& wire) {
     wire.Send(reply);
@@ -102,17 +102,17 @@
   EXPECT_EQ(peer.wires.size(), 1u) << "the first response left the connection in order";
 }
 
-// The response stops short on a connection that stays open: the rest of the client's time is for a retry.
+// A partial response on an open connection ends the attempt early, which leaves time for a retry.
 TEST_F(BackendAttemptTest, AStalledResponseEndsAheadOfTheDeadline) {
   Peer peer(io, [](Wire& wire) { wire.Send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"); });
   BackendPool::Limits limits;
   limits.connect_timeout = Duration(50);
   StartPool(peer, limits);
-  EXPECT_EQ(OutcomeOfOneAttempt(Duration(60000)), Outcome::kReset) << "and no timeout, long before it";
+  EXPECT_EQ(OutcomeOfOneAttempt(Duration(60000)), Outcome::kReset) << "a reset long before the timeout";
 }
 
-// What comes before the request is complete is no response to it.
-TEST_F(BackendAttemptTest, AResponseAheadOfTheCompleteRequestIsNone) {
+// A response received before the request is complete is not a response to it.
+TEST_F(BackendAttemptTest, AResponseBeforeTheCompleteRequestIsIgnored) {
   tcp::acceptor hasty(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
   hasty.set_option(asio::socket_base::receive_buffer_size(4096));
   tcp::socket accepted(io);
@@ -131,8 +131,8 @@
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kReset);
 }
 
-// The backend can't have read all of it, so it never ran: nobody reads here, and the request is larger than
-// what the kernel holds for it.
+// The backend reads nothing and the request is larger than the kernel buffers, so it cannot have received the
+// whole request, which therefore has not run.
 TEST_F(BackendAttemptTest, ARequestThatIsNotWrittenInTimeCouldNotConnect) {
   tcp::acceptor silent(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
   silent.set_option(asio::socket_base::receive_buffer_size(4096));
@@ -174,14 +174,14 @@
   RunReady(io);
   EXPECT_EQ(results[1].outcome, Outcome::kCancelled);
   EXPECT_EQ(results.size(), 2u);
-  EXPECT_EQ(pool->open_connections(), 0u) << "giving up closes the connection";
+  EXPECT_EQ(pool->open_connections(), 0u) << "cancelling closes the connection";
 }
 
-// On a new connection and on an idle one: what counts is the moment of the first byte.
+// The latest time to begin applies to the first byte, on a new connection and on an idle one.
 TEST_F(BackendAttemptTest, AnAttemptIsNotBegunAfterItsLatestBegin) {
   Peer peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
   StartPool(peer);
-  // It passes while the connection comes up, as on a busy machine.
+  // The time passes while the connection is opened, as on a busy machine.
   const TimePoint passed = clock.Now() + Duration(5);
   SendRequest(RequestOf(""), Duration(10000), passed);
   while (clock.Now() < passed) {
@@ -198,8 +198,8 @@
   EXPECT_EQ(peer.requests.size(), 1u);
 }
 
-// It counts at the backend when its last byte has come: a retry that is half written when its deduplication
-// window is over must not become complete later.
+// A backend runs a request when it has received the last byte: a retry that is partly written when its
+// deduplication window ends must not be completed later.
 TEST_F(BackendAttemptTest, ARequestHalfWrittenAtItsLatestBeginIsCutOff) {
   tcp::acceptor slow(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
   slow.set_option(asio::socket_base::receive_buffer_size(4096));
@@ -214,7 +214,7 @@
   EXPECT_GE((clock.Now() - began).count(), 100);
 }
 
-// Its request is over: what has not begun never runs, and is no failure of the backend.
+// The request has ended, so an attempt that has not begun never runs and doesn't count as a backend failure.
 TEST_F(BackendAttemptTest, AWithdrawnAttemptThatHasNotBegunIsNotSent) {
   Peer peer(io, [](Wire&) {});
   StartPool(peer);
@@ -229,7 +229,7 @@
   EXPECT_EQ(pool->open_connections(), 0u);
 }
 
-TEST_F(BackendAttemptTest, AWithdrawnAttemptThatIsWrittenGoesOn) {
+TEST_F(BackendAttemptTest, AWithdrawnAttemptThatIsWrittenContinues) {
   std::vector<Wire*> waiting;
   Peer peer(io, [&](Wire& wire) { waiting.push_back(&wire); });
   StartPool(peer);
@@ -242,7 +242,7 @@
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 1; }));
   EXPECT_EQ(results[0].outcome, Outcome::kOk);
 
-  pool->Withdraw(written);  // it has ended, and its connection has another
+  pool->Withdraw(written);  // it has ended, and its connection runs a later attempt
   SendRequest(RequestOf(""));
   ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 2; }));
   pool->Withdraw(written);
@@ -264,8 +264,8 @@
   EXPECT_EQ(pool->open_connections(), 0u);
 }
 
-// A drain counts from the first byte, and from when discovery's agent had it, which may be long before it is
-// read here: nothing is begun from then on, whatever the grace period allows.
+// No attempt may begin on a draining backend, not even within the grace period: the drain may have reached
+// the agent of discovery long before the proxy reads it.
 TEST_F(BackendAttemptTest, NothingIsBegunOnADrainedBackend) {
   Peer peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
   BackendPool::Limits limits;
--- a/tests/proxy/backend_connection_test.cpp
+++ b/tests/proxy/backend_connection_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The life of a connection to a scripted backend: connecting, idle time and its end.
+// Tests a connection to a scripted backend: connecting, idling and closing.
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 #include <unistd.h>
@@ -20,7 +20,7 @@
   EXPECT_EQ(pool->open_connections(), 0u);
 }
 
-// A listener whose queue is full never answers: only the proxy's own time ends the wait.
+// A listener with a full queue never answers, so only the proxy's own timeout ends the wait.
 TEST_F(BackendConnectionTest, ConnectingIsBoundedByTheSettingsAndTheAttempt) {
   tcp::acceptor full(io);
   full.open(tcp::v4());
@@ -38,7 +38,7 @@
   RunReady(io);
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kConnectFailed);
 
-  // Nor a quarter of the attempt's own time: the rest is for another backend.
+  // Connecting also takes at most a quarter of the attempt's time, to leave the rest for another backend.
   limits.connect_timeout = Duration(60000);
   pool = std::make_unique<BackendPool>(io, clock, limits);
   pool->Update(ListWith(full.local_endpoint()));
@@ -47,7 +47,7 @@
   EXPECT_LT((clock.Now() - began).count(), 1500);
 }
 
-// A proxy that has no descriptor left can't connect to any backend; none of them is to blame.
+// A proxy without free descriptors can't connect to any backend, so the backend must not count as failed.
 TEST_F(BackendConnectionTest, WithoutADescriptorTheAttemptIsNotSent) {
   Peer peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
   StartPool(peer);
@@ -66,8 +66,8 @@
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kOk);
 }
 
-// They would pass for the response to the next request.
-TEST_F(BackendConnectionTest, BytesBehindAResponseCloseTheConnection) {
+// Bytes after a response would be taken for the response to the next request.
+TEST_F(BackendConnectionTest, BytesAfterAResponseCloseTheConnection) {
   std::string behind;
   Peer peer(io, [&](Wire& wire) { wire.Send(Reply(200, "mine") + behind); });
   StartPool(peer);
@@ -81,8 +81,8 @@
   }
 }
 
-// The beginning of a head, on an idle connection: a parser that had begun on it would wait for the rest, and
-// take that for the next response.
+// An idle connection receives the start of a response header. A parser that had read it would wait for the
+// rest and use it as the next response.
 TEST_F(BackendConnectionTest, AnIdleConnectionWithUnsolicitedBytesIsNotUsed) {
   Peer peer(io, [](Wire& wire) { wire.Send(Reply(200, "ok")); });
   StartPool(peer);
@@ -90,22 +90,22 @@
   peer.wires[0]->Send("HTTP/1.1 2");
   EXPECT_TRUE(RunUntil(io, [&] { return pool->open_connections() == 0; }));
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kOk);
-  peer.wires[1]->Send("HTTP/1.1 2");  // and at once, before its wait has had its turn:
+  peer.wires[1]->Send("HTTP/1.1 2");  // the next request comes before the handler of the wait runs
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kOk);
   EXPECT_EQ(peer.wires.size(), 3u);
 }
 
-// A request on it would end as a reset that may have run.
+// A request on such a connection would end as a reset, after which it may have run.
 TEST_F(BackendConnectionTest, AnIdleConnectionThatTheBackendClosedIsNotUsed) {
   Peer peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
   StartPool(peer);
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kOk);
-  peer.wires[0]->Close();  // and at once, before the pending wait has had its turn:
+  peer.wires[0]->Close();  // the next request comes before the handler of the wait runs
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kOk);
   EXPECT_EQ(peer.wires.size(), 2u);
   peer.wires[1]->Close();
   EXPECT_TRUE(RunUntil(io, [&] { return pool->open_connections() == 0; }))
-      << "the pending wait sees the close";
+      << "the pending wait detects the close";
 }
 
 TEST_F(BackendConnectionTest, IdleConnectionsAreClosedAheadOfTheBackendsTimeout) {
@@ -119,16 +119,16 @@
   EXPECT_GE((clock.Now() - idle_since).count(), 140);
 }
 
-// A backend that responds twice does so some milliseconds apart: the second response must not become that of
-// the next request, whose connection was taken in between.
-TEST_F(BackendConnectionTest, ASecondResponseIsNotTheNextRequests) {
+// A backend that responds twice does so a few milliseconds apart. The second response must not be used for
+// the next request if the connection is reused in between.
+TEST_F(BackendConnectionTest, ASecondResponseIsNotUsedForTheNextRequest) {
   std::string reply = Reply(200, "first");
   Peer peer(io, [&](Wire& wire) { wire.Send(reply); });
   BackendPool::Limits limits;
   StartPool(peer, limits);
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kOk);
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kOk);
-  EXPECT_EQ(peer.wires.size(), 1u) << "no unsolicited bytes have come: no connection needs a pause";
+  EXPECT_EQ(peer.wires.size(), 1u) << "without unsolicited bytes, a connection is reused at once";
   peer.wires[0]->Send(reply);  // while it is idle
   ASSERT_TRUE(RunUntil(io, [&] { return pool->open_connections() == 0; }))
       << "a connection with unsolicited bytes is closed";
@@ -145,7 +145,7 @@
   const TimePoint pause_over = clock.Now() + limits.min_idle_after_unsolicited;
   ASSERT_TRUE(RunUntil(io, [&] { return clock.Now() > pause_over; }));
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kOk);
-  EXPECT_EQ(peer.wires.size(), 3u) << "after the pause it is used again";
+  EXPECT_EQ(peer.wires.size(), 3u) << "reused after the minimum idle time";
 }
 
 }  // namespace
--- a/tests/proxy/backend_pool_harness.h
+++ b/tests/proxy/backend_pool_harness.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A pool of connections to scripted backends in this process.
+// A fixture with a pool of connections to scripted backends in the test process.
 #ifndef BADGERBRIDGE_TESTS_PROXY_BACKEND_POOL_HARNESS_H_
 #define BADGERBRIDGE_TESTS_PROXY_BACKEND_POOL_HARNESS_H_
 
@@ -15,12 +15,12 @@
 
 namespace badgerbridge::proxy::testing {
 
-/// A pool that knows one backend, and the results of the attempts on it.
+/// A pool with one backend, and the results of the attempts on it.
 class BackendPoolFixture : public ::testing::Test {
  protected:
   static constexpr BackendId kBackend = 5;
 
-  /// A change to the list: the backend at an address.
+  /// A change to the list that sets the address and state of the backend.
   static EndpointList ListWith(tcp::endpoint address, BackendState state = BackendState::kReady) {
     EndpointList list;
     list.endpoints.push_back({});
@@ -29,13 +29,13 @@
     list.endpoints.back().address = std::move(address);
     return list;
   }
-  /// Limits with which a connection can be used again at once, also after unsolicited bytes.
+  /// Limits that let a connection be reused at once, even after unsolicited bytes.
   static BackendPool::Limits WithoutMinIdleTime() {
     BackendPool::Limits limits;
     limits.min_idle_after_unsolicited = Duration(0);
     return limits;
   }
-  /// A new pool whose backend is `peer`.
+  /// Creates a new pool whose backend is `peer`.
   void StartPool(Peer& peer, BackendPool::Limits limits = WithoutMinIdleTime()) {
     pool = std::make_unique<BackendPool>(io, clock, limits);
     pool->Update(ListWith(peer.endpoint()));
@@ -49,18 +49,18 @@
     request->body = body;
     return request;
   }
-  /// Begins an attempt of a request, whose result goes to `results`.
+  /// Begins an attempt and appends its result to `results`.
   BackendPool::AttemptHandle SendRequest(std::shared_ptr<const ForwardedRequest> request,
                                          Duration timeout = Duration(10000),
                                          TimePoint begin_before = TimePoint::max()) {
     return pool->Send(kBackend, std::move(request), timeout, begin_before,
                       [this](AttemptResult result) { results.push_back(std::move(result)); });
   }
-  /// The same with a new request.
+  /// Begins an attempt of a new request.
   void Send(Duration timeout = Duration(10000), const std::string& body = "") {
     SendRequest(RequestOf(body), timeout);
   }
-  /// Makes an attempt, and expects one result that does not come from within the call.
+  /// Makes an attempt and returns its outcome. Expects exactly one result, not from within Send().
   Outcome OutcomeOfOneAttempt(Duration timeout = Duration(10000)) {
     const std::size_t before = results.size();
     Send(timeout);
--- a/tests/proxy/backend_pool_test.cpp
+++ b/tests/proxy/backend_pool_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The pool: lists of backends, the choice of a connection, and the bounds.
+// Tests the pool: updates of the list, the choice of a connection, and the limits.
 #include <gtest/gtest.h>
 
 #include "proxy/backend_pool_harness.h"
@@ -15,7 +15,7 @@
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kConnectFailed);
 }
 
-TEST_F(BackendPoolTest, BackendsThatAreGoneAreForgotten) {
+TEST_F(BackendPoolTest, GoneBackendsAreRemoved) {
   Peer peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
   StartPool(peer);
   for (BackendId id = 100; id < 200; ++id) {
@@ -32,7 +32,7 @@
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kOk);
 }
 
-// The connection of the backend that has gone is not kept for the new one.
+// A new backend at the same address must not get the connections of one that is gone.
 TEST_F(BackendPoolTest, ANewBackendAtAnOldAddressGetsItsOwnConnections) {
   std::vector<Wire*> waiting;
   Peer peer(io, [&](Wire& wire) { waiting.push_back(&wire); });
@@ -49,7 +49,7 @@
   EXPECT_EQ(pool->open_connections(), 0u) << "not kept for the new one";
 }
 
-// A machine that vanishes leaves its connections open.
+// A host that disappears leaves its connections open; a timeout must close the idle ones too.
 TEST_F(BackendPoolTest, ATimeoutClosesConnectionsIdleSinceBeforeTheAttempt) {
   std::vector<Wire*> waiting;
   Peer peer(io, [&](Wire& wire) { waiting.push_back(&wire); });
@@ -114,7 +114,7 @@
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kConnectFailed);
 }
 
-// A machine that comes back under another address is the same backend; its old connections are not.
+// A host that returns at another address is the same backend but needs new connections.
 TEST_F(BackendPoolTest, ANewAddressGetsNewConnections) {
   Peer old_peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
   Peer new_peer(io, [](Wire& wire) { wire.Send(Reply(200)); });
--- a/tests/proxy/clock_test.cpp
+++ b/tests/proxy/clock_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The clock of a proxy.
+// Tests the clock of a proxy.
 #include "proxy/clock.h"
 
 #include <gtest/gtest.h>
@@ -10,8 +10,8 @@
 namespace badgerbridge::proxy::testing {
 namespace {
 
-// A start some seconds before the proxy's own must be as old by the proxy's clock, or a backend in slow start
-// passes for a warm one.
+// The proxy compares start times from discovery with its own clock. If the clock were off, a backend in slow
+// start would count as warmed up.
 TEST(ProxyClockTest, ReadsAsUnixTime) {
   const ProxyClock clock;
   const Duration unix_now(std::chrono::system_clock::now().time_since_epoch());
--- a/tests/proxy/config_test.cpp
+++ b/tests/proxy/config_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The configuration: environment variables and JSON.
+// Tests the configuration: environment variables and JSON.
 #include <gtest/gtest.h>
 
 #include <boost/json.hpp>
@@ -14,7 +14,7 @@
 
 const Environment kNoVariables = [](const char*) { return nullptr; };
 
-// The message of the error in a configuration; empty: none.
+// The error message for a configuration; empty if it is valid.
 std::string ErrorIn(const std::string& text) {
   try {
     ParseConfig(text, kNoVariables);
@@ -49,8 +49,8 @@
   EXPECT_EQ(config.backend_idle_timeout.count(), 60000);
 }
 
-// The platform's file says how long after a drain new requests may still go to a backend. Nothing of that
-// time is used (BackendPool::AcceptsRequests), so the proxy starts whatever it is.
+// The platform's file sets how long after a drain new requests may still go to a backend. The proxy doesn't
+// use this time (BackendPool::AcceptsRequests), so it accepts any value.
 TEST(ConfigTest, TheGracePeriodAfterADrainIsAcceptedAndNotUsed) {
   const std::string with_grace = ConfigJson({});
   EXPECT_EQ(ErrorIn(with_grace), "");
--- a/tests/proxy/crossings_play.cpp
+++ b/tests/proxy/crossings_play.cpp
@@ -11,13 +11,13 @@
 namespace badgerbridge::proxy::testing {
 namespace {
 
-constexpr std::chrono::microseconds kHandlerTime{100};  // what each handler is taken to need
-constexpr std::chrono::milliseconds kMaxWait{50};       // for a handler, where no timer is set
+constexpr std::chrono::microseconds kHandlerTime{100};  // virtual duration of each handler
+constexpr std::chrono::milliseconds kMaxWait{50};       // virtual wait if no timer is set
 constexpr std::chrono::milliseconds kPauseTime{30};
-constexpr std::chrono::seconds kMaxPlayTime{5};  // of real time
-constexpr std::chrono::seconds kMaxRunTime{20};  // of real time, for a condition
-constexpr std::size_t kMaxRuns = 4;              // of any request
-constexpr std::size_t kOtherCell = 2;            // the backend that is alone in its cell
+constexpr std::chrono::seconds kMaxRunTime{5};         // real time
+constexpr std::chrono::seconds kMaxConditionTime{20};  // real time to wait for a condition
+constexpr std::size_t kMaxRuns = 4;                    // runs allowed for any request
+constexpr std::size_t kBackendInOtherCell = 2;         // index of the only backend of the second cell
 
 std::string ClassIn(const std::string& request) {
   const std::size_t at = request.find("X-Service-Class: ") + 17;
@@ -26,17 +26,19 @@
 
 }  // namespace
 
-const char* NameOf(CrossingEvent event) {
-  constexpr const char* kNames[] = {"none",   "client FIN", "client RST", "next request", "half a request",
-                                    "answer", "FIN",        "RST",        "stray byte",   "connected",
-                                    "drain",  "departure",  "list reset", "silent list",  "SIGTERM",
-                                    "SIGHUP", "pause"};
+const char* NameOf(InjectedEvent event) {
+  constexpr const char* kNames[] = {
+      "none",   "client FIN", "client RST", "next request",     "partial request",
+      "answer", "FIN",        "RST",        "unsolicited byte", "connected",
+      "drain",  "gone",       "list reset", "silent list",      "SIGTERM",
+      "SIGHUP", "pause"};
   return kNames[static_cast<int>(event)];
 }
 
-// ---- set-up
+// ---- setup
 
-CrossingsPlay::CrossingsPlay(const Exchange& exchange, std::vector<CrossingStep> events, CrossingFault fault)
+InterleavingRun::InterleavingRun(const Exchange& exchange, std::vector<ScheduledEvent> events,
+                                 SeededFault fault)
     : exchange_(exchange), events_(std::move(events)), fault_(fault) {
   StartPeers();
   const Config config = MakeConfig();
@@ -49,7 +51,7 @@
   listener_.emplace(io_, clock_, *proxy_, config, limits);
 }
 
-Config CrossingsPlay::MakeConfig() const {
+Config InterleavingRun::MakeConfig() const {
   static const Config kConfig = TestConfig({});
   Config config = kConfig;
   config.listen = address_;
@@ -57,7 +59,7 @@
   return config;
 }
 
-void CrossingsPlay::StartPeers() {
+void InterleavingRun::StartPeers() {
   for (std::size_t i = 0; i < kBackends; ++i) {
     backends_.push_back(std::make_unique<Peer>(
         io_, [this, i](Wire& wire) { Serve(i, wire); }, address_));
@@ -73,7 +75,7 @@
   }
 }
 
-void CrossingsPlay::StartPool(const Config& config) {
+void InterleavingRun::StartPool(const Config& config) {
   pool_.emplace(io_, clock_, BackendPool::Limits::From(config));
   pool_->SetAttemptObserver(
       [this](BackendId backend, const ForwardedRequest& request) { OnAttemptBegin(backend, request); });
@@ -84,7 +86,7 @@
   });
 }
 
-void CrossingsPlay::StartWatch(const Config& config) {
+void InterleavingRun::StartWatch(const Config& config) {
   Discovery::Timing timing;
   timing.message_timeout = std::chrono::milliseconds(20);
   watch_.emplace(
@@ -93,7 +95,7 @@
   watch_->Watch();
 }
 
-void CrossingsPlay::OnList(const EndpointList& list) {
+void InterleavingRun::OnList(const EndpointList& list) {
   std::set<std::string> ready;
   for (const Endpoint& endpoint : list.endpoints) {
     ids_[endpoint.name] = endpoint.entry.server;
@@ -106,11 +108,11 @@
   for (const auto& [name, id] : ids_) {
     if (list.snapshot && !ready.contains(name)) notified_unready_.insert(id);
   }
-  if (fault_ == CrossingFault::kDrainHeldBack && !notified_unready_.empty()) return;
+  if (fault_ == SeededFault::kDrainWithheld && !notified_unready_.empty()) return;
   proxy_->UpdateList(list.snapshot ? EndpointListKind::kFull : EndpointListKind::kDelta, list);
 }
 
-void CrossingsPlay::WarmUp() {
+void InterleavingRun::WarmUp() {
   std::vector<std::shared_ptr<Wire>> clients;
   for (int i = 0; i < 6; ++i) {
     clients.push_back(Connect());
@@ -128,9 +130,9 @@
 
 // ---- the event loop
 
-// One handler, if one is ready. The kernel may hand over on another thread what has just been sent: that gets
-// the processor before none counts as ready.
-bool CrossingsPlay::RunHandler() {
+// Runs one handler if one is ready. The kernel may deliver loopback data on another thread, so this yields
+// and polls again before it reports that none is ready.
+bool InterleavingRun::RunHandler() {
   constexpr int kLooks = 2;
   for (int look = 0; look < kLooks; ++look) {
     io_.restart();
@@ -143,15 +145,15 @@
   return false;
 }
 
-void CrossingsPlay::RunHandlerOrWait() {
+void InterleavingRun::RunHandlerOrWait() {
   if (RunHandler()) return;
   virtual_clock_.AdvanceToNextTimer(kMaxWait);
   RunHandler();
 }
 
-// False if the condition does not hold within a time far beyond any need.
-bool CrossingsPlay::RunUntil(const std::function<bool()>& holds) {
-  const auto limit = std::chrono::steady_clock::now() + kMaxRunTime;
+// Runs until the condition holds; false if it does not within kMaxConditionTime.
+bool InterleavingRun::RunUntil(const std::function<bool()>& holds) {
+  const auto limit = std::chrono::steady_clock::now() + kMaxConditionTime;
   while (!holds()) {
     if (std::chrono::steady_clock::now() > limit) return false;
     RunHandlerOrWait();
@@ -159,23 +161,23 @@
   return true;
 }
 
-std::size_t CrossingsPlay::Run(RuleViolations& violations) {
+std::size_t InterleavingRun::Run(RuleViolations& violations) {
   EXPECT_TRUE(RunUntil([&] { return ids_.size() == kBackends && pool_->HasReadyBackend(); }));
   if (exchange_.has_idle_connections) WarmUp();
-  playing_ = true;
+  exchange_started_ = true;
   client_ = Connect();
   client_->Send(exchange_.text);
   sent_ = exchange_.ids;
   const std::size_t steps = RunSteps(violations);
-  JudgeAnswers(violations);
-  JudgeWhatIsLeft(violations);
+  CheckAnswers(violations);
+  CheckNothingLeaked(violations);
   return steps;
 }
 
-std::size_t CrossingsPlay::RunSteps(RuleViolations& violations) {
-  const auto limit = std::chrono::steady_clock::now() + kMaxPlayTime;
+std::size_t InterleavingRun::RunSteps(RuleViolations& violations) {
+  const auto limit = std::chrono::steady_clock::now() + kMaxRunTime;
   for (std::size_t step = 0;; ++step) {
-    for (const CrossingStep& planned : events_) {
+    for (const ScheduledEvent& planned : events_) {
       if (planned.step == step) Apply(planned.event);
     }
     if (IsOver()) return step;
@@ -184,7 +186,7 @@
       return step;
     }
     if (!RunHandler()) {
-      FinishConnect();  // nothing else is left to do
+      FinishConnect();  // no handler is ready
       RunHandlerOrWait();
     }
     if (client_->closed && !client_is_closed_) {
@@ -194,9 +196,9 @@
   }
 }
 
-// ---- the peers
+// ---- peers
 
-std::shared_ptr<Wire> CrossingsPlay::Connect() {
+std::shared_ptr<Wire> InterleavingRun::Connect() {
   tcp::socket socket(io_);
   socket.connect(listener_->address());
   auto wire = std::make_shared<Wire>(std::move(socket));
@@ -204,15 +206,15 @@
   return wire;
 }
 
-std::string CrossingsPlay::ListOf(bool snapshot) const {
+std::string InterleavingRun::ListOf(bool snapshot) const {
   std::vector<std::string> endpoints;
   for (std::size_t i = 0; i < kBackends; ++i) {
-    const int cell = i == kOtherCell ? 2 : 1;
+    const int cell = i == kBackendInOtherCell ? 2 : 1;
     const auto found = ids_.find(names_[i]);
     const bool is_drained = drained_ && found != ids_.end() && found->second == *drained_;
     if (!is_drained) {
       endpoints.push_back(EndpointJson(names_[i], backends_[i]->address(), "Ready", cell));
-    } else if (!departed_) {
+    } else if (!is_gone_) {
       endpoints.push_back(EndpointJson(names_[i], backends_[i]->address(), "Terminating", cell));
     } else if (!snapshot) {
       endpoints.push_back(EndpointJson(names_[i], backends_[i]->address(), "Gone", cell));
@@ -221,14 +223,14 @@
   return ListJson(drained_ ? 9 : 8, snapshot, endpoints);
 }
 
-void CrossingsPlay::Serve(std::size_t backend, Wire& wire) {
+void InterleavingRun::Serve(std::size_t backend, Wire& wire) {
   const std::string& request = backends_[backend]->requests.back();
   const std::string id = IdIn(request);
   newest_wire_ = &wire;
-  if (!playing_) return wire.Send(Reply(200, id));
+  if (!exchange_started_) return wire.Send(Reply(200, id));
   const BackendBehavior behavior = exchange_.behaviors[std::min(served_, exchange_.behaviors.size() - 1)];
   ++served_;
-  if (behavior != BackendBehavior::kUnprocessed || fault_ == CrossingFault::kDeniesThatItRan)
+  if (behavior != BackendBehavior::kUnprocessed || fault_ == SeededFault::kFalseUnprocessed)
     seen_.push_back({backend, id, ClassIn(request)});
   switch (behavior) {
     case BackendBehavior::kAnswer:
@@ -240,7 +242,7 @@
     case BackendBehavior::kNothing:
       wire.owed = id;
       return;
-    case BackendBehavior::kHalfAnswer:
+    case BackendBehavior::kPartialAnswer:
       wire.Send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
       return wire.Close();
     case BackendBehavior::kNoLength:
@@ -254,31 +256,30 @@
   }
 }
 
-// The proxy is about to write the first byte of an attempt.
-void CrossingsPlay::OnAttemptBegin(BackendId backend, const ForwardedRequest& request) {
-  if (!playing_) return;
+// Called just before the proxy writes the first byte of an attempt.
+void InterleavingRun::OnAttemptBegin(BackendId backend, const ForwardedRequest& request) {
+  if (!exchange_started_) return;
   begun_.insert(request.correlation_id);
-  // The cell remembers a key from when it first came.
+  // A cell deduplicates a key for the window after its first arrival.
   if (!request.idempotency_key.empty()) {
     const TimePoint now = clock_.Now();
     const TimePoint first = first_begun_.try_emplace(request.correlation_id, now).first->second;
-    if (now - first > Duration(exchange_.window_ms)) ++forgotten_keys_;
+    if (now - first > Duration(exchange_.window_ms)) ++expired_keys_;
   }
-  if (proxy_->open_requests() == 0)
-    ++late_attempts_;  // its request is over: the client left, or has its answer
-  if (leave_is_unseen_) ++late_attempts_;
+  if (proxy_->open_requests() == 0) ++late_attempts_;  // the client has disconnected or has its answer
+  if (disconnect_not_seen_) ++late_attempts_;
   if (notified_unready_.contains(backend)) ++late_attempts_;  // a drain
 }
 
-void CrossingsPlay::FinishConnect() {
+void InterleavingRun::FinishConnect() {
   if (pending_connects_.empty()) return;
   const auto connect = std::move(pending_connects_.front());
   pending_connects_.pop_front();
   connect();
 }
 
-// The connection on which the newest request came, if it is open.
-Wire* CrossingsPlay::LiveBackendWire() const {
+// The backend connection that received the newest request; null if it is closed.
+Wire* InterleavingRun::LiveBackendWire() const {
   for (const auto& backend : backends_) {
     for (const auto& wire : backend->wires) {
       if (wire.get() == newest_wire_ && wire->socket.is_open()) return wire.get();
@@ -287,51 +288,52 @@
   return nullptr;
 }
 
-// The id of the request that has come on a connection, also where that has not been read yet.
-std::string CrossingsPlay::IdOwedOn(Wire& wire) {
+// The id of the request received on a connection, even if it is still unread in the socket.
+std::string InterleavingRun::IdReceivedOn(Wire& wire) {
   std::string text(65536, '\0');
   ErrorCode error;
   wire.socket.non_blocking(true, error);
   text.resize(wire.socket.receive(asio::buffer(text), tcp::socket::message_peek, error));
   text = wire.in + (error ? "" : text);
   if (text.find("X-Correlation-Id: ") != std::string::npos) return IdIn(text);
-  return wire.owed.empty() ? "nobody's" : std::exchange(wire.owed, {});
+  return wire.owed.empty() ? "unknown" : std::exchange(wire.owed, {});
 }
 
 // ---- events
 
-void CrossingsPlay::Apply(CrossingEvent event) {
+void InterleavingRun::Apply(InjectedEvent event) {
   switch (event) {
-    case CrossingEvent::kNone:
+    case InjectedEvent::kNone:
       return;
-    case CrossingEvent::kClientFin:
-    case CrossingEvent::kClientReset:
-    case CrossingEvent::kNextRequest:
-    case CrossingEvent::kHalfRequest:
+    case InjectedEvent::kClientFin:
+    case InjectedEvent::kClientReset:
+    case InjectedEvent::kNextRequest:
+    case InjectedEvent::kPartialRequest:
       return ApplyToClient(event);
-    case CrossingEvent::kBackendAnswers:
-    case CrossingEvent::kBackendFin:
-    case CrossingEvent::kBackendReset:
-    case CrossingEvent::kStrayByte:
+    case InjectedEvent::kBackendAnswers:
+    case InjectedEvent::kBackendFin:
+    case InjectedEvent::kBackendReset:
+    case InjectedEvent::kUnsolicitedByte:
       return ApplyToBackend(event);
-    case CrossingEvent::kDrain:
-    case CrossingEvent::kDeparture:
-    case CrossingEvent::kListReset:
-    case CrossingEvent::kListSilent:
+    case InjectedEvent::kDrain:
+    case InjectedEvent::kGone:
+    case InjectedEvent::kListReset:
+    case InjectedEvent::kListSilent:
       return ApplyToDiscovery(event);
-    case CrossingEvent::kConnected:
-    case CrossingEvent::kTerm:
-    case CrossingEvent::kHup:
-    case CrossingEvent::kPause:
+    case InjectedEvent::kConnected:
+    case InjectedEvent::kTerm:
+    case InjectedEvent::kHup:
+    case InjectedEvent::kPause:
       return ApplyToProxy(event);
   }
 }
 
-void CrossingsPlay::ApplyToClient(CrossingEvent event) {
-  if (event == CrossingEvent::kClientFin || event == CrossingEvent::kClientReset) return ClientLeaves(event);
-  if (event == CrossingEvent::kHalfRequest) {
+void InterleavingRun::ApplyToClient(InjectedEvent event) {
+  if (event == InjectedEvent::kClientFin || event == InjectedEvent::kClientReset)
+    return DisconnectClient(event);
+  if (event == InjectedEvent::kPartialRequest) {
     if (!client_is_closed_) client_->Send("GET /preview?obj=1 HTTP/1.1\r\nHost: ba");
-    has_sent_half_ = true;
+    has_sent_partial_request_ = true;
     return;
   }
   if (client_is_closed_) return;
@@ -340,68 +342,68 @@
   sent_.push_back(id);
 }
 
-void CrossingsPlay::ClientLeaves(CrossingEvent event) {
+void InterleavingRun::DisconnectClient(InjectedEvent event) {
   if (client_is_closed_) return;
-  has_left_ = true;
-  if (fault_ == CrossingFault::kLeaveNotSeen) {
-    leave_is_unseen_ = true;
+  client_disconnected_ = true;
+  if (fault_ == SeededFault::kDisconnectNotSeen) {
+    disconnect_not_seen_ = true;
     return;
   }
   client_is_closed_ = true;
-  if (event == CrossingEvent::kClientFin) {
+  if (event == InjectedEvent::kClientFin) {
     client_->Close();
   } else {
     client_->Reset();
   }
 }
 
-void CrossingsPlay::ApplyToBackend(CrossingEvent event) {
+void InterleavingRun::ApplyToBackend(InjectedEvent event) {
   Wire* const backend = LiveBackendWire();
   if (!backend) return;
-  if (event == CrossingEvent::kBackendAnswers) backend->Send(Reply(200, IdOwedOn(*backend)));
-  if (event == CrossingEvent::kBackendFin) backend->Close();
-  if (event == CrossingEvent::kBackendReset) backend->Reset();
-  if (event == CrossingEvent::kStrayByte) backend->Send("H");
+  if (event == InjectedEvent::kBackendAnswers) backend->Send(Reply(200, IdReceivedOn(*backend)));
+  if (event == InjectedEvent::kBackendFin) backend->Close();
+  if (event == InjectedEvent::kBackendReset) backend->Reset();
+  if (event == InjectedEvent::kUnsolicitedByte) backend->Send("H");
 }
 
-void CrossingsPlay::ApplyToDiscovery(CrossingEvent event) {
-  if (event == CrossingEvent::kDrain || event == CrossingEvent::kDeparture) return SendDrain(event);
-  if (event == CrossingEvent::kListReset) {
+void InterleavingRun::ApplyToDiscovery(InjectedEvent event) {
+  if (event == InjectedEvent::kDrain || event == InjectedEvent::kGone) return SendDrain(event);
+  if (event == InjectedEvent::kListReset) {
     for (const auto& wire : discovery_->wires) wire->Reset();
     return;
   }
-  if (!discovery_->wires.empty()) mute_ = discovery_->wires.back().get();
+  if (!discovery_->wires.empty()) silent_wire_ = discovery_->wires.back().get();
 }
 
-void CrossingsPlay::SendDrain(CrossingEvent event) {
+void InterleavingRun::SendDrain(InjectedEvent event) {
   if (drained_) return;
   drained_ = newest_backend_ ? *newest_backend_ : ids_.begin()->second;
-  departed_ = event == CrossingEvent::kDeparture;
+  is_gone_ = event == InjectedEvent::kGone;
   for (const auto& wire : discovery_->wires) {
-    if (wire.get() != mute_) wire->Send(Chunk(ListOf(false) + "\n"));
+    if (wire.get() != silent_wire_) wire->Send(Chunk(ListOf(false) + "\n"));
   }
   for (const auto& wire : other_discovery_->wires) wire->Send(Chunk(ListOf(false) + "\n"));
 }
 
-void CrossingsPlay::ApplyToProxy(CrossingEvent event) {
-  if (event == CrossingEvent::kConnected) FinishConnect();
-  if (event == CrossingEvent::kHup) watch_->MoveTo(other_discovery_->endpoint());
-  if (event == CrossingEvent::kPause) virtual_clock_.Advance(kPauseTime);
-  if (event != CrossingEvent::kTerm) return;
+void InterleavingRun::ApplyToProxy(InjectedEvent event) {
+  if (event == InjectedEvent::kConnected) FinishConnect();
+  if (event == InjectedEvent::kHup) watch_->ChangeAddress(other_discovery_->endpoint());
+  if (event == InjectedEvent::kPause) virtual_clock_.Advance(kPauseTime);
+  if (event != InjectedEvent::kTerm) return;
   terminated_ = true;
   listener_->Stop([this] { stopped_ = true; });
 }
 
-// ---- the end and the rules
+// ---- checks
 
-bool CrossingsPlay::IsOver() const {
-  if (has_left_ && fault_ != CrossingFault::kLeaveNotSeen) return IsProxyIdle();
+bool InterleavingRun::IsOver() const {
+  if (client_disconnected_ && fault_ != SeededFault::kDisconnectNotSeen) return IsProxyIdle();
   const bool is_answered = AnswersIn(client_->in).size() >= sent_.size();
   return (client_is_closed_ || is_answered) && IsProxyIdle();
 }
 
-// Nothing is in flight in the table and in the decision module.
-bool CrossingsPlay::IsProxyIdle() const {
+// Whether no request is open and the decision module has nothing in flight.
+bool InterleavingRun::IsProxyIdle() const {
   if (proxy_->open_requests() != 0) return false;
   for (const BackendView& view : proxy_->Inspect()) {
     if (view.in_flight != 0 || view.work_in_flight != 0) return false;
@@ -409,34 +411,35 @@
   return true;
 }
 
-void CrossingsPlay::JudgeAnswers(RuleViolations& violations) {
+void InterleavingRun::CheckAnswers(RuleViolations& violations) {
   std::vector<ClientAnswer> answers = AnswersIn(client_->in);
-  if (fault_ == CrossingFault::kAnswerSwallowed) answers.clear();
-  if (answers.size() > sent_.size() + (has_sent_half_ ? 1 : 0)) ++violations.lost;  // more than one each
+  if (fault_ == SeededFault::kAnswerDropped) answers.clear();
+  if (answers.size() > sent_.size() + (has_sent_partial_request_ ? 1 : 0))
+    ++violations.lost;  // more answers than requests
   for (std::size_t i = 0; i < sent_.size(); ++i) {
     const std::string& id = sent_[i];
     const bool is_answered = i < answers.size();
     if (is_answered) {
       if (answers[i].status == 200 && answers[i].body != id)
-        ++violations.lost;  // no backend sent it for this one
-    } else if (!has_left_ && (i < exchange_.ids.size() || begun_.contains(id))) {
-      // One that crossed the end of its connection unread is sent once more by its client; half a request
-      // before it makes it no request.
-      if (!has_sent_half_ || begun_.contains(id)) ++violations.lost;
+        ++violations.lost;  // the body belongs to another request
+    } else if (!client_disconnected_ && (i < exchange_.ids.size() || begun_.contains(id))) {
+      // A request that was unread when its connection closed is resent by its client, and one that follows a
+      // partial request is malformed; neither needs an answer.
+      if (!has_sent_partial_request_ || begun_.contains(id)) ++violations.lost;
     }
     const bool is_rejected = is_answered && (answers[i].status == 503 || answers[i].status == 429);
-    JudgeRuns(id, is_rejected, violations);
+    CheckRuns(id, is_rejected, violations);
   }
-  if (fault_ == CrossingFault::kDescriptorKept) kept_descriptor_ = ::dup(0);
+  if (fault_ == SeededFault::kDescriptorLeaked) leaked_descriptor_ = ::dup(0);
 }
 
-void CrossingsPlay::JudgeRuns(const std::string& id, bool is_rejected, RuleViolations& violations) const {
-  std::set<bool> cells;  // in which it ran
+void InterleavingRun::CheckRuns(const std::string& id, bool is_rejected, RuleViolations& violations) const {
+  std::set<bool> cells;  // whether it ran in the second cell
   std::size_t runs = 0;
   std::string service_class;
   for (const SeenRequest& seen : seen_) {
     if (seen.id != id) continue;
-    cells.insert(seen.backend == kOtherCell);
+    cells.insert(seen.backend == kBackendInOtherCell);
     ++runs;
     service_class = seen.service_class;
   }
@@ -445,19 +448,19 @@
   if (runs > kMaxRuns) ++violations.twice;
 }
 
-void CrossingsPlay::JudgeWhatIsLeft(RuleViolations& violations) {
+void InterleavingRun::CheckNothingLeaked(RuleViolations& violations) {
   client_->Close();
-  if (fault_ == CrossingFault::kDrainHeldBack) fault_ = CrossingFault::kNone;
+  if (fault_ == SeededFault::kDrainWithheld) fault_ = SeededFault::kNone;
   const bool is_idle = RunUntil([&] {
     FinishConnect();
     return listener_->connections() == 0 && IsProxyIdle() && (!terminated_ || stopped_);
   });
   if (!is_idle) ++violations.leaked;
-  // What a drain or a silent watch held back is notified in the end.
+  // A drain must reach the proxy in the end, even if the watch was silent.
   if (drained_ && !RunUntil([&] { return notified_unready_.contains(*drained_); })) ++violations.late;
   if (proxy_->open_requests() != 0 || pool_->open_connections() > 16 * kBackends) ++violations.leaked;
   violations.late += late_attempts_;
-  violations.twice += forgotten_keys_;
+  violations.twice += expired_keys_;
 }
 
 }  // namespace badgerbridge::proxy::testing
--- a/tests/proxy/crossings_rig.h
+++ b/tests/proxy/crossings_rig.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the two rigs of crossings share: what plays are judged by, their addresses, and the processes in which
-// they run. A rig plays one exchange many times, each time with events at other moments.
+// Shared by the two interleaving tests, which run one exchange many times with events injected at different
+// moments: the counters of rule violations, the addresses, and the worker processes.
 #ifndef BADGERBRIDGE_TESTS_PROXY_CROSSINGS_RIG_H_
 #define BADGERBRIDGE_TESTS_PROXY_CROSSINGS_RIG_H_
 
@@ -29,16 +29,16 @@
 
 using badgerbridge::testing::CountDescriptors;
 
-/// How often each rule was broken.
+/// The number of violations of each rule.
 struct RuleViolations {
-  int lost = 0;    ///< a request without its one answer
-  int twice = 0;   ///< a request that ran twice and may not
-  int late = 0;    ///< an attempt that began when it might no longer
+  int lost = 0;    ///< requests without exactly one answer
+  int twice = 0;   ///< requests that ran more often than allowed
+  int late = 0;    ///< attempts that began too late
   int leaked = 0;  ///< connections, requests or descriptors left behind
 
-  /// Of all rules.
+  /// The sum over all rules.
   int all() const { return lost + twice + late + leaked; }
-  /// Adds those of another play.
+  /// Adds the violations of another run.
   void Add(const RuleViolations& other) {
     lost += other.lost;
     twice += other.twice;
@@ -53,19 +53,19 @@
   return request.substr(at, request.find("\r\n", at) - at);
 }
 
-/// The request, with so much time left.
+/// Returns the request with another X-Time-Left-Ms.
 inline std::string Timed(std::string request, int time_left_ms) {
   const std::size_t at = request.find(": 900");
   return request.replace(at, 5, ": " + std::to_string(time_left_ms));
 }
 
-/// A final answer that a client has read.
+/// A final answer received by a client.
 struct ClientAnswer {
   int status = 0;
   std::string body;
 };
 
-/// The complete answers in what a client has read, in order.
+/// The complete answers in the bytes that a client has received, in order.
 inline std::vector<ClientAnswer> AnswersIn(const std::string& text) {
   std::vector<ClientAnswer> answers;
   for (std::size_t at = 0; at < text.size();) {
@@ -81,12 +81,12 @@
   return answers;
 }
 
-/// An address for each play: thousands of them leave more closed connections behind than one address has
-/// ports, and bind fails then. All are of one length in writing: a list that is longer by a digit may be read
-/// in two pieces in place of one, and the play has other steps then.
+/// A loopback address for each run. On a single address, thousands of runs would exhaust the ports with
+/// closed connections, and bind would fail. All addresses have the same length as text: a longer list might
+/// be read in two pieces, which would change the number of steps.
 inline tcp::endpoint OwnAddress() {
-  constexpr unsigned kFirst = 100;   // of three digits, as all that follow
-  constexpr unsigned kValues = 150;  // of one byte
+  constexpr unsigned kFirst = 100;   // every value has three digits
+  constexpr unsigned kValues = 150;  // values per byte
   static unsigned plays = 0;
   const unsigned number = plays++;
   const unsigned by_process = 128 + static_cast<unsigned>(getpid()) % 120;
@@ -95,16 +95,16 @@
           0};
 }
 
-/// One piece of the plays; adds to the totals.
+/// A unit of work: some runs, whose results it adds to the totals.
 template <typename Totals>
 using Work = std::function<void(Totals*)>;
 
-/// Does each `stride`-th piece in a process of its own, which writes its totals into a pipe. It ends by exit,
-/// so that the sanitizers look for leaks in it too.
+/// Does every `stride`-th unit of work in a child process, which writes its totals to a pipe. The child ends
+/// with exit(), so that the sanitizers check it for leaks too.
 template <typename Totals>
 class Worker {
  public:
-  /// Starts the process; throws std::system_error.
+  /// Starts the process. Throws std::system_error.
   Worker(const std::vector<Work<Totals>>& work, std::size_t first, std::size_t stride) {
     std::array<int, 2> ends{};
     if (::pipe(ends.data()) != 0) throw std::system_error(errno, std::generic_category(), "pipe");
@@ -125,15 +125,16 @@
     std::exit(written && !::testing::Test::HasFailure() ? 0 : 1);
   }
 
-  /// Waits for its end. Its failures are this process's.
+  /// Waits for the process and adds its totals. Fails the test if the process has failed.
   void Join(Totals* totals) {
-    Totals its;
-    EXPECT_EQ(::read(totals_from_, &its, sizeof its), static_cast<ssize_t>(sizeof its));
+    Totals child_totals;
+    EXPECT_EQ(::read(totals_from_, &child_totals, sizeof child_totals),
+              static_cast<ssize_t>(sizeof child_totals));
     ::close(totals_from_);
     int status = -1;
     EXPECT_EQ(::waitpid(process_, &status, 0), process_);
     EXPECT_EQ(status, 0) << "a worker failed";
-    totals->Add(its);
+    totals->Add(child_totals);
   }
 
  private:
@@ -141,7 +142,7 @@
   int totals_from_ = -1;
 };
 
-/// Does all pieces, and adds their totals.
+/// Distributes the work over child processes and adds their totals.
 template <typename Totals>
 void RunInProcesses(const std::vector<Work<Totals>>& work, Totals* totals) {
   constexpr unsigned kMaxWorkers = 4;
--- a/tests/proxy/crossings_test.cpp
+++ b/tests/proxy/crossings_test.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Crossings: what happens when an event comes between any two handlers of an exchange. The same exchange is
-// played again and again with an event put in ahead of step 0, 1, 2, … until it is over, and with pairs of
-// events at any two steps. After each play the four rules are checked by what the peers saw, and that nothing
-// is left behind. A planted fault for each rule shows that the checks can fail.
+// Tests events that occur between any two handlers of an exchange. Runs each exchange repeatedly with an
+// event injected before step 0, 1, 2, … until its end, and with pairs of events at any two steps. After each
+// run checks the four rules (RuleViolations) by what the peers observed. A seeded fault for each rule shows
+// that its check can fail.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -22,27 +22,36 @@
 namespace badgerbridge::proxy::testing {
 namespace {
 
-constexpr CrossingEvent kEvents[] = {
-    CrossingEvent::kClientFin,    CrossingEvent::kClientReset,    CrossingEvent::kNextRequest,
-    CrossingEvent::kHalfRequest,  CrossingEvent::kBackendAnswers, CrossingEvent::kBackendFin,
-    CrossingEvent::kBackendReset, CrossingEvent::kStrayByte,      CrossingEvent::kConnected,
-    CrossingEvent::kDrain,        CrossingEvent::kDeparture,      CrossingEvent::kListReset,
-    CrossingEvent::kListSilent,   CrossingEvent::kTerm,           CrossingEvent::kHup,
-    CrossingEvent::kPause};
-
-// Plays once, and counts what the play has left behind.
-std::size_t PlayOnce(const Exchange& exchange, std::vector<CrossingStep> events, RuleViolations& violations,
-                     CrossingFault fault = CrossingFault::kNone) {
+constexpr InjectedEvent kEvents[] = {InjectedEvent::kClientFin,
+                                     InjectedEvent::kClientReset,
+                                     InjectedEvent::kNextRequest,
+                                     InjectedEvent::kPartialRequest,
+                                     InjectedEvent::kBackendAnswers,
+                                     InjectedEvent::kBackendFin,
+                                     InjectedEvent::kBackendReset,
+                                     InjectedEvent::kUnsolicitedByte,
+                                     InjectedEvent::kConnected,
+                                     InjectedEvent::kDrain,
+                                     InjectedEvent::kGone,
+                                     InjectedEvent::kListReset,
+                                     InjectedEvent::kListSilent,
+                                     InjectedEvent::kTerm,
+                                     InjectedEvent::kHup,
+                                     InjectedEvent::kPause};
+
+// Runs an exchange once and counts leaked descriptors.
+std::size_t RunOnce(const Exchange& exchange, std::vector<ScheduledEvent> events, RuleViolations& violations,
+                    SeededFault fault = SeededFault::kNone) {
   const std::size_t descriptors_before = badgerbridge::testing::CountDescriptors();
   std::size_t steps = 0;
-  int kept_descriptor = -1;
+  int leaked_descriptor = -1;
   {
-    CrossingsPlay play(exchange, std::move(events), fault);
-    steps = play.Run(violations);
-    kept_descriptor = play.kept_descriptor();
+    InterleavingRun run(exchange, std::move(events), fault);
+    steps = run.Run(violations);
+    leaked_descriptor = run.leaked_descriptor();
   }
   if (badgerbridge::testing::CountDescriptors() != descriptors_before) ++violations.leaked;
-  if (kept_descriptor >= 0) ::close(kept_descriptor);
+  if (leaked_descriptor >= 0) ::close(leaked_descriptor);
   return steps;
 }
 
@@ -95,7 +104,7 @@
       {"idempotent, half an answer",
        Get("a1"),
        {"a1"},
-       {BackendBehavior::kHalfAnswer, BackendBehavior::kNoLength, BackendBehavior::kAnswer}},
+       {BackendBehavior::kPartialAnswer, BackendBehavior::kNoLength, BackendBehavior::kAnswer}},
       {"idempotent, answered twice",
        Get("a1") + Get("a2"),
        {"a1", "a2"},
@@ -112,66 +121,66 @@
   return all;
 }
 
-// The violations of some of the plays, and how many plays there were.
+// The violations in a number of runs.
 struct Totals {
   RuleViolations violations;
-  std::size_t plays = 0;
-  std::size_t steps = 0;  // plays with one event
-  std::size_t pairs = 0;  // plays with two events
+  std::size_t runs = 0;
+  std::size_t steps = 0;  // runs with one event
+  std::size_t pairs = 0;  // runs with two events
 
   void Add(const Totals& other) {
     violations.Add(other.violations);
-    plays += other.plays;
+    runs += other.runs;
     steps += other.steps;
     pairs += other.pairs;
   }
 };
 
-std::size_t PlayAndCount(const Exchange& exchange, const std::vector<CrossingStep>& events, Totals* totals) {
+std::size_t RunAndCount(const Exchange& exchange, const std::vector<ScheduledEvent>& events, Totals* totals) {
   RuleViolations violations;
-  const std::size_t steps = PlayOnce(exchange, events, violations);
-  ++totals->plays;
+  const std::size_t steps = RunOnce(exchange, events, violations);
+  ++totals->runs;
   totals->violations.Add(violations);
   if (violations.all() == 0) return steps;
   std::string what = exchange.name;
-  for (const CrossingStep& planned : events)
+  for (const ScheduledEvent& planned : events)
     what += std::string(", ") + NameOf(planned.event) + "@" + std::to_string(planned.step);
   std::cout << what << ": lost " << violations.lost << ", twice " << violations.twice << ", late "
             << violations.late << ", leaked " << violations.leaked << '\n';
   return steps;
 }
 
-// Puts the event ahead of step 0, 1, 2, … until the play ends before it.
-void PlayAtEachStep(const Exchange& exchange, CrossingEvent event, Totals* totals) {
+// Injects the event before step 0, 1, 2, … until the run ends before that step.
+void RunAtEachStep(const Exchange& exchange, InjectedEvent event, Totals* totals) {
   constexpr std::size_t kMaxSteps = 200;
   for (std::size_t step = 0;; ++step) {
     ++totals->steps;
-    if (PlayAndCount(exchange, {{step, event}}, totals) < step) return;
+    if (RunAndCount(exchange, {{step, event}}, totals) < step) return;
     if (step > kMaxSteps) FAIL() << exchange.name << " does not end";
   }
 }
 
-// Two events of one exchange.
+// Two events injected into one exchange.
 struct EventPair {
   const char* exchange;
-  CrossingEvent first;   // at any step
-  CrossingEvent second;  // at any other
+  InjectedEvent first;   // at each step
+  InjectedEvent second;  // at each step, independently of the first
 };
 constexpr EventPair kPairs[] = {
-    {"not idempotent, slow connect", CrossingEvent::kClientFin, CrossingEvent::kConnected},
-    {"keyed, reset once, slow connect", CrossingEvent::kClientFin, CrossingEvent::kConnected},
-    {"not idempotent, slow connect", CrossingEvent::kDrain, CrossingEvent::kConnected},
-    {"idempotent, new connection", CrossingEvent::kTerm, CrossingEvent::kNextRequest},
-    {"not idempotent, unresponsive", CrossingEvent::kBackendAnswers, CrossingEvent::kPause},
-    {"not idempotent, idle connection", CrossingEvent::kListSilent, CrossingEvent::kDrain},
+    {"not idempotent, slow connect", InjectedEvent::kClientFin, InjectedEvent::kConnected},
+    {"keyed, reset once, slow connect", InjectedEvent::kClientFin, InjectedEvent::kConnected},
+    {"not idempotent, slow connect", InjectedEvent::kDrain, InjectedEvent::kConnected},
+    {"idempotent, new connection", InjectedEvent::kTerm, InjectedEvent::kNextRequest},
+    {"not idempotent, unresponsive", InjectedEvent::kBackendAnswers, InjectedEvent::kPause},
+    {"not idempotent, idle connection", InjectedEvent::kListSilent, InjectedEvent::kDrain},
 };
 constexpr std::size_t kMaxPairSteps = 16;
 
-void PlayPairs(const Exchange& exchange, const EventPair& pair, std::size_t first_step, std::size_t max_steps,
-               Totals* totals) {
+void RunPairs(const Exchange& exchange, const EventPair& pair, std::size_t first_step, std::size_t max_steps,
+              Totals* totals) {
   for (std::size_t second_step = 0; second_step <= max_steps; ++second_step) {
     ++totals->pairs;
-    PlayAndCount(exchange, {{first_step, pair.first}, {second_step, pair.second}}, totals);
+    RunAndCount(exchange, {{first_step, pair.first}, {second_step, pair.second}}, totals);
   }
 }
 
@@ -182,68 +191,69 @@
   return *found;
 }
 
-// The plays with events, in pieces that don't depend on one another. The plays without events are made here.
+// Returns the runs with events as independent units of work. Does the runs without events itself, to count
+// their steps.
 std::vector<Work<Totals>> AllWork(Totals* totals) {
   std::vector<Work<Totals>> work;
-  std::map<std::string, std::size_t> steps;  // of the plays without events, by exchange
+  std::map<std::string, std::size_t> steps;  // steps of the runs without events, by exchange
   for (const Exchange& exchange : Exchanges()) {
-    steps[exchange.name] = PlayAndCount(exchange, {}, totals);
-    for (const CrossingEvent event : kEvents)
-      work.push_back([&exchange, event](Totals* into) { PlayAtEachStep(exchange, event, into); });
+    steps[exchange.name] = RunAndCount(exchange, {}, totals);
+    for (const InjectedEvent event : kEvents)
+      work.push_back([&exchange, event](Totals* into) { RunAtEachStep(exchange, event, into); });
   }
   for (const EventPair& pair : kPairs) {
     const Exchange& exchange = ExchangeOf(pair.exchange);
     const std::size_t max_steps = std::min(steps[pair.exchange], kMaxPairSteps);
     for (std::size_t first = 0; first <= max_steps; ++first)
       work.push_back(
-          [&, first, max_steps](Totals* into) { PlayPairs(exchange, pair, first, max_steps, into); });
+          [&, first, max_steps](Totals* into) { RunPairs(exchange, pair, first, max_steps, into); });
   }
   return work;
 }
 
-// A fault in a play, and the rule that must find it.
-struct PlantedFault {
-  CrossingFault fault;
-  std::size_t exchange;  // by its place in Exchanges()
-  CrossingEvent event;   // ahead of any step
+// A seeded fault, and the rule whose check must detect it.
+struct SeededFaultCase {
+  SeededFault fault;
+  std::size_t exchange;  // index in Exchanges()
+  InjectedEvent event;   // injected before each step
   int RuleViolations::*rule;
 };
-constexpr PlantedFault kPlantedFaults[] = {
-    {CrossingFault::kAnswerSwallowed, 0, CrossingEvent::kNone, &RuleViolations::lost},
-    {CrossingFault::kDeniesThatItRan, 3, CrossingEvent::kNone, &RuleViolations::twice},
-    {CrossingFault::kDrainHeldBack, 2, CrossingEvent::kDrain, &RuleViolations::late},
-    {CrossingFault::kLeaveNotSeen, 2, CrossingEvent::kClientFin, &RuleViolations::late},
-    {CrossingFault::kDescriptorKept, 0, CrossingEvent::kNone, &RuleViolations::leaked},
+constexpr SeededFaultCase kSeededFaults[] = {
+    {SeededFault::kAnswerDropped, 0, InjectedEvent::kNone, &RuleViolations::lost},
+    {SeededFault::kFalseUnprocessed, 3, InjectedEvent::kNone, &RuleViolations::twice},
+    {SeededFault::kDrainWithheld, 2, InjectedEvent::kDrain, &RuleViolations::late},
+    {SeededFault::kDisconnectNotSeen, 2, InjectedEvent::kClientFin, &RuleViolations::late},
+    {SeededFault::kDescriptorLeaked, 0, InjectedEvent::kNone, &RuleViolations::leaked},
 };
 
-bool IsFound(const PlantedFault& planted) {
+bool IsDetected(const SeededFaultCase& seeded) {
   constexpr std::size_t kMaxSteps = 12;
   RuleViolations violations;
-  for (std::size_t step = 0; step < kMaxSteps && violations.*planted.rule == 0; ++step)
-    PlayOnce(Exchanges()[planted.exchange], {{step, planted.event}}, violations, planted.fault);
-  return violations.*planted.rule > 0;
+  for (std::size_t step = 0; step < kMaxSteps && violations.*seeded.rule == 0; ++step)
+    RunOnce(Exchanges()[seeded.exchange], {{step, seeded.event}}, violations, seeded.fault);
+  return violations.*seeded.rule > 0;
 }
 
 TEST(Crossings, NoRuleIsBrokenByAnEventBetweenAnyTwoSteps) {
   Totals totals;
   RunInProcesses(AllWork(&totals), &totals);
 
-  int planted_found = 0;
-  for (const PlantedFault& planted : kPlantedFaults) {
-    const bool is_found = IsFound(planted);
-    EXPECT_TRUE(is_found) << "planted fault " << static_cast<int>(planted.fault);
-    planted_found += is_found ? 1 : 0;
+  int detected_faults = 0;
+  for (const SeededFaultCase& seeded : kSeededFaults) {
+    const bool is_detected = IsDetected(seeded);
+    EXPECT_TRUE(is_detected) << "seeded fault " << static_cast<int>(seeded.fault);
+    detected_faults += is_detected ? 1 : 0;
   }
 
   const RuleViolations& violations = totals.violations;
-  std::cout << "crossings: exchanges=" << totals.plays << " steps=" << totals.steps
+  std::cout << "crossings: exchanges=" << totals.runs << " steps=" << totals.steps
             << " pairs=" << totals.pairs << " lost=" << violations.lost << " twice=" << violations.twice
             << " late=" << violations.late << " leaked=" << violations.leaked
-            << " planted_caught=" << planted_found << "/" << std::size(kPlantedFaults) << std::endl;
+            << " planted_caught=" << detected_faults << "/" << std::size(kSeededFaults) << std::endl;
   EXPECT_EQ(violations.all(), 0);
   EXPECT_GE(totals.steps, 5796u);
   EXPECT_GE(totals.pairs, 1542u);
-  EXPECT_EQ(planted_found, 5);
+  EXPECT_EQ(detected_faults, 5);
 }
 
 }  // namespace
--- a/tests/proxy/customer_settings_test.cpp
+++ b/tests/proxy/customer_settings_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Settings of other kinds of customers. With each, requests of all their classes go through backends that
-// reset, reject, answer and stay silent: each gets one answer in its time, and what may not run twice does
-// not.
+// Runs the proxy with the settings of different customers. Requests of all their classes go through backends
+// that answer, reset, reject or don't respond. Each request must get one answer in time, and requests that
+// must not run twice must not.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,10 +21,10 @@
 constexpr int kBackends = 4;
 constexpr int kBackendsInCell = 2;
 constexpr int kRequests = 30;
-constexpr int kMaxAttempts = 4;  // whatever the settings say
+constexpr int kMaxAttempts = 4;  // higher settings don't raise it
 
 struct Customer {
-  const char* what;
+  const char* name;
   std::string classes;  // JSON objects
   int attempts = kMaxAttempts;
   std::string tenants = {};  // JSON objects
@@ -71,7 +71,7 @@
   };
 }
 
-// Replaces what stands in `text` between `from` and `until`.
+// Replaces the part of `text` between `from` and `until`.
 void Set(std::string& text, const std::string& from, const std::string& until, const std::string& value) {
   const std::size_t begin = text.find(from) + from.size();
   text.replace(begin, text.find(until, begin) - begin, value);
@@ -86,11 +86,11 @@
   return ParseConfig(text, [](const char*) { return nullptr; });
 }
 
-// Requests of all classes of one customer, and backends that see which of them run. It has an io_context of
-// its own: what is left of one customer's requests does not run on in the next one's.
-class CustomerPlay {
+// Sends requests of all classes of one customer and counts their runs at the backends. Each instance has its
+// own io_context, so that remaining handlers don't run during the next customer's test.
+class CustomerRun {
  public:
-  explicit CustomerPlay(const Customer& customer) : customer_(customer) {
+  explicit CustomerRun(const Customer& customer) : customer_(customer) {
     std::vector<std::string> known;
     for (int i = 0; i < kBackends; ++i) {
       backends_.push_back(std::make_unique<Peer>(io_, [this, i](Wire& wire) { Serve(i, wire); }));
@@ -110,7 +110,7 @@
     }
     for (const auto& [id, client] : clients_) {
       ASSERT_TRUE(RunUntil(io_, [&] { return client->in.find("\r\n\r\n") != std::string::npos; })) << id;
-      Judge(id, client->in);
+      CheckAnswer(id, client->in);
     }
     EXPECT_EQ(node_->proxy.open_requests(), 0u);
   }
@@ -143,7 +143,7 @@
     return request + (is_get ? "\r\n" : "Content-Length: 3\r\n\r\nEND");
   }
 
-  void Judge(const std::string& id, const std::string& answer) {
+  void CheckAnswer(const std::string& id, const std::string& answer) {
     EXPECT_EQ(CountOf(answer, "HTTP/1.1 "), 1) << answer;
     EXPECT_TRUE(IsServed(answer) || IsFailed(answer) || IsRejected(answer)) << answer;
     const std::size_t index = std::stoul(id.substr(1)) % config_.classes.size();
@@ -157,7 +157,7 @@
       EXPECT_LE(cells_[id].size(), 1u);
     }
     if (is_keyed && settings.window == Duration(0)) {
-      EXPECT_LE(runs_[id], 1) << "nothing remembers it";
+      EXPECT_LE(runs_[id], 1) << "without a window no backend deduplicates it";
     }
     if (IsRejected(answer) && settings.effect == Idempotency::kNotIdempotent) {
       EXPECT_EQ(runs_[id], 0);
@@ -170,15 +170,15 @@
   Config config_;
   std::unique_ptr<Node> node_;
   std::vector<std::pair<std::string, std::shared_ptr<Wire>>> clients_;  // by id
-  std::map<std::string, std::set<int>> cells_;                          // in which a request ran, by id
-  std::map<std::string, int> runs_;                                     // of a request, by id
+  std::map<std::string, std::set<int>> cells_;                          // cells in which a request ran, by id
+  std::map<std::string, int> runs_;                                     // number of runs of a request, by id
   int served_ = 0;
 };
 
 TEST(CustomerSettingsTest, TheGuaranteesHoldWithOtherCustomersSettings) {
   for (const Customer& customer : Customers()) {
-    SCOPED_TRACE(customer.what);
-    CustomerPlay(customer).Run();
+    SCOPED_TRACE(customer.name);
+    CustomerRun(customer).Run();
   }
 }
 
--- a/tests/proxy/discovery_test.cpp
+++ b/tests/proxy/discovery_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The client of discovery, against a scripted discovery.
+// Tests the client of discovery against a scripted server.
 #include "proxy/discovery.h"
 
 #include <gtest/gtest.h>
@@ -54,7 +54,7 @@
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 2; }));
   EXPECT_EQ(lists[0].endpoints.size(), 1u);
   EXPECT_TRUE(lists[1].snapshot);
-  // Several in one chunk, the last of them not whole yet.
+  // Several lists in one chunk, the last one incomplete.
   peer.wires[0]->Send(Chunk(ListJson(44, false, {}) + "\n" + ListJson(45, false, {}) + "\n{\"index\""));
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 4; }));
 }
@@ -90,12 +90,13 @@
   EXPECT_EQ(peer.requests.size(), 1u);
 }
 
-// Half a list, or blanks within a line.
-TEST_F(DiscoveryTest, BytesWithoutACompleteMessageAreNoSignOfLife) {
-  const std::string halves[] = {ListJson(42, false, {EndpointJson("s-1", "127.0.0.1:81")}).substr(0, 60), ""};
-  for (const std::string& half : halves) {
-    asio::io_context io;  // a watch lasts as long as what it runs on
-    Peer peer(io, [&](Wire& wire) { wire.Send(Head() + (half.empty() ? "" : Chunk(half))); });
+// Sends a partial list, or spaces within a line, which must not extend the message timeout.
+TEST_F(DiscoveryTest, BytesWithoutACompleteMessageDoNotExtendTheTimeout) {
+  const std::string partial_lists[] = {
+      ListJson(42, false, {EndpointJson("s-1", "127.0.0.1:81")}).substr(0, 60), ""};
+  for (const std::string& partial_list : partial_lists) {
+    asio::io_context io;  // separate, as the handlers of a watch last until its io_context is destroyed
+    Peer peer(io, [&](Wire& wire) { wire.Send(Head() + (partial_list.empty() ? "" : Chunk(partial_list))); });
     Discovery::Timing timing;
     timing.message_timeout = std::chrono::milliseconds(100);
     const auto discovery = Start(io, peer, false, timing);
@@ -104,7 +105,7 @@
         peer.wires.back()->Send(Chunk(" "));
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
       return peer.requests.size() >= 3;
-    })) << half;
+    })) << partial_list;
     EXPECT_TRUE(lists.empty());
   }
 }
@@ -123,11 +124,11 @@
   EXPECT_EQ(peer.requests.size(), 1u);
 }
 
-// With the times of a real one: the watch falls silent, the call after that gets no response, nor does the
-// connection after that; the next one that is answered comes less than 6 s after the last message.
-TEST_F(DiscoveryTest, AReachableDiscoveryIsHeardWithin6SecondsOfItsLastMessage) {
+// Uses the production timeouts. The watch becomes silent and the next call gets no response; the call after
+// it must deliver a list less than 6 s after the last message.
+TEST_F(DiscoveryTest, AReachableDiscoveryIsReadWithin6SecondsOfItsLastMessage) {
   for (const bool polls : {false, true}) {
-    asio::io_context io;  // a watch lasts as long as what it runs on
+    asio::io_context io;  // separate, as the handlers of a watch last until its io_context is destroyed
     lists.clear();
     std::optional<std::chrono::steady_clock::time_point> last_message;
     Peer peer(io, [&](Wire& wire) {
@@ -141,7 +142,7 @@
     discovery.emplace(
         io, peer.endpoint(), std::move(reader), polls, 1,
         [this](EndpointList list) { lists.push_back(list); },
-        [&] {  // as the module does at the latest, after a first failure and a second
+        [&] {  // the longest delays of the decision module after a first and a second failure
           again.expires_after(std::chrono::milliseconds(++failures == 1 ? 500 : 800));
           again.async_wait([&](ErrorCode error) {
             if (!error) discovery->Watch();
@@ -157,8 +158,8 @@
   }
 }
 
-// Where lists are polled, calls wait for their turn: one that waits is not discarded for the next.
-TEST_F(DiscoveryTest, ACallThatWaitsIsNotReplaced) {
+// Polling calls queue at discovery, so Watch() must not replace a call that is waiting for its response.
+TEST_F(DiscoveryTest, AWaitingCallIsNotReplaced) {
   Wire* waiting = nullptr;
   Peer peer(io, [&](Wire& wire) { waiting = &wire; });
   const auto discovery = Start(peer, true);
@@ -171,13 +172,13 @@
   ASSERT_TRUE(RunUntil(io, [&] { return lists.size() == 1; }));
   EXPECT_EQ(peer.wires.size(), 1u);
   EXPECT_EQ(failures, 0);
-  discovery->Watch();  // it is open now, and may be opened anew
+  discovery->Watch();  // the response has begun, so the watch may be replaced
   ASSERT_TRUE(RunUntil(io, [&] { return peer.requests.size() == 2; }));
 }
 
-// While discovery is down, each attempt ends soon, and it is heard again well within the time that a drain is
-// given after its return.
-TEST_F(DiscoveryTest, ADiscoveryThatReturnsIsHeardAtOnce) {
+// While discovery is down, connection attempts must time out quickly, so that the first list after its return
+// arrives well within the time allowed for a drain.
+TEST_F(DiscoveryTest, AWatchIsReopenedSoonAfterAnOutage) {
   bool down = true;
   std::optional<std::chrono::steady_clock::time_point> back;
   Peer peer(io, [&](Wire& wire) {
@@ -191,7 +192,7 @@
   EXPECT_LT(std::chrono::steady_clock::now() - *back, std::chrono::milliseconds(900));
 }
 
-// A discovery that is cut off sends nothing, and its connection stays open.
+// An unreachable discovery sends nothing while its connection stays open.
 TEST_F(DiscoveryTest, ASilentWatchIsOpenedAgain) {
   Peer peer(io, [](Wire& wire) { wire.Send(Head()); });
   Discovery::Timing timing;
@@ -200,7 +201,7 @@
   ASSERT_TRUE(RunUntil(io, [&] { return peer.requests.size() >= 3; }));
 }
 
-// The changes of an invalid list are missing from then on, unless a snapshot is requested.
+// The changes in an invalid list are lost, so the next request must ask for a snapshot.
 TEST_F(DiscoveryTest, AfterAnInvalidListASnapshotIsRequested) {
   Peer peer(io, [](Wire& wire) { wire.Send(Head() + Chunk("{\"index\":44}\n")); });
   const auto discovery = Start(peer);
--- a/tests/proxy/endpoint_list_reader_test.cpp
+++ b/tests/proxy/endpoint_list_reader_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Lists in discovery's form, and the ids of their names.
+// Tests decoding of endpoint lists and the ids of names.
 #include "proxy/endpoint_list_reader.h"
 
 #include <gtest/gtest.h>
@@ -47,7 +47,7 @@
   EXPECT_EQ(elsewhere.endpoints[0].entry.server, first.endpoints[1].entry.server);
 }
 
-TEST_F(EndpointListReaderTest, NamesThatAreGoneAreForgotten) {
+TEST_F(EndpointListReaderTest, NamesOfGoneBackendsAreRemoved) {
   for (int i = 0; i < 50; ++i) {
     const std::string name = "s-" + std::to_string(i);
     Read(ListJson(2 * i + 1, false, {EndpointJson(name, "127.0.0.1:81")}));
--- a/tests/proxy/hostile_backends_test.cpp
+++ b/tests/proxy/hostile_backends_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Well-behaved clients in front of backends that misbehave: each of their requests gets one complete answer
-// in time, and nothing is left behind.
+// Well-behaved clients send requests while backends misbehave. Each request must get one complete answer in
+// time, and no connection, request or descriptor may be leaked.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -44,7 +44,7 @@
   }
 }
 
-// Backends that vanish in the midst of it, with all their connections, and refuse from then on.
+// Backends crash while requests are in flight: they reset all connections and refuse new ones.
 TEST_F(HostileTest, EachRequestIsAnsweredOnceWhileBackendsCrash) {
   Start({Backend::kGood, Backend::kGood, Backend::kGood, Backend::kGood});
   hold_answers_ = true;
--- a/tests/proxy/hostile_fixture.cpp
+++ b/tests/proxy/hostile_fixture.cpp
@@ -17,7 +17,7 @@
   return count;
 }
 
-// The bytes that a backend of this kind sends for a request; empty: none.
+// The bytes that this kind of backend sends for a request; may be empty.
 std::string ReplyOf(Backend kind, const std::string& id) {
   switch (kind) {
     case Backend::kHalfAnswer:
@@ -117,21 +117,22 @@
   SCOPED_TRACE(request.id + " " + request.service_class);
   const auto [answers, rest] = request.client->Answers();
   EXPECT_EQ(rest, 0u) << request.client->in;
-  ASSERT_EQ(answers.size(), 1u) << "its connection: " << request.client->ended.message();
+  ASSERT_EQ(answers.size(), 1u) << "end of its connection: " << request.client->ended.message();
   EXPECT_LE((*request.answered_at - request.sent_at).count(), kMaxAnswerTime.count());
   const int runs = runs_[request.id];
   EXPECT_TRUE(answers[0].status != 200 || answers[0].body == request.id) << answers[0].body;
   if (request.service_class == "certify") {
     EXPECT_LE(runs, 1);
     const bool rejected = answers[0].status == 503 || answers[0].status == 429;
-    EXPECT_FALSE(rejected && runs > 0) << "rejected and run";
+    EXPECT_FALSE(rejected && runs > 0) << "rejected although it has run";
   }
   EXPECT_LE(attempts_[request.id], 4);
   served_ += answers[0].status == 200;
 }
 
 void HostileTest::ExpectOneErrorAndEnd(PumpedClient& client) {
-  EXPECT_TRUE(RunUntil([&] { return static_cast<bool>(client.ended); }, kMaxRejectionTime)) << "no end";
+  EXPECT_TRUE(RunUntil([&] { return static_cast<bool>(client.ended); }, kMaxRejectionTime))
+      << "the connection has not ended";
   const auto [answers, rest] = client.Answers();
   EXPECT_EQ(rest, 0u) << client.in.substr(0, 300);
   ASSERT_EQ(answers.size(), 1u) << client.ended.message() << ": " << client.in.substr(0, 300);
--- a/tests/proxy/hostile_fixture.h
+++ b/tests/proxy/hostile_fixture.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The fixture of tests with backends and clients that misbehave: a proxy, its backends, and well-behaved
-// clients whose requests are checked, on one event loop and in virtual time.
+// A fixture for tests with misbehaving backends and clients: a proxy, its backends, and well-behaved clients
+// whose answers are checked, on one event loop in virtual time.
 #ifndef BADGERBRIDGE_TESTS_PROXY_HOSTILE_FIXTURE_H_
 #define BADGERBRIDGE_TESTS_PROXY_HOSTILE_FIXTURE_H_
 
@@ -25,13 +25,14 @@
 
 using std::chrono::milliseconds;
 
-inline constexpr milliseconds kTimeLeft{900};             // of each checked request
-inline constexpr milliseconds kMaxAnswerTime{900 + 500};  // for its answer
-inline constexpr milliseconds kMaxRejectionTime{
-    6000};  // from a request that is none to the end of its connection
-inline constexpr milliseconds kTestTimeout{20000};    // far beyond any need
-inline constexpr std::size_t kBytesBehind = 1 << 20;  // bytes that a client sends behind what is no request
-inline constexpr int kScarceSockets = 64;             // of the proxy: room for 8 clients
+inline constexpr milliseconds kTimeLeft{900};             // X-Time-Left-Ms of each checked request
+inline constexpr milliseconds kMaxAnswerTime{900 + 500};  // from a checked request to its answer
+// From a malformed request to the end of its connection.
+inline constexpr milliseconds kMaxRejectionTime{6000};
+inline constexpr milliseconds kTestTimeout{20000};
+// Bytes that a client sends after a malformed request.
+inline constexpr std::size_t kBytesAfterMalformedRequest = 1 << 20;
+inline constexpr int kScarceSockets = 64;  // limit of the proxy that leaves sockets for 8 clients
 inline constexpr std::size_t kMaxClientsOfScarceSockets = 8;
 
 // A request of a well-behaved client.
@@ -50,7 +51,7 @@
   kReset,
   kCloses,
   kHalfAnswer,
-  kNoAnswer,  // something else
+  kNoAnswer,  // bytes that are not HTTP
   kEndlessBody,
   kEndlessHeader,
   kNoLength,
@@ -61,14 +62,14 @@
   kTooLarge,
 };
 
-// Backends by kind, a proxy and clients; tests have their own clients beside the checked ones.
+// A proxy, backends of given kinds, and clients. Tests may add clients that are not checked.
 class HostileTest : public ::testing::Test {
  protected:
   ~HostileTest() override {
     for (const auto& client : clients_) client->Close();
   }
 
-  // Starts backends of these kinds and a proxy for them; `sockets` is the limit of its configuration.
+  // Starts backends of these kinds and a proxy with a limit of `sockets` sockets.
   void Start(const std::vector<Backend>& kinds, int sockets = 1024);
 
   milliseconds Now() const {
@@ -76,26 +77,26 @@
   }
 
   std::shared_ptr<PumpedClient> Connect(std::optional<int> receive_buffer = {});
-  // Connects and writes as much of the text as the system takes at once.
+  // Connects and writes as much of the text as the kernel accepts at once.
   std::shared_ptr<PumpedClient> Connect(const std::string& text);
 
-  // Sends a request whose answer ExpectCheckedAnswers() checks, on a connection of its own.
+  // Sends a request on a new connection; ExpectCheckedAnswers() checks its answer.
   void SendChecked(const std::string& service_class);
   void SendOneOfEachClass() {
     for (const char* service_class : {"preview", "convert", "certify"}) SendChecked(service_class);
   }
 
-  // Runs what is ready; false if nothing was.
+  // Runs all ready handlers and moves the clients' data. Returns whether there was anything to do.
   bool RunReady();
 
-  // In virtual time. False if it does not hold within that time.
+  // Runs until the condition holds; false if it does not within `timeout` of virtual time.
   template <typename Condition>
   bool RunUntil(Condition holds, milliseconds timeout = kTestTimeout) {
     const milliseconds limit = Now() + timeout;
     while (!holds()) {
       if (Now() > limit) return false;
       if (RunReady()) continue;
-      std::this_thread::yield();  // the system may hand over on another thread what was sent a moment ago
+      std::this_thread::yield();  // the kernel may deliver loopback data on another thread
       if (RunReady()) continue;
       clock_.AdvanceToNextTimer(milliseconds(5));
     }
@@ -106,15 +107,15 @@
     RunUntil([&] { return Now() >= until; });
   }
 
-  // Waits for the answers to the checked requests, and checks that each has one that is complete and in time.
+  // Waits for the answers to the checked requests and expects exactly one complete answer each, in time.
   void ExpectCheckedAnswers();
 
   void ExpectCheckedAnswer(const CheckedRequest& request);
 
-  // One complete error, then the end of the connection and no reset.
+  // Expects one complete error answer, then an orderly close of the connection.
   void ExpectOneErrorAndEnd(PumpedClient& client);
 
-  // Everything has gone once all clients have.
+  // Closes all clients and expects that no connection, request or descriptor is left.
   void ExpectNothingLeft();
 
   badgerbridge::testing::VirtualClock clock_;
@@ -125,7 +126,7 @@
   std::vector<CheckedRequest> checked_;
   std::map<std::string, int> attempts_;  // by id
   std::map<std::string, int> runs_;      // by id
-  std::string answer_body_;              // in place of the id
+  std::string answer_body_;              // sent instead of the id if not empty
   int sent_requests_ = 0;                // checked requests
   int served_ = 0;                       // checked requests that were answered 200
   bool hold_answers_ = false;
@@ -134,7 +135,7 @@
  private:
   void Serve(Backend kind, Wire& wire, const std::string& request);
 
-  std::size_t baseline_ = 0;  // open descriptors
+  std::size_t baseline_ = 0;  // open descriptors at the start
   ProxyClock::Steady::time_point begin_{};
 };
 
--- a/tests/proxy/json_stream_test.cpp
+++ b/tests/proxy/json_stream_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// JSON objects in a stream of bytes.
+// Tests splitting a byte stream into JSON objects.
 #include "proxy/json_stream.h"
 
 #include <gtest/gtest.h>
--- a/tests/proxy/malformed_requests_test.cpp
+++ b/tests/proxy/malformed_requests_test.cpp
@@ -54,7 +54,7 @@
   // With a megabyte behind it.
   std::shared_ptr<PumpedClient> Send() {
     auto client = Connect();
-    client->to_send = GetParam().text + std::string(kBytesBehind, 'x');
+    client->to_send = GetParam().text + std::string(kBytesAfterMalformedRequest, 'x');
     return client;
   }
 };
@@ -95,7 +95,7 @@
   Start({Backend::kGood, Backend::kGood});
   hold_answers_ = true;
   const auto client = Connect();
-  client->to_send = Get("first") + GetParam().text + std::string(kBytesBehind, 'x');
+  client->to_send = Get("first") + GetParam().text + std::string(kBytesAfterMalformedRequest, 'x');
   RunFor(milliseconds(100));
   hold_answers_ = false;
   for (const auto& [wire, id] : held_) wire->Send(Reply(200, id));
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgerbridge as a process: bad configurations, too few descriptors, signals.
+// Tests badgerbridge as a process: invalid configurations, too few descriptors, signals.
 #include <elf.h>
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -42,7 +42,7 @@
 }
 
 #ifdef BADGERBRIDGE_HAS_ETCD
-// It says so before anything else, and goes on: here to a configuration that is none.
+// The warning comes first and doesn't stop the start, which then fails on the invalid configuration.
 TEST(NodeProcess, AFormerKeyInTheOperatorsFileIsOneLineOfWarning) {
   Program program("{", OwnAddress(), 0,
                   "[regions]\nendpoints = [\"127.0.0.1:1\"]\nzones = [\"a\"]\nbeat = \"300ms\"\n");
@@ -57,7 +57,7 @@
 }
 #endif
 
-TEST(NodeProcess, AnAddressThatIsNotItsOwnIsAPlainLine) {
+TEST(NodeProcess, AnAddressThatIsNotLocalIsAOneLineError) {
   Program program(ConfigJson({}), "192.0.2.1:8080");
   EXPECT_EQ(program.Wait(), 1);
   EXPECT_EQ(program.Log().rfind("badgerbridge: ", 0), 0u);
@@ -69,7 +69,7 @@
   bool operator==(const HeldResources&) const = default;
 };
 
-// What the operator's file does not name holds no descriptor and no thread.
+// Features that the operator's file doesn't enable must not hold descriptors or threads.
 TEST(NodeProcess, AFeatureThatIsOffHoldsNeitherDescriptorNorThread) {
   asio::io_context io;
   Peer backend(io, [](Wire&) {});
@@ -82,13 +82,13 @@
     ASSERT_TRUE(client);
     client->Send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(RunUntil(io, [&] { return client->in.find("200") != std::string::npos; })) << client->in;
-    // The least of several samples: its connection to discovery comes and goes.
+    // The minimum of several samples, because the connection to discovery is opened and closed repeatedly.
     std::size_t descriptors = SIZE_MAX;
     for (int i = 0; i < 40; ++i) {
-      descriptors = std::min(descriptors, program.Entries("fd"));
+      descriptors = std::min(descriptors, program.CountProcEntries("fd"));
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
-    held[name] = {descriptors, program.Entries("task")};
+    held[name] = {descriptors, program.CountProcEntries("task")};
   }
   EXPECT_EQ(held["empty"], held["none"]);
   EXPECT_EQ(held["none"].threads, 1u) << "one thread";
@@ -96,7 +96,7 @@
   EXPECT_EQ(held["control"].threads, 1u);
 }
 
-// The names that the program takes from shared libraries, and the loader that it asks for (elf(5)).
+// The symbols that the program imports from shared libraries, and its dynamic loader (elf(5)).
 struct ImportedNames {
   std::set<std::string> names;
   std::string loader;
@@ -132,8 +132,8 @@
   return imported;
 }
 
-// The operators play hundreds of proxies on one machine, by a library in each that is loaded before the C
-// library: `run` must be one process, linked dynamically, and may start no other nor use these calls.
+// Operators run hundreds of proxies on one machine with a preloaded library in each. For that, `run` must be
+// one dynamically linked process that starts no other process and does not use the calls listed below.
 TEST(NodeProcess, RunIsOneProcessLinkedDynamicallyThatStartsNoOther) {
   std::ifstream deploy(SOURCE_DIR "/deploy/balancer.toml");
   std::string run;
@@ -152,7 +152,7 @@
     EXPECT_EQ(names.count(name), 0u) << name;
 }
 
-// What a proxy without traffic costs the fleet: no connection to any backend, one to discovery.
+// A proxy without traffic must open no connection to a backend and exactly one to discovery.
 TEST(NodeProcess, WithoutTrafficItTouchesNoBackendAndKeepsOneWatch) {
   asio::io_context io;
   Peer backend(io, [](Wire&) {});
@@ -167,7 +167,7 @@
   client->Send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
   ASSERT_TRUE(RunUntil(
       io, [&] { return client->in.find("200") != std::string::npos && !discovery.requests.empty(); }));
-  // Longer than its housekeeping and any pause between two probes would be.
+  // Longer than any periodic timer of the proxy.
   asio::steady_timer observation(io, std::chrono::milliseconds(1200));
   bool over = false;
   observation.async_wait([&](ErrorCode) { over = true; });
@@ -175,7 +175,7 @@
   EXPECT_TRUE(backend.wires.empty());
   EXPECT_EQ(discovery.wires.size(), 1u);
   EXPECT_EQ(discovery.requests.size(), 1u);
-  EXPECT_EQ(program.Entries("task"), 1u);
+  EXPECT_EQ(program.CountProcEntries("task"), 1u);
 }
 
 TEST(NodeProcess, TermAnswersAcceptedRequestsAndExitsWithZero) {
@@ -195,9 +195,8 @@
   EXPECT_EQ(program.Wait(), 0);
 }
 
-// A new configuration comes under load: the request that is out, the client's connection and what is known
-// stay.
-TEST(NodeProcess, HangupMovesToTheDiscoveryOfTheFileAndLosesNothing) {
+// A reload under load must keep requests in flight, client connections and the known backends.
+TEST(NodeProcess, SighupSwitchesToTheDiscoveryInTheFileWithoutLosses) {
   asio::io_context io;
   Wire* waiting = nullptr;
   Peer backend(io, [&](Wire& wire) { waiting = &wire; });
@@ -210,7 +209,8 @@
     std::string text = config;
     return text.replace(text.find("127.0.0.1:1\""), 12, discovery.address() + "\"");
   };
-  setenv("ROUTER_DISCOVERY", first.address().c_str(), 1);  // as at the start, and old from then on
+  setenv("ROUTER_DISCOVERY", first.address().c_str(),
+         1);  // the value at process start, outdated after the reload
   Program program(with(first), address);
   unsetenv("ROUTER_DISCOVERY");
   ASSERT_TRUE(RunUntil(io, [&] { return first.requests.size() == 1; })) << program.Log();
@@ -219,10 +219,10 @@
   client->Send(Get("c1"));
   ASSERT_TRUE(RunUntil(io, [&] { return waiting != nullptr; }));
 
-  program.Rewrite("{\"settings\":");
+  program.RewriteConfig("{\"settings\":");
   program.Signal(SIGHUP);
   ASSERT_TRUE(RunUntil(io, [&] { return !program.Log().empty(); }));
-  program.Rewrite(with(second));
+  program.RewriteConfig(with(second));
   for (int i = 0; i < 3; ++i) program.Signal(SIGHUP);
   ASSERT_TRUE(RunUntil(io, [&] { return first.wires[0]->closed && !second.requests.empty(); }));
   EXPECT_NE(second.requests[0].find("index=0 "), std::string::npos) << "the whole list";
@@ -238,8 +238,8 @@
   EXPECT_EQ(program.Wait(), 0) << program.Log();
 }
 
-// Whenever it comes: it ends by the signal before it listens, and with 0 from then on; a client whose request
-// was accepted has its answer.
+// SIGTERM before the proxy listens ends it by the signal; from then on it exits with 0, and every accepted
+// request is answered.
 TEST(NodeProcess, TermAtAnyMomentOfTheStartLosesNoAcceptedRequest) {
   asio::io_context io;
   Peer backend(io, [](Wire& wire) { wire.Send(Reply(200, "ok")); });
@@ -249,7 +249,7 @@
     Program program(ConfigJson({EndpointJson("a", backend.address())}), address);
     std::shared_ptr<Wire> client;
     if (i % 2 == 0) {
-      client = ConnectTo(io, address);  // the first moment at which it takes anything
+      client = ConnectTo(io, address);  // succeeds as soon as it listens
       ASSERT_TRUE(client);
       client->Send(Get("c" + std::to_string(i)));
     } else {
@@ -264,13 +264,13 @@
       client->Close();
       EXPECT_EQ(program.Wait(), 0) << program.Log();
     } else {
-      program.Wait();  // it does end
+      program.Wait();  // either way of ending is correct
     }
   }
   EXPECT_EQ(answered, 6);
 }
 
-// Each signal twice, and the other one in between; before the first list, with discovery out of reach.
+// Repeats SIGTERM with SIGHUP and SIGINT in between, while discovery is unreachable and no list has arrived.
 TEST(NodeProcess, SignalsDuringTheStopChangeNothing) {
   asio::io_context io;
   Wire* waiting = nullptr;
@@ -282,7 +282,7 @@
   client->Send(Get("c1"));
   ASSERT_TRUE(RunUntil(io, [&] { return waiting != nullptr; }));
   for (const int signal : {SIGTERM, SIGHUP, SIGTERM, SIGINT, SIGHUP}) program.Signal(signal);
-  // While the listener still accepts:
+  // The listener still accepts connections.
   const auto late = ConnectTo(io, address);
   ASSERT_TRUE(late);
   waiting->Send(Reply(200, "ok"));
@@ -299,7 +299,8 @@
   EXPECT_EQ(program.Wait(), 0) << program.Log();
 }
 
-// A proxy with 64 descriptors, backends that do not answer yet, and a place for discovery, which is down.
+// A proxy with 64 descriptors, backends that delay their responses, and an address for discovery, which is
+// down at first.
 class DescriptorLimitTest : public ::testing::Test {
  protected:
   static constexpr int kDescriptors = 64;
@@ -320,7 +321,7 @@
     program_ = std::make_unique<Program>(config, address_, kDescriptors);
   }
 
-  // More clients than their share of the descriptors.
+  // Connects more clients than the descriptors reserved for clients.
   void ConnectIdleClients() {
     constexpr int kIdleClients = 40;
     for (int i = 0; i < kIdleClients; ++i) {
@@ -342,7 +343,7 @@
     ASSERT_TRUE(RunUntil(io_, [&] { return !discovery_->requests.empty(); })) << program_->Log();
   }
 
-  // On a connection of its own; waits until a backend has it.
+  // Sends a request on a new connection and waits until a backend has received it.
   void SendRequest(const std::string& id) {
     clients_.push_back(ConnectTo(io_, address_));
     clients_.back()->Send(Get(id));
@@ -369,8 +370,8 @@
   std::vector<Wire*> waiting_;  // requests at the backends
 };
 
-// Idle clients fill their share of the descriptors while discovery is down, and more of them wait in the
-// queue. When it is back, there is a descriptor for it, and for those to backends; so it is in the stop.
+// Idle clients use all descriptors available to clients while discovery is down, and more wait in the listen
+// queue. Descriptors for discovery and backends must still be available, also during the shutdown.
 TEST_F(DescriptorLimitTest, DiscoveryAndBackendsHaveTheirShare) {
   ASSERT_NO_FATAL_FAILURE(ConnectIdleClients());
   ASSERT_NO_FATAL_FAILURE(StartDiscovery());
@@ -382,20 +383,21 @@
   EXPECT_EQ(program_->Wait(), 0) << program_->Log();
 }
 
-// Out of descriptors, accept fails over and over: the node must neither end nor stay deaf.
+// Without descriptors accept fails repeatedly. The proxy must neither exit nor stop accepting for ever.
 TEST(NodeProcess, SurvivesRunningOutOfDescriptors) {
   asio::io_context io;
   Peer backend(io, [](Wire& wire) { wire.Send(Reply(200, "ok")); });
   const std::string address = OwnAddress();
   Program program(ConfigJson({EndpointJson("a", backend.address())}), address, 24);
-  std::vector<std::shared_ptr<Wire>> crowd;
+  std::vector<std::shared_ptr<Wire>> partial_clients;
   for (int i = 0; i < 40; ++i) {
-    crowd.push_back(ConnectTo(io, address));
-    ASSERT_TRUE(crowd.back());
-    crowd.back()->Send("GET /ready HTTP/1.1\r\n");  // begun: it can't be closed as idle
+    partial_clients.push_back(ConnectTo(io, address));
+    ASSERT_TRUE(partial_clients.back());
+    partial_clients.back()->Send(
+        "GET /ready HTTP/1.1\r\n");  // a partial request, so that the connection isn't closed as idle
   }
   RunReady(io);
-  for (const auto& wire : crowd) wire->Close();
+  for (const auto& wire : partial_clients) wire->Close();
   const auto client = ConnectTo(io, address);
   client->Send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(RunUntil(io, [&] { return client->in.rfind("HTTP/1.1 200 ", 0) == 0; })) << program.Log();
--- a/tests/proxy/proxy_fixture.h
+++ b/tests/proxy/proxy_fixture.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A proxy with a fixed configuration, and the kinds of its answers.
+// A fixture with a proxy, and functions that classify its answers.
 #ifndef BADGERBRIDGE_TESTS_PROXY_PROXY_FIXTURE_H_
 #define BADGERBRIDGE_TESTS_PROXY_PROXY_FIXTURE_H_
 
@@ -14,7 +14,7 @@
 
 namespace badgerbridge::proxy::testing {
 
-/// How often `part` stands in `text`.
+/// The number of occurrences of `part` in `text`.
 inline int CountOf(const std::string& text, const std::string& part) {
   int count = 0;
   for (std::size_t at = 0; (at = text.find(part, at)) != std::string::npos; at += part.size()) ++count;
@@ -33,7 +33,7 @@
 /// Whether an answer says that the request was served.
 inline bool IsServed(const std::string& answer) { return answer.rfind("HTTP/1.1 200 ", 0) == 0; }
 
-/// A proxy that a test starts with the backends that it knows.
+/// A proxy that each test starts with a list of known backends.
 class ProxyFixture : public ::testing::Test {
  protected:
   void Start(const std::vector<std::string>& known, int sockets = 1024, const std::string& tenants = "[]") {
--- a/tests/proxy/proxy_harness.h
+++ b/tests/proxy/proxy_harness.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Scripted peers on ephemeral loopback ports, and a proxy in this process. Everything runs on one io_context,
-// and a test waits for conditions only.
+// Scripted peers on ephemeral loopback ports and a proxy in the test process. Everything runs on one
+// io_context, and tests wait for conditions instead of fixed times.
 #ifndef BADGERBRIDGE_TESTS_PROXY_PROXY_HARNESS_H_
 #define BADGERBRIDGE_TESTS_PROXY_PROXY_HARNESS_H_
 
@@ -34,7 +34,7 @@
 using asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-/// One end of a connection, in plain text.
+/// One end of a plain-text TCP connection.
 struct Wire : std::enable_shared_from_this<Wire> {
   explicit Wire(tcp::socket connected) : socket(std::move(connected)) {}
 
@@ -71,15 +71,15 @@
   }
 
   tcp::socket socket;
-  std::array<char, 65536> piece;  ///< of one read
-  std::string in;                 ///< what has been read, and not been taken
-  std::string owed;               ///< the id of a request whose response a script has put off
-  bool closed = false;            ///< by the other side
+  std::array<char, 65536> piece;  ///< buffer of one read
+  std::string in;                 ///< bytes that have been read and not been consumed
+  std::string owed;               ///< id of a request whose response a script delays
+  bool closed = false;            ///< whether the other side has closed it
   ErrorCode end;                  ///< how it was closed: eof or a reset
   std::function<void(Wire&)> on_data;
 };
 
-/// Whether a request is complete. A body, if there is one, ends with "END".
+/// Whether a request is complete. Bodies in tests end with "END".
 inline bool IsComplete(const std::string& text) {
   if (text.find("\r\n\r\n") == std::string::npos) return false;
   const bool has_body = text.find("Content-Length: ") != std::string::npos &&
@@ -93,7 +93,7 @@
          "\r\n" + std::string(headers) + "\r\n" + std::string(body);
 }
 
-/// Chunk of a response with Transfer-Encoding: chunked.
+/// A chunk of a response with Transfer-Encoding: chunked.
 inline std::string Chunk(const std::string& text) {
   std::array<char, 16> size{};
   std::snprintf(size.data(), size.size(), "%zx\r\n", text.size());
@@ -105,7 +105,7 @@
  public:
   using Script = std::function<void(Wire&)>;
 
-  /// Port 0: any that is free.
+  /// Port 0: any free port.
   Peer(asio::io_context& io, Script script,
        const tcp::endpoint& listen = tcp::endpoint(asio::ip::address_v4::loopback(), 0))
       : acceptor_(io, listen), script_(std::move(script)) {
@@ -113,15 +113,15 @@
   }
   /// Where it listens.
   tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
-  /// The same as text.
+  /// Its address as text.
   std::string address() const {
     return endpoint().address().to_string() + ":" + std::to_string(endpoint().port());
   }
   /// Refuses connections from here on.
   void Refuse() { acceptor_.close(); }
 
-  std::vector<std::shared_ptr<Wire>> wires;  ///< all connections that have come
-  std::vector<std::string> requests;         ///< all complete requests that have come
+  std::vector<std::shared_ptr<Wire>> wires;  ///< all accepted connections
+  std::vector<std::string> requests;         ///< all complete requests received
 
  private:
   void Accept() {
@@ -142,7 +142,7 @@
   Script script_;
 };
 
-/// Runs until the condition holds; false if it does not within a time far beyond any need.
+/// Runs until the condition holds; false if it does not within 20 s.
 template <typename Condition>
 bool RunUntil(asio::io_context& io, Condition holds) {
   const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
@@ -160,7 +160,7 @@
   io.poll();
 }
 
-/// An endpoint in discovery's form.
+/// An endpoint in discovery's format.
 inline std::string EndpointJson(const std::string& name, const std::string& address,
                                 const std::string& status = "Ready", int group = 1, double since_ms = 0) {
   return R"({"name":")" + name + R"(","address":")" + address +
@@ -168,7 +168,7 @@
          R"(","weight":1.0,"since_ms":)" + std::to_string(since_ms) + "}";
 }
 
-/// A list in discovery's form.
+/// A list in discovery's format.
 inline std::string ListJson(int index, bool snapshot, const std::vector<std::string>& endpoints) {
   std::string text = R"({"index":)" + std::to_string(index) + R"(,"snapshot":)" +
                      (snapshot ? "true" : "false") + R"(,"endpoints":[)";
@@ -192,7 +192,7 @@
 "rules":{"coldFrom":0.2,"warmUpMs":24000.0,"fallMultiple":2.5,"overloadForMs":3000.0,"drainGraceMs":500.0}}})";
 }
 
-/// The same, parsed.
+/// The parsed ConfigJson().
 inline Config TestConfig(const std::vector<std::string>& known, int sockets = 1024,
                          const std::string& tenants = "[]") {
   return ParseConfig(ConfigJson(known, sockets, tenants), [](const char*) { return nullptr; });
@@ -220,7 +220,7 @@
         reader(config),
         listener((ListKnown(config), io), clock, proxy, config, limits) {}
 
-  /// Takes over the backends that a configuration knows.
+  /// Applies the known backends of a configuration.
   void ListKnown(const Config& config) {
     if (!config.known.is_null())
       proxy.UpdateList(EndpointListKind::kCached, reader.Read(config.known).value());
@@ -233,7 +233,7 @@
     wire->Start();
     return wire;
   }
-  /// Sends on a new connection and waits for an answer that ends with `end`, or a close.
+  /// Sends on a new connection and waits until the answer contains `end` or the connection is closed.
   std::string Ask(const std::string& request, const std::string& end = "\r\n\r\n") {
     const auto wire = Connect();
     wire->Send(request);
--- a/tests/proxy/proxy_program.h
+++ b/tests/proxy/proxy_program.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// badgerbridge as a process, for tests.
+// Runs badgerbridge as a process in tests.
 #ifndef BADGERBRIDGE_TESTS_PROXY_PROXY_PROGRAM_H_
 #define BADGERBRIDGE_TESTS_PROXY_PROXY_PROGRAM_H_
 
@@ -30,11 +30,11 @@
   return "127.77." + std::to_string(pid >> 8 & 127) + "." + std::to_string(pid % 250 + 1) + ":8080";
 }
 
-// A process of badgerbridge with files of its own, killed at the end of the test.
+// A badgerbridge process with its own configuration files; killed at the end of the test.
 class Program {
  public:
-  // `descriptors`: its limit, and it inherits those of the test; 0: the usual limit, and it inherits none.
-  // `operators`: the text of the operator's file; empty: there is none.
+  // `descriptors`: its limit, with the test's descriptors inherited; 0: the default limit, none inherited.
+  // `operators`: the text of the operator's file; empty: no file.
   Program(const std::string& config, const std::string& listen, rlim_t descriptors = 0,
           const std::string& operators = "")
       : folder_(::testing::TempDir() + "badgerbridge_XXXXXX") {
@@ -66,13 +66,13 @@
     rmdir(folder_.c_str());
   }
   void Signal(int signal) const { kill(pid_, signal); }
-  void Rewrite(const std::string& config) const { std::ofstream(folder_ + "/config.json") << config; }
+  void RewriteConfig(const std::string& config) const { std::ofstream(folder_ + "/config.json") << config; }
   int Wait() {  // the exit code; -1: it ended by a signal
     int status = 0;
     waitpid(std::exchange(pid_, -1), &status, 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
-  std::size_t Entries(const char* what) const {  // "fd" or "task", proc(5)
+  std::size_t CountProcEntries(const char* what) const {  // "fd" or "task", proc(5)
     const std::filesystem::directory_iterator all("/proc/" + std::to_string(pid_) + "/" + what);
     return static_cast<std::size_t>(std::distance(begin(all), end(all)));
   }
@@ -84,14 +84,14 @@
   }
 
  private:
-  static constexpr int kFirstInherited = 3;  // behind the standard streams
+  static constexpr int kFirstInherited = 3;  // after the standard streams
   static constexpr int kEndOfInherited = 1024;
 
   std::string folder_;
   pid_t pid_ = -1;
 };
 
-// Tries until the program listens; null if it does not.
+// Connects as soon as the program listens; null if it does not in time.
 inline std::shared_ptr<Wire> ConnectTo(asio::io_context& io, const std::string& address) {
   std::shared_ptr<Wire> wire;
   RunUntil(io, [&] {
--- a/tests/proxy/proxy_shutdown_test.cpp
+++ b/tests/proxy/proxy_shutdown_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The stop of a proxy, and the end of connections to clients.
+// Tests the shutdown of a proxy and the closing of client connections.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -13,9 +13,9 @@
 
 using ProxyShutdownTest = ProxyFixture;
 
-// A client that uses a connection in the moment of its end sees the end and no reset; what it sent is
-// dropped, never forwarded.
-TEST_F(ProxyShutdownTest, WhatCrossesTheEndOfAConnectionIsDroppedWithoutAReset) {
+// A client that sends while the proxy closes the connection must see an orderly close and no reset. What it
+// sent is dropped and never forwarded.
+TEST_F(ProxyShutdownTest, RequestsSentDuringTheCloseAreDroppedWithoutAReset) {
   for (const bool stop : {true, false}) {
     SCOPED_TRACE(stop ? "stop" : "drain");
     asio::io_context io;
@@ -32,7 +32,7 @@
     }
     ASSERT_TRUE(RunUntil(io, [&] { return client->closed; }));
     EXPECT_EQ(client->end, asio::error::eof);
-    client->Send(Get("c2"));  // it has not seen the end yet, say
+    client->Send(Get("c2"));  // the client has not noticed the close
     EXPECT_EQ(node->listener.connections(), 1u) << "until the client has closed it, for a bounded time";
     RunReady(io);
     ErrorCode error;
@@ -49,10 +49,10 @@
   }
 }
 
-// One that is idle and never closes its side holds a connection that has ended for a bounded time.
+// An idle client that never closes its side delays the shutdown only for a bounded time.
 TEST_F(ProxyShutdownTest, AClientThatNeverClosesDelaysTheStopForABoundedTime) {
   Start({});
-  const auto resting = node->Connect();
+  const auto idle_client = node->Connect();
   RunReady(io);
   bool stopped = false;
   const TimePoint began = node->clock.Now();
@@ -63,7 +63,7 @@
   EXPECT_EQ(node->listener.connections(), 0u);
 }
 
-// What was accepted while the listener is open is answered, also behind another request.
+// A request accepted before the listener closes is answered, even if pipelined after another request.
 TEST_F(ProxyShutdownTest, APipelinedRequestIsAnsweredAtTheStop) {
   std::vector<Wire*> waiting;
   Peer backend(io, [&](Wire& wire) { waiting.push_back(&wire); });
@@ -95,7 +95,7 @@
   const TimePoint began = node->clock.Now();
   node->listener.Stop([&] { stopped = true; });
   EXPECT_TRUE(IsRejected(node->Ask("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")));
-  // The front has not noticed yet: new connections, and requests on old ones, are served.
+  // Until clients notice the shutdown, new connections and requests on existing ones are served.
   const auto late = node->Connect();
   late->Send(Get("c2"));
   ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 2; }));
