--- a/tests/proxy/proxy_test.cpp
+++ b/tests/proxy/proxy_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A proxy between scripted clients and backends: one final answer each, and what is forwarded.
+// Tests a proxy between scripted clients and backends: one final answer per request, and what is forwarded.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -73,7 +73,7 @@
   EXPECT_EQ(other.requests.size(), 1u);
 }
 
-// Nothing takes effect twice, and a rejection would tell the client to send it again.
+// The request must not run twice, and a rejection would let the client send it again.
 TEST_F(ProxyTest, ANonIdempotentRequestThatMayHaveRunFailsWithoutARetry) {
   Peer broken(io, [](Wire& wire) { wire.Reset(); });
   Start({EndpointJson("a", broken.address()), EndpointJson("b", broken.address())});
@@ -94,12 +94,13 @@
   EXPECT_TRUE(IsFailed(client->in)) << client->in;
   EXPECT_GE(took, 140);
   EXPECT_EQ(node->proxy.open_requests(), 0u);
-  EXPECT_EQ(node->backends.open_connections(), 0u) << "giving up closes the connection";
-  client->Send(Get("c2"));  // and the connection still serves
+  EXPECT_EQ(node->backends.open_connections(), 0u) << "a timeout closes the connection";
+  client->Send(Get("c2"));  // the client connection can still be used
   ASSERT_TRUE(RunUntil(io, [&] { return silent.requests.size() == 2; }));
 }
 
-// No time is left for the decision module to act in. A rejection: it was never sent, so a retry is harmless.
+// The decision module has no time left for an attempt. The request was never sent, so it is rejected and the
+// client may retry it.
 TEST_F(ProxyTest, ARequestWithoutTimeLeftIsRejectedOnceAndNotSent) {
   Peer backend(io, [](Wire& wire) { wire.Send(Reply(200)); });
   Start({EndpointJson("a", backend.address())});
@@ -113,7 +114,7 @@
   EXPECT_NE(backend.requests[0].find("c2"), std::string::npos);
 }
 
-// With nothing to send to, the decision module gives up; its answer is not delayed, and says when to return.
+// Without backends, the decision module rejects the request without delay and with a Retry-After.
 TEST_F(ProxyTest, ARejectionIsAnsweredAtOnceWithRetryAfter) {
   Start({});
   std::string request = Get("c1");
@@ -132,22 +133,22 @@
   EXPECT_EQ(CountOf(answer, "y"), 65533);
 }
 
-// The connection to a backend takes a while to come up. Its client leaves meanwhile: nothing is written, and
-// the backend is not held to have failed.
+// The client disconnects while the proxy is connecting to a backend. Nothing is sent, and the backend doesn't
+// count as failed.
 TEST_F(ProxyTest, NothingIsSentForAClientThatLeftDuringTheConnect) {
   Peer backend(io, [](Wire& wire) { wire.Send(Reply(200, "ok")); });
   Start({EndpointJson("a", backend.address(), "Ready", 1, 0)});
-  std::vector<std::function<void()>> dials;
+  std::vector<std::function<void()>> pending_connects;
   node->backends.SetConnector([&](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
-    dials.push_back([&socket, address, ended] { socket.async_connect(address, ended); });
+    pending_connects.push_back([&socket, address, ended] { socket.async_connect(address, ended); });
   });
   const auto client = node->Connect();
   client->Send(Post("c1", "certify", "END"));
-  ASSERT_TRUE(RunUntil(io, [&] { return dials.size() == 1; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return pending_connects.size() == 1; }));
   client->Close();
   ASSERT_TRUE(RunUntil(io, [&] { return node->proxy.open_requests() == 0; }));
   RunReady(io);
-  EXPECT_EQ(node->backends.open_connections(), 0u) << "the dial is given up";
+  EXPECT_EQ(node->backends.open_connections(), 0u) << "connecting is cancelled";
   for (const BackendView& view : node->proxy.Inspect()) {
     EXPECT_EQ(view.in_flight, 0);
     EXPECT_EQ(view.work_in_flight, 0);
--- a/tests/proxy/soak_test.cpp
+++ b/tests/proxy/soak_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Nothing grows: the table of requests, the decision module and the names of the list, with every byte that
-// they hold counted, over 30 minutes of virtual time in which each backend is replaced every minute and no
-// key comes twice.
+// Checks that memory does not grow: counts every allocated byte of the table of requests, the decision module
+// and the names of the list over 30 minutes of virtual time, in which each backend is replaced every minute
+// and no key repeats.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -24,7 +24,7 @@
 
 namespace {
 
-std::size_t allocated_bytes = 0;  // and not freed
+std::size_t allocated_bytes = 0;  // allocated and not freed
 constexpr std::size_t kHeaderBytes = alignof(std::max_align_t);
 
 }  // namespace
@@ -60,20 +60,21 @@
 }
 
 // A proxy's table and list under a constant load of requests and changes.
-class SoakPlay {
+class SoakRun {
  public:
-  SoakPlay() {
+  SoakRun() {
     for (int i = 0; i < kBackends; ++i) AddBackend();
   }
 
-  // Runs for a third of the time, and checks what the table and the list hold at its end.
+  // Runs a third of the time and checks the sizes of the table and the list at its end.
   void RunThird() {
     next_change_ms_ = now_ms_;
     const double end_ms = now_ms_ + kThirdMs;
     max_allocated_bytes_ = 0;
     while (now_ms_ < end_ms) Step();
     EXPECT_EQ(reader_.name_count(), static_cast<std::size_t>(kBackends));
-    EXPECT_LE(table_.Inspect().size(), kBackends + 200u);  // a few minutes' worth of those that are gone
+    EXPECT_LE(table_.Inspect().size(),
+              kBackends + 200u);  // backends that were removed in the last few minutes
     EXPECT_LE(table_.open(), 200u);
     std::uint64_t served = 0;
     for (const RequestCounters& counters : table_.counters()) served += counters.served;
@@ -81,7 +82,7 @@
     served_before_ = served;
   }
 
-  // In the last third, once its first minute and a half are over.
+  // The maximum in the last third that was run, without the first 90 s of the test.
   double max_allocated_bytes() const { return max_allocated_bytes_; }
   std::uint64_t names() const { return names_; }
 
@@ -91,7 +92,7 @@
   static constexpr double kThirdMs = 600000;
   static constexpr double kStepMs = 10;
   static constexpr double kChangeEveryMs = 1000;
-  static constexpr double kWarmUpMs = 90000;  // what is gone is kept for a minute
+  static constexpr double kWarmUpMs = 90000;  // removed backends are kept for a minute
 
   // An attempt, and when it ends.
   struct AttemptInFlight {
@@ -196,14 +197,14 @@
 };
 
 TEST(Soak, TheLastThirdHoldsNoMoreMemoryThanTheFirst) {
-  SoakPlay play;
+  SoakRun run;
   std::vector<double> max_allocated_bytes(3);
   for (double& third : max_allocated_bytes) {
-    play.RunThird();
-    third = play.max_allocated_bytes();
+    run.RunThird();
+    third = run.max_allocated_bytes();
   }
   EXPECT_LE(max_allocated_bytes[2], 1.1 * max_allocated_bytes[0]);
-  EXPECT_GT(play.names(), 1800u);
+  EXPECT_GT(run.names(), 1800u);
 }
 
 }  // namespace
--- a/tests/races/api_race_test.cpp
+++ b/tests/races/api_race_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A connection of the control API that makes room for others in the turn in which its request came.
+// Tests a control API server at its connection limit: a connection whose request has arrived but is unread
+// must not be closed to make room for others.
 #include <unistd.h>
 
 #include <boost/asio/local/stream_protocol.hpp>
@@ -21,9 +22,9 @@
 using ErrorCode = boost::system::error_code;
 
 constexpr char kRequest[] = "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n";
-constexpr milliseconds kYoung{20};  // of a server on a Unix socket
+constexpr milliseconds kMinConnectionAge{20};  // younger connections of a Unix socket server stay open
 
-class ApiRaceTest : public badgerbridge::testing::TurnTest {
+class ApiRaceTest : public badgerbridge::testing::EventLoopRaceTest {
  protected:
   ApiRaceTest() : path_(::testing::TempDir() + "api_race_" + std::to_string(getpid())) {
     ServerLimits limits;
@@ -35,8 +36,8 @@
     RunReady();
     EXPECT_EQ(server_->connections(), 1u);
   }
-  // All that the client can read by now.
-  std::string Take() {
+  // Reads everything available to the client.
+  std::string ReadAvailable() {
     std::string text(4096, '\0');
     ErrorCode error;
     client_.non_blocking(true, error);
@@ -44,7 +45,7 @@
     closed_ = closed_ || error == asio::error::eof || error == asio::error::connection_reset;
     return text;
   }
-  void Ask() { asio::write(client_, asio::buffer(kRequest, sizeof kRequest - 1)); }
+  void SendRequest() { asio::write(client_, asio::buffer(kRequest, sizeof kRequest - 1)); }
 
   const std::string path_;
   std::optional<UnixServer> server_;
@@ -52,34 +53,34 @@
   bool closed_ = false;
 };
 
-TEST_F(ApiRaceTest, AConnectionWhoseRequestIsUnreadDoesNotMakeRoom) {
-  AdvanceAndRun(kYoung - milliseconds(5));
-  TimersAheadOf([&] { Ask(); }, milliseconds(5));
+TEST_F(ApiRaceTest, AConnectionWithAnUnreadRequestIsNotEvicted) {
+  AdvanceAndRun(kMinConnectionAge - milliseconds(5));
+  RunTimersBefore([&] { SendRequest(); }, milliseconds(5));
   std::string answer;
-  EXPECT_TRUE(Until([&] { return !(answer += Take()).empty() || closed_; }));
+  EXPECT_TRUE(Until([&] { return !(answer += ReadAvailable()).empty() || closed_; }));
   EXPECT_EQ(answer.rfind("HTTP/1.1 200", 0), 0u) << answer;
 }
 
-TEST_F(ApiRaceTest, AConnectionThatHasAskedAndAsksAgainDoesNotMakeRoom) {
-  Ask();
+TEST_F(ApiRaceTest, AConnectionWithAnUnreadSecondRequestIsNotEvicted) {
+  SendRequest();
   RunReady();
-  EXPECT_EQ(Take().rfind("HTTP/1.1 200", 0), 0u);
-  AdvanceAndRun(kYoung - milliseconds(5));
-  TimersAheadOf([&] { Ask(); }, milliseconds(5));
+  EXPECT_EQ(ReadAvailable().rfind("HTTP/1.1 200", 0), 0u);
+  AdvanceAndRun(kMinConnectionAge - milliseconds(5));
+  RunTimersBefore([&] { SendRequest(); }, milliseconds(5));
   std::string answer;
-  EXPECT_TRUE(Until([&] { return !(answer += Take()).empty() || closed_; }));
+  EXPECT_TRUE(Until([&] { return !(answer += ReadAvailable()).empty() || closed_; }));
   EXPECT_EQ(answer.rfind("HTTP/1.1 200", 0), 0u) << answer;
 }
 
-TEST_F(ApiRaceTest, AConnectionWithoutARequestMakesRoom) {
+TEST_F(ApiRaceTest, AConnectionWithoutARequestIsEvicted) {
   EXPECT_TRUE(Until([&] {
-    Take();
+    ReadAvailable();
     return closed_;
   }));
 }
 
-// Beast's stream: an expiry that is queued when the read completes is of an earlier tick, and does nothing.
-TEST_F(ApiRaceTest, ARequestInTheTurnInWhichTheTimeForItIsOverIsAnswered) {
+// Beast ignores a timeout that was queued before the read completed, because its tick is outdated.
+TEST_F(ApiRaceTest, ARequestUnreadAtItsTimeoutIsAnswered) {
   server_.reset();
   ServerLimits limits;
   server_.emplace(io_, path_, std::vector<uid_t>{}, limits, [](Request, Peer) -> asio::awaitable<Response> {
@@ -89,10 +90,10 @@
   client_.connect(Local::endpoint(path_));
   RunReady();
   for (int request = 0; request < 3; ++request) {
-    Ask();
+    SendRequest();
     clock_.Advance(request == 0 ? limits.request_timeout : limits.idle_timeout);
     std::string answer;
-    EXPECT_TRUE(Until([&] { return !(answer += Take()).empty() || closed_; }));
+    EXPECT_TRUE(Until([&] { return !(answer += ReadAvailable()).empty() || closed_; }));
     EXPECT_EQ(answer.rfind("HTTP/1.1 200", 0), 0u) << answer;
     RunReady();
   }
--- a/tests/races/backend_race_test.cpp
+++ b/tests/races/backend_race_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Races of a connection to a backend: a timer of a state that has ended expires in the turn in which the next
-// state begins.
+// Tests races of a connection to a backend in which the timer of one state expires in the event loop
+// iteration in which the next state begins.
 #include <gtest/gtest.h>
 
 #include <boost/asio/post.hpp>
@@ -24,7 +24,7 @@
 constexpr BackendId kBackend = 5;
 constexpr Duration kTimeout{10000};
 
-class BackendRaceTest : public badgerbridge::testing::TurnTest {
+class BackendRaceTest : public badgerbridge::testing::EventLoopRaceTest {
  protected:
   BackendRaceTest() {
     peer_.emplace(io_, [this](Wire& wire) { wire.Send(response_); });
@@ -58,9 +58,9 @@
 };
 
 TEST_F(BackendRaceTest, AConnectionThatComesUpAsItsTimerExpiresIsUsed) {
-  std::function<void()> come_up;
+  std::function<void()> complete_connect;
   backends_->SetConnector([&](tcp::socket& socket, const tcp::endpoint& address, auto ended) {
-    come_up = [&socket, address, ended] {
+    complete_connect = [&socket, address, ended] {
       ErrorCode error;
       socket.connect(address, error);
       ended(error);
@@ -68,7 +68,7 @@
   });
   Send();
   RunReady();
-  AheadOfQueuedTimers([&] { come_up(); }, milliseconds(250));
+  RunBeforeQueuedTimers([&] { complete_connect(); }, milliseconds(250));
   ASSERT_TRUE(Until([&] { return results_.size() == 1; }));
   EXPECT_EQ(results_[0], Outcome::kOk);
   EXPECT_EQ(peer_->requests.size(), 1u);
@@ -79,7 +79,7 @@
   Send();
   ASSERT_TRUE(Until([&] { return results_.size() == 1; }));
   RunReady();
-  AheadOfQueuedTimers([&] { Send(); }, milliseconds(11250));  // three quarters of the idle limit
+  RunBeforeQueuedTimers([&] { Send(); }, milliseconds(11250));  // three quarters of the idle timeout
   ASSERT_TRUE(Until([&] { return results_.size() == 2; }));
   EXPECT_EQ(results_[1], Outcome::kOk);
   EXPECT_EQ(peer_->wires.size(), 1u) << "on the same connection";
@@ -95,18 +95,18 @@
   clock_.Advance(std::chrono::duration_cast<std::chrono::nanoseconds>(kTimeout));
   ASSERT_TRUE(Until([&] { return results_.size() == 1; }));
   EXPECT_EQ(results_[0], Outcome::kOk);
-  // The connection is idle now: the timer of the attempt does not end it.
+  // The connection is idle now, and the timer of the attempt must not close it.
   RunReady();
   EXPECT_EQ(backends_->open_connections(), 1u);
 }
 
-// More descriptors are ready than one turn takes, so that the timer's handler runs ahead of the read.
+// More descriptors are ready than one iteration handles, so the timer's handler runs before the read.
 TEST_F(BackendRaceTest, AResponseUnreadAtTheTimeoutCounts) {
   response_ = "";
   Send();
   ASSERT_TRUE(Until([&] { return peer_->requests.size() == 1; }));
-  TimersAheadOf([&] { peer_->wires[0]->Send(Reply(200, "served")); },
-                std::chrono::duration_cast<milliseconds>(kTimeout));
+  RunTimersBefore([&] { peer_->wires[0]->Send(Reply(200, "served")); },
+                  std::chrono::duration_cast<milliseconds>(kTimeout));
   ASSERT_TRUE(Until([&] { return results_.size() == 1; }));
   EXPECT_EQ(results_[0], Outcome::kOk);
 }
@@ -116,7 +116,7 @@
   Send();
   ASSERT_TRUE(Until([&] { return peer_->requests.size() == 1; }));
   RunReady();
-  TimersAheadOf([&] { peer_->wires[0]->Send("ved"); }, milliseconds(250));
+  RunTimersBefore([&] { peer_->wires[0]->Send("ved"); }, milliseconds(250));
   ASSERT_TRUE(Until([&] { return results_.size() == 1; }));
   EXPECT_EQ(results_[0], Outcome::kOk);
 }
@@ -124,9 +124,9 @@
 TEST_F(BackendRaceTest, ABackendThatClosesBeforeTheFirstByteCouldNotConnect) {
   tcp::acceptor acceptor(io_, {asio::ip::address_v4::loopback(), 0});
   backends_->SetConnector([&](tcp::socket& socket, const tcp::endpoint&, auto ended) {
-    asio::post(io_, [&, ended, dialled = &socket] {
+    asio::post(io_, [&, ended, connecting_socket = &socket] {
       ErrorCode error;
-      dialled->connect(acceptor.local_endpoint(), error);
+      connecting_socket->connect(acceptor.local_endpoint(), error);
       acceptor.accept().close();
       badgerbridge::testing::AwaitDelivery();
       ended(error);
@@ -137,8 +137,8 @@
   EXPECT_EQ(results_[0], Outcome::kConnectFailed);
 }
 
-// A discovery that never stops sending does not delay an attempt for good.
-TEST_F(BackendRaceTest, AnAttemptWaitsForUnreadListsABoundedNumberOfTurns) {
+// A discovery that sends continuously must not delay an attempt for ever.
+TEST_F(BackendRaceTest, AnAttemptWaitsForUnreadListsABoundedNumberOfIterations) {
   int checks = 0;
   backends_->SetUnreadListCheck([&checks] {
     ++checks;
@@ -151,7 +151,7 @@
   EXPECT_LT(checks, 100);
 }
 
-// With a discovery, and one idle connection to the backend.
+// A pool with a watch on discovery and one idle connection to the backend.
 class UnreadListRaceTest : public BackendRaceTest {
  protected:
   UnreadListRaceTest() {
@@ -178,10 +178,10 @@
     return Chunk(ListJson(index, snapshot, {EndpointJson("s-1", peer_->address(), status)}) + "\n");
   }
 
-  // The process is descheduled for longer than the grace period after a drain: a list comes meanwhile, and a
-  // request whose handler is the first to run. `next` happens right behind it.
+  // Simulates a process that was descheduled for longer than the grace period after a drain. Meanwhile a list
+  // and a request have arrived; the handler of the request runs first, followed by `next`.
   template <typename Next>
-  void SendAheadOf(const std::string& list, Next next) {
+  void SendBeforeListIsRead(const std::string& list, Next next) {
     badgerbridge::testing::ReadyDescriptor request(io_, [this, next] {
       Send();
       next();
@@ -200,14 +200,14 @@
 };
 
 TEST_F(UnreadListRaceTest, AnAttemptWaitsForADrainThatIsUnread) {
-  SendAheadOf(List(9, false, "Terminating"), [] {});
+  SendBeforeListIsRead(List(9, false, "Terminating"), [] {});
   EXPECT_EQ(begun_attempts_, 0);
   ASSERT_EQ(results_.size(), 2u);
   EXPECT_EQ(results_[1], Outcome::kConnectFailed);
 }
 
 TEST_F(UnreadListRaceTest, AConnectionThatEndsWhileItsAttemptWaitsIsNotUsed) {
-  SendAheadOf(List(9, false, "Ready"), [this] {
+  SendBeforeListIsRead(List(9, false, "Ready"), [this] {
     ErrorCode ignored;
     peer_->wires[0]->socket.shutdown(tcp::socket::shutdown_send, ignored);
     badgerbridge::testing::AwaitDelivery();
--- a/tests/races/discovery_race_test.cpp
+++ b/tests/races/discovery_race_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The time for discovery's next message is over in the turn in which the message has come.
+// Tests a client of discovery whose timeout expires in the event loop iteration in which a message arrives.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -19,7 +19,7 @@
 
 constexpr char kHead[] = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-class DiscoveryRaceTest : public badgerbridge::testing::TurnTest {
+class DiscoveryRaceTest : public badgerbridge::testing::EventLoopRaceTest {
  protected:
   DiscoveryRaceTest() : config_(TestConfig({})) {
     timing_.message_timeout = milliseconds(2800);
@@ -44,7 +44,7 @@
   Discovery::Timing timing_;
   std::optional<Peer> peer_;
   std::optional<Discovery> discovery_;
-  std::vector<BackendState> states_;  // of the backend, by each list
+  std::vector<BackendState> states_;  // state of the backend in each list
   bool holds_responses_ = false;
   int failures_ = 0;
 };
@@ -53,11 +53,11 @@
   Watch(false);
   ASSERT_TRUE(Until([&] { return states_.size() == 1; }));
   RunReady();
-  TimersAheadOf([&] { wire().Send(Chunk(List(9, false, "Terminating") + "\n")); }, timing_.message_timeout);
+  RunTimersBefore([&] { wire().Send(Chunk(List(9, false, "Terminating") + "\n")); }, timing_.message_timeout);
   AdvanceAndRun(milliseconds(1));
-  ASSERT_EQ(states_.size(), 2u) << "the message had come";
+  ASSERT_EQ(states_.size(), 2u) << "the message had arrived before the timeout";
   EXPECT_EQ(states_[1], BackendState::kDraining);
-  EXPECT_EQ(peer_->wires.size(), 1u) << "and the watch goes on";
+  EXPECT_EQ(peer_->wires.size(), 1u) << "the watch stays open";
   EXPECT_FALSE(wire().closed);
 }
 
@@ -72,7 +72,7 @@
   EXPECT_EQ(peer_->wires.size(), 1u);
 }
 
-// The process was descheduled while it read a list: the rest of the list is unread.
+// The process is descheduled while reading a list, so the rest of the list is unread at the timeout.
 TEST_F(DiscoveryRaceTest, TheRestOfAListCountsAfterAPause) {
   Watch(false);
   ASSERT_TRUE(Until([&] { return states_.size() == 1; }));
@@ -97,14 +97,15 @@
   EXPECT_TRUE(Until([&] { return states_.size() == 2; }));
 }
 
-// A call that has waited for its turn is not discarded because its response is read late.
+// A polling call that has waited in the queue must not be discarded because its response is read late.
 TEST_F(DiscoveryRaceTest, AResponseUnreadAtItsTimeoutCounts) {
   holds_responses_ = true;
   timing_ = Discovery::Timing::For(true);
   Watch(true);
   ASSERT_TRUE(Until([&] { return peer_->requests.size() == 1; }));
   RunReady();
-  TimersAheadOf([&] { wire().Send(kHead + Chunk(List(9, true, "Ready") + "\n")); }, timing_.response_timeout);
+  RunTimersBefore([&] { wire().Send(kHead + Chunk(List(9, true, "Ready") + "\n")); },
+                  timing_.response_timeout);
   AdvanceAndRun(milliseconds(1));
   EXPECT_EQ(states_.size(), 1u);
   EXPECT_EQ(failures_, 0);
@@ -120,32 +121,33 @@
   EXPECT_LE(ProxyClock::Steady::now() - began, timing_.response_timeout + milliseconds(2));
 }
 
-// SIGHUP names another discovery in the turn in which the old one has sent a drain.
-TEST_F(DiscoveryRaceTest, ListsOfTheOldDiscoveryAreReadBeforeTheMove) {
+// SIGHUP switches to another discovery in the event loop iteration in which the old one has sent a drain.
+TEST_F(DiscoveryRaceTest, ListsOfTheOldDiscoveryAreReadBeforeTheSwitch) {
   Watch(false);
   ASSERT_TRUE(Until([&] { return states_.size() == 1; }));
   RunReady();
   Peer silent(io_, [](Wire&) {});
   wire().Send(Chunk(List(9, false, "Terminating") + "\n"));
-  discovery_->MoveTo(silent.endpoint());
+  discovery_->ChangeAddress(silent.endpoint());
   ASSERT_TRUE(Until([&] { return silent.requests.size() == 1; }));
   ASSERT_EQ(states_.size(), 2u);
   EXPECT_EQ(states_[1], BackendState::kDraining);
-  EXPECT_NE(silent.requests[0].find("index=0 "), std::string::npos) << "versions are each discovery's own";
+  EXPECT_NE(silent.requests[0].find("index=0 "), std::string::npos)
+      << "versions are specific to one discovery";
   EXPECT_EQ(discovery_->address(), silent.endpoint());
 }
 
-TEST_F(DiscoveryRaceTest, TheMoveIsAtOnceIfNothingIsUnread) {
+TEST_F(DiscoveryRaceTest, TheAddressChangesAtOnceIfNothingIsUnread) {
   Watch(false);
   ASSERT_TRUE(Until([&] { return states_.size() == 1; }));
   RunReady();
   Peer silent(io_, [](Wire&) {});
-  discovery_->MoveTo(silent.endpoint());
+  discovery_->ChangeAddress(silent.endpoint());
   EXPECT_EQ(discovery_->address(), silent.endpoint());
 }
 
-// The decision module polls in the turn in which the open watch has sent a drain: another call would wait for
-// its turn at the one service.
+// The decision module polls in the event loop iteration in which the open watch has sent a drain. A new call
+// would have to queue at the central service.
 TEST_F(DiscoveryRaceTest, AWatchWithAnUnreadMessageIsNotReplaced) {
   Watch(true);
   ASSERT_TRUE(Until([&] { return states_.size() == 1; }));
--- a/tests/races/etcd_race_test.cpp
+++ b/tests/races/etcd_race_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Races of gRPC connections, at both ends: the time for an answer is over in the turn in which the answer
-// came.
+// Tests races of gRPC connections, on the client and the server: the timeout for an answer expires in the
+// event loop iteration in which the answer arrives.
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/write.hpp>
 #include <memory>
@@ -22,21 +22,21 @@
 using ErrorCode = boost::system::error_code;
 
 constexpr char kPreface[] = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-// Types and flags of frames, RFC 9113, section 6.
+// Frame types and flags (RFC 9113, section 6).
 constexpr char kHeaders = 1, kSettings = 4, kPing = 6;
 constexpr char kAcknowledged = 1, kEndHeaders = 4;
 
-// RFC 9113, section 4.1, on stream 0.
+// A frame on stream 0 (RFC 9113, section 4.1).
 std::string Frame(char type, char flags, const std::string& payload) {
   return std::string(2, '\0') + static_cast<char>(payload.size()) + type + flags + std::string(4, '\0') +
          payload;
 }
 
-class EtcdRaceTest : public badgerbridge::testing::TurnTest {
+class EtcdRaceTest : public badgerbridge::testing::EventLoopRaceTest {
  protected:
   static void Write(tcp::socket& socket, const std::string& text) { asio::write(socket, asio::buffer(text)); }
-  // What has come by now.
-  static std::string Take(tcp::socket& socket) {
+  // Reads everything available on a socket.
+  static std::string ReadAvailable(tcp::socket& socket) {
     std::string text(65536, '\0');
     ErrorCode error;
     socket.non_blocking(true, error);
@@ -54,16 +54,16 @@
   void Open() {
     channel_ = Channel::Open(
         io_, acceptor_.local_endpoint(), options_, [] {},
-        [this](const ConnectionError& error) { why_ = Message(error); });
+        [this](const ConnectionError& error) { close_reason_ = Message(error); });
     ASSERT_TRUE(Until([&] { return channel_->is_open(); }));
     acceptor_.accept(peer_);
     RunReady();
-    Take(peer_);
+    ReadAvailable(peer_);
   }
-  // Up to the moment in which the channel would give the link up.
+  // Runs until just before the channel would close for lack of a ping answer.
   void RunUntilThePingIsOverdue() {
     AdvanceAndRun(options_.ping_interval);
-    ASSERT_NE(Take(peer_), "") << "no ping";
+    ASSERT_NE(ReadAvailable(peer_), "") << "no ping";
     AdvanceAndRun(options_.ping_timeout);
     ASSERT_TRUE(channel_->is_open());
   }
@@ -72,39 +72,39 @@
   tcp::acceptor acceptor_;
   tcp::socket peer_{io_};
   std::shared_ptr<Channel> channel_;
-  std::string why_;
+  std::string close_reason_;
 };
 
-TEST_F(ChannelRaceTest, AWordThatIsUnreadWhenThePingIsOverdueKeepsTheChannel) {
+TEST_F(ChannelRaceTest, AFrameUnreadWhenThePingIsOverdueKeepsTheChannelOpen) {
   Open();
   RunUntilThePingIsOverdue();
-  TimersAheadOf([&] { Write(peer_, Frame(kSettings, 0, "")); }, milliseconds(1));
+  RunTimersBefore([&] { Write(peer_, Frame(kSettings, 0, "")); }, milliseconds(1));
   AdvanceAndRun(milliseconds(1));
-  EXPECT_TRUE(channel_->is_open()) << why_;
-  // And it is asked again before it is given up.
-  Take(peer_);
+  EXPECT_TRUE(channel_->is_open()) << close_reason_;
+  // The channel sends another ping before it can close.
+  ReadAvailable(peer_);
   AdvanceAndRun(options_.ping_interval);
-  EXPECT_NE(Take(peer_), "");
+  EXPECT_NE(ReadAvailable(peer_), "");
 }
 
-TEST_F(ChannelRaceTest, ALinkThatSaysNothingIsGivenUp) {
+TEST_F(ChannelRaceTest, ASilentChannelIsClosed) {
   Open();
   RunUntilThePingIsOverdue();
   AdvanceAndRun(milliseconds(1));
   RunReady();
   EXPECT_FALSE(channel_->is_open());
-  EXPECT_EQ(why_, "the link is silent: no answer to a ping");
+  EXPECT_EQ(close_reason_, "the link is silent: no answer to a ping");
 }
 
-// Its connection comes up in the turn in which the time for it is over.
-TEST_F(ChannelRaceTest, AConnectionThatComesUpAtTheEndOfItsTimeStays) {
+// The connect completes in the event loop iteration in which its timeout expires.
+TEST_F(ChannelRaceTest, AConnectThatCompletesAsItsTimeoutExpiresIsKept) {
   channel_ = Channel::Open(
       io_, acceptor_.local_endpoint(), options_, [] {},
-      [this](const ConnectionError& error) { why_ = Message(error); });
+      [this](const ConnectionError& error) { close_reason_ = Message(error); });
   clock_.Advance(options_.connect_timeout);
   RunReady();
   RunReady();
-  EXPECT_TRUE(channel_->is_open()) << why_;
+  EXPECT_TRUE(channel_->is_open()) << close_reason_;
 }
 
 class ServerRaceTest : public EtcdRaceTest {
@@ -127,12 +127,12 @@
     RunReady();
     Write(client_, Frame(kSettings, kAcknowledged, ""));
     RunReady();
-    Take(client_);
+    ReadAvailable(client_);
   }
   // The ping's payload.
   std::string AwaitPing() {
     std::string frame;
-    EXPECT_TRUE(Until([&] { return !(frame = Take(client_)).empty(); }));
+    EXPECT_TRUE(Until([&] { return !(frame = ReadAvailable(client_)).empty(); }));
     EXPECT_EQ(frame.size(), 17u);
     EXPECT_EQ(frame.at(3), kPing);
     return frame.substr(9);
@@ -144,33 +144,33 @@
   int calls_ = 0;
 };
 
-TEST_F(ServerRaceTest, AnAnswerThatIsUnreadWhenThePingIsOverdueKeepsTheConnection) {
+TEST_F(ServerRaceTest, APingAnswerUnreadAtTheTimeoutKeepsTheConnectionOpen) {
   Connect();
   const std::string ping = AwaitPing();
-  TimersAheadOf([&] { Write(client_, Frame(kPing, kAcknowledged, ping)); }, options_.ping_timeout);
+  RunTimersBefore([&] { Write(client_, Frame(kPing, kAcknowledged, ping)); }, options_.ping_timeout);
   EXPECT_EQ(server_->connections(), 1u);
   AdvanceAndRun(options_.ping_timeout);
   EXPECT_EQ(server_->connections(), 1u);
 }
 
-TEST_F(ServerRaceTest, AClientThatDoesNotAnswerIsGivenUp) {
+TEST_F(ServerRaceTest, AClientThatDoesNotAnswerAPingIsDisconnected) {
   Connect();
   AwaitPing();
   EXPECT_TRUE(Until([&] { return server_->connections() == 0; }));
 }
 
-// A call on an idle connection crosses the end of the idle time of a server that was held up.
-TEST_F(ServerRaceTest, ACallThatIsUnreadWhenTheIdleTimeIsOverIsTaken) {
+// A call arrives on an idle connection just as the idle timeout of a delayed server expires.
+TEST_F(ServerRaceTest, ACallUnreadAtTheIdleTimeoutIsAccepted) {
   options_.idle_timeout = milliseconds(400);
   options_.ping_interval = milliseconds(0);
   Connect();
   // RFC 7541: POST, http, the path /x, the authority h; END_HEADERS on stream 1.
   std::string call = Frame(kHeaders, kEndHeaders, std::string("\x83\x86\x04\x02") + "/x" + "\x01\x01" + "h");
   call[8] = 1;
-  TimersAheadOf([&] { Write(client_, call); }, options_.idle_timeout);
+  RunTimersBefore([&] { Write(client_, call); }, options_.idle_timeout);
   EXPECT_EQ(calls_, 1);
   EXPECT_EQ(server_->connections(), 1u);
-  EXPECT_EQ(Take(client_), "") << "no goodbye";
+  EXPECT_EQ(ReadAvailable(client_), "") << "no GOAWAY frame";
   AdvanceAndRun(options_.idle_timeout);
   EXPECT_EQ(server_->connections(), 1u);
 }
@@ -183,10 +183,10 @@
   EXPECT_EQ(calls_, 0);
 }
 
-// A server whose answers are held back until they are told to go.
-class HeldAnswers : public EtcdRaceTest {
+// A server that delays its answers until SendAnswer() is called.
+class DelayedAnswerRaceTest : public EtcdRaceTest {
  protected:
-  HeldAnswers() {
+  DelayedAnswerRaceTest() {
     server_.emplace(io_, tcp::endpoint(asio::ip::address_v4::loopback(), 0), ServerOptions{},
                     [this](const std::shared_ptr<ServerConnection>& connection) {
                       Http2ServerHandler handler;
@@ -196,21 +196,21 @@
                     });
     options_.ping_interval = milliseconds(10000);
   }
-  ~HeldAnswers() override {
+  ~DelayedAnswerRaceTest() override {
     if (channel_) channel_->Close("the test is over");
   }
-  void Ask() {
+  void SendRequest() {
     channel_ = Channel::Open(
         io_, server_->address(), options_, [] {}, [](const ConnectionError&) {});
     ASSERT_TRUE(Until([&] { return channel_->is_open(); }));
-    channel_->CallUnary("/x.X/X", {}, "question", kTimeout, [this](Status how, std::string text) {
-      status_ = std::move(how);
+    channel_->CallUnary("/x.X/X", {}, "question", kTimeout, [this](Status status, std::string text) {
+      status_ = std::move(status);
       answer_ = std::move(text);
     });
     asked_at_ = std::chrono::steady_clock::now();
     RunReady();
   }
-  void Answer(const std::string& message) {
+  void SendAnswer(const std::string& message) {
     ASSERT_TRUE(call_.has_value());
     connection_->http2().SendMessage(*call_, message);
     connection_->http2().Finish(*call_, {});
@@ -222,30 +222,30 @@
   ChannelOptions options_;
   std::optional<Server> server_;
   std::shared_ptr<ServerConnection> connection_;
-  std::optional<StreamId> call_;  // the newest that was asked whole
+  std::optional<StreamId> call_;  // the newest call whose request is complete
   std::shared_ptr<Channel> channel_;
   std::chrono::steady_clock::time_point asked_at_;
   std::optional<Status> status_;
   std::string answer_;
 };
 
-TEST_F(HeldAnswers, OneThatIsUnreadWhenTheTimeOfItsCallIsOverIsTaken) {
-  Ask();
-  TimersAheadOf([&] { Answer("answer"); }, kTimeout);
+TEST_F(DelayedAnswerRaceTest, AnAnswerUnreadAtTheTimeoutOfItsCallCounts) {
+  SendRequest();
+  RunTimersBefore([&] { SendAnswer("answer"); }, kTimeout);
   AdvanceAndRun(milliseconds(1));
   ASSERT_TRUE(status_.has_value());
   EXPECT_TRUE(status_->ok()) << status_->ToString();
   EXPECT_EQ(answer_, "answer");
 }
 
-TEST_F(HeldAnswers, ACallWithoutOneEndsInTime) {
-  Ask();
+TEST_F(DelayedAnswerRaceTest, ACallWithoutAnAnswerTimesOut) {
+  SendRequest();
   EXPECT_TRUE(Until([&] { return status_.has_value(); }));
   EXPECT_EQ(status_->ending, Ending::kTimeout);
   EXPECT_LE(std::chrono::steady_clock::now() - asked_at_, kTimeout + milliseconds(1));
 }
 
-TEST_F(HeldAnswers, ASnapshotThatIsUnreadWhenTheTimeOfItsStepIsOverIsTaken) {
+TEST_F(DelayedAnswerRaceTest, ASnapshotUnreadAtTheTimeoutOfItsStepIsApplied) {
   FollowerLinkSettings settings;
   settings.endpoints = {server_->address()};
   settings.channel = options_;
@@ -262,8 +262,8 @@
   etcdserverpb::RangeResponse response;
   response.mutable_header()->set_cluster_id(1);
   response.mutable_header()->set_revision(5);
-  TimersAheadOf([&] { Answer(response.SerializeAsString()); },
-                link.follower().NextWake() - FollowerLink::Now());
+  RunTimersBefore([&] { SendAnswer(response.SerializeAsString()); },
+                  link.follower().NextWake() - FollowerLink::Now());
   AdvanceAndRun(milliseconds(1));
   EXPECT_EQ(losses, 0);
   EXPECT_EQ(snapshots, 1);
--- a/tests/races/membership_race_test.cpp
+++ b/tests/races/membership_race_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The list passed on in slices: a change that is passed on at once crosses the timer of the next slice.
+// Tests a list applied in slices: a small change, which is applied at once, races with the timer of the next
+// slice.
 #include <optional>
 #include <string>
 #include <vector>
@@ -14,15 +15,15 @@
 
 using std::chrono::milliseconds;
 
-// How long the proxy is taken to need for a slice: longer than one handler may go on with slices.
+// Virtual time to apply a slice; longer than one handler may spend on slices.
 constexpr milliseconds kSliceTime{2};
 
-class MembershipRaceTest : public badgerbridge::testing::TurnTest {
+class MembershipRaceTest : public badgerbridge::testing::EventLoopRaceTest {
  protected:
   MembershipRaceTest() {
     operator_config::EtcdSettings table;
     table.endpoints = {"127.0.0.1:1"};
-    table.is_authoritative = false;  // discovery's lists count
+    table.is_authoritative = false;  // lists of discovery are used
     source_.emplace(io_, proxy::testing::TestConfig({}), table, [this](const proxy::EndpointList&) {
       ++slices_;
       clock_.Advance(kSliceTime);
@@ -45,23 +46,23 @@
   int slices_ = 0;
 };
 
-TEST_F(MembershipRaceTest, AnExpiredTimerDoesNotSkipTheRestBetweenSlices) {
+TEST_F(MembershipRaceTest, AnExpiredTimerDoesNotSkipThePauseBetweenSlices) {
   source_->UpdateFromDiscovery(List(0, 200, true));
   RunReady();
-  ASSERT_EQ(slices_, 1) << "one a handler, since each takes long";
-  // The rest is over, the next slice's handler is queued; a small change is passed on at once.
-  const milliseconds rest{50};
-  AheadOfQueuedTimers([&] { source_->UpdateFromDiscovery(List(1000, 1, false)); }, rest);
-  EXPECT_EQ(slices_, 2) << "and then there is a rest again";
+  ASSERT_EQ(slices_, 1) << "one per handler, since each takes long";
+  // The pause has ended and the handler of the next slice is queued; a small change is applied at once.
+  const milliseconds pause{50};
+  RunBeforeQueuedTimers([&] { source_->UpdateFromDiscovery(List(1000, 1, false)); }, pause);
+  EXPECT_EQ(slices_, 2) << "followed by another pause";
   EXPECT_TRUE(Until([&] { return source_->pending() == 0; }));
   EXPECT_EQ(slices_, 7);  // 201 members
 }
 
-TEST_F(MembershipRaceTest, ItsEndWhileATimerIsQueuedIsNoTrouble) {
+TEST_F(MembershipRaceTest, DestructionWithAQueuedTimerIsSafe) {
   source_->UpdateFromDiscovery(List(0, 200, true));
   RunReady();
   const int before = slices_;
-  AheadOfQueuedTimers([&] { source_.reset(); }, milliseconds(50));
+  RunBeforeQueuedTimers([&] { source_.reset(); }, milliseconds(50));
   EXPECT_EQ(slices_, before);
 }
 
--- a/tests/races/turn.h
+++ b/tests/races/turn.h
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Forces what one turn of the event loop finds in a process that was descheduled for a while: expired timers,
-// and descriptors that became ready.
+// Reproduces the event loop iteration of a process that was descheduled for a while: timers have expired and
+// descriptors are ready at the same time.
 //
-// Asio takes at most 128 ready descriptors from epoll in one turn and queues their handlers; those of the
-// timers that have expired come behind them. A descriptor that is ready, and not among the 128, is seen only
-// when the timers' handlers have run.
+// In one iteration Asio takes at most 128 ready descriptors from epoll and queues their handlers, followed by
+// those of the expired timers. A further ready descriptor is seen only after the timers' handlers have run.
 #ifndef BADGERBRIDGE_TESTS_RACES_TURN_H_
 #define BADGERBRIDGE_TESTS_RACES_TURN_H_
 
@@ -29,14 +28,14 @@
 
 namespace badgerbridge::testing {
 
-/// Waits until what this process has written to its TCP sockets has been acknowledged: then it can be read.
-/// On loopback that is soon, but not at once where the kernel hands packets over on another thread.
+/// Waits until all bytes written to TCP sockets of this process have been acknowledged, so that they can be
+/// read. On loopback the kernel may deliver packets on another thread, so they are not readable at once.
 inline void AwaitDelivery() {
   constexpr int kMaxDescriptors = 1024;
   constexpr time_t kMaxSeconds = 20;
   timespec began{};
   timespec now{};
-  clock_gettime(CLOCK_REALTIME, &began);  // not the virtual one
+  clock_gettime(CLOCK_REALTIME, &began);  // not virtualized by the test
   for (int descriptor = 0; descriptor < kMaxDescriptors;) {
     int domain = 0;
     int pending = 0;
@@ -47,13 +46,13 @@
     if (!awaited) {
       ++descriptor;
     } else if (now.tv_sec - began.tv_sec > kMaxSeconds) {
-      ADD_FAILURE() << "bytes have not come across loopback";
+      ADD_FAILURE() << "bytes were not delivered over loopback";
       return;
     }
   }
 }
 
-/// A descriptor whose handler runs in the turn in which it was made ready.
+/// A descriptor that a test makes ready; its handler runs in the next event loop iteration.
 class ReadyDescriptor {
  public:
   ReadyDescriptor(boost::asio::io_context& io, std::function<void()> handler)
@@ -73,10 +72,10 @@
   boost::asio::posix::stream_descriptor descriptor_;
 };
 
-/// A test's clock, and an event loop that runs only what is ready.
-class TurnTest : public ::testing::Test {
+/// A fixture with virtual time and an event loop that runs only ready handlers.
+class EventLoopRaceTest : public ::testing::Test {
  protected:
-  /// Runs handlers until none is ready. Returns how many.
+  /// Runs handlers until none is ready. Returns the number of handlers.
   std::size_t RunReady() {
     std::size_t ran = 0;
     for (std::size_t n = 1; n > 0; ran += n) {
@@ -92,13 +91,13 @@
     RunReady();
   }
 
-  /// Timers that are due after `by` expire, and `arrive` makes descriptors ready: the timers' handlers run
-  /// first.
+  /// Advances the clock by `by`, which expires timers, and calls `arrive`, which makes descriptors ready. The
+  /// timers' handlers run before those of the descriptors.
   template <typename Arrive>
-  void TimersAheadOf(Arrive arrive, std::chrono::nanoseconds by) {
-    constexpr int kMoreThanATurnTakes = 200;
+  void RunTimersBefore(Arrive arrive, std::chrono::nanoseconds by) {
+    constexpr int kMoreThanOneIterationHandles = 200;
     std::vector<std::unique_ptr<ReadyDescriptor>> others;
-    for (int i = 0; i < kMoreThanATurnTakes; ++i)
+    for (int i = 0; i < kMoreThanOneIterationHandles; ++i)
       others.push_back(std::make_unique<ReadyDescriptor>(io_, nullptr));
     RunReady();
     clock_.Advance(by);
@@ -107,9 +106,10 @@
     RunReady();
   }
 
-  /// `step` runs when the handlers of timers that are due after `by` have been queued, ahead of them.
+  /// Advances the clock by `by` and runs `step` in the iteration in which the expired timers are queued,
+  /// before their handlers.
   template <typename Step>
-  void AheadOfQueuedTimers(Step step, std::chrono::nanoseconds by) {
+  void RunBeforeQueuedTimers(Step step, std::chrono::nanoseconds by) {
     bool ran = false;
     ReadyDescriptor first(io_, [&] {
       ran = true;
@@ -122,8 +122,8 @@
     EXPECT_TRUE(ran);
   }
 
-  /// Runs handlers until the condition holds, and moves the clock by a millisecond where none is ready. False
-  /// if it does not hold within 20 s of that clock.
+  /// Runs handlers until the condition holds, and advances the clock by 1 ms whenever none is ready. False if
+  /// the condition does not hold after 20000 steps.
   template <typename Condition>
   bool Until(Condition holds) {
     constexpr int kMaxSteps = 20000;
