--- a/tests/proxy/backend_attempt_test.cpp
+++ b/tests/proxy/backend_attempt_test.cpp
@@ -99,7 +99,7 @@
   reply.clear();
   for (int i = 0; i < 100; ++i) reply += interim;
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kReset);
-  EXPECT_EQ(peer.wires.size(), 1u) << "the first response left the connection in order";
+  EXPECT_EQ(peer.wires.size(), 1u) << "the connection is reused after interim responses";
 }
 
 // A partial response on an open connection ends the attempt early, which leaves time for a retry.
@@ -271,7 +271,7 @@
   BackendPool::Limits limits;
   StartPool(peer, limits);
   Send();
-  pool->Update(ListWith(peer.endpoint(), BackendState::kDraining));  // while the connection comes up
+  pool->Update(ListWith(peer.endpoint(), BackendState::kDraining));  // while connecting
   ASSERT_TRUE(RunUntil(io, [&] { return !results.empty(); }));
   EXPECT_EQ(results[0].outcome, Outcome::kConnectFailed);
   EXPECT_EQ(OutcomeOfOneAttempt(), Outcome::kConnectFailed);
--- a/tests/proxy/process_test.cpp
+++ b/tests/proxy/process_test.cpp
@@ -144,7 +144,7 @@
   EXPECT_EQ(run.find_first_of("|&;()<>`$"), std::string::npos) << run;
   const auto [names, loader] = Imports(NODE_PATH);
   EXPECT_NE(loader.find("ld-linux"), std::string::npos) << loader;
-  EXPECT_EQ(names.count("epoll_wait"), 1u) << "the test must see what is imported";
+  EXPECT_EQ(names.count("epoll_wait"), 1u) << "Imports() must find the symbols";
   for (const char* name :
        {"fork",   "vfork", "_Fork",    "clone",    "clone3",     "posix_spawn",     "posix_spawnp",
         "system", "popen", "execv",    "execve",   "execvp",     "execl",           "execlp",
--- a/tests/proxy/proxy_shutdown_test.cpp
+++ b/tests/proxy/proxy_shutdown_test.cpp
@@ -102,7 +102,7 @@
   idle->Send(Get("c3"));
   ASSERT_TRUE(RunUntil(io, [&] { return waiting.size() == 3; }));
   EXPECT_FALSE(stopped);
-  EXPECT_LT((node->clock.Now() - began).count(), 400) << "this machine was too slow for the case";
+  EXPECT_LT((node->clock.Now() - began).count(), 400) << "this machine is too slow for this test";
   for (Wire* wire : waiting) wire->Send(Reply(200, "ok"));
   for (const auto& client : {busy, late, idle}) {
     ASSERT_TRUE(RunUntil(io, [&] { return client->closed; }));
