--- a/src/zone_failover/admission.cpp
+++ b/src/zone_failover/admission.cpp
@@ -6,8 +6,8 @@
 namespace badgerbridge::zone_failover {
 namespace {
 
-constexpr Duration kStartUp{1500};   // of a whole installation
-constexpr Duration kMaxDelay{1000};  // of a member that comes back, for others to make room
+constexpr Duration kInstallationStartup{1500};
+constexpr Duration kMaxAdmissionDelay{1000};
 
 bool IsReadmitted(const Decision& decision, const MemberIncarnation& incarnation) {
   const auto& readmitted = decision.readmitted;
@@ -25,10 +25,10 @@
 
 void Admission::Update(TimePoint now, const Snapshot& snapshot, std::uint64_t oldest_epoch,
                        const MemberTracker& members, const Decision& previous, Decision* next) {
-  // While an installation starts, members that are not there yet send to their own zones, and are in no
-  // demand.
-  if (began_ == TimePoint{}) began_ = now;
-  const bool starting = previous.admitted_revision == 0 && now - began_ < kStartUp;
+  // While an installation starts, members that have not registered yet already send to their own zones, but
+  // the measured demand does not include them.
+  if (first_update_at_ == TimePoint{}) first_update_at_ = now;
+  const bool starting = previous.admitted_revision == 0 && now - first_update_at_ < kInstallationStartup;
   if (snapshot.decision && counted_epoch_ <= oldest_epoch && !starting)
     next->admitted_revision = previous.counted_revision;
   if (HasUncountedMembers(snapshot, previous)) next->counted_revision = snapshot.revision;
@@ -54,7 +54,7 @@
 
 bool Admission::ShouldDelay(TimePoint now, bool reduces_grants) {
   if (delayed_since_ == TimePoint{}) delayed_since_ = now;
-  const bool delay = reduces_grants && now - delayed_since_ < kMaxDelay;
+  const bool delay = reduces_grants && now - delayed_since_ < kMaxAdmissionDelay;
   if (!delay) delayed_since_ = TimePoint{};
   return delay;
 }
--- a/src/zone_failover/capacity_estimator.cpp
+++ b/src/zone_failover/capacity_estimator.cpp
@@ -7,38 +7,38 @@
 namespace badgerbridge::zone_failover {
 namespace {
 
-constexpr double kMinWarmBackends = 0.5;  // below, the capacity of one backend is not learnt
+constexpr double kMinBackendsForEstimate = 0.5;
 constexpr double kMinObservedBackends = 1e-9;
-constexpr double kMaxLeftShare = 0.05;  // of the backends that a zone had: below, they have left
-constexpr double kObservedGain = 0.15;
-constexpr double kMemoryHalfLifeMs = 600000;
+constexpr double kMinRemainingBackendShare = 0.05;
+constexpr double kCapacitySmoothingFactor = 0.15;
+constexpr double kObservationHalfLifeMs = 600000;
 
 }  // namespace
 
 void CapacityEstimator::UpdateWarmBackends(double elapsed_ms, double warm_backends) {
   warm_backends_ = warm_backends;
   max_warm_backends_ =
-      std::max(max_warm_backends_ * std::exp2(-elapsed_ms / kMemoryHalfLifeMs), warm_backends);
+      std::max(max_warm_backends_ * std::exp2(-elapsed_ms / kObservationHalfLifeMs), warm_backends);
 }
 
-double CapacityEstimator::Learn(double elapsed_ms, const ZoneObservation& observation, bool members_lost) {
+double CapacityEstimator::Update(double elapsed_ms, const ZoneObservation& observation, bool members_lost) {
   const double served = observation.served;
-  // Backends that leave take their capacity with them; those that come count like the others by their weight.
+  // The capacity follows the weight of the warm backends as backends leave and join.
   if (capacity_per_backend_ > 0) observed_ = capacity_per_backend_ * observation.warm_backends;
   observed_backends_ = std::max(observation.warm_backends, kMinObservedBackends);
   const bool has_utilization = observation.utilization >= 0;
   if (has_utilization && observation.attempts >= kMinAttempts) {
-    // Chance is large beside a small utilization: taken for kMinUtilization, it shows less than there is.
-    const double full =
+    // A small utilization is mostly noise. Treating it as kMinUtilization underestimates the capacity.
+    const double full_capacity =
         std::max(served / std::max(kMinUtilization, observation.utilization), members_lost ? observed_ : 0);
-    if (observation.utilization >= kMinUtilization || full > observed_)
-      observed_ += observed_ == 0 ? full : kObservedGain * (full - observed_);
+    if (observation.utilization >= kMinUtilization || full_capacity > observed_)
+      observed_ += observed_ == 0 ? full_capacity : kCapacitySmoothingFactor * (full_capacity - observed_);
   } else if (!has_utilization) {
-    observed_ = std::max(observed_ * std::exp2(-elapsed_ms / kMemoryHalfLifeMs), served);
+    observed_ = std::max(observed_ * std::exp2(-elapsed_ms / kObservationHalfLifeMs), served);
   } else {
     observed_ = std::max(observed_, served);
   }
-  if (observation.warm_backends >= kMinWarmBackends)
+  if (observation.warm_backends >= kMinBackendsForEstimate)
     capacity_per_backend_ = observed_ / observation.warm_backends;
   return has_utilization ? std::max(observed_, served) : kGrowthHeadroom * observed_;
 }
@@ -58,7 +58,7 @@
 }
 
 bool CapacityEstimator::BackendsHaveLeft() const {
-  return capacity_per_backend_ > 0 && warm_backends_ < kMaxLeftShare * max_warm_backends_;
+  return capacity_per_backend_ > 0 && warm_backends_ < kMinRemainingBackendShare * max_warm_backends_;
 }
 
 }  // namespace badgerbridge::zone_failover
--- a/src/zone_failover/capacity_estimator.h
+++ b/src/zone_failover/capacity_estimator.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Estimates how much work a zone can serve, from what it has served and how busy its backends report to be.
-/// Pure.
+/// Estimates how much work a zone can serve from its served work and the utilization that its backends
+/// report. Pure.
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_CAPACITY_ESTIMATOR_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_CAPACITY_ESTIMATOR_H_
 
@@ -9,41 +9,42 @@
 
 namespace badgerbridge::zone_failover {
 
-/// How far beyond its observed capacity a zone may be sent where its backends report no utilization.
+/// Factor on the observed capacity that limits the load of a zone whose backends report no utilization.
 constexpr double kGrowthHeadroom = 1.25;
-/// Below this utilization it says little about the capacity.
+/// A utilization below this value is too noisy for a reliable capacity estimate.
 constexpr double kMinUtilization = 0.15;
 
-/// The capacity of one zone, in work a ms. Keeps what one warm backend has shown while backends come and go.
+/// The capacity of one zone, in work per ms. Keeps the capacity per warm backend, so that the estimate
+/// follows the number of backends.
 class CapacityEstimator {
  public:
-  /// Begins with a capacity that an earlier leader has observed.
+  /// Starts from the capacity that an earlier leader observed.
   void Restore(double observed_capacity) { observed_ = observed_capacity; }
-  /// Takes in how many warm backends the zone has; `elapsed_ms` since the last call.
+  /// Sets the weight of the zone's warm backends; `elapsed_ms` is the time since the last call.
   void UpdateWarmBackends(double elapsed_ms, double warm_backends);
-  /// Learns from an observation and returns the limit that follows. Where members are lost, what they send is
-  /// in no report, so the capacity does not fall.
-  double Learn(double elapsed_ms, const ZoneObservation& observation, bool members_lost);
-  /// For a zone that is not known well: raises the capacity to `capacity_per_backend` for each warm backend.
-  /// Returns whether that was more than was known.
+  /// Updates the observed capacity and returns the resulting limit. While members are lost, no report
+  /// contains their load, so the capacity estimated from the utilization does not fall.
+  double Update(double elapsed_ms, const ZoneObservation& observation, bool members_lost);
+  /// Raises the capacity to `capacity_per_backend` for each warm backend. Returns false if the observed
+  /// capacity already was at least that.
   bool RaiseTo(double capacity_per_backend);
 
-  /// Work a ms that the zone has lately shown it can serve.
+  /// Recently observed capacity, in work per ms.
   double observed() const { return observed_; }
-  /// Of `observed()`, as much as the warm backends that are still there can serve.
+  /// The part of `observed()` that the remaining warm backends can serve.
   double Available() const;
-  /// Whether nearly all backends that have shown a capacity have left.
+  /// True if nearly all backends of a zone with a known capacity have left the endpoint list.
   bool BackendsHaveLeft() const;
-  /// Weight of warm backends that the zone has now.
+  /// Current weight of the zone's warm backends.
   double warm_backends() const { return warm_backends_; }
-  /// The most weight of warm backends that the zone had lately.
+  /// Recent maximum of `warm_backends()`.
   double max_warm_backends() const { return max_warm_backends_; }
-  /// Weight of warm backends that has shown `observed()`.
+  /// Weight of the warm backends from which `observed()` was estimated.
   double observed_backends() const { return observed_backends_; }
 
  private:
   double observed_ = 0;
-  double capacity_per_backend_ = 0;  // of one warm backend; 0: not known
+  double capacity_per_backend_ = 0;  // 0: not known
   double observed_backends_ = 0;
   double warm_backends_ = 0;
   double max_warm_backends_ = 0;
--- a/src/zone_failover/decision_codec.cpp
+++ b/src/zone_failover/decision_codec.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Codec of decisions and rosters. The JSON fields and the states' words are stored in etcd and shared with
-/// other releases, so they stay:
+/// Codec of decisions and rosters. The JSON field names and state names are stored in etcd and shared with
+/// other releases, so they must not change:
 ///
 ///   decider   Decision::leader              carried   Zone::served
 ///   admitted  Decision::admitted_revision   shown     Zone::observed_capacity
@@ -23,17 +23,17 @@
 using Kind = ZoneFailoverError::Kind;
 using Record = ZoneFailoverError::Record;
 
-constexpr std::array<std::string_view, 5> kStateWords = {"sound", "limping", "dark", "returning",
+constexpr std::array<std::string_view, 5> kStateNames = {"sound", "limping", "dark", "returning",
                                                          "evacuated"};
 constexpr double kMaxNumber = 1e9;
-constexpr double kStepsPerUnit = 10000;  // numbers are written with four decimals
+constexpr double kStepsPerUnit = 10000;  // four decimals
 
-// Rounded down: what is read back is never more than what was granted.
+// Rounds down, so that a decoded grant never exceeds the encoded one.
 double RoundedDown(double number) {
   return number < 0 ? kUnlimited : std::floor(number * kStepsPerUnit) / kStepsPerUnit;
 }
 
-// Only cells that are not 0: [origin, receiver, value, …].
+// Encodes only the cells that are not 0: [origin, receiver, value, …].
 json::array EncodeMatrix(const Matrix& matrix) {
   json::array cells;
   for (std::size_t origin = 0; origin < matrix.zones(); ++origin) {
@@ -48,7 +48,7 @@
   return cells;
 }
 
-// A bound must not be read back as less.
+// Rounds up, so that a decoded upper bound is never below the encoded one.
 Matrix RoundedUp(Matrix matrix) {
   for (std::size_t origin = 0; origin < matrix.zones(); ++origin) {
     for (std::size_t receiver = 0; receiver < matrix.zones(); ++receiver) {
@@ -77,7 +77,7 @@
   return number;
 }
 
-// A text, or nothing where the field is absent or no string.
+// Returns an empty string if the field is absent or not a string.
 std::string ReadText(const json::value* value) {
   return value && value->is_string() ? std::string(value->get_string()) : std::string();
 }
@@ -106,7 +106,7 @@
   return matrix;
 }
 
-// The fields of the decision as a whole.
+// Reads the fields that are not about a single zone.
 Result<Decision> ReadHeader(const json::object& root) {
   const json::value* version = root.if_contains("v");
   if (ReadNumber(version, 1) != 1) return Error(Kind::kUnsupportedVersion, "v", version);
@@ -140,8 +140,8 @@
 }
 
 std::optional<ZoneState> ReadState(const json::value* value) {
-  for (std::size_t i = 0; i < kStateWords.size(); ++i) {
-    if (value && value->is_string() && std::string_view(value->get_string()) == kStateWords[i])
+  for (std::size_t i = 0; i < kStateNames.size(); ++i) {
+    if (value && value->is_string() && std::string_view(value->get_string()) == kStateNames[i])
       return static_cast<ZoneState>(i);
   }
   return std::nullopt;
@@ -177,18 +177,18 @@
   const json::value* list = root.if_contains("zones");
   if (!list || !list->is_array() || list->get_array().size() != zones)
     return Error(Kind::kZonesMismatch, "zones", list);
-  std::vector<Decision::Zone> lines;
+  std::vector<Decision::Zone> zone_decisions;
   for (const json::value& value : list->get_array()) {
     Result<Decision::Zone> zone = ReadZone(value);
     if (!zone) return zone.error();
-    lines.push_back(std::move(*zone));
+    zone_decisions.push_back(std::move(*zone));
   }
-  return lines;
+  return zone_decisions;
 }
 
 }  // namespace
 
-std::string_view WireName(ZoneState state) { return kStateWords[static_cast<std::size_t>(state)]; }
+std::string_view WireName(ZoneState state) { return kStateNames[static_cast<std::size_t>(state)]; }
 
 std::string Encode(const Decision& decision) {
   json::array readmitted;
@@ -216,18 +216,19 @@
   Result<std::vector<MemberIncarnation>> readmitted = ReadReadmitted(*root);
   if (!readmitted) return readmitted.error();
   decision->readmitted = std::move(*readmitted);
-  Result<std::vector<Decision::Zone>> lines = ReadZones(*root, zones);
-  if (!lines) return lines.error();
-  decision->zones = std::move(*lines);
-  struct Table {
+  Result<std::vector<Decision::Zone>> zone_decisions = ReadZones(*root, zones);
+  if (!zone_decisions) return zone_decisions.error();
+  decision->zones = std::move(*zone_decisions);
+  struct MatrixField {
     const char* field;
     Matrix* matrix;
   };
-  for (const Table& table : {Table{"grants", &decision->grants}, Table{"ceiling", &decision->grant_ceiling},
-                             Table{"standby", &decision->standby}}) {
-    Result<Matrix> matrix = ReadMatrix(*root, table.field, zones);
+  for (const MatrixField& entry :
+       {MatrixField{"grants", &decision->grants}, MatrixField{"ceiling", &decision->grant_ceiling},
+        MatrixField{"standby", &decision->standby}}) {
+    Result<Matrix> matrix = ReadMatrix(*root, entry.field, zones);
     if (!matrix) return matrix.error();
-    *table.matrix = std::move(*matrix);
+    *entry.matrix = std::move(*matrix);
   }
   return decision;
 }
--- a/src/zone_failover/decision_comparison.cpp
+++ b/src/zone_failover/decision_comparison.cpp
@@ -13,17 +13,17 @@
 
 constexpr Duration kMinInterval{150};
 constexpr Duration kMaxSmallChangeDelay{2000};
-constexpr double kMinLargeChange = 0.1;   // of the largest capacity
-constexpr double kMinSmallChange = 0.02;  // of the largest capacity: below, nothing is written
-constexpr double kMinKeptShare = 0.5;
+constexpr double kLargeChange = 0.1;        // relative, as computed by LargestChange
+constexpr double kNegligibleChange = 0.02;  // relative, as computed by LargestChange
+constexpr double kMinRemainingGrantShare = 0.5;
 constexpr double kMinCapacity = 1e-9;
 
-bool CountsOtherMembers(const Decision& previous, const Decision& next) {
+bool ChangesMembers(const Decision& previous, const Decision& next) {
   return previous.admitted_revision != next.admitted_revision ||
          previous.counted_revision != next.counted_revision || previous.readmitted != next.readmitted;
 }
 
-bool HasOtherZones(const Decision& previous, const Decision& next) {
+bool ChangesZones(const Decision& previous, const Decision& next) {
   for (std::size_t zone = 0; zone < next.zones.size(); ++zone) {
     const Decision::Zone& before = previous.zones[zone];
     const Decision::Zone& after = next.zones[zone];
@@ -32,7 +32,7 @@
   return false;
 }
 
-bool LimitsOtherPairs(const Decision& previous, const Decision& next) {
+bool ChangesUnlimitedGrants(const Decision& previous, const Decision& next) {
   for (std::size_t origin = 0; origin < next.grants.zones(); ++origin) {
     for (std::size_t receiver = 0; receiver < next.grants.zones(); ++receiver) {
       const bool was_unlimited = previous.grants.at(origin, receiver) == kUnlimited;
@@ -49,8 +49,9 @@
   return largest;
 }
 
-// Of the grants of any pair of zones, by the largest capacity. Small grants may matter as much, for a zone
-// that recovers from little: so a change also counts by the grant itself.
+// Returns the largest change of a grant between two zones, relative to the mean of the largest capacity and
+// the grant itself. The grant is part of the scale because a small grant matters to a zone that recovers from
+// a low limit.
 double LargestChange(const Decision& previous, const Decision& next) {
   const double largest = LargestCapacity(previous, next);
   double change = 0;
@@ -65,7 +66,7 @@
   return change;
 }
 
-// Of all grants of an origin that have a limit.
+// Sums an origin's grants, without the unlimited one.
 double TotalGranted(const Decision& decision, std::size_t origin) {
   double total = 0;
   for (std::size_t receiver = 0; receiver < decision.grants.zones(); ++receiver)
@@ -75,17 +76,17 @@
 
 }  // namespace
 
-bool IsWorthWriting(const Decision& previous, const Decision& next, Duration since_last) {
+bool ShouldWrite(const Decision& previous, const Decision& next, Duration since_last) {
   if (since_last < kMinInterval) return false;
-  if (CountsOtherMembers(previous, next) || HasOtherZones(previous, next)) return true;
-  if (LimitsOtherPairs(previous, next)) return true;
+  if (ChangesMembers(previous, next) || ChangesZones(previous, next)) return true;
+  if (ChangesUnlimitedGrants(previous, next)) return true;
   const double change = LargestChange(previous, next);
-  return change > kMinLargeChange || (change > kMinSmallChange && since_last > kMaxSmallChangeDelay);
+  return change > kLargeChange || (change > kNegligibleChange && since_last > kMaxSmallChangeDelay);
 }
 
 bool ReducesGrants(const Decision& other, const Decision& next) {
   for (std::size_t origin = 0; origin < next.grants.zones(); ++origin) {
-    if (TotalGranted(next, origin) < kMinKeptShare * TotalGranted(other, origin)) return true;
+    if (TotalGranted(next, origin) < kMinRemainingGrantShare * TotalGranted(other, origin)) return true;
   }
   return false;
 }
--- a/src/zone_failover/decision_comparison.h
+++ b/src/zone_failover/decision_comparison.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// How much one decision differs from another. Pure.
+/// Comparison of two decisions. Pure.
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_DECISION_COMPARISON_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_DECISION_COMPARISON_H_
 
@@ -9,11 +9,11 @@
 
 namespace badgerbridge::zone_failover {
 
-/// Whether `next` differs enough to be written over `previous`, `since_last` after the last one was written:
-/// small changes of grants wait, and no decision is written within 150 ms of another.
-bool IsWorthWriting(const Decision& previous, const Decision& next, balancer::Duration since_last);
+/// True if `next` differs enough from `previous` to be written, `since_last` after the last write. Small
+/// changes of grants are delayed, and two writes are at least 150 ms apart.
+bool ShouldWrite(const Decision& previous, const Decision& next, balancer::Duration since_last);
 
-/// Whether members of some zone are granted less than half as much in other zones by `next` as by `other`.
+/// True if some origin's limited grants in `next` total less than half of those in `other`.
 bool ReducesGrants(const Decision& other, const Decision& next);
 
 }  // namespace badgerbridge::zone_failover
--- a/src/zone_failover/demand_tracker.cpp
+++ b/src/zone_failover/demand_tracker.cpp
@@ -23,9 +23,9 @@
   }
 }
 
-// It is not known whether members that vanished have died, and their clients went to others of the zone, or
-// are out of contact and go on: so no less than was asked while all were present, as far as the lost ones
-// account for it.
+// A lost member may be dead, with its clients moved to other members of the zone, or it may be out of contact
+// and still serve its clients. The returned demand therefore includes the demand of lost members, up to the
+// zone's demand while all of its members were present.
 std::vector<double> DemandTracker::Update(double elapsed_ms, const Snapshot& snapshot,
                                           const std::vector<LostMember>& lost_members) {
   std::vector<double> demand(peak_.size());
--- a/src/zone_failover/demand_tracker.h
+++ b/src/zone_failover/demand_tracker.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// How much work clients ask of each zone's members, also while members are lost. Pure.
+/// Tracks how much work clients request from each zone's members, including lost members. Pure.
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_DEMAND_TRACKER_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_DEMAND_TRACKER_H_
 
@@ -10,24 +10,24 @@
 
 namespace badgerbridge::zone_failover {
 
-/// Demand by zone, in work a ms.
+/// Demand by zone, in work per ms.
 class DemandTracker {
  public:
-  /// For an installation of `zones` zones.
+  /// Creates a tracker for `zones` zones without any demand.
   explicit DemandTracker(std::size_t zones) : full_demand_(zones), peak_(zones) {}
 
-  /// Forgets all.
+  /// Clears the demand of all zones.
   void Reset();
-  /// Goes on from what an earlier leader has decided.
+  /// Starts from the demand in an earlier leader's decision.
   void Restore(const Decision& decision);
-  /// By zone: what clients ask of its members; `elapsed_ms` since the last call, for the peak's decay.
+  /// Returns the demand by zone. `elapsed_ms` is the time since the last call, by which the peak decays.
   std::vector<double> Update(double elapsed_ms, const Snapshot& snapshot,
                              const std::vector<LostMember>& lost_members);
-  /// By zone: the most demand lately; halved in 5 s.
+  /// Recent peak of the demand by zone; decays with a half-life of 5 s.
   const std::vector<double>& peak() const { return peak_; }
 
  private:
-  std::vector<double> full_demand_;  // by zone: when all of its members were last present
+  std::vector<double> full_demand_;  // by zone, when all of its members were last present
   std::vector<double> peak_;
 };
 
--- a/src/zone_failover/epoch_history.cpp
+++ b/src/zone_failover/epoch_history.cpp
@@ -7,14 +7,15 @@
 namespace badgerbridge::zone_failover {
 namespace {
 
-constexpr std::size_t kMaxEpochs = 64;  // kept apart: a member that never confirms must not make it grow
+// Bounds the history while a member never confirms an epoch.
+constexpr std::size_t kMaxEpochs = 64;
 
 using Larger = double (*)(double, double);
 
-// Standby is always limited, so kUnlimited has no meaning there.
+// Standby capacity is always limited, so kUnlimited does not occur.
 double LargerStandby(double left, double right) { return std::max(left, right); }
 
-// Raises each cell to at least that of `other`.
+// Raises each cell to at least the same cell of `other`.
 void RaiseTo(const Matrix& other, Matrix* cells, Larger larger = LargerGrant) {
   for (std::size_t origin = 0; origin < cells->zones(); ++origin) {
     for (std::size_t receiver = 0; receiver < cells->zones(); ++receiver) {
@@ -37,7 +38,7 @@
 }
 
 void EpochHistory::Add(const Decision& decision) {
-  // One with a known epoch and other grants, such as one restored from a backup, may be in force as well.
+  // A record restored from a backup may have a known epoch with other grants. Both may be in force.
   Matrix grants = GrantsPerMember(decision);
   if (epochs_.empty() || epochs_.back().epoch != decision.epoch || !(epochs_.back().grants == grants))
     epochs_.push_back({decision.epoch, std::move(grants), decision.standby});
@@ -51,7 +52,7 @@
   }
 }
 
-// The two oldest become one that grants no less than either.
+// Merges the two oldest epochs into one with the larger of their grants.
 void EpochHistory::MergeOldest() {
   const EpochGrants oldest = std::move(epochs_.front());
   epochs_.pop_front();
@@ -77,7 +78,7 @@
   return ceiling;
 }
 
-// Of the first epoch that members may act on.
+// Returns the index of the first entry that members with this oldest epoch may act on.
 std::size_t EpochHistory::IndexOf(std::uint64_t oldest_epoch) const {
   std::size_t index = epochs_.size() - 1;
   while (index > 0 && epochs_[index].epoch > oldest_epoch) --index;
@@ -99,7 +100,7 @@
 double GrantBounds::Min(const GrantHolders& holders, std::size_t receiver) const {
   if (max_since_.empty() || holders.oldest_epoch == kNoEpoch || !holders.confirmed) return 0;
   const std::size_t first = history_.IndexOf(holders.oldest_epoch);
-  if (history_.oldest_is_merged_ && first == 0) return 0;  // only the most is known of merged epochs
+  if (history_.oldest_is_merged_ && first == 0) return 0;  // merged epochs only keep their maximum
   double least = Max(holders, receiver);
   for (std::size_t i = first; i < history_.size(); ++i) {
     const double grant = history_.epochs_[i].grants.at(holders.zone, receiver);
--- a/src/zone_failover/error.h
+++ b/src/zone_failover/error.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Errors of the decoders of records that members read from etcd.
+/// Errors of the decoders of etcd records.
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_ERROR_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_ERROR_H_
 
@@ -10,44 +10,44 @@
 
 namespace badgerbridge::zone_failover {
 
-/// Why a record from etcd was not accepted.
+/// Describes why a record from etcd was rejected.
 struct ZoneFailoverError {
-  /// Which record it was.
+  /// The type of the rejected record.
   enum class Record {
     kLoadReport,  ///< a member's load report
-    kDecision,    ///< the common decision
+    kDecision,    ///< the decision that all members share
     kRoster,      ///< the list of members that the decision counts
   };
-  /// What was wrong.
+  /// The cause of the rejection.
   enum class Kind {
-    kTooLong,             ///< more bytes than any valid record has
+    kTooLong,             ///< longer than the size limit of the record
     kNotAnObject,         ///< not a JSON object
-    kUnsupportedVersion,  ///< of another version of the format
-    kNotANumber,          ///< a field is no number, or out of its bounds
-    kUnknownZone,         ///< a zone's index that this installation does not have
-    kZonesMismatch,       ///< the list of zones is missing, or of another length
-    kMalformedZone,       ///< a zone's entry has the wrong form
-    kUnknownState,        ///< a zone's state is none of the known ones
-    kNotAList,            ///< a field is no list
-    kMalformedEntry,      ///< an entry of a list of members has the wrong form
-    kMalformedMatrix,     ///< a table is no list of origin, receiver and value
-    kOtherEpoch,          ///< a roster that belongs to another decision
+    kUnsupportedVersion,  ///< the format version is not supported
+    kNotANumber,          ///< a field is not a number, or is out of range
+    kUnknownZone,         ///< a zone index is out of range
+    kZonesMismatch,       ///< the list of zones is missing or has another length
+    kMalformedZone,       ///< the entry of a zone is malformed
+    kUnknownState,        ///< the state of a zone is not known
+    kNotAList,            ///< a field is not a list
+    kMalformedEntry,      ///< an entry of a member list is malformed
+    kMalformedMatrix,     ///< a matrix is not a list of origin, receiver and value
+    kOtherEpoch,          ///< the roster belongs to another decision
   };
 
-  Record record = Record::kDecision;  ///< where
-  Kind kind = Kind::kNotAnObject;     ///< what
+  Record record = Record::kDecision;  ///< type of the rejected record
+  Kind kind = Kind::kNotAnObject;     ///< cause of the rejection
   std::string field;                  ///< name of the JSON field; empty: the whole record
-  std::string value;                  ///< the value that was wrong, as JSON; shortened, empty if it is absent
+  std::string value;                  ///< rejected value as JSON, truncated; empty: the field is absent
 };
 
-/// One line for people.
+/// Formats the error as one line for operators.
 std::string Message(const ZoneFailoverError& error);
 
-/// A value, or the reason why there is none.
+/// A value or the error that prevented it.
 template <typename T>
 using Result = boost::system::result<T, ZoneFailoverError>;
 
-/// What `Result::value()` throws for an error: std::runtime_error with its message.
+/// Called by `Result::value()` for an error; throws std::runtime_error with its message.
 [[noreturn]] inline void throw_exception_from_error(const ZoneFailoverError& error,
                                                     const boost::source_location& /*where*/) {
   throw std::runtime_error(Message(error));
--- a/src/zone_failover/evacuation.cpp
+++ b/src/zone_failover/evacuation.cpp
@@ -12,10 +12,10 @@
   const Decision::Zone& evacuated = decision.zones[zone];
   plan.moved_load = std::max(evacuated.served, std::min(evacuated.demand, evacuated.limit));
   for (std::size_t receiver = 0; receiver < decision.zones.size(); ++receiver) {
-    const Decision::Zone& line = decision.zones[receiver];
-    if (receiver == zone || line.state != ZoneState::kHealthy) continue;
+    const Decision::Zone& decided = decision.zones[receiver];
+    if (receiver == zone || decided.state != ZoneState::kHealthy) continue;
     if (links.round_trip_ms.at(zone, receiver) >= latency_objective_ms / 2) continue;
-    plan.receivers.push_back({receiver, line.served, line.served, line.limit});
+    plan.receivers.push_back({receiver, decided.served, decided.served, decided.limit});
   }
   const auto cost = [&](const EvacuationPlan::Receiver& receiver) {
     return std::pair(links.transfer_price.at(zone, receiver.zone),
--- a/src/zone_failover/evacuation.h
+++ b/src/zone_failover/evacuation.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// What an operator's order to evacuate a zone would do, computed from the decision in force. Pure.
+/// Predicts the effect of an operator's order to evacuate a zone from the decision in force. Pure.
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_EVACUATION_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_EVACUATION_H_
 
@@ -12,23 +12,23 @@
 
 namespace badgerbridge::zone_failover {
 
-/// The result of planning an evacuation; loads in work a ms.
+/// The predicted effect of an evacuation; loads are in work per ms.
 struct EvacuationPlan {
   /// A zone that takes over load.
   struct Receiver {
-    std::size_t zone = 0;     ///< its index
-    double load = 0;          ///< what it serves now
-    double planned_load = 0;  ///< what it would serve
-    double limit = 0;         ///< what it may be sent at most
+    std::size_t zone = 0;     ///< index of the zone
+    double load = 0;          ///< current load
+    double planned_load = 0;  ///< load during the evacuation
+    double limit = 0;         ///< maximum load
   };
-  double moved_load = 0;            ///< what the zone serves now
-  std::vector<Receiver> receivers;  ///< every other zone that may help, in the order in which they are used
-  double unplaced_load = 0;         ///< the part of `moved_load` for which no zone has spare capacity
+  double moved_load = 0;            ///< load to move out of the zone
+  std::vector<Receiver> receivers;  ///< all eligible zones, in order of preference
+  double unplaced_load = 0;         ///< part of `moved_load` for which no zone has spare capacity
 };
 
-/// Fills the healthy zones that have spare capacity, the cheapest and then the nearest first, leaving out
-/// those whose round trip is half of `latency_objective_ms` or more. `zone` must be below the decision's
-/// zones.
+/// Distributes the load of `zone` over the spare capacity of the healthy zones, by ascending transfer price,
+/// then round trip. Zones with a round trip of at least half of `latency_objective_ms` are left out. `zone`
+/// must be a valid index into the decision's zones.
 EvacuationPlan PlanEvacuation(const Decision& decision, const ZoneLinks& links, double latency_objective_ms,
                               std::size_t zone);
 
--- a/src/zone_failover/failover_leader.cpp
+++ b/src/zone_failover/failover_leader.cpp
@@ -10,7 +10,8 @@
 namespace badgerbridge::zone_failover {
 namespace {
 
-// Beyond every epoch that any member has acted on: a record from a backup may be older.
+// Returns an epoch above all that members have confirmed. The epoch in a record restored from a backup may be
+// older than theirs.
 std::uint64_t NextEpoch(const Snapshot& snapshot, const Decision& previous) {
   std::uint64_t newest = previous.epoch;
   for (const MemberReport& report : snapshot.reports) newest = std::max(newest, report.load.epoch);
@@ -42,7 +43,7 @@
 
 void FailoverLeader::RestoreFrom(TimePoint now, const Snapshot& snapshot) {
   restored_ = true;
-  if (!snapshot.decision) return;  // no member can act on a decision that was never made
+  if (!snapshot.decision) return;  // there is no decision yet that a member could act on
   const Decision& decision = *snapshot.decision;
   history_.Restore(decision);
   admission_.Restore(decision);
@@ -51,8 +52,8 @@
   members_.RestoreLostMembers(now, snapshot, history_);
 }
 
-// Takes in the decision in force, and forgets epochs that no member may act on. Returns the oldest that one
-// may.
+// Adds the decision in force and removes the epochs that no member may act on. Returns the oldest epoch that
+// a member may act on.
 std::uint64_t FailoverLeader::UpdateHistory(TimePoint now, const Snapshot& snapshot) {
   if (!snapshot.decision) return 0;
   history_.Add(*snapshot.decision);
@@ -63,7 +64,7 @@
   return oldest;
 }
 
-// The decision that the next one replaces; an empty one before the first.
+// Returns the decision that the next one replaces, or an empty decision before the first.
 Decision FailoverLeader::PreviousDecision(const Snapshot& snapshot) const {
   if (snapshot.decision) return *snapshot.decision;
   Decision empty;
@@ -79,21 +80,21 @@
                                const std::vector<double>& demand, Decision* next) const {
   const std::vector<MemberCounts> counts = members_.CountByZone(now, snapshot);
   for (std::size_t zone = 0; zone < settings_.zones; ++zone) {
-    Decision::Zone& line = next->zones[zone];
-    line.state = zones_[zone].state();
-    line.observed_capacity = zones_[zone].capacity().observed();
-    line.limit = zones_[zone].limit();
-    line.served = observations[zone].served;
-    line.demand = demand[zone];
-    line.members = counts[zone].members;
-    line.lost_members = counts[zone].lost_members;
-    line.reason = zones_[zone].reason();
+    Decision::Zone& decided = next->zones[zone];
+    decided.state = zones_[zone].state();
+    decided.observed_capacity = zones_[zone].capacity().observed();
+    decided.limit = zones_[zone].limit();
+    decided.served = observations[zone].served;
+    decided.demand = demand[zone];
+    decided.members = counts[zone].members;
+    decided.lost_members = counts[zone].lost_members;
+    decided.reason = zones_[zone].reason();
   }
 }
 
-// A member that is admitted to a share that others use meanwhile would make all of its zone fall back for a
-// moment: it waits until they have reduced what they send, which they do by a decision without it, but not
-// for long.
+// Admitting a member to a share that other members still use would briefly cut the grants of its whole zone.
+// A decision without the new member first lets the others reduce their load. The delay is bounded
+// (Admission::ShouldDelay).
 void FailoverLeader::Allocate(TimePoint now, const Snapshot& snapshot, const Decision& previous,
                               const AllocationInput& input, Decision* next) {
   allocator_.Allocate(input, members_.HoldersUnder(now, snapshot, *next), next);
@@ -126,7 +127,7 @@
   demand.total = std::accumulate(demand.current.begin(), demand.current.end(), 0.0);
   FillZones(now, snapshot, observations, demand.current, &next);
   Allocate(now, snapshot, previous, {demand, zones_, observer_, members_.lost_members(), history_}, &next);
-  if (snapshot.decision && !IsWorthWriting(previous, next, now - written_at_)) return std::nullopt;
+  if (snapshot.decision && !ShouldWrite(previous, next, now - written_at_)) return std::nullopt;
   next.grant_ceiling = history_.CeilingWith(next);
   admission_.DecisionMade(snapshot, previous, next);
   written_at_ = now;
--- a/src/zone_failover/failover_leader.h
+++ b/src/zone_failover/failover_leader.h
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// What the member that holds the leader's lease makes of all members' load reports: the next decision, or
-/// none. Pure; docs/zone_failover.md has the reasons.
+/// The leader's algorithm: computes the next decision, if any, from the load reports of all members. Pure;
+/// docs/zone_failover.md has the reasons.
 ///
-/// The invariant, whichever epoch each member acts on, whether it is out of contact, stopped or dead: what
-/// all members in total may send to a zone, beside what the clients of a healthy zone ask of its own members,
-/// stays within that zone's limit. So a grant grows only into capacity that no member may still use: each
-/// counts with the most that any epoch gives it from the one that it has confirmed on, and one that vanished
-/// until its time has run out.
+/// Invariant: the total that all members may send to a zone stays within the zone's limit, apart from the
+/// demand of a healthy zone's own members. It holds whichever epoch each member acts on, and for members that
+/// are out of contact, stopped or dead. A grant therefore only grows into capacity that no member may still
+/// use. Each member counts with its largest grant since the epoch that it last confirmed, and a vanished
+/// member counts until its grants have expired.
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_FAILOVER_LEADER_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_FAILOVER_LEADER_H_
 
@@ -26,24 +26,23 @@
 
 namespace badgerbridge::zone_failover {
 
-/// Makes decisions, one term after the other. Its parts own their state; here is the order in which they
-/// work.
+/// Makes the decisions of one term after another. Coordinates its components, which hold most of the state.
 class FailoverLeader {
  public:
-  /// For an installation with these settings.
+  /// Creates a leader in the state that BeginTerm restores.
   explicit FailoverLeader(FailoverSettings settings);
   FailoverLeader(const FailoverLeader&) = delete;
   FailoverLeader& operator=(const FailoverLeader&) = delete;
 
-  /// The lease has just been won: what was known from an earlier term does not count.
+  /// Called when this member has become the leader; discards the state of earlier terms.
   void BeginTerm();
 
-  /// What is to be written over the snapshot's decision, if anything; `self` is the leader's name. Its epoch
-  /// is larger than any that a member knows. If it is not written, nothing of it counts: the next call begins
-  /// from what is there.
+  /// Returns the decision to be written over the snapshot's decision, or nothing if no write is needed;
+  /// `self` is the leader's name. The new epoch is larger than any epoch that a member has confirmed. If the
+  /// write fails, the next call starts from the decision in its snapshot.
   std::optional<Decision> NextDecision(TimePoint now, const Snapshot& snapshot, const std::string& self);
 
-  /// How many epochs are kept apart; bounded.
+  /// Number of epochs in the history, at most 64.
   std::size_t epochs() const { return history_.size(); }
 
  private:
@@ -63,8 +62,8 @@
   DemandTracker demand_;
   Admission admission_;
   GrantAllocator allocator_;
-  bool restored_ = false;    // in this term, from the decision in force
-  TimePoint written_at_{};   // the last decision of this term
+  bool restored_ = false;    // true once this term has started from the decision in force
+  TimePoint written_at_{};   // last decision of this term
   TimePoint observed_at_{};  // TimePoint{}: not in this term
 };
 
--- a/src/zone_failover/grant_allocator.cpp
+++ b/src/zone_failover/grant_allocator.cpp
@@ -10,12 +10,15 @@
 namespace badgerbridge::zone_failover {
 namespace {
 
-constexpr double kOptionalShare = 0.9;      // of the spare capacity that is left: the rest stays for standby
-constexpr double kOpenCircuitShare = 0.01;  // of its limit, for a zone that fails its own members alone
-constexpr double kMinPeakShare = 0.9;       // of the peak: a demand below it is not believed at once
-constexpr int kDistributionRounds = 50;     // in which origins take spare capacity in turn
+// The rest of the remaining spare capacity stays free for standby.
+constexpr double kOptionalGrantShare = 0.9;
+// Share of its limit that a zone with an open circuit to itself grants to its own members.
+constexpr double kOpenCircuitLimitShare = 0.01;
+constexpr double kMinPeakDemandShare = 0.9;
+constexpr int kDistributionRounds = 50;
 
-// Receivers whose round trip leaves time for an answer, the cheapest and then the nearest first.
+// Returns the receivers whose round trip leaves time for an answer, by ascending transfer price, then round
+// trip.
 std::vector<std::size_t> ReceiversOf(const FailoverSettings& settings, std::size_t origin) {
   std::vector<std::size_t> receivers(settings.zones);
   std::iota(receivers.begin(), receivers.end(), 0);
@@ -32,13 +35,14 @@
   return receivers;
 }
 
-// The part of the spare capacity left at `receiver` that members of `origin` may use if they like, by its
-// share of the demand of all zones but the receiver's.
+// Returns the part of the remaining spare capacity of `receiver` that members of `origin` may use without
+// need. It is proportional to the origin's share of the demand of all zones except the receiver.
 double OptionalGrant(const ZoneDemand& demand, const std::vector<double>& spare_capacity, std::size_t origin,
                      std::size_t receiver) {
-  const double receivers_own = demand.current[receiver];
-  if (origin == receiver || demand.total <= receivers_own) return 0;
-  return kOptionalShare * spare_capacity[receiver] * demand.current[origin] / (demand.total - receivers_own);
+  const double receiver_demand = demand.current[receiver];
+  if (origin == receiver || demand.total <= receiver_demand) return 0;
+  return kOptionalGrantShare * spare_capacity[receiver] * demand.current[origin] /
+         (demand.total - receiver_demand);
 }
 
 }  // namespace
@@ -48,15 +52,15 @@
     receivers_.push_back(ReceiversOf(settings, origin));
 }
 
-// By receiver: what lost members may send there as standby. The most of one zone's members, since standby is
-// for the loss of one zone.
+// Returns by receiver the standby capacity that lost members may use. Takes the maximum over the origins,
+// because standby capacity covers the loss of one zone.
 std::vector<double> GrantAllocator::ReservedForLost(const AllocationInput& input,
                                                     const Decision& next) const {
   std::vector<double> reserved(settings_.zones);
   Matrix by_origin(settings_.zones);
   for (const LostMember& lost : input.lost_members) {
-    const Decision::Zone& line = next.zones[lost.zone];
-    const int sharing = std::max(1, line.members + line.lost_members);
+    const Decision::Zone& decided = next.zones[lost.zone];
+    const int sharing = std::max(1, decided.members + decided.lost_members);
     for (std::size_t receiver = 0; receiver < settings_.zones; ++receiver) {
       const double standby = lost.max_standby[receiver];
       double& sum = by_origin.at(lost.zone, receiver);
@@ -72,41 +76,42 @@
   const ZoneStateMachine& state = input.zones[zone];
   const bool is_healthy = state.state() == ZoneState::kHealthy;
   const bool fails_own_members = input.observer.IsCircuitOpen(zone, zone);
-  const double able = state.EffectiveLimit();
+  const double limit = state.EffectiveLimit();
   const double demand = input.demand.current[zone];
   const double peak = input.demand.peak[zone];
-  const double own = std::min(demand, fails_own_members ? kOpenCircuitShare * able : able);
+  const double own_grant = std::min(demand, fails_own_members ? kOpenCircuitLimitShare * limit : limit);
   ZoneNeeds needs;
-  needs.own = is_healthy && !fails_own_members ? kUnlimited : own;
-  // A member that was stopped for a moment reports little demand for a second.
-  needs.own_max = std::min(demand < kMinPeakShare * peak ? peak : demand, able);
-  needs.spare_capacity = is_healthy ? std::max(0.0, able - needs.own_max - reserved) : 0;
-  needs.overflow = std::max(0.0, demand - own);
+  needs.own_grant = is_healthy && !fails_own_members ? kUnlimited : own_grant;
+  // A member that was stopped for a moment reports little demand for a second, so the peak counts instead.
+  needs.max_own_demand = std::min(demand < kMinPeakDemandShare * peak ? peak : demand, limit);
+  needs.spare_capacity = is_healthy ? std::max(0.0, limit - needs.max_own_demand - reserved) : 0;
+  needs.overflow = std::max(0.0, demand - own_grant);
   return needs;
 }
 
-// Gives the overflow of each origin to its first receivers with spare capacity, and takes it off that.
+// Assigns the overflow of each origin to its preferred receivers with spare capacity, and reduces that
+// capacity. The origins take spare capacity in turn, in several rounds.
 Matrix GrantAllocator::DistributeOverflow(const AllocationInput& input, const std::vector<double>& overflow,
                                           std::vector<double>* spare_capacity) const {
   Matrix grants(settings_.zones);
   for (int round = 0; round < kDistributionRounds; ++round) {
     for (std::size_t origin = 0; origin < settings_.zones; ++origin) {
-      double left = overflow[origin] / kDistributionRounds;
+      double remaining = overflow[origin] / kDistributionRounds;
       for (const std::size_t receiver : receivers_[origin]) {
-        if (left <= 0) break;
+        if (remaining <= 0) break;
         double& spare = (*spare_capacity)[receiver];
         if (spare <= 0 || input.observer.IsCircuitOpen(origin, receiver)) continue;
-        const double part = std::min(left, spare);
+        const double part = std::min(remaining, spare);
         grants.at(origin, receiver) += part;
         spare -= part;
-        left -= part;
+        remaining -= part;
       }
     }
   }
   return grants;
 }
 
-// What each origin would be granted if nothing older were in force.
+// Returns the grants as they would be if no older epoch were in force.
 Matrix GrantAllocator::WantedGrants(const AllocationInput& input, const std::vector<ZoneNeeds>& needs,
                                     std::vector<double>* spare_capacity) const {
   std::vector<double> overflow;
@@ -117,7 +122,7 @@
     for (std::size_t origin = 0; origin < settings_.zones; ++origin) {
       double& grant = wanted.at(origin, receiver);
       if (origin == receiver) {
-        grant = needs[receiver].own;
+        grant = needs[receiver].own_grant;
       } else if (!is_healthy || input.observer.IsCircuitOpen(origin, receiver)) {
         grant = 0;
       } else {
@@ -128,20 +133,22 @@
   return wanted;
 }
 
-// For the loss of one zone while there is no leader: what is left beside what the others may go on to use.
+// Returns the standby capacity for the loss of one zone while there is no leader: the spare capacity minus
+// the optional grants that the other zones may still use.
 Matrix GrantAllocator::StandbyGrants(const AllocationInput& input,
                                      const std::vector<double>& spare_capacity) const {
   Matrix standby(settings_.zones);
   for (std::size_t origin = 0; origin < settings_.zones; ++origin) {
     std::vector<double> overflow(settings_.zones);
     overflow[origin] = input.demand.current[origin];
-    std::vector<double> left = spare_capacity;
+    std::vector<double> remaining = spare_capacity;
     for (std::size_t receiver = 0; receiver < settings_.zones; ++receiver) {
       for (std::size_t other = 0; other < settings_.zones; ++other) {
-        if (other != origin) left[receiver] -= OptionalGrant(input.demand, spare_capacity, other, receiver);
+        if (other != origin)
+          remaining[receiver] -= OptionalGrant(input.demand, spare_capacity, other, receiver);
       }
     }
-    const Matrix grants = DistributeOverflow(input, overflow, &left);
+    const Matrix grants = DistributeOverflow(input, overflow, &remaining);
     for (std::size_t receiver = 0; receiver < settings_.zones; ++receiver)
       standby.at(origin, receiver) = grants.at(origin, receiver);
   }
@@ -165,14 +172,14 @@
   const GrantBounds bounds(input.history);
   for (std::size_t receiver = 0; receiver < settings_.zones; ++receiver) {
     const ZoneStateMachine& state = input.zones[receiver];
-    // One that is not healthy would keep back, for lost members, all that it may be tried with.
-    const double kept_back = state.state() == ZoneState::kHealthy ? reserved[receiver] : 0;
+    // In a zone that is not healthy, the reserve for lost members would use up the whole trial limit.
+    const double reserved_for_lost = state.state() == ZoneState::kHealthy ? reserved[receiver] : 0;
     ReceiverDemand demand;
     demand.zone = receiver;
     for (std::size_t origin = 0; origin < settings_.zones; ++origin)
       demand.wanted.push_back(wanted.at(origin, receiver));
-    demand.own_demand = needs[receiver].own_max;
-    demand.limit = std::max(0.0, state.EffectiveLimit() - kept_back);
+    demand.own_demand = needs[receiver].max_own_demand;
+    demand.limit = std::max(0.0, state.EffectiveLimit() - reserved_for_lost);
     const std::vector<double> grants = LimitGrants(demand, members, holders, bounds);
     for (std::size_t origin = 0; origin < settings_.zones; ++origin)
       next->grants.at(origin, receiver) = grants[origin];
--- a/src/zone_failover/grant_allocator.h
+++ b/src/zone_failover/grant_allocator.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// What members of each origin may send to each receiver: grants and standby that follow from demand, the
-/// zones' states and limits, and what members may still act on. Pure.
+/// Computes the grants and the standby capacity of each origin at each receiver from the demand, the states
+/// and limits of the zones, and the grants that members may still act on. Pure.
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_GRANT_ALLOCATOR_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_GRANT_ALLOCATOR_H_
 
@@ -15,39 +15,39 @@
 
 namespace badgerbridge::zone_failover {
 
-/// Demand by zone, in work a ms.
+/// Demand by zone, in work per ms.
 struct ZoneDemand {
-  std::vector<double> current;  ///< what clients ask of the zone's members
-  std::vector<double> peak;     ///< the most of it lately
+  std::vector<double> current;  ///< current demand of the zone's members
+  std::vector<double> peak;     ///< recent maximum of `current`
   double total = 0;             ///< sum of `current`
 };
 
-/// What grants are computed from; all of it must outlive the call.
+/// Input of the allocation; the referenced objects must outlive the call.
 struct AllocationInput {
-  const ZoneDemand& demand;                     ///< of all zones
-  const ZoneStates& zones;                      ///< their states and limits
-  const ZoneObserver& observer;                 ///< circuits of pairs of zones
-  const std::vector<LostMember>& lost_members;  ///< whose standby capacity is kept free
-  const EpochHistory& history;                  ///< epochs that may be in force
+  const ZoneDemand& demand;                     ///< demand of all zones
+  const ZoneStates& zones;                      ///< states and limits of all zones
+  const ZoneObserver& observer;                 ///< circuit breakers between zones
+  const std::vector<LostMember>& lost_members;  ///< members whose standby capacity is reserved
+  const EpochHistory& history;                  ///< epochs that members may act on
 };
 
-/// Computes the grants and the standby of a decision. Holds no state between calls.
+/// Computes the grants and the standby capacity of a decision. Keeps no state between calls.
 class GrantAllocator {
  public:
-  /// `settings` must outlive this.
+  /// Orders the receivers of each origin; `settings` must outlive this object.
   explicit GrantAllocator(const FailoverSettings& settings);
 
-  /// Sets `next`'s grants and standby, for the members that its zones count; `holders` are all members that
-  /// may act on some epoch while `next` is in force.
+  /// Sets the grants and the standby capacity of `next` for the members that its zones count. `holders` are
+  /// all members that may act on any epoch while `next` is in force.
   void Allocate(const AllocationInput& input, const std::vector<GrantHolders>& holders, Decision* next) const;
 
  private:
-  // Of each zone, before anything is given to others.
+  // Demand and spare capacity of a zone before the allocation to other zones.
   struct ZoneNeeds {
-    double spare_capacity = 0;  // for other zones
-    double overflow = 0;        // demand that other zones would have to serve
-    double own = 0;             // that it serves itself; kUnlimited: without limit
-    double own_max = 0;         // while some of its members may still send without limit
+    double spare_capacity = 0;  // available to other zones
+    double overflow = 0;        // demand that other zones have to serve
+    double own_grant = 0;       // for its own members; kUnlimited: without a limit
+    double max_own_demand = 0;  // of its own members while some of them may send without a limit
   };
 
   std::vector<double> ReservedForLost(const AllocationInput& input, const Decision& next) const;
@@ -59,7 +59,7 @@
   Matrix StandbyGrants(const AllocationInput& input, const std::vector<double>& spare_capacity) const;
 
   const FailoverSettings& settings_;
-  std::vector<std::vector<std::size_t>> receivers_;  // by origin, the cheapest and then the nearest first
+  std::vector<std::vector<std::size_t>> receivers_;  // by origin; by ascending price, then round trip
 };
 
 }  // namespace badgerbridge::zone_failover
--- a/src/zone_failover/grant_limiter.cpp
+++ b/src/zone_failover/grant_limiter.cpp
@@ -6,10 +6,11 @@
 namespace badgerbridge::zone_failover {
 namespace {
 
-constexpr int kBisections = 30;
-constexpr double kTolerance = 1e-9;  // work a ms
+constexpr int kBisectionSteps = 30;
+constexpr double kToleranceWorkPerMs = 1e-9;
 
-// Grants of one receiver by origin: they move from `base`, which adds to no member's share, towards `target`.
+// Computes the grants of one receiver by origin. They move from a base that increases no member's share
+// towards the target, as far as the limit allows.
 class ReceiverGrants {
  public:
   ReceiverGrants(const ReceiverDemand& demand, const std::vector<int>& members,
@@ -20,7 +21,7 @@
         bounds_(bounds),
         own_unlimited_(MayOwnMembersSendUnlimited()),
         capacity_(demand.limit - (own_unlimited_ ? demand.own_demand : 0)),
-        kept_by_absent_(KeptByAbsent()),
+        absent_grants_(AbsentGrants()),
         target_(members.size()),
         base_(members.size()) {
     ComputeTarget();
@@ -49,16 +50,16 @@
     });
   }
 
-  // What members that are not present any more may go on to send.
-  double KeptByAbsent() const {
-    double kept = 0;
+  // Returns the total that members that are no longer present may still send.
+  double AbsentGrants() const {
+    double total = 0;
     for (const GrantHolders& holders : holders_) {
-      if (!holders.present && IsLimited(holders.zone)) kept += holders.count * OldShare(holders);
+      if (!holders.present && IsLimited(holders.zone)) total += holders.count * OldShare(holders);
     }
-    return kept;
+    return total;
   }
 
-  // What is wanted, scaled so that it fits once all that are present act on it.
+  // Scales the wanted grants to the limit, for the time when all present members act on them.
   void ComputeTarget() {
     std::vector<int> absent(members_.size());
     for (const GrantHolders& holders : holders_) {
@@ -70,15 +71,15 @@
       const double wanted = demand_.wanted[origin];
       const int members = members_[origin];
       const int present = members - absent[origin];
-      // The shares of those that are not present go to the others.
+      // The present members share the grants of the absent ones.
       target_[origin] = present > 0 ? wanted * members / present : wanted;
       sum += target_[origin] * std::max(0, present) / members;
     }
-    const double scale = sum > 0 ? std::clamp((capacity_ - kept_by_absent_) / sum, 0.0, 1.0) : 1;
+    const double scale = sum > 0 ? std::clamp((capacity_ - absent_grants_) / sum, 0.0, 1.0) : 1;
     for (double& target : target_) target *= scale;
   }
 
-  // What each member that is present has been granted already.
+  // The grants that each present member certainly has already, bounded by the target.
   void ComputeBase() {
     base_ = target_;
     for (const GrantHolders& holders : holders_) {
@@ -88,9 +89,9 @@
     }
   }
 
-  // What all members may send at most, while each acts on its old share or on the new one.
+  // Returns the largest total of all members while each acts on its old share or on its new one.
   double MaxTotal(double step) const {
-    double sum = kept_by_absent_;
+    double sum = absent_grants_;
     for (const GrantHolders& holders : holders_) {
       if (!holders.present || !IsLimited(holders.zone)) continue;
       const double new_share = GrantAt(holders.zone, step) / members_[holders.zone];
@@ -99,12 +100,12 @@
     return sum;
   }
 
-  // From 0, the base, to 1, the target.
+  // Returns the largest allowed step, from 0 (base) to 1 (target).
   double LargestStep() const {
-    if (MaxTotal(1) <= capacity_ + kTolerance) return 1;
+    if (MaxTotal(1) <= capacity_ + kToleranceWorkPerMs) return 1;
     double low = 0;
     double high = 1;
-    for (int i = 0; i < kBisections; ++i) {
+    for (int i = 0; i < kBisectionSteps; ++i) {
       const double middle = (low + high) / 2;
       if (MaxTotal(middle) > capacity_) {
         high = middle;
@@ -121,7 +122,7 @@
   const GrantBounds& bounds_;
   const bool own_unlimited_;
   const double capacity_;  // for limited grants
-  const double kept_by_absent_;
+  const double absent_grants_;
   std::vector<double> target_;
   std::vector<double> base_;
 };
--- a/src/zone_failover/json_fields.h
+++ b/src/zone_failover/json_fields.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// What the codecs of this package share: parsing a record and making errors of its fields.
+/// Helpers that the codecs of this package share: parsing a record and creating field errors.
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_JSON_FIELDS_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_JSON_FIELDS_H_
 
@@ -12,13 +12,13 @@
 
 namespace badgerbridge::zone_failover {
 
-/// Largest epoch and revision that is accepted: below it a double holds each whole number.
+/// Largest accepted epoch and revision; a double represents each integer up to it exactly.
 constexpr double kMaxRevision = 9e15;
 
-/// An error of one field; `value` may be null where the field is absent.
+/// Creates an error about one field; `value` is null if the field is absent.
 ZoneFailoverError FieldError(ZoneFailoverError::Record record, ZoneFailoverError::Kind kind,
                              std::string field, const boost::json::value* value);
-/// The record's JSON object; an error where `text` has more than `max_bytes` or is no object.
+/// Parses the record's JSON object; returns an error if `text` is longer than `max_bytes` or not an object.
 Result<boost::json::object> ParseRecord(ZoneFailoverError::Record record, std::string_view text,
                                         std::size_t max_bytes);
 
--- a/src/zone_failover/links.h
+++ b/src/zone_failover/links.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Round trips and transfer prices between zones, from a table that lists those that differ from the default.
-/// Pure: the table is any type that has these members (operator_config::ZoneFailoverSettings), so that this
-/// package needs no file.
+/// Round trips and transfer prices between zones, from a table of the links that differ from the default.
+/// Pure: the table is any type with the members of operator_config::ZoneFailoverSettings, so that this
+/// package does not depend on the operator's file.
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_LINKS_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_LINKS_H_
 
@@ -13,14 +13,14 @@
 
 namespace badgerbridge::zone_failover {
 
-/// What it takes to send from one zone to another, both ways alike.
+/// Round trip and transfer price between each pair of zones; both are symmetric.
 struct ZoneLinks {
   Matrix round_trip_ms;   ///< 0 within a zone
-  Matrix transfer_price;  ///< share of the work that crosses; 0 within a zone
+  Matrix transfer_price;  ///< fraction of the transferred work; 0 within a zone
 };
 
-/// Reads `table.zones`, in order, and `table.links`, which go both ways; a link of a zone that `zones` does
-/// not name is left out.
+/// Builds the links from `table.zones`, whose order gives the zone indexes, and `table.links`, which apply in
+/// both directions. Ignores links of zones that `table.zones` does not contain.
 template <typename Table>
 ZoneLinks ZoneLinksFrom(const Table& table) {
   const std::size_t zones = table.zones.size();
--- a/src/zone_failover/load_report.cpp
+++ b/src/zone_failover/load_report.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Codec of load reports: the JSON fields here are stored in etcd and shared with other releases, so their
-/// names stay (`doubt` is LoadReport::suspects_itself).
+/// Codec of load reports. The JSON field names are stored in etcd and shared with other releases, so they
+/// must not change (`doubt` is LoadReport::suspects_itself).
 #include "zone_failover/load_report.h"
 
 #include <algorithm>
@@ -17,17 +17,17 @@
 namespace json = boost::json;
 using Kind = ZoneFailoverError::Kind;
 
-constexpr double kMaxRate = 1e6;           // standard cores that one member may report
-constexpr double kMaxCount = 1e6;          // attempts in a second
-constexpr double kMaxLatencyRatio = 1000;  // times the baseline
+constexpr double kMaxRate = 1e6;   // work per ms
+constexpr double kMaxCount = 1e6;  // attempts, or weight of backends
+constexpr double kMaxLatencyRatio = 1000;
 constexpr double kMaxLatencyMs = 6e5;
 constexpr double kMaxZoneIndex = 1e6;
 constexpr std::size_t kNumbersPerZone = 7;
 
-// Three decimals keep the text short.
+// Rounds to three decimals to keep the text short.
 double Rounded(double number) { return std::round(number * 1000) / 1000; }
 
-// A finite number, moved into the bounds.
+// Returns the number clamped to the bounds, or nothing if it is missing or not finite.
 std::optional<double> ReadNumber(const json::value* value, double min, double max) {
   if (!value || !value->is_number()) return std::nullopt;
   const double number = value->to_number<double>();
--- a/src/zone_failover/load_reporter.cpp
+++ b/src/zone_failover/load_reporter.cpp
@@ -7,17 +7,20 @@
 namespace badgerbridge::zone_failover {
 namespace {
 
-constexpr double kMaxLatencyRatio = 1000;  // of one answer
-constexpr double kMaxLatencyMs = 6e5;      // of one answer
-constexpr double kBaselineGain = 0.02;     // of one answer in the long run
-constexpr double kMaxBaselineRatio = 1.5;  // a slower answer counts as this much slower than the baseline
-constexpr double kOutlierRatio = 4;        // an answer that is slower teaches the baseline nothing
-constexpr int kMinSamples = 10;            // answers before a baseline is known
-constexpr double kMaxWorkRatio = 10;       // of one request's work to its class's mean
-constexpr double kOverdueRatio = 6;        // times the baseline, for an attempt that is out
-constexpr Duration kMinOverdue{500};
-constexpr double kMinAttempts = 3;        // in a second, to judge a zone
-constexpr double kMaxFailureShare = 0.5;  // of attempts: above, a zone fails
+constexpr double kMaxLatencyRatio = 1000;
+constexpr double kMaxLatencyMs = 6e5;
+constexpr double kSmoothingFactor = 0.02;
+// Latencies are capped at this multiple of the baseline before they update it.
+constexpr double kMaxBaselineSampleRatio = 1.5;
+// Answers slower than this multiple of the baseline do not update it.
+constexpr double kOutlierRatio = 4;
+constexpr int kMinBaselineSamples = 10;
+constexpr double kMaxWorkRatio = 10;
+// An attempt in flight is overdue after this multiple of the baseline.
+constexpr double kOverdueRatio = 6;
+constexpr Duration kMinOverdueTime{500};
+constexpr double kMinAttemptsPerSecond = 3;
+constexpr double kMaxFailureShare = 0.5;
 constexpr double kMinWindowMs = 50;
 constexpr int kMinZonesToSuspectItself = 2;
 
@@ -25,13 +28,13 @@
   return utilization && std::isfinite(*utilization) && *utilization >= 0 && *utilization <= 1;
 }
 
-// As in Lifeguard (Dadgar, Phillips, Currey, 2018): a member that sees all others fail is likely to be the
-// one that fails.
+// As in Lifeguard (Dadgar, Phillips, Currey, 2018): a member that sees all others fail is probably faulty
+// itself.
 bool SeesAllZonesFail(const std::vector<ZoneLoad>& zones) {
   int judged = 0;
   int failing = 0;
   for (const ZoneLoad& zone : zones) {
-    if (zone.attempts < kMinAttempts) continue;
+    if (zone.attempts < kMinAttemptsPerSecond) continue;
     ++judged;
     failing += zone.failures > kMaxFailureShare * zone.attempts;
   }
@@ -46,7 +49,7 @@
   served += other.served;
   latency_ratio += other.latency_ratio;
   latency_ms += other.latency_ms;
-  timed += other.timed;
+  latency_samples += other.latency_samples;
   utilization += other.utilization;
   utilization_samples += other.utilization_samples;
   return *this;
@@ -61,16 +64,16 @@
 }
 
 void LoadReporter::Advance(TimePoint now) {
-  if (began_ == TimePoint{}) {
-    began_ = now;
-    bucket_began_ = now;
+  if (started_at_ == TimePoint{}) {
+    started_at_ = now;
+    bucket_started_at_ = now;
   }
-  for (int i = 0; now - bucket_began_ >= kBucketLength; ++i) {
-    if (i > kBuckets) {  // nothing came for so long that all buckets are empty
-      bucket_began_ = now;
+  for (int i = 0; now - bucket_started_at_ >= kBucketLength; ++i) {
+    if (i > kBuckets) {  // all buckets have expired
+      bucket_started_at_ = now;
       break;
     }
-    bucket_began_ += kBucketLength;
+    bucket_started_at_ += kBucketLength;
     current_ = (current_ + 1) % kBuckets;
     CurrentBucket() = Bucket{0, std::vector<ZoneTotals>(zones_)};
   }
@@ -104,11 +107,11 @@
     RecordServed(result, zone, &totals);
 }
 
-// By how much longer than one of mean work this request may take. Work is hinted roughly: a request of half
-// the mean is not taken to be done in half the time.
+// Returns the expected latency relative to a request of mean work. Work hints are rough, so the latency is
+// not assumed to be proportional: a request of half the mean work scales to 0.75.
 double LoadReporter::LatencyScale(const AttemptResult& result) {
   double& mean = mean_work_[result.request_class];
-  mean = mean == 0 ? result.work : mean + kBaselineGain * (result.work - mean);
+  mean = mean == 0 ? result.work : mean + kSmoothingFactor * (result.work - mean);
   return mean > 0 ? 0.5 + 0.5 * std::min(result.work / mean, kMaxWorkRatio) : 1;
 }
 
@@ -117,15 +120,15 @@
   const double time = result.latency.count() / LatencyScale(result);
   if (!(time >= 0) || !std::isfinite(time)) return;
   LatencyBaseline& baseline = baselines_[zone][result.request_class];
-  const bool known = baseline.samples >= kMinSamples;
+  const bool known = baseline.samples >= kMinBaselineSamples;
   const double ratio = known && baseline.ms > 0 ? time / baseline.ms : 1;
   if (!known || ratio < kOutlierRatio) {
-    // Close to a median: an answer that is much slower counts as a little slower.
-    const double sample = known ? std::min(time, kMaxBaselineRatio * baseline.ms) : time;
-    baseline.ms += std::max(kBaselineGain, 1.0 / (baseline.samples + 1)) * (sample - baseline.ms);
+    // Capping slow answers keeps the baseline close to the median.
+    const double sample = known ? std::min(time, kMaxBaselineSampleRatio * baseline.ms) : time;
+    baseline.ms += std::max(kSmoothingFactor, 1.0 / (baseline.samples + 1)) * (sample - baseline.ms);
     ++baseline.samples;
   }
-  ++totals->timed;
+  ++totals->latency_samples;
   totals->latency_ratio += std::min(ratio, kMaxLatencyRatio);
   totals->latency_ms += std::min(result.latency.count(), kMaxLatencyMs);
 }
@@ -133,15 +136,15 @@
 double LoadReporter::LongestBaseline(std::size_t zone) const {
   double longest = 0;
   for (const LatencyBaseline& baseline : baselines_[zone]) {
-    if (baseline.samples >= kMinSamples) longest = std::max(longest, baseline.ms);
+    if (baseline.samples >= kMinBaselineSamples) longest = std::max(longest, baseline.ms);
   }
   return longest;
 }
 
-// The newest bucket has begun some time ago; a new member has not seen a whole second.
+// The newest bucket is partially filled, and a new member has measured less than a second.
 double LoadReporter::WindowMs(TimePoint now) const {
-  const double window = (kBuckets - 1) * kBucketLength.count() + (now - bucket_began_).count();
-  return std::max(kMinWindowMs, std::min((now - began_).count(), window));
+  const double window = (kBuckets - 1) * kBucketLength.count() + (now - bucket_started_at_).count();
+  return std::max(kMinWindowMs, std::min((now - started_at_).count(), window));
 }
 
 std::vector<LoadReporter::ZoneTotals> LoadReporter::SumOfBuckets() const {
@@ -152,23 +155,23 @@
   return sums;
 }
 
-// By zone: attempts that are out for much longer than answers from there usually take.
+// Returns by zone the number of attempts in flight for much longer than the zone's baseline latency.
 std::vector<double> LoadReporter::OverdueAttempts(TimePoint now) const {
   std::vector<double> overdue(zones_);
   for (const auto& [attempt, in_flight] : in_flight_) {
     const double baseline = LongestBaseline(in_flight.zone);
-    const double limit = std::max(kMinOverdue.count(), kOverdueRatio * baseline);
+    const double limit = std::max(kMinOverdueTime.count(), kOverdueRatio * baseline);
     if (baseline > 0 && (now - in_flight.started).count() > limit) ++overdue[in_flight.zone];
   }
   return overdue;
 }
 
-// By zone: answers in the two newest buckets.
+// Returns by zone the number of answers in the two newest buckets.
 std::vector<double> LoadReporter::RecentAnswers() const {
   std::vector<double> answers(zones_);
   for (const int back : {0, 1}) {
     const Bucket& bucket = buckets_[static_cast<std::size_t>((current_ + kBuckets - back) % kBuckets)];
-    for (std::size_t zone = 0; zone < zones_; ++zone) answers[zone] += bucket.zones[zone].timed;
+    for (std::size_t zone = 0; zone < zones_; ++zone) answers[zone] += bucket.zones[zone].latency_samples;
   }
   return answers;
 }
@@ -188,15 +191,15 @@
   for (std::size_t i = 0; i < zones_; ++i) {
     ZoneLoad& zone = report.zones[i];
     const ZoneTotals& sum = sums[i];
-    // While answers come, an attempt that is out for long is slow and not lost.
+    // While the zone answers, an overdue attempt is slow rather than lost.
     const double unanswered = answers[i] > 0 ? 0 : overdue[i];
     zone.attempts = sum.attempts + unanswered;
     zone.failures = sum.failures + unanswered;
     zone.served = sum.served / window_ms;
     zone.warm_backends = i < warm_backends_.size() ? warm_backends_[i] : 0;
-    if (sum.timed > 0) {
-      zone.latency_ratio = sum.latency_ratio / sum.timed;
-      zone.latency_ms = sum.latency_ms / sum.timed;
+    if (sum.latency_samples > 0) {
+      zone.latency_ratio = sum.latency_ratio / sum.latency_samples;
+      zone.latency_ms = sum.latency_ms / sum.latency_samples;
     }
     if (sum.utilization_samples > 0) zone.utilization = sum.utilization / sum.utilization_samples;
   }
--- a/src/zone_failover/load_reporter.h
+++ b/src/zone_failover/load_reporter.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Measures what one proxy sends to each zone and how that ends, and makes its load reports of it. Pure.
+/// Measures one proxy's attempts at each zone and their outcomes, and builds its load reports. Pure.
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_LOAD_REPORTER_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_LOAD_REPORTER_H_
 
@@ -16,41 +16,42 @@
 
 namespace badgerbridge::zone_failover {
 
-/// How an attempt ended, as far as it tells of its zone.
+/// The outcome of an attempt as evidence about its zone.
 enum class AttemptOutcome {
-  kServed,     ///< answered well
-  kFailed,     ///< an error, a time-out, a reset or no connection: counts against the zone
-  kRejected,   ///< answered, and not served
-  kCancelled,  ///< given up for reasons of this proxy or its client: tells nothing
+  kServed,     ///< answered successfully
+  kFailed,     ///< an error, a timeout, a reset or no connection; counts as a failure of the zone
+  kRejected,   ///< answered but not served
+  kCancelled,  ///< cancelled by this proxy or its client; not counted
 };
 
-/// An attempt that has ended.
+/// The result of an attempt that has ended.
 struct AttemptResult {
   std::size_t request_class = 0;                     ///< index of the request's class
-  AttemptOutcome outcome = AttemptOutcome::kServed;  ///< how it ended
-  Duration latency{0};                               ///< from its start to its end
-  double work = 0;                                   ///< ms on a standard core, as the client hints it
-  /// As the answer's backend reports it; NaN and what is out of 0 to 1 counts as none.
+  AttemptOutcome outcome = AttemptOutcome::kServed;  ///< how the attempt ended
+  Duration latency{0};                               ///< from the start of the attempt to its end
+  double work = 0;                                   ///< ms on a standard core, from the client's hint
+  /// As reported by the answering backend; NaN and values outside 0 to 1 are ignored.
   std::optional<double> utilization;
 };
 
-/// Counts over a sliding window of a second, in buckets of 250 ms, and learns what latency is usual. Calls
-/// come with times that never go back.
+/// Counts attempts over a sliding window of one second, in buckets of 250 ms, and maintains latency
+/// baselines. The times passed to successive calls must not decrease.
 class LoadReporter {
  public:
-  /// For a member of `zone` in an installation of `zones` zones and `request_classes` classes.
+  /// Creates a reporter for a member of `zone`, in an installation with `zones` zones and `request_classes`
+  /// classes.
   LoadReporter(int zone, std::size_t zones, std::size_t request_classes);
 
-  /// A client's request came in; `work` in ms on a standard core.
+  /// Records a client's request; `work` is in ms on a standard core.
   void RequestArrived(TimePoint now, double work);
-  /// An attempt goes out; `attempt` is a number of the caller's, unique while the attempt is out.
+  /// Records the start of an attempt; `attempt` is the caller's id, unique among the attempts in flight.
   void AttemptStarted(TimePoint now, std::uint64_t attempt, std::size_t zone);
-  /// An attempt has ended; one that was not started is ignored.
+  /// Records the end of an attempt; ignores an attempt that was not started.
   void AttemptEnded(TimePoint now, std::uint64_t attempt, const AttemptResult& result);
-  /// The weight of warm backends in each zone of the endpoint list, as in ZoneLoad::warm_backends.
+  /// Sets ZoneLoad::warm_backends by zone.
   void UpdateWarmBackends(std::vector<double> warm_backends) { warm_backends_ = std::move(warm_backends); }
 
-  /// What was seen over the last second, by a member that acts on the decision of `epoch`.
+  /// Builds the report of the last second, for a member that acts on the decision of `epoch`.
   LoadReport BuildReport(TimePoint now, std::uint64_t epoch);
 
  private:
@@ -61,11 +62,11 @@
     double attempts = 0;
     double failures = 0;
     double served = 0;               // work, ms
-    double latency_ratio = 0;        // sum over `timed`
-    double latency_ms = 0;           // sum over `timed`
-    double timed = 0;                // answers whose latency counts
+    double latency_ratio = 0;        // sum over `latency_samples`
+    double latency_ms = 0;           // sum over `latency_samples`
+    double latency_samples = 0;      // served answers with a valid latency
     double utilization = 0;          // sum over `utilization_samples`
-    double utilization_samples = 0;  // answers with a report
+    double utilization_samples = 0;  // answers with a reported utilization
 
     ZoneTotals& operator+=(const ZoneTotals& other);
   };
@@ -73,7 +74,7 @@
     double demand = 0;  // work, ms
     std::vector<ZoneTotals> zones;
   };
-  // Usual latency of a class's answers from one zone, over the work that they are.
+  // Typical latency of one request class's answers from one zone, scaled to the class's mean work.
   struct LatencyBaseline {
     double ms = 0;
     int samples = 0;
@@ -97,8 +98,8 @@
   std::size_t zones_;
   std::array<Bucket, kBuckets> buckets_;
   int current_ = 0;
-  TimePoint bucket_began_{};
-  TimePoint began_{};
+  TimePoint bucket_started_at_{};
+  TimePoint started_at_{};
   std::map<std::uint64_t, AttemptInFlight> in_flight_;
   std::vector<std::vector<LatencyBaseline>> baselines_;  // by zone and class
   std::vector<double> mean_work_;                        // by class
--- a/src/zone_failover/matrix.h
+++ b/src/zone_failover/matrix.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// A square table of numbers by origin zone and receiver zone, and what a grant's number means.
+/// A square matrix of numbers by origin zone and receiver zone, and the representation of an unlimited grant.
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_MATRIX_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_MATRIX_H_
 
@@ -10,15 +10,15 @@
 
 namespace badgerbridge::zone_failover {
 
-/// A grant without a limit: what a healthy zone gives its own members.
+/// A grant without a limit; a healthy zone grants it to its own members.
 constexpr double kUnlimited = -1;
 
-/// Numbers by origin (the zone of the member that sends) and receiver (the zone that it sends to).
+/// Numbers by origin (zone of the sending member) and receiver (zone to which it sends).
 class Matrix {
  public:
-  /// An empty table.
+  /// Creates a matrix of 0 by 0 cells.
   Matrix() = default;
-  /// A table of `zones` by `zones`, filled with `value`.
+  /// Creates a matrix of `zones` by `zones` cells with the same value.
   explicit Matrix(std::size_t zones, double value = 0) : zones_(zones), cells_(zones * zones, value) {}
 
   /// Number of zones on each side.
--- a/src/zone_failover/member.cpp
+++ b/src/zone_failover/member.cpp
@@ -9,8 +9,8 @@
 namespace badgerbridge::zone_failover {
 namespace {
 
-constexpr double kRenewAfter = 1.0 / 3;     // of the lease
-constexpr Duration kMaxCampaignDelay{300};  // members campaign at random moments, not all at once
+constexpr double kRenewalFraction = 1.0 / 3;
+constexpr Duration kMaxCampaignDelay{300};  // jitter, so that members do not campaign at the same time
 constexpr TimePoint kNever{Duration(1e300)};
 constexpr double kMsPerSecond = 1000.0;
 
@@ -20,7 +20,7 @@
 
 Member::Member(MemberSettings settings, std::uint64_t seed)
     : settings_(std::move(settings)),
-      home_(static_cast<std::size_t>(settings_.zone)),
+      home_zone_(static_cast<std::size_t>(settings_.zone)),
       reporter_(settings_.zone, settings_.failover.zones, settings_.request_classes),
       failover_leader_(settings_.failover),
       random_(seed),
@@ -34,8 +34,8 @@
   return std::find(readmitted.begin(), readmitted.end(), self) != readmitted.end();
 }
 
-// What is admitted from here on is another incarnation of this member. What the last one was granted stays
-// valid for as long as the leader counts it.
+// Starts a new incarnation, which must be admitted again. The grants of the previous incarnation stay valid
+// for as long as the leader counts them.
 void Member::StartIncarnation() {
   if (IsAdmitted()) {
     earlier_valid_until_ = grants_valid_until_;
@@ -44,20 +44,20 @@
   create_revision_ = 0;
 }
 
-double Member::DrawUnit() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
+double Member::RandomFraction() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
 
-// Members that start at once must not send their heartbeats in step.
+// Adds jitter, so that members that start together do not send their heartbeats at the same time.
 void Member::Begin(TimePoint now) {
-  began_ = now;
+  started_at_ = now;
   next_heartbeat_ = now;
-  wake_at_ = now + settings_.heartbeat * DrawUnit();
+  wake_at_ = now + settings_.heartbeat * RandomFraction();
 }
 
 std::optional<Member::Call> Member::NextCall(TimePoint now) {
-  if (began_ == TimePoint{}) Begin(now);
+  if (started_at_ == TimePoint{}) Begin(now);
   const Duration call_lost_after = settings_.call_timeout * 2;
   if (call_ && now - call_sent_at_ < call_lost_after) return std::nullopt;
-  if (call_) Failed(now, "a call was never answered");  // the caller has lost it
+  if (call_) HandleFailure(now, "a call was never answered");  // the caller lost the call
   if (now < wake_at_) return std::nullopt;
   if (!settings_.coordinated) {
     wake_at_ = now + settings_.heartbeat;
@@ -77,10 +77,10 @@
 }
 
 std::optional<Member::Call> Member::DueCall(TimePoint now) {
-  // A lease ends here before it ends in etcd.
+  // The lease ends by this member's clock before it ends in etcd.
   if (lease_ != 0 && now >= lease_until_) LoseLease("the lease was not renewed in time");
   if (lease_ == 0) return GrantLease{settings_.lease_ttl_s};
-  if (now - renewed_at_ >= Duration(kMsPerSecond * settings_.lease_ttl_s * kRenewAfter))
+  if (now - renewed_at_ >= Duration(kMsPerSecond * settings_.lease_ttl_s * kRenewalFraction))
     return KeepLeaseAlive{lease_};
   if (proposal_) return *std::exchange(proposal_, std::nullopt);
   if (leader_.empty() && campaign_at_ != TimePoint{} && now >= campaign_at_) {
@@ -97,16 +97,16 @@
   return Heartbeat{lease_, Encode(last_report_), is_leader(), decision_mod_revision_};
 }
 
-void Member::Failed(TimePoint now, std::string error) {
+void Member::HandleFailure(TimePoint now, std::string error) {
   last_error_ = std::move(error);
   call_.reset();
   proposal_.reset();
-  const double jitter = 0.5 + 0.5 * DrawUnit();
+  const double jitter = 0.5 + 0.5 * RandomFraction();
   wake_at_ = now + backoff_ * jitter;
   backoff_ = std::min(settings_.max_backoff, backoff_ * 2);
 }
 
-// Its grants stay valid for as long as the leader waits for that (grants_valid_until_), and no longer.
+// Keeps the grants until grants_valid_until_: the leader waits that long for a lost member.
 void Member::LoseLease(const std::string& error) {
   last_error_ = error;
   lease_ = 0;
@@ -126,7 +126,7 @@
   if (!call_) return;
   const Call call = *std::exchange(call_, std::nullopt);
   if (!reply.ok) {
-    Failed(now, "a call was not answered");
+    HandleFailure(now, "a call was not answered");
     if (reply.lease_gone) {
       StartIncarnation();
       LoseLease("etcd does not know the lease any more");
@@ -135,27 +135,27 @@
   }
   backoff_ = settings_.backoff;
   wake_at_ = now;
-  std::visit([&](const auto& made) { Succeeded(now, made, reply); }, call);
+  std::visit([&](const auto& made) { HandleReply(now, made, reply); }, call);
 }
 
-void Member::Succeeded(TimePoint /*now*/, const GrantLease& /*call*/, const Reply& reply) {
+void Member::HandleReply(TimePoint /*now*/, const GrantLease& /*call*/, const Reply& reply) {
   lease_ = reply.lease;
   StartIncarnation();
   LeaseRenewed(call_sent_at_);
 }
 
-void Member::Succeeded(TimePoint /*now*/, const KeepLeaseAlive& /*call*/, const Reply& /*reply*/) {
+void Member::HandleReply(TimePoint /*now*/, const KeepLeaseAlive& /*call*/, const Reply& /*reply*/) {
   LeaseRenewed(call_sent_at_);
 }
 
-void Member::Succeeded(TimePoint now, const Heartbeat& /*call*/, const Reply& reply) {
+void Member::HandleReply(TimePoint now, const Heartbeat& /*call*/, const Reply& reply) {
   const HeartbeatKeys keys = FindKeys(reply);
   UpdateLeader(now, keys.leader);
   UpdateDecision(keys.decision);
   if (is_leader()) DecideAsLeader(now, reply);
 }
 
-void Member::Succeeded(TimePoint now, const Campaign& /*call*/, const Reply& reply) {
+void Member::HandleReply(TimePoint now, const Campaign& /*call*/, const Reply& reply) {
   if (!reply.condition_held) return;
   leader_create_revision_ = reply.revision;
   leader_ = settings_.name;
@@ -163,12 +163,12 @@
   next_heartbeat_ = now;
 }
 
-void Member::Succeeded(TimePoint now, const Propose& /*call*/, const Reply& reply) {
+void Member::HandleReply(TimePoint now, const Propose& /*call*/, const Reply& reply) {
   if (!reply.condition_held) {
     last_error_ = "another has decided";
     leader_create_revision_ = 0;
   }
-  next_heartbeat_ = now;  // to read the decision and confirm it
+  next_heartbeat_ = now;  // reads and confirms the decision
 }
 
 Member::HeartbeatKeys Member::FindKeys(const Reply& reply) {
@@ -183,20 +183,20 @@
 
 void Member::UpdateLeader(TimePoint now, const KeyValue* leader) {
   leader_ = leader ? leader->value : "";
-  // A term is known by the revision at which its key was made: a member that slept does not go on with
-  // another's.
+  // The create revision of the leader's key identifies the term. A member that was suspended must not
+  // continue the term of another leader.
   if (is_leader() && (!leader || leader->create_revision != leader_create_revision_))
     leader_create_revision_ = 0;
-  // Its own campaign, whose reply was lost: otherwise no member would ever decide.
+  // The campaign succeeded but its reply was lost. Without this check no member would make decisions.
   if (leader && !is_leader() && leader->value == settings_.name && lease_ != 0 && leader->lease == lease_) {
     leader_create_revision_ = leader->create_revision;
     failover_leader_.BeginTerm();
   }
-  if (!leader && campaign_at_ == TimePoint{}) campaign_at_ = now + kMaxCampaignDelay * DrawUnit();
+  if (!leader && campaign_at_ == TimePoint{}) campaign_at_ = now + kMaxCampaignDelay * RandomFraction();
   if (leader) campaign_at_ = TimePoint{};
 }
 
-// A decision that can't be read is ignored: the last one stays.
+// Keeps the previous decision if the new one can't be decoded.
 void Member::UpdateDecision(const KeyValue* record) {
   if (!record) {
     decision_mod_revision_ = 0;
@@ -244,15 +244,15 @@
   proposal_ = Propose{Encode(*next), EncodeRoster(*next), leader_create_revision_, decision_mod_revision_};
 }
 
-// By the same rules, over its own load report: what it sends to a zone that fails, or is slow, is cut; what
-// it sends to others grows by steps from what it has been able to send there.
+// Applies the leader's algorithm to this member's own load report. Limits of failing and slow zones are
+// reduced; limits of other zones grow in steps from the work that they have served for this member.
 void Member::DecideAlone(TimePoint now) {
   Snapshot snapshot;
   snapshot.revision = 1;
   snapshot.decision = decision_;
   last_report_ = reporter_.BuildReport(now, decision_ ? decision_->epoch : 0);
   LoadReport own = last_report_;
-  // Backends report the utilization by all members' requests, not by those of this one.
+  // The reported utilization includes the requests of other members.
   for (ZoneLoad& zone : own.zones) zone.utilization = kUnknownUtilization;
   snapshot.reports.push_back({settings_.name, 1, std::move(own)});
   if (auto next = failover_leader_.NextDecision(now, snapshot, settings_.name)) decision_ = std::move(next);
--- a/src/zone_failover/member_tracker.cpp
+++ b/src/zone_failover/member_tracker.cpp
@@ -20,7 +20,7 @@
   }
 }
 
-// Names of present members that the decision counts in the incarnation that is there.
+// Returns the names of the members whose present incarnation is counted by the decision.
 std::set<std::string> CountedAndPresent(const Snapshot& snapshot) {
   std::set<std::string> names;
   for (const MemberReport& report : snapshot.reports) {
@@ -29,7 +29,8 @@
   return names;
 }
 
-// How many members of the zone the decision counts and are not there, where no roster names them.
+// Returns how many members of the zone are counted by the decision but not present, for a decision without a
+// roster.
 int MissingMembers(const Snapshot& snapshot, std::size_t zone) {
   int missing = snapshot.decision->zones[zone].members;
   for (const MemberReport& report : snapshot.reports) {
@@ -56,14 +57,14 @@
   const std::set<std::string> present = CountedAndPresent(snapshot);
   const TimePoint grants_until = now + WithClockDrift(settings_, settings_.grant_hold);
   for (std::size_t zone = 0; zone < settings_.zones; ++zone) {
-    const Decision::Zone& line = decision.zones[zone];
+    const Decision::Zone& decided = decision.zones[zone];
     LostMember lost;
     lost.zone = zone;
-    lost.demand = line.demand / std::max(1, line.members);
+    lost.demand = decided.demand / std::max(1, decided.members);
     lost.grants_until = now;
     lost.standby_until = now + WithClockDrift(settings_, settings_.standby_hold);
     lost.max_standby = history.MaxStandby(zone);
-    for (int i = 0; i < line.lost_members; ++i) lost_members_.push_back(lost);
+    for (int i = 0; i < decided.lost_members; ++i) lost_members_.push_back(lost);
     lost.grants_until = grants_until;
     for (const RosterEntry& entry : decision.roster) {
       if (static_cast<std::size_t>(entry.zone) != zone || present.count(entry.member) > 0) continue;
@@ -76,9 +77,10 @@
   }
 }
 
-// The members of the snapshot, with what is known of them from before.
+// Returns the members of the snapshot with their state carried over from the previous one.
 MemberTracker::Incarnations MemberTracker::NextIncarnations(TimePoint now, const Snapshot& snapshot) const {
-  std::set<std::string> counted;  // names whose share is kept: they vanished, or came back unseen
+  // Names with a reserved share: the member vanished, or returned between two snapshots.
+  std::set<std::string> counted;
   for (const auto& [incarnation, state] : incarnations_) counted.insert(incarnation.member);
   for (const LostMember& lost : lost_members_) {
     if (now < lost.grants_until) counted.insert(lost.member);
@@ -110,7 +112,7 @@
                              history.MaxStandby(state.zone)});
   }
   incarnations_ = std::move(next);
-  // A member that is back acts on what is decided, in this incarnation or the next.
+  // A member that has returned follows the decisions again, so it is no longer lost.
   std::set<std::string> present;
   for (const auto& [incarnation, state] : incarnations_) present.insert(incarnation.member);
   std::erase_if(lost_members_, [&](const LostMember& lost) {
@@ -127,7 +129,8 @@
   return incarnations_.at(report.incarnation()).inherits_share;
 }
 
-// A member that comes back in the same process acts on what it was granted before; then it knows an epoch.
+// A member that returns in the same process may still use its earlier grants. It then reports an epoch other
+// than 0.
 bool MemberTracker::MayActOnEarlierGrants(const IncarnationState& state, std::uint64_t epoch) {
   if (!state.inherits_share || epoch == 0) return false;
   return state.admitted_at == 0 || epoch < state.admitted_at;
@@ -136,7 +139,7 @@
 std::uint64_t MemberTracker::OldestEpoch(const IncarnationState& state, std::uint64_t epoch) {
   if (MayActOnEarlierGrants(state, epoch)) return epoch;
   if (state.admitted_at == 0) return kNoEpoch;
-  return std::max(state.admitted_at, epoch);  // grants of before it was admitted were never its own
+  return std::max(state.admitted_at, epoch);  // it had no share of the grants before its admission
 }
 
 std::vector<GrantHolders> MemberTracker::HoldersUnder(TimePoint now, const Snapshot& snapshot,
--- a/src/zone_failover/member_tracker.h
+++ b/src/zone_failover/member_tracker.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// The leader's account of members: which are present, which have vanished, and which epochs each may act on.
-/// Pure.
+/// The leader's record of the members: which are present, which have vanished, and on which epochs each may
+/// act. Pure.
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_MEMBER_TRACKER_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_MEMBER_TRACKER_H_
 
@@ -15,59 +15,60 @@
 
 namespace badgerbridge::zone_failover {
 
-/// A member that has vanished and may still act on what it was granted.
+/// A member that has vanished and may still use its grants or standby capacity.
 struct LostMember {
-  std::string member;               ///< its name; empty: only known to be missing
-  std::size_t zone = 0;             ///< its zone
-  std::uint64_t epoch = 0;          ///< that it confirmed last
-  double demand = 0;                ///< work a ms that its clients asked of it
-  TimePoint grants_until{};         ///< when it will have ceased to act on grants
-  TimePoint standby_until{};        ///< when it will have ceased to use standby capacity
-  std::vector<double> max_standby;  ///< by receiver: the most standby that its zone's members may use
+  std::string member;               ///< name of the member; empty: not known
+  std::size_t zone = 0;             ///< index of the member's zone
+  std::uint64_t epoch = 0;          ///< epoch that it last confirmed
+  double demand = 0;                ///< last known demand of its clients, in work per ms
+  TimePoint grants_until{};         ///< by then it certainly no longer uses grants
+  TimePoint standby_until{};        ///< by then it certainly no longer uses standby capacity
+  std::vector<double> max_standby;  ///< by receiver: maximum standby capacity of all members of its zone
 };
 
-/// Members of one zone, by what the decision says of them.
+/// Numbers of members of one zone, as in Decision::Zone.
 struct MemberCounts {
-  int members = 0;       ///< that share the zone's grants
-  int lost_members = 0;  ///< that may use standby capacity alone
+  int members = 0;       ///< members that share the zone's grants
+  int lost_members = 0;  ///< members that may only use standby capacity
 };
 
-/// Whether the decision lets the member use grants.
+/// True if the decision allows the member to use grants.
 bool Admits(const Decision& decision, const MemberReport& report);
 
-/// Follows members from snapshot to snapshot. Times never go back.
+/// Tracks the members from snapshot to snapshot. The times passed to successive calls must not decrease.
 class MemberTracker {
  public:
-  /// `settings` must outlive this.
+  /// Creates a tracker without members; `settings` must outlive this object.
   explicit MemberTracker(const FailoverSettings& settings) : settings_(settings) {}
 
-  /// Forgets all.
+  /// Removes all members.
   void Clear();
-  /// At the start of a term: members that the snapshot's decision counts, or knows to be lost, and that are
-  /// not present. The snapshot must have a decision.
+  /// Called at the start of a term. Adds as lost the members that the snapshot's decision counts but that are
+  /// not present, and those that the decision already lists as lost. The snapshot must have a decision.
   void RestoreLostMembers(TimePoint now, const Snapshot& snapshot, const EpochHistory& history);
-  /// Takes in who is present, and who has vanished since the last snapshot.
+  /// Updates the present members and adds those that vanished since the last snapshot to the lost ones.
   void Update(TimePoint now, const Snapshot& snapshot, const EpochHistory& history);
 
-  /// All that may act on some epoch while `decision` is in force, grouped.
+  /// Returns, in groups, all members that may act on any epoch while `decision` is in force.
   std::vector<GrantHolders> HoldersUnder(TimePoint now, const Snapshot& snapshot,
                                          const Decision& decision) const;
-  /// Whether a member of the same name was counted when this one came; it must be in the last snapshot.
+  /// True if a member of the same name was counted when this one appeared. The report must be from the last
+  /// snapshot.
   bool InheritsShare(const MemberReport& report) const;
-  /// By zone: how many share its grants, and how many have only standby capacity.
+  /// Counts by zone the members that share its grants and those that only have standby capacity.
   std::vector<MemberCounts> CountByZone(TimePoint now, const Snapshot& snapshot) const;
-  /// The members that CountByZone counts as sharing grants.
+  /// Returns the members that CountByZone counts as sharing grants.
   std::vector<RosterEntry> Roster(TimePoint now, const Snapshot& snapshot) const;
-  /// Members that have vanished, until their standby capacity is free again.
+  /// Vanished members, until they can no longer use standby capacity.
   const std::vector<LostMember>& lost_members() const { return lost_members_; }
 
  private:
   struct IncarnationState {
     std::size_t zone = 0;
-    std::uint64_t epoch = 0;  // confirmed last
+    std::uint64_t epoch = 0;  // last confirmed
     double demand = 0;
-    bool inherits_share = false;    // one of its name was counted when it came
-    std::uint64_t admitted_at = 0;  // epoch from which on it may use grants; 0: it may not yet
+    bool inherits_share = false;    // a member of this name was counted when it appeared
+    std::uint64_t admitted_at = 0;  // first epoch whose grants it may use; 0: not admitted
   };
   using Incarnations = std::map<MemberIncarnation, IncarnationState>;
 
--- a/src/zone_failover/zone_observer.cpp
+++ b/src/zone_failover/zone_observer.cpp
@@ -6,11 +6,11 @@
 namespace badgerbridge::zone_failover {
 namespace {
 
-constexpr double kMinFailingShare = 0.5;         // of attempts: above, a zone fails
-constexpr double kMaxHealthyFailureShare = 0.1;  // of attempts: below, it does not
-constexpr double kMinSlowRatio = 3;              // of members' baselines: above, a zone is slow
+constexpr double kFailingShare = 0.5;         // share of failed attempts above which a zone fails
+constexpr double kHealthyFailureShare = 0.1;  // share of failed attempts below which a circuit closes
+constexpr double kSlowLatencyRatio = 3;
 constexpr double kMaxSlowStartFactor = 10;
-constexpr int kMinReporters = 2;  // a single member may be at fault itself
+constexpr int kMinReporters = 2;  // a single member may be faulty itself
 constexpr Duration kMinCircuitOpen{5000};
 constexpr Duration kMaxCircuitOpen{80000};
 
@@ -41,8 +41,8 @@
   }
 }
 
-ZoneObserver::Totals ZoneObserver::AddUp(const Snapshot& snapshot,
-                                         std::vector<ZoneObservation>* observations) const {
+ZoneObserver::Totals ZoneObserver::SumReports(const Snapshot& snapshot,
+                                              std::vector<ZoneObservation>* observations) const {
   Totals totals(zones_);
   const double members = static_cast<double>(snapshot.reports.size());
   for (const MemberReport& report : snapshot.reports) {
@@ -65,14 +65,14 @@
     circuit->open_until = now + circuit->open_for;
     circuit->open = true;
   }
-  if (totals.failures >= kMaxHealthyFailureShare * totals.attempts) return;
-  // As long as the circuit was open: a failure after that counts as a first one.
-  const bool stayed_well = now >= circuit->open_until + circuit->open_for;
-  if (stayed_well) circuit->open_for = Duration(0);
+  if (totals.failures >= kHealthyFailureShare * totals.attempts) return;
+  // After a healthy period as long as the circuit was open, the next failure opens it for the minimum time.
+  const bool stayed_healthy = now >= circuit->open_until + circuit->open_for;
+  if (stayed_healthy) circuit->open_for = Duration(0);
   circuit->open = false;
 }
 
-// What members of `origin` say of `receiver`.
+// Adds the reports of the members of `origin` about `receiver`.
 void ZoneObserver::ObservePair(TimePoint now, std::size_t origin, std::size_t receiver, const Totals& totals,
                                ZoneObservation* observation) {
   const PairTotals& pair = totals.pairs[origin][receiver];
@@ -82,9 +82,9 @@
   if (pair.attempts < kMinAttempts) return;
   if (pair.reporters < std::min(kMinReporters, totals.members[origin])) return;
   ++observation->origins;
-  const bool fails = pair.failures > kMinFailingShare * pair.attempts;
-  const bool is_slow =
-      pair.answers > 0 && pair.latency_ratio > kMinSlowRatio * observation->slow_start_factor * pair.answers;
+  const bool fails = pair.failures > kFailingShare * pair.attempts;
+  const bool is_slow = pair.answers > 0 &&
+                       pair.latency_ratio > kSlowLatencyRatio * observation->slow_start_factor * pair.answers;
   if (origin == receiver) observation->serves_own_members = !fails && !is_slow;
   if (fails) ++observation->failing_origins;
   if (is_slow) ++observation->slow_origins;
@@ -96,7 +96,7 @@
 std::vector<ZoneObservation> ZoneObserver::Observe(TimePoint now, const Snapshot& snapshot,
                                                    const std::vector<double>& max_warm_backends) {
   std::vector<ZoneObservation> observations(zones_);
-  const Totals totals = AddUp(snapshot, &observations);
+  const Totals totals = SumReports(snapshot, &observations);
   for (std::size_t receiver = 0; receiver < zones_; ++receiver) {
     ZoneObservation& zone = observations[receiver];
     const ReceiverTotals& sums = totals.receivers[receiver];
@@ -106,7 +106,7 @@
     }
     if (sums.attempts_with_utilization > 0)
       zone.utilization = sums.utilization / sums.attempts_with_utilization;
-    // Backends that have just started are slower by nature.
+    // Backends in slow start are expected to be slower.
     if (zone.warm_backends > 0)
       zone.slow_start_factor =
           std::clamp(max_warm_backends[receiver] / zone.warm_backends, 1.0, kMaxSlowStartFactor);
--- a/src/zone_failover/zone_state_machine.cpp
+++ b/src/zone_failover/zone_state_machine.cpp
@@ -8,23 +8,27 @@
 namespace badgerbridge::zone_failover {
 namespace {
 
-constexpr double kMaxQuickRatio = 1.7;   // of members' baselines: below, a zone is quick
-constexpr double kMaxSlowLoad = 0.75;    // of its capacity: slow at less is a fault, and not a crowd
-constexpr double kCrowdedLatency = 0.6;  // of the latency objective: above, a degraded zone is given less
-constexpr double kQuickLatency = 0.45;   // of the latency objective: below, a degraded zone may be given more
-constexpr double kMinLimitUse = 0.6;     // of its limit that a degraded zone must use to be given more
-constexpr double kDegradedDecrease = 0.8;
-constexpr double kDegradedIncrease = 1.2;
-constexpr double kRecoveryIncrease = 1.5;
-constexpr double kFirstRecoveryShare = 0.08;  // of its capacity
-constexpr Duration kMinQuick{1000};           // for a degraded zone to count as well again
-constexpr double kRelapseHalfLifeMs = 30000;
-constexpr double kMinKnownBackends = 0.5;      // weight of warm backends that tells what one can do
-constexpr double kInitialCapacityShare = 0.2;  // of what another zone's backends have shown, each
-constexpr double kInitialDemandShare = 0.1;    // of all demand, where no zone has shown anything
-
-// By two origins, or by the only one that sends there.
-bool IsSeenBySeveral(int origins, const ZoneObservation& observation) {
+constexpr double kNormalLatencyRatio = 1.7;
+// A zone that is slow below this share of its capacity is faulty rather than overloaded.
+constexpr double kSlowZoneCapacityShare = 0.75;
+// The limit of a degraded zone falls above the first share of the latency objective and may rise below the
+// second.
+constexpr double kHighLatencyObjectiveShare = 0.6;
+constexpr double kLowLatencyObjectiveShare = 0.45;
+// A degraded zone must use this share of its limit before the limit rises.
+constexpr double kMinLimitUse = 0.6;
+constexpr double kDegradedDecreaseFactor = 0.8;
+constexpr double kDegradedIncreaseFactor = 1.2;
+constexpr double kRecoveryIncreaseFactor = 1.5;
+constexpr double kFirstRecoveryCapacityShare = 0.08;
+constexpr Duration kMinNormalLatencyTime{1000};
+constexpr double kFailedRecoveryHalfLifeMs = 30000;
+constexpr double kMinBackendsForEstimate = 0.5;  // weight of warm backends
+constexpr double kInitialCapacityShare = 0.2;  // share of the median capacity per backend of the known zones
+constexpr double kInitialDemandShare = 0.1;    // share of the total demand, if no zone has a known capacity
+
+// True if at least two origins report it, or the only origin that sends to the zone.
+bool IsConfirmed(int origins, const ZoneObservation& observation) {
   return origins >= 2 || (origins == 1 && observation.origins == 1);
 }
 
@@ -35,11 +39,11 @@
 
 }  // namespace
 
-void ZoneStateMachine::Restore(TimePoint now, const Decision::Zone& line) {
-  state_ = line.state;
-  capacity_.Restore(line.observed_capacity);
-  limit_ = line.limit;
-  reason_ = line.reason;
+void ZoneStateMachine::Restore(TimePoint now, const Decision::Zone& decided) {
+  state_ = decided.state;
+  capacity_.Restore(decided.observed_capacity);
+  limit_ = decided.limit;
+  reason_ = decided.reason;
   last_step_ = now;
 }
 
@@ -52,26 +56,29 @@
   return std::min(limit_, std::max(kGrowthHeadroom * capacity_.Available(), 0.0));
 }
 
-ZoneStateMachine::Signs ZoneStateMachine::SignsOf(const ZoneObservation& observation) const {
+ZoneStateMachine::Condition ZoneStateMachine::ConditionOf(const ZoneObservation& observation) const {
   const double capacity = capacity_.observed();
-  Signs signs;
-  // A zone that serves its own members is cut off and not at fault: circuits shut it to those that it fails.
-  signs.fails = IsSeenBySeveral(observation.failing_origins, observation) && !observation.serves_own_members;
-  signs.slow_or_crowded =
-      IsSeenBySeveral(observation.slow_origins, observation) && !observation.serves_own_members;
-  signs.is_slow = signs.slow_or_crowded && (capacity <= 0 || observation.served < kMaxSlowLoad * capacity);
-  signs.is_quick = observation.origins > 0 && observation.failing_origins == 0 &&
-                   observation.latency_ratio < kMaxQuickRatio * observation.slow_start_factor;
-  return signs;
+  Condition condition;
+  // A zone that serves its own members is not faulty but partitioned from other zones. Open circuits keep the
+  // requests of those zones away from it.
+  condition.fails = IsConfirmed(observation.failing_origins, observation) && !observation.serves_own_members;
+  condition.slow_or_overloaded =
+      IsConfirmed(observation.slow_origins, observation) && !observation.serves_own_members;
+  condition.is_slow = condition.slow_or_overloaded &&
+                      (capacity <= 0 || observation.served < kSlowZoneCapacityShare * capacity);
+  condition.has_normal_latency =
+      observation.origins > 0 && observation.failing_origins == 0 &&
+      observation.latency_ratio < kNormalLatencyRatio * observation.slow_start_factor;
+  return condition;
 }
 
-void ZoneStateMachine::UpdateQuickSince(TimePoint now, bool is_quick) {
-  if (is_quick && !was_quick_) quick_since_ = now;
-  was_quick_ = is_quick;
+void ZoneStateMachine::UpdateNormalLatencySince(TimePoint now, bool has_normal_latency) {
+  if (has_normal_latency && !had_normal_latency_) normal_latency_since_ = now;
+  had_normal_latency_ = has_normal_latency;
 }
 
 void ZoneStateMachine::Enter(TimePoint now, ZoneState state, double limit, std::string reason) {
-  if (state_ == ZoneState::kRecovering && state != ZoneState::kRecovering) ++relapses_;
+  if (state_ == ZoneState::kRecovering && state != ZoneState::kRecovering) ++failed_recoveries_;
   state_ = state;
   limit_ = limit;
   last_step_ = now;
@@ -90,24 +97,26 @@
   Enter(now, ZoneState::kRecovering, limit, std::move(reason));
 }
 
-double ZoneStateMachine::FirstRecoveryLimit() const { return kFirstRecoveryShare * capacity_.observed(); }
+double ZoneStateMachine::FirstRecoveryLimit() const {
+  return kFirstRecoveryCapacityShare * capacity_.observed();
+}
 
-void ZoneStateMachine::Learn(const ZoneUpdate& update, const ZoneObservation& observation) {
-  limit_ = capacity_.Learn(update.elapsed_ms, observation, update.members_lost);
+void ZoneStateMachine::UpdateCapacity(const ZoneUpdate& update, const ZoneObservation& observation) {
+  limit_ = capacity_.Update(update.elapsed_ms, observation, update.members_lost);
 }
 
 void ZoneStateMachine::Update(const ZoneUpdate& update, const ZoneObservation& observation,
                               const std::string& evacuated_by) {
-  relapses_ *= std::exp2(-update.elapsed_ms / kRelapseHalfLifeMs);
-  const Signs signs = SignsOf(observation);
-  UpdateQuickSince(update.now, signs.is_quick);
+  failed_recoveries_ *= std::exp2(-update.elapsed_ms / kFailedRecoveryHalfLifeMs);
+  const Condition condition = ConditionOf(observation);
+  UpdateNormalLatencySince(update.now, condition.has_normal_latency);
   capacity_.UpdateWarmBackends(update.elapsed_ms, observation.warm_backends);
   if (state_ != ZoneState::kEvacuated && capacity_.BackendsHaveLeft()) {
-    // What was said of them is gone with them: backends that come are new.
+    // Observations of the departed backends say nothing about new ones.
     state_ = ZoneState::kHealthy;
     reason_ = "its converters have left the list";
-    was_quick_ = false;
-    return Learn(update, observation);
+    had_normal_latency_ = false;
+    return UpdateCapacity(update, observation);
   }
   if (!evacuated_by.empty()) {
     if (state_ != ZoneState::kEvacuated)
@@ -116,38 +125,39 @@
   }
   switch (state_) {
     case ZoneState::kHealthy:
-      return UpdateHealthy(update, observation, signs);
+      return UpdateHealthy(update, observation, condition);
     case ZoneState::kDegraded:
-      return UpdateDegraded(update, observation, signs);
+      return UpdateDegraded(update, observation, condition);
     case ZoneState::kUnavailable:
-      return UpdateUnavailable(update.now, observation, signs);
+      return UpdateUnavailable(update.now, observation, condition);
     case ZoneState::kRecovering:
-      return UpdateRecovering(update, observation, signs);
+      return UpdateRecovering(update, observation, condition);
     case ZoneState::kEvacuated:
       return EnterRecovering(update.now, FirstRecoveryLimit(), "the order has ended");
   }
 }
 
 void ZoneStateMachine::UpdateHealthy(const ZoneUpdate& update, const ZoneObservation& observation,
-                                     const Signs& signs) {
-  if (signs.fails) return EnterUnavailable(update.now, ReasonByReporters("it fails", observation));
-  if (signs.is_slow) {
-    const double limit = std::min(limit_, kDegradedDecrease * observation.served);
+                                     const Condition& condition) {
+  if (condition.fails) return EnterUnavailable(update.now, ReasonByReporters("it fails", observation));
+  if (condition.is_slow) {
+    const double limit = std::min(limit_, kDegradedDecreaseFactor * observation.served);
     return EnterDegraded(update.now, limit, ReasonByReporters("it is slow", observation));
   }
-  Learn(update, observation);
+  UpdateCapacity(update, observation);
 }
 
 void ZoneStateMachine::UpdateDegraded(const ZoneUpdate& update, const ZoneObservation& observation,
-                                      const Signs& signs) {
-  // Attempts that were in flight when it slowed down fail for a while: a zone that answers is available.
-  if (signs.fails && observation.served < TrialLimit())
+                                      const Condition& condition) {
+  // Attempts that were in flight when the zone slowed down fail for a while. A zone that still serves
+  // requests is available.
+  if (condition.fails && observation.served < TrialLimit())
     return EnterUnavailable(update.now, ReasonByReporters("it fails", observation));
   const double recovery_limit = std::max(limit_, FirstRecoveryLimit());
-  if (was_quick_ && update.now - quick_since_ >= kMinQuick)
+  if (had_normal_latency_ && update.now - normal_latency_since_ >= kMinNormalLatencyTime)
     return EnterRecovering(update.now, recovery_limit, "it is as quick as before");
-  // So little is granted that no member can say how quick it is: it is tried again, as one that recovers.
-  if (observation.origins == 0 && update.now - last_step_ >= StepLength(kMinQuick))
+  // The limit is so low that no origin can judge the latency, so the zone is tried again with a recovery.
+  if (observation.origins == 0 && update.now - last_step_ >= StepLength(kMinNormalLatencyTime))
     return EnterRecovering(update.now, recovery_limit, "nobody sends enough to say that it is slow");
   AdjustDegradedLimit(update.now, observation);
 }
@@ -157,39 +167,39 @@
   if (observation.attempts < kMinAttempts || observation.origins == 0) return;
   last_step_ = now;
   const double objective_ms = settings_->latency_objective_ms;
-  if (observation.utilization >= kMinUtilization) {  // tells how much of what it serves now it could serve
+  if (observation.utilization >= kMinUtilization) {  // then the ratio estimates the capacity
     limit_ = std::clamp(observation.served / observation.utilization, TrialLimit(), capacity_.observed());
-  } else if (observation.latency_ms > kCrowdedLatency * objective_ms) {
-    limit_ = std::max(TrialLimit(), kDegradedDecrease * std::min(limit_, observation.served));
-  } else if (observation.latency_ms < kQuickLatency * objective_ms &&
+  } else if (observation.latency_ms > kHighLatencyObjectiveShare * objective_ms) {
+    limit_ = std::max(TrialLimit(), kDegradedDecreaseFactor * std::min(limit_, observation.served));
+  } else if (observation.latency_ms < kLowLatencyObjectiveShare * objective_ms &&
              observation.served > kMinLimitUse * limit_) {
-    limit_ = std::min(capacity_.observed(), kDegradedIncrease * limit_);
+    limit_ = std::min(capacity_.observed(), kDegradedIncreaseFactor * limit_);
   }
 }
 
 void ZoneStateMachine::UpdateUnavailable(TimePoint now, const ZoneObservation& observation,
-                                         const Signs& signs) {
-  if (observation.origins > 0 && !signs.fails && observation.failing_origins == 0)
+                                         const Condition& condition) {
+  if (observation.origins > 0 && !condition.fails && observation.failing_origins == 0)
     EnterRecovering(now, FirstRecoveryLimit(), "it answers again");
 }
 
 void ZoneStateMachine::UpdateRecovering(const ZoneUpdate& update, const ZoneObservation& observation,
-                                        const Signs& signs) {
-  if (signs.fails)
+                                        const Condition& condition) {
+  if (condition.fails)
     return EnterUnavailable(update.now, ReasonByReporters("it failed as it returned,", observation));
-  if (signs.slow_or_crowded) {
-    const double limit = kDegradedDecrease * std::min(limit_, observation.served);
+  if (condition.slow_or_overloaded) {
+    const double limit = kDegradedDecreaseFactor * std::min(limit_, observation.served);
     return EnterDegraded(update.now, limit, ReasonByReporters("it was slow as it returned,", observation));
   }
-  // Where so little is granted that no member can judge it, time alone counts.
-  if (observation.origins > 0 && !signs.is_quick) return;
+  // While the limit is so low that no origin can judge the zone, the limit rises by time alone.
+  if (observation.origins > 0 && !condition.has_normal_latency) return;
   if (update.now - last_step_ < StepLength(settings_->recovery_step)) return;
   last_step_ = update.now;
-  limit_ *= kRecoveryIncrease;
+  limit_ *= kRecoveryIncreaseFactor;
   if (limit_ < capacity_.observed()) return;
   state_ = ZoneState::kHealthy;
   reason_ = "it has earned back what it carried";
-  Learn(update, observation);
+  UpdateCapacity(update, observation);
 }
 
 void ZoneStates::Reset() { zones_.assign(settings_.zones, ZoneStateMachine(settings_)); }
@@ -216,14 +226,14 @@
   for (ZoneStateMachine& zone : zones_) zone.GrantInitialCapacity(capacity_per_backend);
 }
 
-// A part of what backends elsewhere can do, or a part of all demand. From there on a zone's limit grows by
-// what the zone shows.
+// Returns a share of the median capacity per backend of the known zones, or a share of the total demand if
+// none is known. Further growth of a zone's limit depends on the work that the zone serves.
 double ZoneStates::InitialCapacityPerBackend(const Snapshot& snapshot) const {
   std::vector<double> known;
   double warm_backends = 0;
   for (const ZoneStateMachine& zone : zones_) {
     const CapacityEstimator& capacity = zone.capacity();
-    if (capacity.observed() > 0 && capacity.observed_backends() >= kMinKnownBackends)
+    if (capacity.observed() > 0 && capacity.observed_backends() >= kMinBackendsForEstimate)
       known.push_back(capacity.observed() / capacity.observed_backends());
     warm_backends += capacity.warm_backends();
   }
--- a/src/zone_failover/zone_state_machine.h
+++ b/src/zone_failover/zone_state_machine.h
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// The state of each zone and its limit, as the leader judges them from what all members see. Pure.
+/// The state and the limit of each zone, from the aggregated reports of all members. Pure.
 ///
 /// @verbatim
-///   kHealthy     ── fails ──────────────────────► kUnavailable
-///   kHealthy     ── slow ───────────────────────► kDegraded
-///   kDegraded    ── fails ──────────────────────► kUnavailable
-///   kDegraded    ── quick, or hardly used ──────► kRecovering
-///   kUnavailable ── answers again ──────────────► kRecovering
-///   kRecovering  ── fails ──────────────────────► kUnavailable
-///   kRecovering  ── slow ───────────────────────► kDegraded
-///   kRecovering  ── back at its capacity ───────► kHealthy
-///   any          ── ordered ────────────────────► kEvacuated
-///   kEvacuated   ── order ended ────────────────► kRecovering
-///   any other    ── its backends have left ─────► kHealthy
+///   kHealthy     ── fails ─────────────────────────────► kUnavailable
+///   kHealthy     ── slow ──────────────────────────────► kDegraded
+///   kDegraded    ── fails ─────────────────────────────► kUnavailable
+///   kDegraded    ── normal latency or few attempts ────► kRecovering
+///   kUnavailable ── answers again ─────────────────────► kRecovering
+///   kRecovering  ── fails ─────────────────────────────► kUnavailable
+///   kRecovering  ── slow ──────────────────────────────► kDegraded
+///   kRecovering  ── limit reaches observed capacity ───► kHealthy
+///   any          ── evacuation ordered ────────────────► kEvacuated
+///   kEvacuated   ── order ended ───────────────────────► kRecovering
+///   any other    ── nearly all backends have left ─────► kHealthy
 /// @endverbatim
 #ifndef BADGERBRIDGE_ZONE_FAILOVER_ZONE_STATE_MACHINE_H_
 #define BADGERBRIDGE_ZONE_FAILOVER_ZONE_STATE_MACHINE_H_
@@ -27,92 +27,97 @@
 
 namespace badgerbridge::zone_failover {
 
-/// Share of its observed capacity that a failing zone is given as trial requests.
+/// Share of the observed capacity of an unavailable zone that is granted for trial requests.
 constexpr double kTrialShare = 0.02;
 
-/// What a zone's state is updated from, beside what is seen of the zone.
+/// Input of a state update besides the observation of the zone.
 struct ZoneUpdate {
   TimePoint now{};            ///< the leader's clock
-  double elapsed_ms = 0;      ///< since the last update; 0 at the first
-  bool members_lost = false;  ///< some members are out of contact, and send what is in no report
+  double elapsed_ms = 0;      ///< since the last update; 0 at the first update
+  bool members_lost = false;  ///< some members are lost; no report contains the load that they send
 };
 
-/// One zone's state and limit.
+/// The state machine of one zone.
 class ZoneStateMachine {
  public:
-  /// `settings` must outlive this.
+  /// Creates a healthy zone of unknown capacity; `settings` must outlive this object.
   explicit ZoneStateMachine(const FailoverSettings& settings) : settings_(&settings) {}
 
-  /// Goes on from what an earlier leader has decided.
-  void Restore(TimePoint now, const Decision::Zone& line);
-  /// Takes in an observation; `evacuated_by` is empty where there is no order.
+  /// Starts from an earlier leader's decision about the zone.
+  void Restore(TimePoint now, const Decision::Zone& decided);
+  /// Updates the state from an observation; `evacuated_by` is empty if there is no order to evacuate the
+  /// zone.
   void Update(const ZoneUpdate& update, const ZoneObservation& observation, const std::string& evacuated_by);
-  /// For a healthy zone that is not known well: at least this capacity for each warm backend.
+  /// Raises the capacity of a healthy zone to at least this much for each warm backend.
   void GrantInitialCapacity(double capacity_per_backend);
 
-  /// The state.
+  /// The current state.
   ZoneState state() const { return state_; }
-  /// Work a ms that all members in total may send there, by the state alone.
+  /// Work per ms that all members together may send to the zone, by its state alone.
   double limit() const { return limit_; }
-  /// Why it is in this state, for people.
+  /// Reason for the current state, for operators.
   const std::string& reason() const { return reason_; }
-  /// What it has shown that it can serve.
+  /// The estimated capacity.
   const CapacityEstimator& capacity() const { return capacity_; }
-  /// Work a ms that it may be sent now: its limit, bounded by the capacity of the backends that are there.
+  /// Work per ms that may be sent to the zone now: its limit, bounded by the capacity of its present
+  /// backends.
   double EffectiveLimit() const;
 
  private:
-  struct Signs {
+  struct Condition {
     bool fails = false;
-    bool is_slow = false;  // and not for being crowded
-    bool slow_or_crowded = false;
-    bool is_quick = false;
+    bool is_slow = false;  // at a load that it should be able to serve
+    bool slow_or_overloaded = false;
+    bool has_normal_latency = false;
   };
 
-  Signs SignsOf(const ZoneObservation& observation) const;
-  void UpdateQuickSince(TimePoint now, bool is_quick);
-  void UpdateHealthy(const ZoneUpdate& update, const ZoneObservation& observation, const Signs& signs);
-  void UpdateDegraded(const ZoneUpdate& update, const ZoneObservation& observation, const Signs& signs);
+  Condition ConditionOf(const ZoneObservation& observation) const;
+  void UpdateNormalLatencySince(TimePoint now, bool has_normal_latency);
+  void UpdateHealthy(const ZoneUpdate& update, const ZoneObservation& observation,
+                     const Condition& condition);
+  void UpdateDegraded(const ZoneUpdate& update, const ZoneObservation& observation,
+                      const Condition& condition);
   void AdjustDegradedLimit(TimePoint now, const ZoneObservation& observation);
-  void UpdateUnavailable(TimePoint now, const ZoneObservation& observation, const Signs& signs);
-  void UpdateRecovering(const ZoneUpdate& update, const ZoneObservation& observation, const Signs& signs);
+  void UpdateUnavailable(TimePoint now, const ZoneObservation& observation, const Condition& condition);
+  void UpdateRecovering(const ZoneUpdate& update, const ZoneObservation& observation,
+                        const Condition& condition);
   void EnterUnavailable(TimePoint now, std::string reason);
   void EnterDegraded(TimePoint now, double limit, std::string reason);
   void EnterRecovering(TimePoint now, double limit, std::string reason);
   void Enter(TimePoint now, ZoneState state, double limit, std::string reason);
-  void Learn(const ZoneUpdate& update, const ZoneObservation& observation);
+  void UpdateCapacity(const ZoneUpdate& update, const ZoneObservation& observation);
   double TrialLimit() const { return kTrialShare * capacity_.observed(); }
   double FirstRecoveryLimit() const;
-  Duration StepLength(Duration step) const { return step * (1 + 2 * relapses_); }
+  Duration StepLength(Duration step) const { return step * (1 + 2 * failed_recoveries_); }
 
   const FailoverSettings* settings_;
   ZoneState state_ = ZoneState::kHealthy;
   double limit_ = 0;
   std::string reason_;
   CapacityEstimator capacity_;
-  double relapses_ = 0;    // failed recoveries, halved by kRelapseHalfLifeMs
-  TimePoint last_step_{};  // when the state or the limit was last changed
-  bool was_quick_ = false;
-  TimePoint quick_since_{};
+  double failed_recoveries_ = 0;  // decays with kFailedRecoveryHalfLifeMs
+  TimePoint last_step_{};         // last change of the state or the limit
+  bool had_normal_latency_ = false;
+  TimePoint normal_latency_since_{};
 };
 
 /// The state machines of all zones.
 class ZoneStates {
  public:
-  /// `settings` must outlive this.
+  /// Creates the state machines in their initial state; `settings` must outlive this object.
   explicit ZoneStates(const FailoverSettings& settings) : settings_(settings) { Reset(); }
 
-  /// All zones as new.
+  /// Returns all zones to the initial state.
   void Reset();
-  /// Goes on from what an earlier leader has decided.
+  /// Starts from an earlier leader's decision.
   void Restore(TimePoint now, const Decision& decision);
-  /// Updates each zone by its observation, then gives those that are not known well an initial capacity.
+  /// Updates each zone from its observation, then raises low capacities to an initial value.
   void Update(const ZoneUpdate& update, const std::vector<ZoneObservation>& observations,
               const Snapshot& snapshot);
 
-  /// One zone's state machine.
+  /// The state machine of a zone; `zone` must be a valid index.
   const ZoneStateMachine& operator[](std::size_t zone) const { return zones_[zone]; }
-  /// By zone: CapacityEstimator::max_warm_backends.
+  /// CapacityEstimator::max_warm_backends by zone.
   std::vector<double> MaxWarmBackends() const;
 
  private:
