--- a/tests/zone_failover/decision_test.cpp
+++ b/tests/zone_failover/decision_test.cpp
@@ -25,12 +25,12 @@
   EXPECT_EQ(*read, decision);
   EXPECT_FALSE(DecodeDecision(Encode(decision), 3).has_value());
   EXPECT_FALSE(DecodeDecision("{\"v\":1}", 2).has_value());
-  std::string stray = Encode(decision);
-  stray.replace(stray.find("\"grants\":[0,0,"), 14, "\"grants\":[0,7,");
-  EXPECT_FALSE(DecodeDecision(stray, 2).has_value());
+  std::string bad_receiver = Encode(decision);
+  bad_receiver.replace(bad_receiver.find("\"grants\":[0,0,"), 14, "\"grants\":[0,7,");
+  EXPECT_FALSE(DecodeDecision(bad_receiver, 2).has_value());
 }
 
-TEST(Decision, RosterIsStoredBesideItAndReadForItsEpochAlone) {
+TEST(Decision, RosterIsStoredSeparatelyAndDecodedOnlyForItsEpoch) {
   Decision decision;
   decision.epoch = 12;
   decision.zones.resize(2);
@@ -45,8 +45,8 @@
   ASSERT_TRUE(roster.has_value()) << Message(roster.error());
   read->roster = *roster;
   EXPECT_EQ(*read, decision);
-  EXPECT_FALSE(DecodeRoster(EncodeRoster(decision), 2, 13).has_value());  // of another epoch
-  EXPECT_FALSE(DecodeRoster(EncodeRoster(decision), 1, 12).has_value());  // a zone that does not exist
+  EXPECT_FALSE(DecodeRoster(EncodeRoster(decision), 2, 13).has_value());  // another epoch
+  EXPECT_FALSE(DecodeRoster(EncodeRoster(decision), 1, 12).has_value());  // unknown zone
   for (const char* text : {"", "{}", "[]", R"({"epoch":12})", R"({"epoch":12,"members":[["n1"]]})",
                            R"({"epoch":12,"members":[["n1",-1]]})", R"({"epoch":12,"members":[[1,1]]})"})
     EXPECT_FALSE(DecodeRoster(text, 2, 12).has_value()) << text;
--- a/tests/zone_failover/epoch_history_test.cpp
+++ b/tests/zone_failover/epoch_history_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What members may still act on, over several epochs; and how far grants may grow beside it.
+// Bounds of the grants of several epochs, and the limits that they set for new grants.
 #include "zone_failover/epoch_history.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace badgerbridge::zone_failover {
 namespace {
 
-// Two zones; two members of zone 0 share what it may send to zone 1.
+// Two zones; two members of zone 0 share the grant for zone 1.
 Decision DecisionOf(std::uint64_t epoch, double granted) {
   Decision decision;
   decision.epoch = epoch;
@@ -25,7 +25,7 @@
 
 GrantHolders MembersOfZone0(std::uint64_t oldest_epoch) { return {0, oldest_epoch, true, true, 2}; }
 
-TEST(EpochHistory, MembersAreBoundedByTheEpochsFromTheirOldestOn) {
+TEST(EpochHistory, BoundsCoverTheEpochsFromTheOldestOneOn) {
   EpochHistory history(2);
   history.Add(DecisionOf(1, 8));
   history.Add(DecisionOf(2, 2));
@@ -40,7 +40,7 @@
   EXPECT_EQ(history.size(), 1u);
 }
 
-TEST(EpochHistory, MergedEpochsKeepTheirMostAndNoLeast) {
+TEST(EpochHistory, MergedEpochsKeepTheMaximumAndNoMinimum) {
   EpochHistory history(2);
   history.Add(DecisionOf(1, 8));
   for (std::uint64_t epoch = 2; epoch <= 70; ++epoch) history.Add(DecisionOf(epoch, 2));
@@ -63,10 +63,10 @@
   const std::vector<int> members = {2, 1};
   const GrantHolders present = MembersOfZone0(1);
   GrantHolders lost = {0, 1, false, false, 1};
-  // Alone, the origin gets all that the zone's own members leave.
+  // Without lost members, the origin gets all capacity that the zone's own members do not need.
   EXPECT_NEAR(LimitGrants(demand, members, {present}, GrantBounds(history))[0], 7, 1e-6);
   EXPECT_EQ(LimitGrants(demand, members, {present}, GrantBounds(history))[1], kUnlimited);
-  // A lost member may go on to send its old share of 2: the one that is present gets 5 of the 7.
+  // A lost member may still send its old share of 2, so the present member gets 5 of the 7.
   const GrantHolders one_present = {0, 1, true, true, 1};
   EXPECT_NEAR(LimitGrants(demand, members, {one_present, lost}, GrantBounds(history))[0] / 2, 5, 1e-6);
 }
--- a/tests/zone_failover/error_test.cpp
+++ b/tests/zone_failover/error_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Errors of the decoders: what was wrong, where, and the value that was wrong.
+// Errors of the decoders: kind, field and rejected value.
 #include "zone_failover/error.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 using Kind = ZoneFailoverError::Kind;
 using Record = ZoneFailoverError::Record;
 
-// The text of a decision of one zone, with one part of it replaced.
+// Encodes a decision of one zone and replaces a part of the text.
 std::string DecisionWith(const std::string& part, const std::string& replacement) {
   Decision decision;
   decision.epoch = 3;
@@ -33,8 +33,8 @@
 }
 
 struct MalformedDecision {
-  std::string part;         // of a good decision
-  std::string replacement;  // that makes it malformed
+  std::string part;  // of a valid decision
+  std::string replacement;
   Kind kind;
   std::string field;
   std::string value;
@@ -70,7 +70,7 @@
   }
 }
 
-TEST(ZoneFailoverError, TextOfNoObjectOrOfTooManyBytesIsReportedShortened) {
+TEST(ZoneFailoverError, ValueOfTextThatIsNotAnObjectOrTooLongIsTruncated) {
   const auto not_an_object = DecodeLoadReport("[1,2]", 1);
   ASSERT_FALSE(not_an_object.has_value());
   EXPECT_EQ(not_an_object.error().kind, Kind::kNotAnObject);
--- a/tests/zone_failover/installation.cpp
+++ b/tests/zone_failover/installation.cpp
@@ -10,14 +10,13 @@
 namespace {
 
 constexpr double kStepMs = 10;
-constexpr int kServeEveryMs = 50;
-constexpr int kUtilizationEveryMs = 500;
-constexpr double kAnswerMs = 20;
-constexpr double kLostShare = 0.01;          // of calls, and of replies
-constexpr double kDecisionMemoryMs = 12000;  // beyond it no member acts on a decision
-constexpr double kZoneCapacity = 6;          // of a zone that works again, work a ms
-// A limit is read from the record, which has it rounded down to ten-thousandths.
-constexpr double kRounding = 1e-4;
+constexpr int kServeIntervalMs = 50;
+constexpr int kUtilizationIntervalMs = 500;
+constexpr double kLatencyMs = 20;
+constexpr double kLossProbability = 0.01;      // of each call and each reply
+constexpr double kDecisionLifetimeMs = 12000;  // no member acts on an older decision
+constexpr double kRestoredZoneCapacity = 6;    // work per ms
+constexpr double kLimitRoundingError = 1e-4;   // the decision's codec rounds limits down to four decimals
 
 }  // namespace
 
@@ -29,9 +28,9 @@
     SimulatedMember one;
     one.name = "n" + std::to_string(i);
     one.zone = static_cast<std::size_t>(i) % kZones;
-    one.clock_rate = 0.99 + 0.02 * DrawUnit();
-    one.clock_offset_ms = 1e6 * (1 + DrawUnit());
-    one.demand = 0.4 + 0.4 * DrawUnit();
+    one.clock_rate = 0.99 + 0.02 * RandomFraction();
+    one.clock_offset_ms = 1e6 * (1 + RandomFraction());
+    one.demand = 0.4 + 0.4 * RandomFraction();
     members_.push_back(std::move(one));
     Start(&members_.back());
   }
@@ -53,7 +52,7 @@
 
 void Installation::Step() {
   now_ += kStepMs;
-  if (static_cast<int>(now_) % kUtilizationEveryMs == 0) UpdateUtilization();
+  if (static_cast<int>(now_) % kUtilizationIntervalMs == 0) UpdateUtilization();
   if (!etcd_is_down_) etcd_.ExpireLeases(TimePoint(Duration(now_)));
   for (SimulatedMember& one : members_) {
     Deliver(&one);
@@ -69,12 +68,13 @@
 
 void Installation::UpdateUtilization() {
   for (SimulatedZone& zone : zones_) {
-    if (zone.capacity > 0) zone.utilization = std::min(1.0, zone.load / kUtilizationEveryMs / zone.capacity);
+    if (zone.capacity > 0)
+      zone.utilization = std::min(1.0, zone.load / kUtilizationIntervalMs / zone.capacity);
     zone.load = 0;
   }
 }
 
-// The member's call, once it has arrived at etcd.
+// Executes the member's call once it has arrived at etcd.
 void Installation::Deliver(SimulatedMember* one) {
   if (!one->call || now_ < one->call_arrives_at || one->reply) return;
   if (etcd_is_down_ || one->call_is_lost) {
@@ -88,7 +88,7 @@
 
 void Installation::StepMember(SimulatedMember* one) {
   const TimePoint at = ClockOf(*one);
-  if (static_cast<int>(now_) % kServeEveryMs == 0) Serve(one, at);
+  if (static_cast<int>(now_) % kServeIntervalMs == 0) Serve(one, at);
   if (one->call && one->reply && now_ >= one->reply_arrives_at) {
     one->call.reset();
     one->member->CallEnded(at, *std::exchange(one->reply, std::nullopt));
@@ -96,35 +96,35 @@
   if (one->call) return;
   one->call = one->member->NextCall(at);
   if (!one->call) return;
-  one->call_is_lost = one->isolated || DrawUnit() < kLostShare;
-  one->reply_is_lost = DrawUnit() < kLostShare;
-  one->call_arrives_at = now_ + 1 + 20 * DrawUnit() * DrawUnit();
-  one->reply_arrives_at = one->call_arrives_at + 1 + 20 * DrawUnit() * DrawUnit();
+  one->call_is_lost = one->isolated || RandomFraction() < kLossProbability;
+  one->reply_is_lost = RandomFraction() < kLossProbability;
+  one->call_arrives_at = now_ + 1 + 20 * RandomFraction() * RandomFraction();
+  one->reply_arrives_at = one->call_arrives_at + 1 + 20 * RandomFraction() * RandomFraction();
 }
 
-// Its requests go to its own zone as far as they may, and the rest wherever they may.
+// Sends the member's requests to its own zone up to the quota, and the rest to other zones.
 void Installation::Serve(SimulatedMember* one, TimePoint at) {
-  double left = one->demand * kServeEveryMs;
-  one->member->RequestArrived(at, left);
+  double remaining = one->demand * kServeIntervalMs;
+  one->member->RequestArrived(at, remaining);
   const std::vector<double> quotas = one->member->ZoneQuotas(at);
   for (std::size_t i = 0; i < kZones; ++i) {
     const std::size_t receiver = (one->zone + i) % kZones;
     const double quota = quotas[receiver];
-    const double work = quota == kUnlimited ? left : std::min(left, quota * kServeEveryMs);
+    const double work = quota == kUnlimited ? remaining : std::min(remaining, quota * kServeIntervalMs);
     if (work <= 0) continue;
-    left -= work;
+    remaining -= work;
     SimulatedZone& zone = zones_[receiver];
     zone.load += work;
     const std::uint64_t attempt = ++one->attempts;
     one->member->AttemptStarted(at, attempt, receiver);
     const auto outcome = zone.capacity > 0 ? AttemptOutcome::kServed : AttemptOutcome::kFailed;
-    one->member->AttemptEnded(at + Duration(kAnswerMs), attempt,
-                              {0, outcome, Duration(kAnswerMs), work, zone.utilization});
+    one->member->AttemptEnded(at + Duration(kLatencyMs), attempt,
+                              {0, outcome, Duration(kLatencyMs), work, zone.utilization});
   }
 }
 
 void Installation::RestoreOrBackUpEtcd() {
-  if (backup_ && DrawUnit() < 0.5) {
+  if (backup_ && RandomFraction() < 0.5) {
     etcd_.Restore(*backup_);
   } else {
     backup_ = etcd_;
@@ -132,36 +132,37 @@
 }
 
 void Installation::MaybeFault() {
-  const double drawn = DrawUnit();
+  const double draw = RandomFraction();
   SimulatedMember& one = members_[random_() % members_.size()];
-  if (drawn < 0.004) {
+  if (draw < 0.004) {
     one.stopped = !one.stopped;
-  } else if (drawn < 0.008) {
+  } else if (draw < 0.008) {
     one.isolated = !one.isolated;
-  } else if (drawn < 0.010) {
+  } else if (draw < 0.010) {
     if (one.dead) {
       Start(&one);
     } else {
       one.dead = true;
     }
-  } else if (drawn < 0.012) {
-    etcd_is_down_ = !etcd_is_down_ && DrawUnit() < 0.5;
-  } else if (drawn < 0.014) {
+  } else if (draw < 0.012) {
+    etcd_is_down_ = !etcd_is_down_ && RandomFraction() < 0.5;
+  } else if (draw < 0.014) {
     SimulatedZone& zone = zones_[random_() % kZones];
-    zone.capacity = zone.capacity > 0 && DrawUnit() < 0.5 ? 0 : kZoneCapacity;
-  } else if (drawn < 0.015) {
-    etcd_.SetEvacuationOrder(static_cast<int>(random_() % kZones), DrawUnit() < 0.4 ? "an operator" : "");
-  } else if (drawn < 0.0162) {
+    zone.capacity = zone.capacity > 0 && RandomFraction() < 0.5 ? 0 : kRestoredZoneCapacity;
+  } else if (draw < 0.015) {
+    etcd_.SetEvacuationOrder(static_cast<int>(random_() % kZones),
+                             RandomFraction() < 0.4 ? "an operator" : "");
+  } else if (draw < 0.0162) {
     RestoreOrBackUpEtcd();
-  } else if (drawn < 0.0164) {
-    etcd_.Put("members/liar", DrawUnit() < 0.5 ? "{\"v\":1,\"zone\":NaN}" : std::string(9000, 'x'));
+  } else if (draw < 0.0164) {
+    etcd_.Put("members/liar", RandomFraction() < 0.5 ? "{\"v\":1,\"zone\":NaN}" : std::string(9000, 'x'));
   }
 }
 
 void Installation::EndFaults() {
   etcd_is_down_ = false;
   for (std::size_t zone = 0; zone < kZones; ++zone) {
-    zones_[zone].capacity = kZoneCapacity;
+    zones_[zone].capacity = kRestoredZoneCapacity;
     etcd_.SetEvacuationOrder(static_cast<int>(zone), "");
   }
   for (SimulatedMember& one : members_) {
@@ -179,20 +180,20 @@
     ASSERT_TRUE(decision.has_value()) << Message(decision.error());
     decisions_.push_back({now_, std::move(*decision)});
   }
-  while (decisions_.size() > 1 && decisions_[1].ms < now_ - kDecisionMemoryMs) decisions_.pop_front();
+  while (decisions_.size() > 1 && decisions_[1].ms < now_ - kDecisionLifetimeMs) decisions_.pop_front();
 }
 
 Installation::Total Installation::TotalOf(std::size_t receiver, bool healthy) const {
   Total total;
   for (const SimulatedMember& one : members_) {
-    // One that is stopped sends nothing, and may go on at any moment by the quotas of that moment. One that
-    // knows of no decision yet is left out (docs/zone_failover.md).
+    // A stopped member is included, because it may resume at any time with the quotas of that time. A member
+    // without a decision is excluded (docs/zone_failover.md).
     if (one.dead || !one.member->decision()) continue;
     const double quota = one.member->ZoneQuotas(ClockOf(one))[receiver];
     if (quota == kUnlimited) {
       total.own_demand += one.demand;
     } else if (healthy || one.member->IsInContact(ClockOf(one))) {
-      // The standby of a member out of contact was kept for it while the zone was healthy: it can't know that
+      // Standby capacity of members out of contact is only reserved in a healthy zone. They can't learn that
       // the zone has failed since.
       total.granted += quota;
     }
@@ -202,17 +203,18 @@
 
 void Installation::CheckReceiver(std::size_t receiver) {
   double limit = 0;
-  bool healthy = true;  // by all decisions that a member may act on
+  bool healthy = true;  // in all decisions that a member may act on
   for (const DecisionAt& at : decisions_) {
     const Decision::Zone& zone = at.decision.zones[receiver];
     limit = std::max(limit, zone.limit);
     healthy = healthy && zone.state == ZoneState::kHealthy;
   }
   const Total total = TotalOf(receiver, healthy);
-  // What the zone's own clients ask of it comes first while it is healthy.
-  const double left = healthy ? std::max(0.0, limit - total.own_demand) : limit;
-  ASSERT_LE(total.granted, left + kRounding) << "zone " << receiver << " at " << now_ << " ms, own demand "
-                                             << total.own_demand << ", limit " << limit << Describe(receiver);
+  // In a healthy zone, the demand of its own members has priority.
+  const double available = healthy ? std::max(0.0, limit - total.own_demand) : limit;
+  ASSERT_LE(total.granted, available + kLimitRoundingError)
+      << "zone " << receiver << " at " << now_ << " ms, own demand " << total.own_demand << ", limit "
+      << limit << Describe(receiver);
   const double use = limit > 0 ? (total.granted + total.own_demand) / limit : 0;
   max_limit_use_ = std::max(max_limit_use_, use);
 }
--- a/tests/zone_failover/installation.h
+++ b/tests/zone_failover/installation.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Many members over one etcd in virtual time, with faults of every sort. At each step the total that all
-// members may send is checked against each zone's limit.
+// Simulates many members with one etcd in virtual time, with random faults. Each step checks the total that
+// all members may send against each zone's limit.
 #ifndef BADGERBRIDGE_TESTS_ZONE_FAILOVER_INSTALLATION_H_
 #define BADGERBRIDGE_TESTS_ZONE_FAILOVER_INSTALLATION_H_
 
@@ -17,20 +17,19 @@
 
 namespace badgerbridge::zone_failover {
 
-// Zones of the installation.
 constexpr std::size_t kZones = 4;
 
-// A member, its clock, and the call that it has on its way.
+// A member with its clock and its call in flight.
 struct SimulatedMember {
   std::string name;
   std::size_t zone = 0;
   std::unique_ptr<Member> member;
-  double clock_rate = 1;       // of its clock
-  double clock_offset_ms = 0;  // of its clock
-  bool stopped = false;        // its process is frozen
-  bool isolated = false;       // etcd is out of its reach
-  bool dead = false;           // its process has ended
-  double demand = 0;           // work a ms
+  double clock_rate = 1;
+  double clock_offset_ms = 0;
+  bool stopped = false;   // the process is suspended
+  bool isolated = false;  // etcd is unreachable
+  bool dead = false;      // the process has ended
+  double demand = 0;      // work per ms
   std::uint64_t attempts = 0;
 
   std::optional<Member::Call> call;
@@ -43,29 +42,28 @@
 
 // A zone's backends.
 struct SimulatedZone {
-  double capacity = 0;                      // work a ms; 0: it fails
-  std::optional<double> utilization = 0.4;  // as the backends report it
-  double load = 0;                          // work since the utilization was last computed
+  double capacity = 0;                      // work per ms; 0: the zone fails
+  std::optional<double> utilization = 0.4;  // as reported by the backends
+  double load = 0;                          // work since the last update of the utilization
 };
 
 class Installation {
  public:
   Installation(std::uint64_t seed, int members);
 
-  // 10 ms of real time, and then the check.
+  // Advances the time by 10 ms, then checks the totals.
   void Step();
-  // What a step may bring: each of these faults seldom.
+  // Injects or ends a random fault with a low probability.
   void MaybeFault();
-  // Ends all faults: zones work, members run and reach etcd, there are no orders.
+  // Ends all faults and evacuation orders.
   void EndFaults();
 
   TimePoint ClockOf(const SimulatedMember& one) const {
     return TimePoint(Duration(one.clock_offset_ms + now_ * one.clock_rate));
   }
   const std::vector<SimulatedMember>& members() const { return members_; }
-  // The decision in force.
   const Decision& newest_decision() const { return decisions_.back().decision; }
-  // The largest part of a zone's limit that all members in total might use.
+  // Maximum over time and zones of the total that all members may send, relative to the limit.
   double max_limit_use() const { return max_limit_use_; }
 
  private:
@@ -73,13 +71,13 @@
     double ms = 0;
     Decision decision;
   };
-  // What all members may send to a receiver.
+  // Total that all members may send to a receiver.
   struct Total {
-    double granted = 0;     // by those with a limit
-    double own_demand = 0;  // of those without
+    double granted = 0;     // quotas of members with a limit
+    double own_demand = 0;  // demand of members without a limit
   };
 
-  double DrawUnit() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }  // from [0, 1)
+  double RandomFraction() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }  // in [0, 1)
   void Start(SimulatedMember* one);
   void UpdateUtilization();
   void Deliver(SimulatedMember* one);
--- a/tests/zone_failover/load_report_test.cpp
+++ b/tests/zone_failover/load_report_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Load reports: their codec, and what is measured for them.
+// Codec of load reports and the measurements for them.
 #include "zone_failover/load_report.h"
 
 #include <gtest/gtest.h>
@@ -44,7 +44,7 @@
     ASSERT_FALSE(read.has_value()) << text;
     EXPECT_FALSE(Message(read.error()).empty());
   }
-  // A load beyond all sense is bounded, not believed.
+  // Implausibly large numbers are clamped.
   const auto bounded = DecodeLoadReport(
       R"({"v":1,"epoch":1,"zone":0,"demand":1e300,"zones":[[1e300,2e300,1e300,1e300,1e300,9,1e300],[0,0,0,1,0,-1,0]]})",
       2);
--- a/tests/zone_failover/random_test.cpp
+++ b/tests/zone_failover/random_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Many members over one etcd, from fixed seeds: stopped, isolated, dead, slow, with clocks that drift, with
-// calls that are done and whose reply is lost, with orders, with an etcd that is gone or restored from a
-// backup. At each step the total over all members is checked against what each zone has shown
+// Random tests with fixed seeds of many members with one etcd. Faults: members that are stopped, isolated or
+// dead, drifting clocks, failing zones, lost calls and replies, evacuation orders, and an etcd that is
+// unavailable or restored from a backup. Each step checks the total of all members against each zone's limit
 // (installation.h).
 #include <gtest/gtest.h>
 
@@ -18,11 +18,11 @@
 constexpr int kStepsWithFaults = 3000;
 constexpr int kStepsToSettle = 4500;
 
-// Four times ten seeds of 8,000 steps.
+// Four instances of ten seeds with 8,000 steps each.
 class ZoneFailoverRandom : public ::testing::TestWithParam<std::uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Seeds, ZoneFailoverRandom, ::testing::Values(1, 11, 21, 31));
 
-// One epoch, one leader, every member admitted, every zone healthy.
+// Expects adjacent epochs, one leader, all members admitted and all zones healthy.
 void ExpectSettled(const Installation& installation, std::uint64_t seed) {
   std::set<std::uint64_t> epochs;
   int leaders = 0;
@@ -40,7 +40,7 @@
     EXPECT_EQ(zone.state, ZoneState::kHealthy) << zone.reason;
 }
 
-TEST_P(ZoneFailoverRandom, TotalStaysUnderEachZonesLimitAndAllMembersEndInOneEpoch) {
+TEST_P(ZoneFailoverRandom, TotalStaysWithinZoneLimitsAndMembersConvergeAfterFaults) {
   for (std::uint64_t seed = GetParam(); seed < GetParam() + 10; ++seed) {
     Installation installation(seed, kMembers);
     for (int i = 0; i < kStepsToStart; ++i) installation.Step();
@@ -53,7 +53,7 @@
     for (int i = 0; i < kStepsToSettle; ++i) installation.Step();
     if (::testing::Test::HasFailure()) FAIL() << "seed " << seed << ", after the faults ended";
     ExpectSettled(installation, seed);
-    // The limit was reached: totals that stay far below it would show nothing.
+    // Totals far below the limit would not exercise the invariant.
     EXPECT_GT(installation.max_limit_use(), 0.9) << "seed " << seed;
   }
 }
