--- a/tests/proxy_main/zone_failover_process_test.cpp
+++ b/tests/proxy_main/zone_failover_process_test.cpp
@@ -21,7 +21,7 @@
 TEST_F(ZonesTest, ProxiesShareADecisionAndEvacuateAZoneOnOrder) {
   site->StartAgent();
   ASSERT_TRUE(site->Until([&] { return site->All("ready"); }));
-  ASSERT_TRUE(site->Until([&] { return Admitted(); }));
+  ASSERT_TRUE(site->Until([&] { return AllAdmitted(); }));
   Clients clients(io, site->addresses(), {150, milliseconds(1500), 9});
   ASSERT_TRUE(site->Until([&] { return clients.ready() == 3; }));
   clients.Start();
@@ -37,16 +37,16 @@
   ASSERT_EQ(ordered.code, 0) << ordered.err;
   for (int i = 0; i < 3; ++i) ASSERT_TRUE(site->Until([&] { return State("a", i) == "evacuated"; })) << i;
   site->For(milliseconds(500));  // what is on its way arrives
-  const std::size_t before_a = TakenIn("a"), before_b = TakenIn("b");
+  const std::size_t before_a = RequestsReceivedIn("a"), before_b = RequestsReceivedIn("b");
   site->For(milliseconds(1500));
-  EXPECT_EQ(TakenIn("a"), before_a);
-  EXPECT_GT(TakenIn("b"), before_b);
+  EXPECT_EQ(RequestsReceivedIn("a"), before_a);
+  EXPECT_GT(RequestsReceivedIn("b"), before_b);
   EXPECT_NE(Ctl({}).out.find("ordered by the night shift"), std::string::npos);
   EXPECT_EQ(Ctl({"evacuate", "a", "--for", "30s", "--force"}).code, 3);  // there is one already
 
   EXPECT_EQ(Ctl({"return", "a"}).code, 0);
   ASSERT_TRUE(site->Until([&] { return State("a") == "sound"; }));
-  ASSERT_TRUE(site->Until([&] { return TakenIn("a") > before_a + 20; }));
+  ASSERT_TRUE(site->Until([&] { return RequestsReceivedIn("a") > before_a + 20; }));
   EXPECT_NE(Ctl({"return", "a"}).out.find("there was no order"), std::string::npos);
   const CommandResult history = Ctl({"history"});
   EXPECT_NE(history.out.find("a evacuated: ordered by the night shift"), std::string::npos) << history.out;
@@ -62,7 +62,7 @@
 TEST_F(ZonesTest, EvacuationOrderExpiresAfterItsTime) {
   site->StartAgent();
   ASSERT_TRUE(site->Until([&] { return site->All("ready"); }));
-  ASSERT_TRUE(site->Until([&] { return Admitted(); }));
+  ASSERT_TRUE(site->Until([&] { return AllAdmitted(); }));
   Clients clients(io, site->addresses(), {150, milliseconds(1500), 9});
   ASSERT_TRUE(site->Until([&] { return clients.ready() == 3; }));
   clients.Start();
@@ -82,7 +82,7 @@
 TEST_F(ZonesTest, EtcdUnavailableKeepsServingAndIsReported) {
   site->StartAgent();
   ASSERT_TRUE(site->Until([&] { return site->All("ready"); }));
-  ASSERT_TRUE(site->Until([&] { return Admitted(); }));
+  ASSERT_TRUE(site->Until([&] { return AllAdmitted(); }));
   etcd->Down(0);
   ASSERT_TRUE(site->Until([&] { return !Zones(0).at("in_touch").as_bool(); }));
   Clients clients(io, site->addresses(), {100, milliseconds(1500), 9});
@@ -91,7 +91,7 @@
   ASSERT_TRUE(site->Until([&] { return clients.account().served > 200; }));
   EXPECT_EQ(Ctl({}).code, 5);
   etcd->Up(0);
-  ASSERT_TRUE(site->Until([&] { return Admitted() && Zones(0).at("in_touch").as_bool(); }));
+  ASSERT_TRUE(site->Until([&] { return AllAdmitted() && Zones(0).at("in_touch").as_bool(); }));
   clients.Stop();
   ASSERT_TRUE(site->Until([&] { return clients.Done(); }));
   EXPECT_EQ(clients.account().lost, 0u);
--- a/tests/zone_failover/evacuation_test.cpp
+++ b/tests/zone_failover/evacuation_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Where the load of an evacuated zone would go.
+// Predicted distribution of the load of an evacuated zone.
 #include "zone_failover/evacuation.h"
 
 #include <gtest/gtest.h>
@@ -11,16 +11,16 @@
 TEST(EvacuationPlan, CheapestReceiversAreFilledFirstAndTheRestIsUnplaced) {
   Decision decision;
   decision.zones.resize(4);
-  const auto set = [&](std::size_t zone, double carried, double limit) {
-    decision.zones[zone].served = carried;
+  const auto set = [&](std::size_t zone, double served, double limit) {
+    decision.zones[zone].served = served;
     decision.zones[zone].limit = limit;
-    decision.zones[zone].demand = carried;
+    decision.zones[zone].demand = served;
   };
   set(0, 10, 20);
   set(1, 5, 8);
   set(2, 5, 20);
   set(3, 1, 50);
-  decision.zones[3].state = ZoneState::kDegraded;  // is no help
+  decision.zones[3].state = ZoneState::kDegraded;  // not eligible
   ZoneLinks links{Matrix(4, 2), Matrix(4, 1)};
   links.transfer_price.at(0, 2) = 2;
   const auto plan = PlanEvacuation(decision, links, 500, 0);
@@ -29,7 +29,7 @@
   EXPECT_EQ(plan.receivers[0].planned_load, 8);
   EXPECT_EQ(plan.receivers[1].planned_load, 12);
   EXPECT_EQ(plan.unplaced_load, 0);
-  links.round_trip_ms.at(0, 2) = 300;  // too far to be of help in time
+  links.round_trip_ms.at(0, 2) = 300;  // exceeds half of the latency objective
   EXPECT_EQ(PlanEvacuation(decision, links, 500, 0).unplaced_load, 7);
 }
 
--- a/tests/zone_failover/zones_command_test.cpp
+++ b/tests/zone_failover/zones_command_test.cpp
@@ -18,11 +18,11 @@
 
 const std::string kPrefix = "/badgerbridge/regions/";
 
-/// The tool alone, with records written by the test.
+/// Runs the tool with etcd records written by the test.
 class ZonesCommandTest : public ZonesTest {
  protected:
-  /// Writes a decision of two zones.
-  void Decide(std::uint64_t epoch, double limit_of_b, ZoneState a = ZoneState::kHealthy) {
+  /// Writes a decision for two zones.
+  void WriteDecision(std::uint64_t epoch, double limit_of_b, ZoneState a = ZoneState::kHealthy) {
     Decision decision;
     decision.epoch = epoch;
     decision.leader = "n7";
@@ -33,16 +33,14 @@
     decision.grants.at(0, 1) = 3;
     etcd->Put(kPrefix + "decision", Encode(decision));
   }
-  /// Reads the evacuation order of a zone.
-  pb::RangeResponse Order(int zone) {
+  pb::RangeResponse ReadOrder(int zone) {
     pb::RangeRequest request;
     request.set_key(kPrefix + "orders/" + std::to_string(zone));
     pb::RangeResponse response;
     EXPECT_TRUE(etcd->store().Range(request, &response).ok());
     return response;
   }
-  /// The number of leases in etcd.
-  int Leases() {
+  int LeaseCount() {
     pb::LeaseLeasesResponse response;
     etcd->store().Leases(&response);
     return response.leases_size();
@@ -57,7 +55,7 @@
   result = Ctl({"evacuate", "a", "--for", "1m", "--force"});
   EXPECT_EQ(result.code, 1);
   EXPECT_NE(result.err.find("nobody would follow"), std::string::npos) << result.err;
-  EXPECT_EQ(Order(0).kvs_size(), 0);
+  EXPECT_EQ(ReadOrder(0).kvs_size(), 0);
   EXPECT_EQ(Ctl({"history"}).code, 0);
   etcd->Put(kPrefix + "decision", "{\"v\":7}");
   for (const char* command : {"", "history"}) {
@@ -65,58 +63,58 @@
     EXPECT_EQ(result.code, 1);
     EXPECT_NE(result.err.find("can't be read: not of version 1"), std::string::npos) << result.err;
   }
-  // Files and words that are no use.
+  // Missing or unsuitable files, and invalid arguments.
   EXPECT_EQ(site->Ctl({"zones"}).code, 2);
   EXPECT_EQ(site->Ctl({"zones", "--operator", site->folder() + "/none.toml"}).code, 2);
   site->Write("alone.toml", "[regions]\ndecide = \"alone\"\nzones = [\"a\"]\n");
   EXPECT_NE(site->Ctl({"zones", "--operator", site->folder() + "/alone.toml"}).err.find("decide alone"),
             std::string::npos);
-  for (const char* lasts : {"10ms", "169h", "soon"})
-    EXPECT_EQ(Ctl({"evacuate", "a", "--for", lasts}).code, 2);
+  for (const char* duration : {"10ms", "169h", "soon"})
+    EXPECT_EQ(Ctl({"evacuate", "a", "--for", duration}).code, 2);
 }
 
 TEST_F(ZonesCommandTest, EvacuationBeyondSpareCapacityIsRejectedUnlessForced) {
-  Decide(3, 8);
-  for (const char* how : {"--dry-run", "--as=x"}) {
-    const CommandResult refused = Ctl({"evacuate", "a", "--for", "1m", how});
-    EXPECT_EQ(refused.code, 1);
-    EXPECT_NE(refused.out.find("a carries 10.00"), std::string::npos) << refused.out;
-    EXPECT_NE(refused.out.find("no room for 7.00 of it"), std::string::npos) << refused.out;
-    EXPECT_EQ(Order(0).kvs_size(), 0) << how;
+  WriteDecision(3, 8);
+  for (const char* option : {"--dry-run", "--as=x"}) {
+    const CommandResult rejected = Ctl({"evacuate", "a", "--for", "1m", option});
+    EXPECT_EQ(rejected.code, 1);
+    EXPECT_NE(rejected.out.find("a carries 10.00"), std::string::npos) << rejected.out;
+    EXPECT_NE(rejected.out.find("no room for 7.00 of it"), std::string::npos) << rejected.out;
+    EXPECT_EQ(ReadOrder(0).kvs_size(), 0) << option;
   }
-  EXPECT_EQ(Leases(), 0);
+  EXPECT_EQ(LeaseCount(), 0);
   ASSERT_EQ(Ctl({"evacuate", "a", "--for", "1m", "--force", "--as", "x"}).code, 0);
-  ASSERT_EQ(Order(0).kvs_size(), 1);
-  EXPECT_EQ(Order(0).kvs(0).value(), "x");
-  EXPECT_NE(Order(0).kvs(0).lease(), 0);  // it ends with its lease
-  EXPECT_EQ(Leases(), 1);
-  // Room enough: no force is needed, and the dry run writes nothing.
-  Decide(4, 80);
+  ASSERT_EQ(ReadOrder(0).kvs_size(), 1);
+  EXPECT_EQ(ReadOrder(0).kvs(0).value(), "x");
+  EXPECT_NE(ReadOrder(0).kvs(0).lease(), 0);  // the order expires with its lease
+  EXPECT_EQ(LeaseCount(), 1);
+  // With enough spare capacity --force is not needed, and a dry run writes nothing.
+  WriteDecision(4, 80);
   const CommandResult dry = Ctl({"evacuate", "b", "--for", "1m", "--dry-run", "-o", "json"});
   EXPECT_EQ(dry.code, 0);
   EXPECT_EQ(json::parse(dry.out).at("result").as_string(), "dry run");
   EXPECT_EQ(json::parse(dry.out).at("receivers").as_array()[0].at("would").to_number<double>(), 15);
-  EXPECT_EQ(Order(1).kvs_size(), 0);
+  EXPECT_EQ(ReadOrder(1).kvs_size(), 0);
 }
 
-TEST_F(ZonesCommandTest, OfTwoOrdersAtOnceOneIsMadeAndNoLeaseIsLeftOver) {
-  Decide(3, 80);
+TEST_F(ZonesCommandTest, OnlyOneOfTwoConcurrentOrdersSucceedsAndNoLeaseIsLeft) {
+  WriteDecision(3, 80);
   etcd->BeforeTxn([this] {
-    if (Order(0).kvs_size() == 0) etcd->Put(kPrefix + "orders/0", "somebody");
+    if (ReadOrder(0).kvs_size() == 0) etcd->Put(kPrefix + "orders/0", "somebody");
   });
   const CommandResult second = Ctl({"evacuate", "a", "--for", "1m"});
   EXPECT_EQ(second.code, 3);
   EXPECT_NE(second.err.find("somebody else has just given an order"), std::string::npos) << second.err;
-  EXPECT_EQ(Order(0).kvs(0).value(), "somebody");
-  EXPECT_EQ(Leases(), 0);
+  EXPECT_EQ(ReadOrder(0).kvs(0).value(), "somebody");
+  EXPECT_EQ(LeaseCount(), 0);
   EXPECT_NE(Ctl({"evacuate", "a", "--for", "1m"}).err.find("already, by somebody"), std::string::npos);
 }
 
 TEST_F(ZonesCommandTest, HistoryEndsWhereEtcdIsCompacted) {
-  Decide(1, 8);
-  Decide(2, 8, ZoneState::kUnavailable);
+  WriteDecision(1, 8);
+  WriteDecision(2, 8, ZoneState::kUnavailable);
   const std::int64_t second = etcd->store().revision();
-  Decide(3, 8);
+  WriteDecision(3, 8);
   CommandResult result = Ctl({"history"});
   EXPECT_EQ(result.code, 0);
   EXPECT_NE(result.out.find("a dark: it fails"), std::string::npos) << result.out;
--- a/tests/zone_failover/zones_fixture.h
+++ b/tests/zone_failover/zones_fixture.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Zone failover end to end: agent and proxies as processes beside a stand-in etcd.
+// End-to-end fixture of zone failover: an agent and proxies as processes, with a stand-in etcd.
 #ifndef BADGERBRIDGE_TESTS_ZONE_FAILOVER_ZONES_FIXTURE_H_
 #define BADGERBRIDGE_TESTS_ZONE_FAILOVER_ZONES_FIXTURE_H_
 
@@ -20,13 +20,13 @@
 
 namespace badgerbridge::zone_failover::testing {
 
-/// Three proxies that take part in zone failover, with an agent, four backends, and a stand-in etcd.
+/// Three proxies with zone failover enabled, an agent, four backends and a stand-in etcd.
 class ZonesTest : public ::testing::Test {
  protected:
   ZonesTest() {
     standins::SiteSettings settings;
     settings.proxies = 3;
-    settings.backends = 4;  // two in each of the zones a and b; the proxies stand in a
+    settings.backends = 4;  // two in each of the zones a and b; the proxies run in a
     settings.service = std::chrono::milliseconds(10);
     site = std::make_unique<standins::Site>(io, settings);
     etcd = std::make_unique<standins::Etcd>(io, standins::EtcdSettings{});
@@ -38,7 +38,7 @@
                   "[control]\nsocket = \"" + site->folder() + "/" + site->Name(i) + ".sock\"\n" + table);
     site->Write("zones.toml", table);
   }
-  /// The answer of a proxy to GET /v1/zones; empty: it was an error.
+  /// A proxy's response to GET /v1/zones; empty: the call failed.
   boost::json::object Zones(int proxy) {
     auto reply = std::make_shared<std::optional<http_api::Reply>>();
     boost::asio::co_spawn(
@@ -49,15 +49,15 @@
     EXPECT_TRUE(site->Until([&] { return reply->has_value(); }));
     return (*reply)->ok() ? (*reply)->body.as_object() : boost::json::object{};
   }
-  /// Whether the decision lets every proxy use its grants.
-  bool Admitted() {
+  /// True if the decision allows every proxy to use its grants.
+  bool AllAdmitted() {
     for (int i = 0; i < 3; ++i) {
       const boost::json::object zones = Zones(i);
       if (!zones.contains("admitted") || !zones.at("admitted").as_bool()) return false;
     }
     return true;
   }
-  /// The state of a zone as a proxy knows it; empty: there is no decision yet.
+  /// The state of a zone as reported by a proxy; empty: there is no decision yet.
   std::string State(const std::string& zone, int proxy = 0) {
     const boost::json::object zones = Zones(proxy);
     if (!zones.contains("zones")) return "";
@@ -68,13 +68,13 @@
     return "";
   }
   /// Runs `badgerbridge-ctl zones` with these arguments.
-  standins::CommandResult Ctl(std::vector<std::string> words) {
-    words.insert(words.begin(), "zones");
-    words.insert(words.end(), {"--operator", site->folder() + "/zones.toml"});
-    return site->Ctl(words);
+  standins::CommandResult Ctl(std::vector<std::string> arguments) {
+    arguments.insert(arguments.begin(), "zones");
+    arguments.insert(arguments.end(), {"--operator", site->folder() + "/zones.toml"});
+    return site->Ctl(arguments);
   }
-  /// Requests that the backends of a zone have received.
-  std::size_t TakenIn(const std::string& zone) {
+  /// Number of requests that the backends of a zone have received.
+  std::size_t RequestsReceivedIn(const std::string& zone) {
     std::size_t sum = 0;
     for (const auto& one : site->backends()) sum += one->settings().zone == zone ? one->taken() : 0;
     return sum;
