--- a/src/proxy/answer_buffer.h
+++ b/src/proxy/answer_buffer.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The answer that is being written to a client.
+// Serialization and write progress of one answer to a client.
 #ifndef BADGERBRIDGE_PROXY_ANSWER_BUFFER_H_
 #define BADGERBRIDGE_PROXY_ANSWER_BUFFER_H_
 
@@ -12,24 +12,24 @@
 
 namespace badgerbridge::proxy {
 
-/// Holds one answer in the form of HTTP/1.1, and what of it has not been written yet.
+/// Holds one serialized HTTP/1.1 answer and tracks how much of it has been written.
 class AnswerBuffer {
  public:
-  /// Takes an answer. With `keep_alive` false it has `Connection: close`. False if there is no memory for it:
-  /// a fixed 500 with `Connection: close` stands in.
+  /// Serializes an answer, with `Connection: close` unless `keep_alive`. If memory runs out, returns false
+  /// and holds a fixed 500 with `Connection: close` instead.
   bool Assign(const Answer& answer, bool keep_alive) noexcept;
-  /// What has not been written.
+  /// The part that has not been written; valid until the next call that is not const.
   std::string_view unwritten() const { return unwritten_; }
-  /// Notes that the next `bytes` bytes have been written.
+  /// Records that the next `bytes` bytes have been written.
   void Consume(std::size_t bytes) { unwritten_.remove_prefix(bytes); }
-  /// Gives up what has not been written.
+  /// Discards the unwritten part.
   void DropUnwritten() { unwritten_ = {}; }
-  /// Empties the buffer once its answer has been written.
+  /// Frees the memory. Requires that nothing is unwritten.
   void Release() { text_ = {}; }
 
  private:
   std::string text_;
-  std::string_view unwritten_;  // of text_, or of a constant
+  std::string_view unwritten_;  // a view of text_ or of kOutOfMemoryAnswer
 };
 
 }  // namespace badgerbridge::proxy
--- a/src/proxy/arrival_times.h
+++ b/src/proxy/arrival_times.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// When the bytes of an input buffer came.
+// Arrival times of the bytes in an input buffer.
 #ifndef BADGERBRIDGE_PROXY_ARRIVAL_TIMES_H_
 #define BADGERBRIDGE_PROXY_ARRIVAL_TIMES_H_
 
@@ -12,44 +12,44 @@
 
 namespace badgerbridge::proxy {
 
-/// Gives the arrival time of the oldest byte in a first-in, first-out buffer. Pure: the caller reports what
-/// is added and consumed. With more than 64 pieces in the buffer the later ones count as older than they are;
-/// none counts as younger.
+/// Tracks the arrival time of the oldest byte in a FIFO buffer. The caller reports the bytes added and
+/// consumed. At most 64 arrival times are kept; bytes added beyond that get the arrival time of the last one
+/// kept, so the result may be too early but never too late.
 class ArrivalTimes {
  public:
-  /// Notes that `bytes` bytes came at `arrived_at`. Throws std::bad_alloc.
+  /// Records that `bytes` bytes arrived at `arrived_at`. Throws std::bad_alloc.
   void Add(std::size_t bytes, TimePoint arrived_at) {
     if (bytes == 0) return;
-    if (pieces_.size() >= kMaxPieces) {
-      pieces_.back().bytes += bytes;
+    if (ranges_.size() >= kMaxRanges) {
+      ranges_.back().bytes += bytes;
     } else {
-      pieces_.push_back({bytes, arrived_at});
+      ranges_.push_back({bytes, arrived_at});
     }
   }
 
-  /// Notes that the oldest `bytes` bytes were taken out.
+  /// Records that the oldest `bytes` bytes were removed from the buffer.
   void Consume(std::size_t bytes) {
-    while (bytes > 0 && !pieces_.empty()) {
-      Piece& oldest = pieces_.front();
+    while (bytes > 0 && !ranges_.empty()) {
+      Range& oldest = ranges_.front();
       const std::size_t consumed = std::min(bytes, oldest.bytes);
       oldest.bytes -= consumed;
       bytes -= consumed;
-      if (oldest.bytes == 0) pieces_.erase(pieces_.begin());
+      if (oldest.bytes == 0) ranges_.erase(ranges_.begin());
     }
   }
 
   /// Whether the buffer is empty.
-  bool empty() const { return pieces_.empty(); }
+  bool empty() const { return ranges_.empty(); }
   /// The arrival time of the oldest byte. Requires !empty().
-  TimePoint Oldest() const { return pieces_.front().arrived_at; }
+  TimePoint Oldest() const { return ranges_.front().arrived_at; }
 
  private:
-  static constexpr std::size_t kMaxPieces = 64;
-  struct Piece {
+  static constexpr std::size_t kMaxRanges = 64;
+  struct Range {
     std::size_t bytes;
     TimePoint arrived_at;
   };
-  std::vector<Piece> pieces_;  // oldest first
+  std::vector<Range> ranges_;  // oldest first; the bytes of each arrived together
 };
 
 }  // namespace badgerbridge::proxy
--- a/src/proxy/backend_attempt.cpp
+++ b/src/proxy/backend_attempt.cpp
@@ -80,7 +80,7 @@
 std::optional<Outcome> BackendPool::Connection::OutcomeIfNotSendable(TimePoint now) const {
   if (!pool_->AcceptsRequests(backend_, address_)) return Outcome::kConnectFailed;
   if (now >= attempt_.deadline || now >= attempt_.begin_before) return Outcome::kConnectFailed;
-  if (attempt_.requester && attempt_.requester->HasLeft()) return Outcome::kNotSent;
+  if (attempt_.requester && attempt_.requester->HasDisconnected()) return Outcome::kNotSent;
   return std::nullopt;
 }
 
--- a/src/proxy/client_request.h
+++ b/src/proxy/client_request.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A client's request, as the HTTP parser gives it.
+// The parsed form of a client's HTTP request.
 #ifndef BADGERBRIDGE_PROXY_CLIENT_REQUEST_H_
 #define BADGERBRIDGE_PROXY_CLIENT_REQUEST_H_
 
@@ -9,7 +9,7 @@
 
 namespace badgerbridge::proxy {
 
-/// A complete request of a client.
+/// A complete request of a client, as Beast's parser returns it.
 using ClientRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
 }  // namespace badgerbridge::proxy
--- a/src/proxy/connection_acceptor.cpp
+++ b/src/proxy/connection_acceptor.cpp
@@ -35,14 +35,14 @@
     unadmitted_ = ::accept(acceptor_.native_handle(), nullptr, nullptr);
     if (unadmitted_ == kNoDescriptor) {
       if (errno == EAGAIN || errno == EWOULDBLOCK) return AcceptResult::kQueueEmpty;
-      const bool client_has_left = errno == ECONNABORTED || errno == EINTR;
-      return client_has_left ? AcceptResult::kAccepted : AcceptResult::kFailed;
+      const bool can_continue = errno == ECONNABORTED || errno == EINTR;
+      return can_continue ? AcceptResult::kAccepted : AcceptResult::kFailed;
     }
   }
   try {
     admit_(unadmitted_);
   } catch (const std::exception& error) {
-    std::cerr << "a connection could not be admitted yet: " << error.what() << '\n';
+    std::cerr << "failed to admit a client connection; it is kept and retried: " << error.what() << '\n';
     return AcceptResult::kFailed;
   }
   unadmitted_ = kNoDescriptor;
--- a/src/proxy/connection_acceptor.h
+++ b/src/proxy/connection_acceptor.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A listening socket that loses no connection for want of descriptors or memory.
+// A listening socket that loses no connection when descriptors or memory run out.
 #ifndef BADGERBRIDGE_PROXY_CONNECTION_ACCEPTOR_H_
 #define BADGERBRIDGE_PROXY_CONNECTION_ACCEPTOR_H_
 
@@ -12,19 +12,19 @@
 
 namespace badgerbridge::proxy {
 
-/// Accepts connections one at a time and passes them on. By the system's own call: Asio's closes a connection
-/// for which it has no memory, or the system has no place among the descriptors that are polled. Here such a
-/// connection is kept until it can be passed on. Not thread-safe.
+/// Accepts connections one at a time and passes them to an admit function. It calls accept(2) directly,
+/// because Asio's accept closes a connection if memory runs out or the descriptor can't be registered with
+/// the reactor. Here such a connection is kept until it can be admitted. Not thread-safe.
 class ConnectionAcceptor {
  public:
-  /// Takes over the descriptor of a connection. If it throws, it has not taken the descriptor.
+  /// Takes ownership of a connection's descriptor, unless it throws.
   using Admit = std::function<void(int descriptor)>;
 
-  /// What became of an attempt to accept.
+  /// Result of AcceptOne().
   enum class AcceptResult {
-    kAccepted,    ///< a connection was passed on, or it had been closed by its client meanwhile
-    kQueueEmpty,  ///< none waits in the kernel's queue
-    kFailed,      ///< one waits that can't be accepted now
+    kAccepted,    ///< a connection was admitted, or its client aborted it before the accept
+    kQueueEmpty,  ///< the kernel's accept queue is empty
+    kFailed,      ///< a connection is waiting that can't be accepted or admitted now
   };
 
   /// Binds to `address` and listens. Throws boost::system::system_error.
@@ -33,11 +33,11 @@
   ConnectionAcceptor(const ConnectionAcceptor&) = delete;
   ConnectionAcceptor& operator=(const ConnectionAcceptor&) = delete;
 
-  /// The address that it listens on. Throws boost::system::system_error once it is closed.
+  /// The listening address. Throws boost::system::system_error after Close().
   boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
-  /// Calls `handler` with an error code when a connection waits, or when the acceptor is closed. May throw;
-  /// then no wait has begun. This must outlive the wait.
+  /// Calls `handler` with an error code when a connection is waiting or the acceptor is closed. May throw;
+  /// then no wait has begun. This object must outlive the wait.
   template <typename Handler>
   void AsyncWait(Handler handler) {
     acceptor_.async_wait(boost::asio::ip::tcp::acceptor::wait_read,
@@ -47,20 +47,20 @@
                          });
     is_waiting_ = true;
   }
-  /// Whether a wait's handler is still to be called.
+  /// Whether a wait has begun whose handler has not been called.
   bool is_waiting() const { return is_waiting_; }
 
-  /// Accepts a connection and passes it on, or the one kept from before.
+  /// Accepts and admits one connection. One that could not be admitted before is tried first.
   AcceptResult AcceptOne();
-  /// Accepts all that wait in the kernel's queue: their clients count as connected. False if one waits that
-  /// can't be accepted now.
+  /// Accepts all connections in the kernel's accept queue, because their clients consider them established.
+  /// False if one is waiting that can't be accepted or admitted now.
   bool AcceptAll();
-  /// Whether a connection is kept that could not be passed on.
+  /// Whether a connection is kept that could not be admitted yet.
   bool has_unadmitted() const { return unadmitted_ != kNoDescriptor; }
 
-  /// From here on no new handshake begins, where the system can do that (net::StopNewHandshakes).
+  /// Stops accepting new TCP handshakes, if the system supports that (net::StopNewHandshakes).
   void StopNewHandshakes();
-  /// Closes the listening socket and a connection that could not be passed on.
+  /// Closes the listening socket and the connection that could not be admitted, if any.
   void Close();
   /// Whether Close() has been called.
   bool is_closed() const { return is_closed_; }
@@ -72,7 +72,7 @@
 
   boost::asio::ip::tcp::acceptor acceptor_;
   Admit admit_;
-  int unadmitted_ = kNoDescriptor;  // a connection that was accepted and not passed on; owned
+  int unadmitted_ = kNoDescriptor;  // accepted but not admitted yet; owned
   bool is_waiting_ = false;
   bool is_closed_ = false;
 };
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxLingering = 16;        // connections, beyond the clients' share of the descriptors
-constexpr milliseconds kEvictionRetryPause{25};  // at the limit of clients, until one can be evicted
-constexpr milliseconds kAcceptRetryPause{20};    // after a failure, for want of descriptors for instance
+constexpr std::size_t kMaxLingering = 16;        // lingering connections allowed in addition to max_clients
+constexpr milliseconds kEvictionRetryPause{25};  // at max_clients, while no connection can be evicted
+constexpr milliseconds kAcceptRetryPause{20};    // after a failed accept, for example without a descriptor
 constexpr milliseconds kDrainSweepInterval{100};
 
 }  // namespace
@@ -42,19 +42,19 @@
   Accept();
 }
 
-// A failure is always followed by another try: without a wait or a pause no client could connect any more.
+// Always leaves a wait or a retry timer pending; otherwise no client could connect any more.
 void Listener::Accept() noexcept {
   if (acceptor_.is_waiting() || acceptor_.is_closed()) return;
   try {
     AwaitConnection();
   } catch (const std::exception& error) {
-    std::cerr << "accepting failed: " << error.what() << '\n';
+    std::cerr << "failed to accept a client connection; retrying: " << error.what() << '\n';
     AcceptAfter(kAcceptRetryPause);
   }
 }
 
 void Listener::AwaitConnection() {
-  // At the limit the next connection waits in the kernel's queue until there is room.
+  // At max_clients the next connection waits in the kernel's accept queue until another one closes.
   if (sessions_.active() >= max_clients_ && !sessions_.Evict()) return AcceptAfter(kEvictionRetryPause);
   if (sessions_.size() >= max_clients_ + kMaxLingering) sessions_.CloseOneLingering();
   if (acceptor_.has_unadmitted()) return OnConnection();
@@ -71,19 +71,19 @@
   AcceptAfter(kAcceptRetryPause);
 }
 
-// A failure that lasts, a lack of descriptors for instance, must not make the loop spin.
+// The pause keeps a persistent failure, for example a lack of descriptors, from making the loop spin.
 void Listener::AcceptAfter(milliseconds wait) noexcept {
-  constexpr int kMaxTries = 2;  // the memory that the first lacks may be there for the second
+  constexpr int kMaxTries = 2;  // memory that the first try lacks may be free for the second
   for (int tries = 0; tries < kMaxTries; ++tries) {
     try {
       return accept_pause_.ArmAfter(wait, [this] { Accept(); });
     } catch (const std::exception& error) {
-      std::cerr << "accepting could not be put off: " << error.what() << '\n';
+      std::cerr << "failed to schedule the next accept: " << error.what() << '\n';
     }
   }
 }
 
-// The session takes the descriptor over as the last of the steps that may throw.
+// Adopt is the last step that may throw, so an exception leaves the descriptor with the caller.
 void Listener::Admit(int descriptor) {
   SessionList::Sessions added(1);
   added.front() = std::make_shared<Session>(*this);
@@ -98,13 +98,13 @@
   try {
     asio::post(io_, [this] { Accept(); });
   } catch (const std::exception&) {
-    // A wait for connections has begun, or the pause before the next one is armed.
+    // Not needed: a wait for connections or its retry timer is already pending.
   }
 }
 
 void Listener::Drain() {
   if (std::exchange(draining_, true)) return;
-  last_request_at_ = clock_.Now();  // what is on its way now comes within the idle time
+  last_request_at_ = clock_.Now();  // requests already in transit arrive within kDrainIdleTime
   SweepIdleSessions();
 }
 
@@ -131,9 +131,10 @@
   stop_timer_.ArmAfter(limits_.accept_grace, [this] { StopHandshakes(); });
 }
 
-// Closing the listener resets the connections in its queue, also one that comes up between the last accept
-// and the close, however long this process is descheduled there. So first no new handshake may begin, and
-// those that have begun are waited for. Where the system can't do that, the gap remains.
+// Closing the listening socket resets the connections in its accept queue, including one established between
+// the last accept and the close, and this process may be descheduled for any time in between. So new
+// handshakes are stopped first, and handshakes in progress get time to complete. On a system that can't stop
+// new handshakes the race remains.
 void Listener::StopHandshakes() {
   acceptor_.StopNewHandshakes();
   CloseListenerAfter(limits_.handshake);
@@ -165,6 +166,8 @@
   }
 }
 
-bool Listener::IsPastLastAnswer() const { return stopping() && clock_.Now() >= stop_schedule_.LastAnswer(); }
+bool Listener::IsPastAnswerDeadline() const {
+  return stopping() && clock_.Now() >= stop_schedule_.AnswerDeadline();
+}
 
 }  // namespace badgerbridge::proxy
--- a/src/proxy/listener.h
+++ b/src/proxy/listener.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The client side of the proxy: accepts connections, each of which is a session (proxy/session.h), and ends
-// them in a drain or a stop.
+// The client side of the proxy: accepts connections, each handled by a session (proxy/session.h), and closes
+// them during a drain or a stop.
 #ifndef BADGERBRIDGE_PROXY_LISTENER_H_
 #define BADGERBRIDGE_PROXY_LISTENER_H_
 
@@ -25,51 +25,52 @@
 
 namespace badgerbridge::proxy {
 
-/// Listens for clients. Runs on one thread, that of the io_context; must outlive its sessions' handlers.
+/// Listens for clients. Runs on the io_context's single thread. Must outlive its sessions' handlers.
 class Listener {
  public:
-  /// How long a draining proxy has to be without a request to count as idle.
+  /// How long (in ms) a draining proxy must be without a request to count as idle.
   static constexpr Duration kDrainIdleTime{1000};
 
-  /// Binds, listens and begins to accept; throws boost::system::system_error. The references must outlive
-  /// this.
+  /// Binds, listens and starts to accept; throws boost::system::system_error. The references must outlive
+  /// this object.
   Listener(boost::asio::io_context& io, const ProxyClock& clock, Proxy& proxy, const Config& config,
            ListenerLimits limits = {});
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  /// The address that it listens on. Throws boost::system::system_error once the listening socket is closed.
+  /// The listening address. Throws boost::system::system_error once the listening socket is closed.
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
-  /// Begins a graceful stop: accepts for a while longer, answers all accepted requests, then calls `stopped`
-  /// from the event loop. A second call has no effect.
+  /// Begins a graceful stop: accepts connections for ListenerLimits::accept_grace, answers all accepted
+  /// requests, then calls `stopped` from the event loop. A second call has no effect.
   void Stop(std::function<void()> stopped);
 
-  /// Begins a drain, until Undrain(): GET /ready is answered 503, each answer ends its connection, and idle
-  /// connections are ended. Requests that still come are served as before. Stop() may follow at any time.
+  /// Begins a drain that lasts until Undrain(): GET /ready is answered with 503, each connection is closed
+  /// after its answer, and idle connections are closed. New requests are still served. Stop() may follow at
+  /// any time.
   void Drain();
-  /// Ends a drain.
+  /// Ends a drain. No effect without one.
   void Undrain();
   /// Whether a drain has begun and not ended.
   bool draining() const { return draining_; }
   /// Whether a stop has begun.
   bool stopping() const { return stop_schedule_.has_begun(); }
-  /// Whether no request is open or on its way in, and none has been accepted for kDrainIdleTime.
+  /// Whether no request is open or being received, and none has been accepted for kDrainIdleTime.
   bool IsIdle() const;
 
-  /// Open connections, those included that wait for their client to close.
+  /// Open connections, including lingering ones, which wait for their client to close.
   std::size_t connections() const { return sessions_.size(); }
-  /// Requests that were rejected before they entered the table of requests.
+  /// Requests rejected before they entered the request table.
   std::uint64_t rejected() const { return rejected_; }
-  /// Ids of recent requests that are kept to reject duplicates.
+  /// Number of recent request ids kept to reject duplicates.
   std::size_t recent_ids() const { return recent_ids_.size(); }
 
  private:
-  friend class Session;  // the sessions' own state is theirs, what they share is here
+  friend class Session;  // sessions use the state below, which they share
 
   using AcceptResult = ConnectionAcceptor::AcceptResult;
 
-  // Accepting.
+  // Accept loop.
   void Accept() noexcept;
   void AwaitConnection();
   void OnConnection();
@@ -85,7 +86,7 @@
   void CloseListenerAfter(std::chrono::milliseconds wait);
   void CloseListener();
   void FinishStopIfDone() noexcept;
-  bool IsPastLastAnswer() const;
+  bool IsPastAnswerDeadline() const;
 
   boost::asio::io_context& io_;
   const ProxyClock& clock_;
@@ -100,10 +101,10 @@
   net::OneShotTimer stop_timer_;
   net::OneShotTimer accept_pause_;
   net::OneShotTimer drain_sweep_;
-  std::array<char, 16384> discarded_;  // input that is read only to be dropped, of all sessions
+  std::array<char, 16384> discard_buffer_;  // scratch buffer of all sessions for input that they discard
   SessionList sessions_;
   bool draining_ = false;
-  TimePoint last_request_at_{};  // when one was last accepted, or the drain began
+  TimePoint last_request_at_{};  // when a request was last accepted, or when the drain began
   std::uint64_t rejected_ = 0;
   std::function<void()> stopped_;
 };
--- a/src/proxy/recent_ids.h
+++ b/src/proxy/recent_ids.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The ids of recently accepted requests, by which a duplicate is detected.
+// The ids of recently accepted requests, used to detect duplicates.
 #ifndef BADGERBRIDGE_PROXY_RECENT_IDS_H_
 #define BADGERBRIDGE_PROXY_RECENT_IDS_H_
 
@@ -13,18 +13,18 @@
 
 namespace badgerbridge::proxy {
 
-/// A bounded set of ids, kept as hashes for 10 s: longer than any request and its attempts. Pure: the caller
-/// passes the time.
+/// A bounded set of ids, stored as hashes. Each is kept for 10 s, which is longer than any request and its
+/// attempts last. Reads no clock: the caller passes the time.
 class RecentIds {
  public:
   /// Keeps at most `max_ids` ids; the oldest are dropped first.
   explicit RecentIds(std::size_t max_ids) : max_ids_(max_ids) {}
 
-  /// Adds an id. False if it is in the set already: a request with this id is open, or may still be at a
-  /// backend, which could not tell the two apart. Throws std::bad_alloc.
+  /// Adds an id. False if it is already in the set: a request with this id is open or may still be executing
+  /// at a backend, which could not distinguish the two. Throws std::bad_alloc.
   bool Add(std::string_view id, TimePoint now);
 
-  /// The number of ids in the set.
+  /// Number of ids in the set, at most `max_ids`.
   std::size_t size() const { return hashes_.size(); }
 
  private:
--- a/src/proxy/request_error.cpp
+++ b/src/proxy/request_error.cpp
@@ -3,14 +3,14 @@
 
 namespace badgerbridge::proxy {
 
-// A table of texts: longer than other functions.
+// Exceeds the size limit of functions because it is a table.
 Rejection RejectionOf(RequestError error) {  // NOLINT(readability-function-size)
   switch (error) {
-    case RequestError::kSeveralBodyLengths:
+    case RequestError::kMultipleBodyLengths:
       return {400, "more than one Content-Length or Transfer-Encoding\n"};
     case RequestError::kMalformedContentLength:
       return {400, "malformed Content-Length\n"};
-    case RequestError::kUnknownTransferEncoding:
+    case RequestError::kUnsupportedTransferEncoding:
       return {400, "Transfer-Encoding is not chunked\n"};
     case RequestError::kGetWithBody:
       return {400, "GET with a body\n"};
@@ -20,15 +20,15 @@
       return {400, "malformed target\n"};
     case RequestError::kUnknownClass:
       return {400, "X-Service-Class names no known class\n"};
-    case RequestError::kPathNotOfClass:
+    case RequestError::kPathClassMismatch:
       return {400, "the path does not begin with the class\n"};
     case RequestError::kUnknownTenant:
       return {400, "X-Account names no known tenant\n"};
-    case RequestError::kMethodNotOfClass:
+    case RequestError::kMethodNotAllowed:
       return {405, "this class does not take this method\n"};
-    case RequestError::kReadyNotGet:
+    case RequestError::kReadyMethodNotAllowed:
       return {405, ""};
-    case RequestError::kIdempotencyKeyNotOfClass:
+    case RequestError::kInvalidIdempotencyKey:
       return {400, "Idempotency-Key does not fit the class\n"};
     case RequestError::kMalformedTimeLeft:
       return {400, "X-Time-Left-Ms is no whole number\n"};
@@ -36,17 +36,17 @@
       return {400, "X-Weight-Hint is not a number\n"};
     case RequestError::kMalformedCorrelationId:
       return {400, "X-Correlation-Id is absent or malformed\n"};
-    case RequestError::kCorrelationIdInUse:
+    case RequestError::kDuplicateCorrelationId:
       return {409, "this X-Correlation-Id is in use, or was a moment ago\n"};
     case RequestError::kIncompleteAtClientLimit:
       return {503, "no room for a request that is not whole\n"};
-    case RequestError::kIncompleteInTime:
+    case RequestError::kIncompleteAtTimeout:
       return {408, "the request is not whole\n"};
     case RequestError::kBodyTooLarge:
       return {413, "the body is too large\n"};
     case RequestError::kHeaderTooLarge:
       return {431, "the header is too large\n"};
-    case RequestError::kTooMuchSentAhead:
+    case RequestError::kPipelineOverflow:
       return {400, "too much was sent ahead\n"};
     case RequestError::kMalformed:
       return {400, "malformed request\n"};
--- a/src/proxy/request_error.h
+++ b/src/proxy/request_error.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Why the proxy rejects a client's request before it enters the table of requests, and what it answers.
+// Reasons to reject a client's request before it enters the request table, and the answers to it.
 #ifndef BADGERBRIDGE_PROXY_REQUEST_ERROR_H_
 #define BADGERBRIDGE_PROXY_REQUEST_ERROR_H_
 
@@ -8,44 +8,44 @@
 
 namespace badgerbridge::proxy {
 
-/// Why a request is rejected. The wrong value is the client's own and is not repeated to it.
+/// Why a request is rejected. The answer doesn't echo the invalid value.
 enum class RequestError {
-  kSeveralBodyLengths,        ///< more than one Content-Length or Transfer-Encoding
-  kMalformedContentLength,    ///< Content-Length is no whole number
-  kUnknownTransferEncoding,   ///< Transfer-Encoding is not chunked, or the request is of HTTP/1.0
-  kGetWithBody,               ///< a GET with a body
-  kRepeatedHeader,            ///< a header that counts here stands in the request more than once
-  kMalformedTarget,           ///< the target is no origin form (RFC 9112, 3.2.1)
-  kUnknownClass,              ///< X-Service-Class names no class
-  kPathNotOfClass,            ///< the path's first segment is not the class
-  kUnknownTenant,             ///< X-Account names no tenant
-  kMethodNotOfClass,          ///< the class has another method
-  kReadyNotGet,               ///< /ready with a method other than GET
-  kIdempotencyKeyNotOfClass,  ///< Idempotency-Key is absent, too long, or the class has none
-  kMalformedTimeLeft,         ///< X-Time-Left-Ms is no whole number
-  kMalformedWeightHint,       ///< X-Weight-Hint is no number
-  kMalformedCorrelationId,    ///< X-Correlation-Id is absent or malformed
-  kCorrelationIdInUse,        ///< a request with this X-Correlation-Id was accepted lately
-  kIncompleteAtClientLimit,   ///< incomplete, and its connection makes room for another
-  kIncompleteInTime,          ///< incomplete when its time was over
-  kBodyTooLarge,              ///< the body is over the limit
-  kHeaderTooLarge,            ///< the header is over the limit
-  kTooMuchSentAhead,          ///< more pipelined bytes than the buffer holds
-  kMalformed,                 ///< not HTTP/1.1 otherwise
-  kInternal,                  ///< an exception of the proxy itself, for want of memory for instance
+  kMultipleBodyLengths,          ///< more than one Content-Length or Transfer-Encoding
+  kMalformedContentLength,       ///< Content-Length is not a whole number
+  kUnsupportedTransferEncoding,  ///< Transfer-Encoding is not chunked, or is used with HTTP/1.0
+  kGetWithBody,                  ///< a GET with a body
+  kRepeatedHeader,               ///< a header that must be unique occurs more than once
+  kMalformedTarget,              ///< the target is not in origin form (RFC 9112, 3.2.1)
+  kUnknownClass,                 ///< X-Service-Class names no class
+  kPathClassMismatch,            ///< the path's first segment is not the class
+  kUnknownTenant,                ///< X-Account names no tenant
+  kMethodNotAllowed,             ///< the method is not the one of the class
+  kReadyMethodNotAllowed,        ///< /ready with a method other than GET
+  kInvalidIdempotencyKey,        ///< Idempotency-Key is absent, too long, or not used by the class
+  kMalformedTimeLeft,            ///< X-Time-Left-Ms is not a whole number
+  kMalformedWeightHint,          ///< X-Weight-Hint is not a number
+  kMalformedCorrelationId,       ///< X-Correlation-Id is absent or malformed
+  kDuplicateCorrelationId,       ///< a request with this X-Correlation-Id was accepted recently
+  kIncompleteAtClientLimit,      ///< incomplete when its connection was evicted at the client limit
+  kIncompleteAtTimeout,          ///< incomplete when the time to receive it expired
+  kBodyTooLarge,                 ///< the body exceeds the size limit
+  kHeaderTooLarge,               ///< the header exceeds the size limit
+  kPipelineOverflow,             ///< more pipelined bytes than the input buffer holds
+  kMalformed,                    ///< not valid HTTP/1.1 for any other reason
+  kInternal,                     ///< an exception in the proxy itself, for example out of memory
 };
 
-/// A value, or why the request is rejected.
+/// A value, or the reason to reject the request.
 template <typename T>
 using RequestResult = boost::system::result<T, RequestError>;
 
-/// What a rejected request is answered.
+/// The answer to a rejected request.
 struct Rejection {
-  unsigned status;   ///< of HTTP
-  const char* text;  ///< the body, of static storage duration
+  unsigned status;   ///< HTTP status code
+  const char* body;  ///< static storage duration; may be empty
 };
 
-/// The answer to a request that is rejected for `error`.
+/// The answer for `error`. It closes the connection.
 Rejection RejectionOf(RequestError error);
 
 }  // namespace badgerbridge::proxy
--- a/src/proxy/request_input.cpp
+++ b/src/proxy/request_input.cpp
@@ -18,7 +18,7 @@
   if (error == asio::error::no_memory) return RequestError::kInternal;
   if (error == http::error::body_limit) return RequestError::kBodyTooLarge;
   if (error == http::error::header_limit) return RequestError::kHeaderTooLarge;
-  if (error == http::error::buffer_overflow) return RequestError::kTooMuchSentAhead;
+  if (error == http::error::buffer_overflow) return RequestError::kPipelineOverflow;
   return RequestError::kMalformed;
 }
 
@@ -63,13 +63,14 @@
     if (overflowed_) {
       error = http::error::buffer_overflow;
     } else if (is_full()) {
-      error = http::error::header_limit;  // of a chunk
+      error = http::error::header_limit;  // a chunk header fills the buffer
     }
   }
   if (error) error_ = ToRequestError(error);
 }
 
-// Not by Beast's own read, which does not show that a header has begun until all of it is there.
+// Calls the parser directly, because Beast's read doesn't report a header that has begun until it is
+// complete.
 beast::error_code RequestInput::ParseBuffered() {
   beast::error_code error;
   if (buffer_.size() == 0) return error;
@@ -78,7 +79,7 @@
     buffer_.consume(parsed);
     arrivals_.Consume(parsed);
   } catch (const std::bad_alloc&) {
-    error = asio::error::no_memory;  // the parser can't be used any more
+    error = asio::error::no_memory;  // the parser is unusable after an exception
   }
   return error;
 }
--- a/src/proxy/request_input.h
+++ b/src/proxy/request_input.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The input of a client's connection: bytes that were read, and the requests that they hold.
+// The input of a client connection: buffered bytes and the requests parsed from them.
 #ifndef BADGERBRIDGE_PROXY_REQUEST_INPUT_H_
 #define BADGERBRIDGE_PROXY_REQUEST_INPUT_H_
 
@@ -19,45 +19,45 @@
 
 namespace badgerbridge::proxy {
 
-/// A bounded buffer of input and a parser of one request after another. It reads no socket: the caller copies
-/// bytes in and says when they came. Reset() has to be called before anything else.
+/// A bounded input buffer and a parser for one request after another. It reads no socket: the caller copies
+/// the bytes in and reports when they arrived. Reset() must be called first.
 ///
-/// One request at a time: bytes behind a complete request stay in the buffer until it has been released and
-/// Reset() has been called.
+/// One request is parsed at a time: bytes after a complete request stay in the buffer until that request has
+/// been released and Reset() has been called.
 class RequestInput {
  public:
-  /// Prepares for the next request. Buffered bytes stay.
+  /// Prepares for the next request. Keeps the buffered bytes.
   void Reset();
 
   /// Whether no further bytes fit.
   bool is_full() const { return buffer_.size() == buffer_.max_size(); }
-  /// The number of bytes that were read and not parsed.
+  /// Number of bytes that were read but not parsed yet.
   std::size_t buffered_bytes() const { return buffer_.size(); }
-  /// Room for some bytes, to be followed by Commit(). Throws std::bad_alloc. Requires !is_full().
+  /// Free space for the next read, to be followed by Commit(). Throws std::bad_alloc. Requires !is_full().
   boost::asio::mutable_buffer Prepare();
-  /// Adds the first `bytes` bytes of what Prepare() returned; they came at `arrived_at`.
+  /// Adds the first `bytes` bytes of the space that Prepare() returned; they arrived at `arrived_at`.
   void Commit(std::size_t bytes, TimePoint arrived_at);
-  /// Notes that bytes which did not fit are dropped: a request that is incomplete without them fails.
+  /// Records that bytes which did not fit were dropped. A request that is incomplete without them fails.
   void SetOverflowed() { overflowed_ = true; }
 
-  /// Whether Parse() has something to do.
+  /// Whether Parse() has bytes or an overflow to process.
   bool NeedsParsing() const;
-  /// When the oldest byte in the buffer came; nothing if the buffer is empty.
+  /// When the oldest byte in the buffer arrived; empty if the buffer is empty.
   std::optional<TimePoint> OldestArrival() const;
-  /// Notes that a request begins, and when its first byte came.
+  /// Begins a request whose first byte arrived at `began_at`.
   void Begin(TimePoint began_at);
-  /// Parses what is buffered. Requires NeedsParsing() and has_begun().
+  /// Parses the buffered bytes. Requires NeedsParsing() and has_begun().
   void Parse();
 
-  /// Whether bytes of a request have been parsed that is not released yet.
+  /// Whether Begin() has been called since the last Reset().
   bool has_begun() const { return has_begun_; }
-  /// When that request began.
+  /// When the first byte of the request arrived. Requires has_begun().
   TimePoint began_at() const { return began_at_; }
   /// Whether the request is complete.
   bool IsComplete() const { return parser_->is_done(); }
-  /// Whether the request can't be parsed.
+  /// Whether parsing the request failed.
   bool has_failed() const { return error_.has_value(); }
-  /// Why it can't be parsed; clears that. Requires has_failed().
+  /// Returns and clears the parse error. Requires has_failed().
   RequestError TakeError();
   /// Moves the request out. Requires IsComplete().
   ClientRequest Release() { return parser_->release(); }
--- a/src/proxy/request_validator.cpp
+++ b/src/proxy/request_validator.cpp
@@ -19,17 +19,17 @@
 namespace {
 
 constexpr std::size_t kMaxIdLength = 128;
-constexpr std::size_t kMaxContentLengthDigits = 19;  // fits 64 bits
+constexpr std::size_t kMaxContentLengthDigits = 19;  // fits into 64 bits
 constexpr std::size_t kMaxTimeLeftDigits = 9;
 constexpr unsigned kHttp11 = 11;
 constexpr double kWeightHintUnitsPerMs = 1000;
 
-// Of each of these the value counts, here or at a backend.
+// Headers whose value the proxy or a backend uses, so they must not be repeated.
 constexpr const char* kSingleHeaders[] = {"Host",          "X-Correlation-Id", "X-Service-Class",
                                           "X-Account",     "X-Time-Left-Ms",   "Idempotency-Key",
                                           "X-Weight-Hint", "X-Repeat"};
 
-// The value of the first header of that name; empty if there is none.
+// The value of the first header with this name; empty if there is none.
 std::string_view HeaderOf(const ClientRequest& request, std::string_view name) {
   const beast::string_view value = request[beast::string_view(name.data(), name.size())];
   return {value.data(), value.size()};
@@ -50,7 +50,7 @@
   return !text.empty() && text.size() <= kMaxIdLength && std::all_of(text.begin(), text.end(), IsIdCharacter);
 }
 
-// A finite number that is not below 0.
+// Parses a finite, non-negative number.
 std::optional<double> ParseNumber(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -59,8 +59,8 @@
   return value;
 }
 
-// The affinity key of the object that the request is about; 0: none. From the encoded parameters: Boost.URL
-// decodes the others within functions that may not throw, and ends the process where memory is short.
+// The affinity key of the object in the query; 0 if there is none. Uses the encoded parameters, because
+// Boost.URL decodes the others in noexcept functions, which terminate the process when memory runs out.
 std::uint64_t ObjectKey(const boost::urls::url_view& url) {
   const auto params = url.encoded_params();
   const auto found = params.find("obj");
@@ -80,15 +80,15 @@
 RequestResult<void> CheckMethodAndKey(const ClientRequest& request, const ClassSettings& settings) {
   const bool idempotent = settings.effect == Idempotency::kIdempotent;
   if (request.method() != (idempotent ? http::verb::get : http::verb::post))
-    return RequestError::kMethodNotOfClass;
-  // Without its key a repetition would not be dropped at the backend, and the balancer counts on that.
+    return RequestError::kMethodNotAllowed;
+  // The balancer relies on the backend to drop duplicates, and a backend can't do that without the key.
   const auto key = HeaderOf(request, "Idempotency-Key");
   const bool needs_key = settings.effect == Idempotency::kIdempotencyKey;
-  if (needs_key == key.empty() || key.size() > kMaxIdLength) return RequestError::kIdempotencyKeyNotOfClass;
+  if (needs_key == key.empty() || key.size() > kMaxIdLength) return RequestError::kInvalidIdempotencyKey;
   return {};
 }
 
-// The time that the client has left, at most the class's deadline; from when the request began.
+// The time left to the client, counted from the beginning of the request; at most the deadline of the class.
 RequestResult<Duration> TimeLeft(const ClientRequest& request, const ClassSettings& settings) {
   const Duration deadline(settings.deadline.count());
   if (request.count("X-Time-Left-Ms") == 0) return deadline;
@@ -108,17 +108,17 @@
 
 }  // namespace
 
-// Beast 1.81 rejects some of these; it takes a transfer coding that it does not know as none, the same length
-// twice, and the trailers of chunks as headers.
+// Beast 1.81 rejects only some of these. It ignores an unknown transfer coding, accepts the same
+// Content-Length twice, and treats chunk trailers as headers.
 RequestResult<void> CheckFraming(const ClientRequest& request) {
   const auto lengths = request.count(http::field::content_length);
   const auto encodings = request.count(http::field::transfer_encoding);
-  if (lengths + encodings > 1) return RequestError::kSeveralBodyLengths;
+  if (lengths + encodings > 1) return RequestError::kMultipleBodyLengths;
   if (lengths == 1 && !IsDigits(HeaderOf(request, "Content-Length"), kMaxContentLengthDigits))
     return RequestError::kMalformedContentLength;
   if (encodings == 1 &&
       (request.version() < kHttp11 || !beast::iequals(request[http::field::transfer_encoding], "chunked")))
-    return RequestError::kUnknownTransferEncoding;
+    return RequestError::kUnsupportedTransferEncoding;
   if (request.method() == http::verb::get && HasBody(request)) return RequestError::kGetWithBody;
   for (const char* name : kSingleHeaders) {
     if (request.count(name) > 1) return RequestError::kRepeatedHeader;
@@ -146,7 +146,7 @@
   if (named_class == classes_.end()) return RequestError::kUnknownClass;
   const auto segments = url->encoded_segments();
   if (segments.empty() || std::string_view(segments.front()) != named_class->first)
-    return RequestError::kPathNotOfClass;
+    return RequestError::kPathClassMismatch;
 
   ValidRequest valid;
   valid.service_class = named_class->first;
--- a/src/proxy/request_validator.h
+++ b/src/proxy/request_validator.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What is checked of a client's request before it enters the table of requests.
+// Validation of a client's request before it enters the request table.
 #ifndef BADGERBRIDGE_PROXY_REQUEST_VALIDATOR_H_
 #define BADGERBRIDGE_PROXY_REQUEST_VALIDATOR_H_
 
@@ -16,33 +16,33 @@
 
 namespace badgerbridge::proxy {
 
-/// What a valid request asks for. The views are of the request's own headers.
+/// The fields of a valid request. The views refer to the headers of the validated request.
 struct ValidRequest {
-  Submit submit;                     ///< for the table of requests; without an id
-  std::string service_class;         ///< the class's name
-  std::string_view correlation_id;   ///< the request's id
-  std::string_view idempotency_key;  ///< empty: none
-  std::string_view account;          ///< the tenant's name; empty where requests name none
+  Submit submit;                     ///< for the request table, which assigns the id
+  std::string service_class;         ///< name of the class
+  std::string_view correlation_id;   ///< id of the request
+  std::string_view idempotency_key;  ///< empty if the class uses none
+  std::string_view account;          ///< name of the tenant; empty if no tenants are configured
 };
 
-/// Checks how the length of the body is stated, and that no header that counts here is repeated. Where the
-/// end of a request may be read in two ways, another request may hide in its body (RFC 9112, 11.2).
+/// Checks the headers that determine the body length, and that no header which must be unique is repeated. If
+/// the end of a request is ambiguous, another request can be smuggled in its body (RFC 9112, 11.2).
 RequestResult<void> CheckFraming(const ClientRequest& request);
 
-/// Checks requests against the classes and tenants of a configuration. Only what is checked here is
-/// forwarded: a backend closes its connection on what it can't read.
+/// Checks requests against the classes and tenants of a configuration. Only values checked here are
+/// forwarded, because a backend closes its connection on a request that it can't parse.
 class RequestValidator {
  public:
-  /// Copies what it needs of the configuration.
+  /// Copies the classes and tenants; `config` need not outlive this object.
   explicit RequestValidator(const Config& config);
 
-  /// Checks target, class, tenant, method and headers; framing has been checked. `began_at` is when the
-  /// request's first bytes came, from which its time counts; `latest_due` bounds its deadline. Throws
+  /// Checks target, class, tenant, method and headers. Requires that CheckFraming() passed. The deadline
+  /// counts from `began_at`, when the request's first bytes arrived, and is at most `latest_due`. Throws
   /// std::bad_alloc.
   RequestResult<ValidRequest> Validate(const ClientRequest& request, TimePoint began_at,
                                        TimePoint latest_due) const;
 
-  /// The longest deadline of all classes.
+  /// The longest deadline of all classes; 0 without classes.
   Duration longest_deadline() const;
 
  private:
--- a/src/proxy/requester.h
+++ b/src/proxy/requester.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The receiver of a request's answer, as the proxy sees it: a client's connection.
+// Interface through which the proxy answers a request; a client connection implements it.
 #ifndef BADGERBRIDGE_PROXY_REQUESTER_H_
 #define BADGERBRIDGE_PROXY_REQUESTER_H_
 
@@ -12,10 +12,10 @@
 
 /// The final answer to a request.
 struct Answer {
-  unsigned status = 500;     ///< of HTTP
+  unsigned status = 500;     ///< HTTP status code
   std::string body;          ///< may be empty
-  std::string content_type;  ///< empty: no Content-Type
-  Duration retry_after{0};   ///< of Retry-After; 0: none
+  std::string content_type;  ///< empty for no Content-Type header
+  Duration retry_after{0};   ///< value of Retry-After; 0 for no such header
 };
 
 /// Receives the answer to one request at a time.
@@ -23,13 +23,13 @@
  public:
   virtual ~Requester() = default;
 
-  /// Takes the final answer. Called at most once for each request, possibly from within Proxy::Accept.
+  /// Called with the final answer, at most once for each request, possibly from within Proxy::Accept.
   virtual void OnAnswer(Answer answer) noexcept = 0;
 
-  /// Asks the connection itself whether the client has closed or reset it, whatever events of it are still
-  /// unhandled. If so, the caller does not begin an attempt; Proxy::ClientDisconnected follows from the event
-  /// loop.
-  virtual bool HasLeft() noexcept = 0;
+  /// Checks the socket for whether the client has closed or reset the connection, even if that event has not
+  /// been handled yet. If so, the caller doesn't begin an attempt, and Proxy::ClientDisconnected follows from
+  /// the event loop.
+  virtual bool HasDisconnected() noexcept = 0;
 };
 
 }  // namespace badgerbridge::proxy
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A session's beginning and end: time limits, eviction, and the close.
+// Start and end of a session: timeouts, eviction and close.
 #include "proxy/session.h"
 
 #include <algorithm>
@@ -19,13 +19,14 @@
 
 namespace {
 
-// A client sends a request at once: one that takes longer will not be complete. Also for the first bytes.
+// Clients write a request in one go, so one that takes longer is not going to be completed. Also limits the
+// time to the first byte of a new connection.
 constexpr milliseconds kRequestTimeout{2200};
-// Between requests: more than the 2 s that clients may count on.
-constexpr milliseconds kKeepAliveTimeout{2200};
-constexpr Duration kTypicalFirstRequestTime{250};  // from the connection to a typical client's whole request
-constexpr Duration kTypicalReadTime{1000};         // of an answer, by a typical client
-// For a client that has not read its answer yet, while unread bytes would make the close a reset.
+constexpr milliseconds kKeepAliveTimeout{2200};    // clients may rely on 2 s
+constexpr Duration kTypicalFirstRequestTime{250};  // from connecting until the complete first request
+constexpr Duration kTypicalReadTime{1000};         // for reading a complete answer
+// Extensions for a client that has not received its answer, if unread bytes would turn the close into a
+// reset.
 constexpr int kMaxLingerExtensions = 3;
 
 }  // namespace
@@ -41,16 +42,17 @@
     beast::error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
     socket_.non_blocking(true, ignored);
-    since_ = listener_.clock_.Now();
+    state_since_ = listener_.clock_.Now();
     input_.Reset();
     ArmTimer(kRequestTimeout);
     AwaitInput();
   });
 }
 
-// After an exception. What is owed is still given; a second exception here ends the connection.
+// Called after an exception. Still answers the request if there is one; a second exception closes the
+// connection.
 void Session::Recover(const std::exception& cause) noexcept {
-  std::cerr << "a connection's event could not be handled: " << cause.what() << '\n';
+  std::cerr << "failed to handle an event of a client connection; recovering: " << cause.what() << '\n';
   try {
     ResumeState();
   } catch (const std::exception&) {
@@ -58,8 +60,8 @@
   }
 }
 
-// The table answers the requests that it holds, an answer that is being written is written on, and what has
-// been read of a request is answered.
+// Continues in the current state: a partly read request is rejected, a request in the table stays there, and
+// an answer is written further.
 void Session::ResumeState() {
   switch (state_) {
     case State::kAwaitingFirst:
@@ -89,24 +91,24 @@
 }
 
 bool Session::HasBeenIdleFor(Duration min_idle) const {
-  return state_ == State::kIdle && listener_.clock_.Now() - since_ >= min_idle &&
+  return state_ == State::kIdle && listener_.clock_.Now() - state_since_ >= min_idle &&
          net::UnreadBytes(socket_) == 0;
 }
 
 bool Session::HasSentNothing() const {
-  return state_ == State::kAwaitingFirst && listener_.clock_.Now() - since_ >= kTypicalFirstRequestTime &&
-         net::UnreadBytes(socket_) == 0;
+  return state_ == State::kAwaitingFirst &&
+         listener_.clock_.Now() - state_since_ >= kTypicalFirstRequestTime && net::UnreadBytes(socket_) == 0;
 }
 
 bool Session::IsSlowToSend() const {
-  return state_ == State::kReceiving && listener_.clock_.Now() - since_ >= kTypicalFirstRequestTime;
+  return state_ == State::kReceiving && listener_.clock_.Now() - state_since_ >= kTypicalFirstRequestTime;
 }
 
 bool Session::IsSlowToRead() const {
-  return state_ == State::kAnswering && listener_.clock_.Now() - since_ >= kTypicalReadTime;
+  return state_ == State::kAnswering && listener_.clock_.Now() - state_since_ >= kTypicalReadTime;
 }
 
-bool Session::EndedCleanly() const {
+bool Session::CanCloseWithoutLoss() const {
   return is_lingering() && net::UnreadBytes(socket_) == 0 && net::UnacknowledgedBytes(socket_) == 0;
 }
 
@@ -121,7 +123,7 @@
   try {
     if (former == State::kServing) listener_.proxy_.ClientDisconnected(std::exchange(request_, 0));
   } catch (const std::exception& error) {
-    std::cerr << "a departure could not be noted: " << error.what() << '\n';
+    std::cerr << "failed to report a client disconnect to the request table: " << error.what() << '\n';
   }
   listener_.Remove(position_);
 }
@@ -151,7 +153,7 @@
   });
 }
 
-// From here on nothing is read that could be a request.
+// After this call no input is parsed as a request.
 void Session::BeginLinger(InputMode mode) {
   state_ = State::kLingering;
   input_mode_ = mode;
@@ -164,13 +166,13 @@
   AwaitInput();
 }
 
-bool Session::HasLeft() noexcept {
+bool Session::HasDisconnected() noexcept {
   if (state_ == State::kClosed) return true;
   if (!net::PeerHasClosed(socket_)) return false;
   try {
     asio::post(listener_.io_, [self = shared_from_this()] { self->Close(); });
   } catch (const std::exception&) {
-    // The wait for input reports the departure as well.
+    // The pending wait for input detects the disconnect as well.
   }
   return true;
 }
@@ -182,7 +184,7 @@
     case State::kReceiving:
       return OnReceiveTimeout();
     case State::kAnswering:
-      return Close();  // a client that does not read must not hold the connection for ever
+      return Close();  // a client that doesn't read must not hold the connection forever
     case State::kLingering:
       return OnLingerTimeout();
     case State::kServing:
@@ -191,15 +193,16 @@
   }
 }
 
-// The rest of the request, or the next one, may have come in the same turn of the loop.
+// The rest of the request, or the next one, may have arrived in the same event loop iteration.
 void Session::OnReceiveTimeout() {
   ReadAllUnread();
   if (!IsBeforeServing() || timer_.armed()) return;
-  if (state_ == State::kReceiving) return Reject(RequestError::kIncompleteInTime);
+  if (state_ == State::kReceiving) return Reject(RequestError::kIncompleteAtTimeout);
   BeginLinger(InputMode::kLeaveUnread);
 }
 
-// A close over unread bytes is a reset, which would take away what the client has not got yet.
+// Closing with unread bytes resets the connection, which would lose data that the client has not received
+// yet.
 void Session::OnLingerTimeout() {
   const bool would_lose = net::UnreadBytes(socket_) > 0 && net::UnacknowledgedBytes(socket_) > 0;
   if (!would_lose || ++linger_extensions_ > kMaxLingerExtensions) return Close();
@@ -217,7 +220,7 @@
     const StopSchedule& schedule = listener_.stop_schedule_;
     const TimePoint now = listener_.clock_.Now();
     const milliseconds rest = state_ == State::kReceiving
-                                  ? std::min(listener_.limits_.linger, schedule.UntilLastAnswer(now))
+                                  ? std::min(listener_.limits_.linger, schedule.UntilAnswerDeadline(now))
                                   : schedule.UntilServingEnds(now);
     wait = std::min(wait, rest);
   }
--- a/src/proxy/session.h
+++ b/src/proxy/session.h
@@ -1,22 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A session: one client's connection, from accept to close. Only the listener's and the session's own files
-// use it.
+// A session: one client connection, from accept to close. Included only by the listener and the session
+// files.
 //
-// States and transitions (docs/design.md, "Race conditions", says why each is as it is):
+// States and transitions (docs/design.md, "Race conditions", gives the reasons):
 //
 //   kAwaitingFirst, kIdle --first bytes--> kReceiving
 //   kReceiving --complete, valid--> kServing --answer--> kAnswering
-//   kReceiving --rejected, time over, eviction, GET /ready--> kAnswering
-//   kAnswering --written, the next has begun--> kReceiving
+//   kReceiving --rejected, timeout, eviction, GET /ready--> kAnswering
+//   kAnswering --written, next request has begun--> kReceiving
 //   kAnswering --written, connection kept--> kIdle
 //   kAnswering --written, last answer--> kLingering
-//   kAwaitingFirst --time over, eviction--> kLingering
-//   kIdle --time over, eviction, drain, stop--> kLingering
-//   any state --client has left--> kClosed
-//   kAnswering, kLingering --time over, room needed--> kClosed
+//   kAwaitingFirst --timeout, eviction--> kLingering
+//   kIdle --timeout, eviction, drain, stop--> kLingering
+//   any state --client disconnected--> kClosed
+//   kAnswering, kLingering --timeout, eviction--> kClosed
 //
-// After an exception, a request that is owed an answer goes to kAnswering with a fixed 500.
+// After an exception, a session with an unanswered request enters kAnswering with a fixed 500.
 #ifndef BADGERBRIDGE_PROXY_SESSION_H_
 #define BADGERBRIDGE_PROXY_SESSION_H_
 
@@ -37,87 +37,88 @@
 
 namespace badgerbridge::proxy {
 
-/// One connection of a client, from accept to close. Runs on the listener's thread.
+/// One client connection, from accept to close. Runs on the listener's thread.
 ///
-/// Input. Bytes stay in the kernel until the handler that acts on them reads them: the session waits for
-/// readability and reads without blocking. So net::UnreadBytes() tells at any moment whether something has
-/// come that was not handled; an asynchronous read would hold bytes whose handler is still queued, and every
-/// decision to end the connection would miss them. A wait is always pending, also while a request is served:
-/// it detects that the client leaves.
+/// Input. Bytes stay in the kernel until the handler that processes them reads them: the session waits for
+/// readability and then reads without blocking. So net::UnreadBytes() reports at any moment whether
+/// unprocessed input has arrived. An asynchronous read would hold bytes while its handler is still queued,
+/// and a decision to close the connection would miss them. A wait for readability is always pending, also
+/// while a request is served, to detect that the client disconnects.
 ///
-/// End. A connection ends in one way: its sending side is shut down, the client has a bounded time to close
-/// its own, then it is closed. What crosses the end of a connection between requests is left unread, so that
-/// it was not accepted and its client may send it once more. Only after a rejection, or a request with
-/// `Connection: close`, is what still comes read and dropped: closing over unread bytes resets a connection,
-/// and could take the answer away.
+/// Close. Every connection is closed in the same steps: its sending side is shut down, the client gets a
+/// bounded time to close its own side, then the socket is closed. A request that crosses the shutdown of an
+/// idle connection is left unread: it was not accepted, so its client may retry it. Further input is read and
+/// discarded only after a rejection or a request with `Connection: close`, because closing a socket with
+/// unread bytes resets the connection, and the client could lose the answer.
 ///
-/// Exceptions. None leaves a handler: a request that is owed an answer gets a fixed 500 that needs no memory,
-/// and a connection that is owed nothing is closed.
+/// Exceptions. None escapes a handler: an unanswered request gets a fixed 500 that needs no memory, and a
+/// connection without one is closed.
 class Session : public Requester, public std::enable_shared_from_this<Session> {
  public:
-  /// A session without a connection yet. The listener must outlive its handlers.
+  /// Creates a session without a connection. `listener` must outlive the session's handlers.
   explicit Session(Listener& listener);
 
-  /// Takes over the descriptor of an accepted connection; if it throws, it has not taken it.
+  /// Takes ownership of the descriptor of an accepted connection, unless it throws.
   void Adopt(const boost::asio::ip::tcp& protocol, int descriptor);
-  /// Begins to read; `position` is the session's own in the listener's list.
+  /// Starts to read. `position` is that of this session in the listener's list.
   void Start(SessionList::Position position) noexcept;
 
-  /// Whether it has been between requests for `min_idle`, and nothing is unread. If its next request crosses
-  /// a close, the client sends it once more, on a new connection.
+  /// Whether the connection has been idle between requests for `min_idle` and has no unread input. If the
+  /// next request crosses a close, the client retries it on a new connection.
   bool HasBeenIdleFor(Duration min_idle) const;
-  /// Whether it has never sent a byte, for longer than a typical client needs.
+  /// Whether the client has sent no byte since it connected, for longer than a typical client needs.
   bool HasSentNothing() const;
-  /// Whether it sends its request more slowly than a typical client.
+  /// Whether the client sends its request more slowly than a typical client.
   bool IsSlowToSend() const;
-  /// Whether it reads its answer more slowly than a typical client.
+  /// Whether the client reads its answer more slowly than a typical client.
   bool IsSlowToRead() const;
-  /// Whether nothing of it is owed an answer.
+  /// Whether no request is being received, served or answered.
   bool IsIdle() const;
-  /// Whether it was shut down, and waits for its client to close.
+  /// Whether the sending side is shut down and the session waits for its client to close.
   bool is_lingering() const { return state_ == State::kLingering; }
-  /// Whether it lingers, and a close now would take nothing away from the client.
-  bool EndedCleanly() const;
+  /// Whether the session lingers, and closing it now would lose no data that the client has yet to receive.
+  bool CanCloseWithoutLoss() const;
 
-  /// Shuts the connection down between requests. No effect once a request has begun to come.
+  /// Shuts the connection down if it is between requests. No effect once bytes of a request have arrived.
   void ShutdownIfIdle() noexcept;
-  /// For when the limit of clients is reached: reads what has come. A request that is complete then is
-  /// served; an incomplete one is answered with an error, and the connection ends. No effect unless a request
-  /// is on its way in.
+  /// Evicts a session that is receiving a request, at the client limit: reads the available input, then
+  /// serves the request if it is complete, or else rejects it and ends the connection. No effect in other
+  /// states.
   void RejectPartialRequest() noexcept;
-  /// Closes at once, whatever the client is owed.
+  /// Closes the connection immediately, even if a request is unanswered.
   void Close() noexcept;
-  /// During a drain: shuts the connection down between requests, unless the next one has come. One that has
-  /// sent no request yet has its own time limit.
+  /// During a drain: shuts the connection down if it is between requests and the next one has not arrived. A
+  /// connection without a first request is left to its own timeout.
   void EndIfDrained() noexcept;
-  /// Once the listener has closed: shuts the connection down between requests. Unread bytes are a request
-  /// that was accepted. A new connection, and an incomplete request, have a bounded time left.
+  /// After the listening socket has closed: shuts the connection down if it is between requests without
+  /// unread input, which counts as an accepted request. A new connection or an incomplete request gets a
+  /// bounded time.
   void BeginDrain() noexcept;
 
-  /// Writes the answer to the client, unless it has left.
+  /// Writes the answer to the client, unless the connection is closed.
   void OnAnswer(Answer answer) noexcept override;
-  bool HasLeft() noexcept override;
+  bool HasDisconnected() noexcept override;
 
  private:
   enum class State {
-    kAwaitingFirst,  // connected; no byte of a request has been parsed
+    kAwaitingFirst,  // connected; no byte of the first request has been parsed
     kIdle,           // between requests
     kReceiving,      // a request is incomplete
-    kServing,        // its request is in the table of requests
+    kServing,        // its request is in the request table
     kAnswering,      // an answer is being written
-    kLingering,      // shut down: waits for the client to close its side
+    kLingering,      // sending side shut down; waits for the client to close its side
     kClosed,
   };
-  // What is done with input that comes.
+  // How further input is handled.
   enum class InputMode {
     kParse,
-    kDiscard,      // read and dropped: no request, or behind an error or the client's last request
-    kLeaveUnread,  // not read any more
+    kDiscard,      // read and dropped, after an error or the client's last request
+    kLeaveUnread,  // left in the kernel
   };
 
-  // session.cpp: transitions of the beginning and the end, and time limits.
-  // Runs one step of a handler. An exception (memory may run out in the midst of its changes) goes to
-  // Recover, which answers what is owed.
+  // session.cpp: start, close and timeouts.
+  // Runs one step of a handler. An exception, for example when memory runs out halfway, is passed to Recover,
+  // which answers the request if there is one.
   template <typename Step>
   void Guarded(Step step) noexcept {
     try {
@@ -136,7 +137,7 @@
   void ArmTimer(std::chrono::milliseconds wait);
   void ArmReceiveTimeout();
 
-  // session_read.cpp: from input to complete requests.
+  // session_read.cpp: reads input and parses it into requests.
   void AwaitInput();
   void OnReadable();
   bool ReadSome();
@@ -148,39 +149,39 @@
   void ParseInput();
   void Advance();
 
-  // session_request.cpp: from a complete request to the table of requests.
+  // session_request.cpp: validates complete requests and adds them to the request table.
   void ServeNext();
   RequestResult<void> Serve(ClientRequest& request, TimePoint began_at);
   RequestResult<void> ServeReady(const ClientRequest& request);
   void BeginServing(ClientRequest& request, ValidRequest& valid);
 
-  // session_write.cpp: answers.
+  // session_write.cpp: writes answers.
   void Reject(RequestError error);
   void BeginAnswer(const Answer& answer) noexcept;
   void WriteSome();
   void AwaitWritable();
   void PostEndAnswer();
   void EndAnswer();
-  bool HasNextRequestCome() const;
+  bool HasNextRequestArrived() const;
 
   Listener& listener_;
   boost::asio::ip::tcp::socket socket_;
-  net::OneShotTimer timer_;          // of the state; at most one limit holds at a time
-  net::OneShotTimer discard_pause_;  // between pieces of discarded input
+  net::OneShotTimer timer_;          // timeout of the current state
+  net::OneShotTimer discard_pause_;  // limits the rate of discarding input
   SessionList::Position position_;
   State state_ = State::kAwaitingFirst;
   InputMode input_mode_ = InputMode::kParse;
   bool is_awaiting_input_ = false;  // a wait for readability is pending
-  // Since when the connection is idle, the request incomplete, or the answer written.
-  TimePoint since_{};
+  // Since when the connection has been idle, the request incomplete, or the answer being written.
+  TimePoint state_since_{};
 
   RequestInput input_;
-  bool client_keeps_alive_ = true;  // as the last request says; false behind a rejection
-  RequestId request_ = 0;           // in the table of requests
+  bool client_keeps_alive_ = true;  // as the last request asked; false after a rejection
+  RequestId request_ = 0;           // id in the request table; 0 if none
   AnswerBuffer answer_;
-  bool keep_after_answer_ = false;
+  bool keep_alive_after_answer_ = false;
 
-  std::size_t discarded_bytes_ = 0;  // since it began to linger, or since it discards
+  std::size_t discarded_bytes_ = 0;  // since lingering or discarding began
   int linger_extensions_ = 0;
 };
 
--- a/src/proxy/session_list.cpp
+++ b/src/proxy/session_list.cpp
@@ -10,17 +10,16 @@
 
 namespace {
 
-constexpr Duration kSettledIdleTime{2000};  // no request of this client can be on its way any more
+constexpr Duration kSafeIdleTime{2000};  // no request of this client can still be in transit
 
 struct EvictionRule {
   bool (*applies)(const Session&);
   void (Session::*evict)() noexcept;
 };
 
-// In this order.
+// Tried in this order.
 constexpr EvictionRule kEvictionRules[] = {
-    {[](const Session& session) { return session.HasBeenIdleFor(kSettledIdleTime); },
-     &Session::ShutdownIfIdle},
+    {[](const Session& session) { return session.HasBeenIdleFor(kSafeIdleTime); }, &Session::ShutdownIfIdle},
     {[](const Session& session) { return session.HasSentNothing(); }, &Session::ShutdownIfIdle},
     {[](const Session& session) { return session.IsSlowToSend(); }, &Session::RejectPartialRequest},
     {[](const Session& session) { return session.HasBeenIdleFor(Duration(0)); }, &Session::ShutdownIfIdle},
@@ -52,7 +51,7 @@
 
 void SessionList::CloseOneLingering() {
   std::shared_ptr<Session> session =
-      FindFirst([](const Session& candidate) { return candidate.EndedCleanly(); });
+      FindFirst([](const Session& candidate) { return candidate.CanCloseWithoutLoss(); });
   if (!session) session = FindFirst([](const Session& candidate) { return candidate.is_lingering(); });
   if (session) session->Close();
 }
--- a/src/proxy/session_list.h
+++ b/src/proxy/session_list.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The open client connections of a listener, and which of them is evicted for another.
+// The open client connections of a listener, and the choice of one to evict.
 #ifndef BADGERBRIDGE_PROXY_SESSION_LIST_H_
 #define BADGERBRIDGE_PROXY_SESSION_LIST_H_
 
@@ -13,44 +13,44 @@
 
 class Session;
 
-/// Sessions in the order in which their last answers ended, the earliest first. Shares their ownership with
-/// the handlers that wait for their sockets and timers.
+/// Sessions ordered by the end of their last answer, earliest first. Shares ownership with the pending
+/// handlers of their sockets and timers.
 class SessionList {
  public:
-  /// The form in which a session is added, so that adding it needs no memory.
+  /// List type, in which a session is passed to Append(), so that adding it allocates no memory.
   using Sessions = std::list<std::shared_ptr<Session>>;
-  /// Of a session in the list; valid until it is removed.
+  /// Position of a session in the list; valid until the session is removed.
   using Position = Sessions::iterator;
 
-  /// Moves the one session of `session` to the end of the list.
+  /// Moves the only session in `session` to the end of the list.
   Position Append(Sessions& session) noexcept;
-  /// Removes a session.
+  /// Removes a session and invalidates its position.
   void Remove(Position position) noexcept { sessions_.erase(position); }
-  /// Moves a session whose answer has ended to the end.
+  /// Moves a session to the end, because its answer has ended.
   void MoveToBack(Position position) noexcept { sessions_.splice(sessions_.end(), sessions_, position); }
 
-  /// All sessions, lingering ones included.
+  /// Number of sessions, including lingering ones.
   std::size_t size() const { return sessions_.size(); }
-  /// Whether there is none.
+  /// Whether there is no session, not even a lingering one.
   bool empty() const { return sessions_.empty(); }
-  /// The sessions that are not lingering.
+  /// Number of sessions that are not lingering.
   std::size_t active() const { return sessions_.size() - lingering_; }
-  /// Counts a session that has begun to linger: it was shut down, and waits for its client to close.
+  /// Counts a session that began to linger: it is shut down and waits for its client to close.
   void AddLingering() { ++lingering_; }
-  /// Counts a lingering session that has been closed.
+  /// Counts the close of a lingering session.
   void RemoveLingering() { --lingering_; }
 
-  /// Ends one session that can be spared, to make room for another. An idle one is shut down, and one with an
-  /// incomplete request is answered first (or served, if the rest has come meanwhile): their descriptors
-  /// become free when the client closes its side, or the linger time is over. One that does not read its
-  /// answer is closed at once. False if none can be spared.
+  /// Evicts one session to make room for another. An idle session is shut down. A session with an incomplete
+  /// request is rejected first, or served if the rest has arrived meanwhile. The descriptor of either becomes
+  /// free when the client closes its side or the linger time expires. A session whose client doesn't read its
+  /// answer is closed immediately. False if no session can be evicted.
   bool Evict();
-  /// Closes one lingering session, preferably one from which the close takes nothing away.
+  /// Closes one lingering session, preferably one whose client has received everything.
   void CloseOneLingering();
 
-  /// Whether no session has a request that is open or on its way in.
+  /// Whether no session is receiving, serving or answering a request.
   bool AllIdle() const;
-  /// All sessions, for a loop whose body may remove some.
+  /// A copy of the list, for a loop whose body may remove sessions.
   std::vector<std::shared_ptr<Session>> Snapshot() const { return {sessions_.begin(), sessions_.end()}; }
 
  private:
--- a/src/proxy/session_read.cpp
+++ b/src/proxy/session_read.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A session's reading: from bytes to complete requests, one after another.
+// Reads the input of a session and parses it into requests, one after another.
 #include <boost/asio/buffer.hpp>
 #include <optional>
 
@@ -15,17 +15,18 @@
 
 namespace {
 
-constexpr std::size_t kMaxDiscardedBytes = 256 << 10;  // without a pause
+constexpr std::size_t kMaxDiscardedBytes = 256 << 10;  // before discarding slows down or stops
 constexpr std::chrono::milliseconds kDiscardPause{2};
 
 }  // namespace
 
 void Session::AwaitInput() {
   if (is_awaiting_input_ || state_ == State::kClosed) return;
-  // A pipelined request is not read any more once there is no time left to answer it: what has been read must
-  // be answered here, what has not can be sent elsewhere.
+  // Stops reading pipelined requests once there is no time left to answer them. A request that has been read
+  // must be answered by this proxy; the client can send an unread one elsewhere.
   const bool is_pipelined = state_ == State::kServing || state_ == State::kAnswering;
-  if (is_pipelined && input_mode_ == InputMode::kParse && !input_.has_begun() && listener_.IsPastLastAnswer())
+  if (is_pipelined && input_mode_ == InputMode::kParse && !input_.has_begun() &&
+      listener_.IsPastAnswerDeadline())
     return;
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](beast::error_code error) {
     self->is_awaiting_input_ = false;
@@ -47,20 +48,20 @@
   }
 }
 
-// False if nothing has come, or the client has left.
+// False if there was no input, or the client has disconnected.
 bool Session::ReadSome() {
   if (input_.is_full()) {
     input_.SetOverflowed();
     input_mode_ = InputMode::kDiscard;
     return true;
   }
-  // Before the read: it may throw, and bytes that were read must not be lost.
+  // Allocates before the read, because it may throw and bytes already read would be lost.
   const asio::mutable_buffer buffer = input_.Prepare();
   beast::error_code error;
   const std::size_t bytes = socket_.read_some(buffer, error);
   if (error == asio::error::would_block) return false;
   if (error) {
-    Close();  // the client has left
+    Close();  // the client has disconnected
     return false;
   }
   const Duration age = net::TimeSinceLastDataReceived(socket_).value_or(std::chrono::milliseconds(0));
@@ -68,7 +69,7 @@
   return true;
 }
 
-// For a decision that must consider all that has come. Bounded by the buffer.
+// Called before a decision that must consider all input that has arrived. Bounded by the size of the buffer.
 void Session::ReadAllUnread() {
   while (IsBeforeServing() && input_mode_ == InputMode::kParse &&
          (net::UnreadBytes(socket_) > 0 || net::PeerHasClosed(socket_))) {
@@ -77,13 +78,14 @@
   }
 }
 
-// The body of a rejected request may be large: past a limit a connection that lingers is not read any more.
-// One that is owed an answer is read on, slowly: its end may stand behind what it sent.
+// The body of a rejected request may be large, so a lingering session stops reading at a limit. A session
+// with an unanswered request reads on at a low rate, because the client's close may follow the discarded
+// input.
 void Session::DiscardSome() {
   beast::error_code error;
-  const std::size_t bytes = socket_.read_some(asio::buffer(listener_.discarded_), error);
+  const std::size_t bytes = socket_.read_some(asio::buffer(listener_.discard_buffer_), error);
   if (error == asio::error::would_block) return AwaitInput();
-  if (error) return Close();  // the client has left
+  if (error) return Close();  // the client has disconnected
   discarded_bytes_ += bytes;
   if (discarded_bytes_ <= kMaxDiscardedBytes) return AwaitInput();
   if (state_ == State::kLingering) return AwaitHangup();
@@ -92,31 +94,31 @@
   });
 }
 
-// Input behind the end stays in the kernel.
+// Input that arrives after the shutdown stays in the kernel.
 void Session::CheckForClose() {
   if (net::PeerHasClosed(socket_)) return Close();
   if (net::UnreadBytes(socket_) > 0) return AwaitHangup();
   AwaitInput();
 }
 
-// Readability says nothing any more, since bytes stay unread. Both sides have been shut down once the client
-// closes its own, and that is an error event to the system.
+// The socket stays readable because of the unread bytes, so readability can't show a close. Once the client
+// closes its side, both sides are shut down, which poll reports as an error event.
 void Session::AwaitHangup() {
   socket_.async_wait(tcp::socket::wait_error, [self = shared_from_this()](beast::error_code error) {
     if (!error) self->Close();
   });
 }
 
-// A request's time counts from when its first bytes came, not from when they are read: this process may have
-// been descheduled, or the connection may have waited to be accepted. The state of a connection that serves
-// another request changes when that one is answered.
+// The deadline of a request counts from the arrival of its first bytes, not from the read: this process may
+// have been descheduled, or the connection may have waited in the accept queue. If another request is being
+// served, the state changes after its answer.
 void Session::BeginRequest() {
   const std::optional<TimePoint> arrival = input_.OldestArrival();
   input_.Begin(arrival ? *arrival : listener_.clock_.Now());
-  since_ = input_.began_at();
+  state_since_ = input_.began_at();
   const State former = state_;
   if (IsBeforeServing()) state_ = State::kReceiving;
-  // The keep-alive time is over. The time for the first request counts from the connection.
+  // The request timeout replaces the keep-alive timeout. For the first request it has run since the connect.
   if (former == State::kIdle) ArmReceiveTimeout();
 }
 
@@ -124,10 +126,11 @@
   if (!input_.NeedsParsing()) return;
   if (!input_.has_begun()) BeginRequest();
   input_.Parse();
-  if (input_.has_failed()) input_mode_ = InputMode::kDiscard;  // what follows is no request
+  if (input_.has_failed()) input_mode_ = InputMode::kDiscard;  // the next request can't be located
 }
 
-// Acts on what has been read, once the request before it has been answered.
+// Parses the input and serves or rejects the request, unless an earlier one is still being served or
+// answered.
 void Session::Advance() {
   ParseInput();
   if (!IsBeforeServing()) return;
--- a/src/proxy/session_request.cpp
+++ b/src/proxy/session_request.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A session's requests: from a complete request to the table of requests.
+// Validates the complete requests of a session and adds them to the request table.
 #include <exception>
 #include <iostream>
 #include <memory>
@@ -19,16 +19,16 @@
   const TimePoint began_at = input_.began_at();
   client_keeps_alive_ = request.keep_alive();
   input_.Reset();
-  // After a request with `Connection: close` the client may send no other; what it still sends is dropped.
+  // After a request with `Connection: close` the client must not send another one; further input is dropped.
   if (!client_keeps_alive_) input_mode_ = InputMode::kDiscard;
   try {
     if (const auto served = Serve(request, began_at); !served) Reject(served.error());
   } catch (const std::exception& error) {
-    // It is not in the table then.
-    std::cerr << "a request could not be taken: " << error.what() << '\n';
+    // The request is not in the table.
+    std::cerr << "failed to accept a client request; answering it with 500: " << error.what() << '\n';
     if (IsBeforeServing() || state_ == State::kServing) Reject(RequestError::kInternal);
   }
-  // Of the next request bytes may be buffered: it begins once this one is in the table or answered.
+  // Bytes of the next request may be buffered; it begins once this one is in the table or answered.
   if (client_keeps_alive_ && state_ != State::kClosed) ParseInput();
 }
 
@@ -36,17 +36,17 @@
   if (const auto framing = CheckFraming(request); !framing) return framing.error();
   if (request.target() == "/ready") return ServeReady(request);
   RequestResult<ValidRequest> valid =
-      listener_.validator_.Validate(request, began_at, listener_.stop_schedule_.LastAnswer());
+      listener_.validator_.Validate(request, began_at, listener_.stop_schedule_.AnswerDeadline());
   if (!valid) return valid.error();
-  // Last, so that only the ids of accepted requests are kept.
+  // The last check, so that only ids of accepted requests are kept.
   if (!listener_.recent_ids_.Add(valid->correlation_id, listener_.clock_.Now()))
-    return RequestError::kCorrelationIdInUse;
+    return RequestError::kDuplicateCorrelationId;
   BeginServing(request, *valid);
   return {};
 }
 
 RequestResult<void> Session::ServeReady(const ClientRequest& request) {
-  if (request.method() != http::verb::get) return RequestError::kReadyNotGet;
+  if (request.method() != http::verb::get) return RequestError::kReadyMethodNotAllowed;
   const bool ready = !listener_.stopping() && !listener_.draining() && listener_.proxy_.CanServe();
   Answer answer;
   answer.status = ready ? 200 : 503;
@@ -69,7 +69,7 @@
   listener_.last_request_at_ = listener_.clock_.Now();
   state_ = State::kServing;
   const RequestId id = listener_.proxy_.Accept(valid.submit, std::move(forwarded), shared_from_this());
-  if (state_ == State::kServing) request_ = id;  // else it has been answered
+  if (state_ == State::kServing) request_ = id;  // otherwise it has been answered
 }
 
 }  // namespace badgerbridge::proxy
--- a/src/proxy/session_write.cpp
+++ b/src/proxy/session_write.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A session's answers.
+// Writes the answers of a session.
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/post.hpp>
 #include <chrono>
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kWriteTimeout{5000};  // longer than any deadline
+constexpr std::chrono::milliseconds kWriteTimeout{5000};  // longer than any request deadline
 
 }  // namespace
 
@@ -27,8 +27,8 @@
   BeginAnswer(answer);
 }
 
-// The connection ends with this answer. After a malformed request nothing can be read as another; after the
-// other rejections, to read on would not be worth it.
+// The connection ends with this answer. After a malformed request the start of the next one is unknown; after
+// other rejections, reading on isn't worth the effort.
 void Session::Reject(RequestError error) {
   client_keeps_alive_ = false;
   input_mode_ = InputMode::kDiscard;
@@ -36,7 +36,7 @@
   const Rejection rejection = RejectionOf(error);
   Answer answer;
   answer.status = rejection.status;
-  answer.body = rejection.text;
+  answer.body = rejection.body;
   answer.content_type = "text/plain";
   BeginAnswer(answer);
 }
@@ -44,16 +44,16 @@
 void Session::BeginAnswer(const Answer& answer) noexcept {
   state_ = State::kAnswering;
   const bool is_ending = listener_.stopping() || listener_.draining();
-  keep_after_answer_ = client_keeps_alive_ && (!is_ending || HasNextRequestCome());
-  if (!answer_.Assign(answer, keep_after_answer_)) keep_after_answer_ = false;
-  since_ = listener_.clock_.Now();
+  keep_alive_after_answer_ = client_keeps_alive_ && (!is_ending || HasNextRequestArrived());
+  if (!answer_.Assign(answer, keep_alive_after_answer_)) keep_alive_after_answer_ = false;
+  state_since_ = listener_.clock_.Now();
   Guarded([this] {
     timer_.Disarm();
     WriteSome();
   });
 }
 
-// As much as the system takes at once; nearly always, all of it.
+// Usually writes the whole answer without waiting.
 void Session::WriteSome() {
   while (!answer_.unwritten().empty()) {
     const std::string_view text = answer_.unwritten();
@@ -62,7 +62,7 @@
     if (error == asio::error::would_block) return AwaitWritable();
     if (error) {
       answer_.DropUnwritten();
-      keep_after_answer_ = false;  // the client has left, which the linger detects
+      keep_alive_after_answer_ = false;  // the client has disconnected, which lingering detects
       break;
     }
     answer_.Consume(bytes);
@@ -77,26 +77,26 @@
   });
 }
 
-// From the event loop: the caller may be in the midst of other sessions' work, and many answers in a row
-// must not nest.
+// Posts EndAnswer to the event loop, because the caller may be processing other sessions, and a long series
+// of answers must not recurse.
 void Session::PostEndAnswer() {
   asio::post(listener_.io_, [self = shared_from_this()] {
     if (self->state_ == State::kAnswering) self->Guarded([&session = *self] { session.EndAnswer(); });
   });
 }
 
-// Whether a request follows the one that is answered now. What has been read must be answered on this
-// connection; what has only come is left unread where this proxy has no more time for it.
-bool Session::HasNextRequestCome() const {
+// Whether a request follows the one being answered. Input that has been read must be answered on this
+// connection; input that is still unread is left so if the proxy has no time to answer it.
+bool Session::HasNextRequestArrived() const {
   if (input_.has_begun() || input_.buffered_bytes() > 0) return true;
-  return !listener_.IsPastLastAnswer() && net::UnreadBytes(socket_) > 0;
+  return !listener_.IsPastAnswerDeadline() && net::UnreadBytes(socket_) > 0;
 }
 
 void Session::EndAnswer() {
   timer_.Disarm();
   answer_.Release();
-  since_ = listener_.clock_.Now();
-  if (!keep_after_answer_)
+  state_since_ = listener_.clock_.Now();
+  if (!keep_alive_after_answer_)
     return BeginLinger(input_mode_ == InputMode::kDiscard ? InputMode::kDiscard : InputMode::kLeaveUnread);
   state_ = input_.has_begun() ? State::kReceiving : State::kIdle;
   listener_.sessions_.MoveToBack(position_);
--- a/src/proxy/stop_schedule.cpp
+++ b/src/proxy/stop_schedule.cpp
@@ -24,11 +24,11 @@
   began_at_ = now;
 }
 
-TimePoint StopSchedule::LastAnswer() const {
-  return has_begun_ ? began_at_ + longest_deadline_ + Duration(limits_.last_answer) : kNever;
+TimePoint StopSchedule::AnswerDeadline() const {
+  return has_begun_ ? began_at_ + longest_deadline_ + Duration(limits_.answer_margin) : kNever;
 }
 
-milliseconds StopSchedule::UntilLastAnswer(TimePoint now) const { return Until(LastAnswer(), now); }
+milliseconds StopSchedule::UntilAnswerDeadline(TimePoint now) const { return Until(AnswerDeadline(), now); }
 
 milliseconds StopSchedule::UntilServingEnds(TimePoint now) const {
   return Until(has_begun_ ? began_at_ + Duration(limits_.serving) : kNever, now);
--- a/src/request_table/request_table.cpp
+++ b/src/request_table/request_table.cpp
@@ -154,22 +154,22 @@
   ProcessEvents(now, actions);
 }
 
-// Events that arise while another is handled wait in the queue, because the decision module is not re-entrant
+// Events that occur while another is handled wait in the queue, because the decision module is not re-entrant
 // and its actions must be carried out in order.
 void RequestTable::ProcessEvents(TimePoint now, Actions* actions) {
-  constexpr int kMaxFailures = 16;  // an event that always fails must not keep the caller here for ever
+  constexpr int kMaxFailures = 16;  // an event that always fails must not block the caller forever
   for (int failures = 0; failures < kMaxFailures; ++failures) {
     try {
       ProcessUntilIdle(now, actions);
       return;
     } catch (const std::exception& error) {
-      // The deadline fallback completes the request concerned; other requests and timers must go on.
+      // The deadline fallback completes the affected request; the other events and timers are still handled.
       LogFailure(error.what(), actions);
     }
   }
 }
 
-// May be called again after an exception: it resumes with what has not been handled.
+// May be called again after an exception: it resumes with the events and decisions not handled yet.
 void RequestTable::ProcessUntilIdle(TimePoint now, Actions* actions) {
   PerformDecisions(now, actions);
   for (;;) {
@@ -181,10 +181,11 @@
   }
 }
 
-// Gives up silently if there is no memory for the message.
+// Drops the message if there is no memory for it.
 void RequestTable::LogFailure(const char* what, Actions* actions) noexcept {
   try {
-    actions->push_back(balancer::Log{std::string("an event could not be handled: ") + what});
+    actions->push_back(balancer::Log{
+        std::string("request table: event handling failed; continuing with the remaining events: ") + what});
   } catch (const std::exception&) {
   }
 }
@@ -197,8 +198,8 @@
 }
 
 void RequestTable::FireModuleTimers(TimePoint now, Actions* actions) {
-  // Counted beforehand: a timer that is set for `now` meanwhile waits for the next call, or a module that
-  // keeps setting one for the present would never let this call return.
+  // Counts the due timers first. A timer that the module sets for `now` inside the loop waits for the next
+  // call; otherwise a module that keeps setting such timers would never let this call return.
   const ModuleTimer last_due{now, std::numeric_limits<std::uint64_t>::max()};
   auto due_count = std::distance(module_timers_.begin(), module_timers_.upper_bound(last_due));
   for (; due_count > 0; --due_count) {
@@ -225,7 +226,7 @@
   PerformDecisions(now, actions);
 }
 
-// Decisions that precede a failure are carried out all the same, because the module's state includes them.
+// Decisions made before a failure are still carried out, because the module's state includes them.
 void RequestTable::PerformDecisions(TimePoint now, Actions* actions) {
   for (; decisions_performed_ < decisions_.size(); ++decisions_performed_) {
     std::visit([&](const auto& decision) { Perform(now, decision, actions); },
@@ -302,7 +303,7 @@
 
 // ---- completion -----------------------------------------------------------------------------------------
 
-// Makes sure that the completion of one request, once begun, cannot run out of memory.
+// Reserves capacity so that the completion of one request, once begun, cannot run out of memory.
 void RequestTable::ReserveForCompletion(Actions* actions) {
   constexpr std::size_t kMaxActions = 2;  // Withdraw and Respond
   if (actions->capacity() - actions->size() < kMaxActions) {
@@ -310,8 +311,8 @@
   }
 }
 
-// The only place where a request is answered. Remove is the only place where one leaves the table, so none is
-// answered twice.
+// The only function that answers a request. Remove is the only function that removes one from the table, so
+// none is answered twice.
 void RequestTable::Complete(RequestId request, RequestOutcome outcome, Duration retry_after,
                             Actions* actions) {
   const auto found = table_.find(request);
--- a/src/request_table/request_table.h
+++ b/src/request_table/request_table.h
@@ -2,9 +2,9 @@
 //
 /// \file
 /// The table of requests in flight: a sans-I/O state machine around the decision module (balancer::Balancer).
-/// It uses no socket, clock, thread or global state. The caller reports events together with their time and
-/// carries out the actions that are returned. The proxy and the simulator share this code, so that attempt
-/// limits, safety margins and the deadline fallback are the same in both.
+/// It uses no socket, clock, thread or global state. The caller reports timestamped events and carries out
+/// the returned actions. The proxy and the simulator share this code, so that attempt limits, safety margins
+/// and the deadline fallback are the same in both.
 ///
 /// Invariants, which hold at the end of every call:
 ///  - For each request class, accepted = served + rejected + failed + open.
@@ -43,56 +43,57 @@
 
 // ---- actions: the caller carries them out in the order in which they are appended -----------------------
 
-/// Send an attempt of a request. The caller reports its end exactly once, by RequestTable::AttemptEnded.
+/// Send an attempt of a request. The caller reports its end exactly once, with RequestTable::AttemptEnded.
 struct Send {
   balancer::RequestId request = 0;  ///< The request that is attempted.
   int attempt = 0;                  ///< Number of the attempt within its request, from 0.
-  balancer::BackendId server = 0;   ///< The server that it goes to.
-  balancer::Duration timeout{0};    ///< Above 0; the attempt ends as Outcome::kTimeout after it.
+  balancer::BackendId server = 0;   ///< The server to send the attempt to.
+  balancer::Duration timeout{0};    ///< Above 0; after it the attempt ends as Outcome::kTimeout.
   balancer::TimePoint sent_at{};  ///< When this action was decided; the attempt's duration counts from here.
-  /// The first byte may be written only before this; otherwise the attempt ends as Outcome::kConnectFailed.
+  /// The first byte must be written before this; otherwise the attempt ends as Outcome::kConnectFailed.
   balancer::TimePoint begin_before = balancer::TimePoint::max();
 };
 
-/// Stop waiting for the newest attempt of a request. It ends as Outcome::kCancelled, or as it already has.
+/// Stop waiting for the newest attempt of a request. It ends as Outcome::kCancelled, unless it has ended
+/// already.
 struct Cancel {
   balancer::RequestId request = 0;  ///< The request of the attempt.
   int attempt = 0;                  ///< Number of the attempt within its request.
 };
 
-/// The request of this attempt is complete. Unless the attempt has been written completely, it ends as
-/// Outcome::kNotSent: it never runs.
+/// Withdraw an attempt, because its request is complete. Unless the attempt has been written completely, it
+/// ends as Outcome::kNotSent and the server never executes it.
 struct Withdraw {
   balancer::RequestId request = 0;  ///< The completed request.
   int attempt = 0;                  ///< Number of the attempt within its request.
 };
 
-/// How a request was completed, as far as its client is told.
+/// How a request was completed, as reported to its client.
 enum class RequestOutcome {
   kServed,            ///< With the response of the attempt whose end was reported last.
-  kRejected,          ///< No attempt had an effect, or repeating is harmless: the client may retry.
+  kRejected,          ///< No attempt had an effect, or the request is idempotent: the client may retry.
   kFailed,            ///< Failed; the request may have had an effect.
-  kDeadlineFallback,  ///< Failed: out of time, and the decision module had not completed the request.
+  kDeadlineFallback,  ///< Failed: the deadline was reached before the decision module completed the request.
 };
 
 /// Send the final response of a request to its client.
 struct Respond {
   balancer::RequestId request = 0;                   ///< The request to answer.
   RequestOutcome outcome = RequestOutcome::kFailed;  ///< Determines the status of the response.
-  balancer::Duration retry_after{0};                 ///< For kRejected: advised wait. 0: no advice.
+  balancer::Duration retry_after{0};  ///< For kRejected: the advised wait before a retry. 0: none.
 };
 
-/// What the caller has to do.
+/// An action that the caller must carry out.
 using Action = std::variant<Send, Cancel, Withdraw, Respond, balancer::Subscribe, balancer::Log>;
 
-/// Counts of requests of one class since the table was made.
+/// Request counts of one class since the table was created.
 struct RequestCounters {
   std::uint64_t accepted = 0;             ///< All requests; the sum of the next four.
   std::uint64_t served = 0;               ///< Completed as RequestOutcome::kServed.
   std::uint64_t rejected = 0;             ///< Completed as RequestOutcome::kRejected.
-  std::uint64_t failed = 0;               ///< Completed in any other way, or abandoned by the client.
+  std::uint64_t failed = 0;               ///< Completed in any other way, or its client disconnected.
   std::uint64_t open = 0;                 ///< In the table now.
-  std::uint64_t client_disconnected = 0;  ///< Part of `failed`: the client left before its response.
+  std::uint64_t client_disconnected = 0;  ///< Part of `failed`: the client disconnected before its response.
   std::uint64_t deadline_fallback = 0;    ///< Part of `failed`: RequestOutcome::kDeadlineFallback.
 
   /// Adds each count of `other`.
@@ -106,36 +107,36 @@
 /// call may be repeated.
 class RequestTable {
  public:
-  /// The list to which the calls append.
+  /// Actions in the order in which the caller must carry them out.
   using Actions = std::vector<Action>;
 
   /// `seed` seeds the random choices of the decision module.
   RequestTable(const balancer::Settings& settings, std::uint64_t seed);
 
   /// Accepts a request and returns its new id. `submit.request` is ignored, and `submit.due` is the client's
-  /// deadline. A request without time left for an attempt is rejected at once, without asking the decision
-  /// module.
+  /// deadline. A request without time left for an attempt is rejected immediately, without consulting the
+  /// decision module.
   balancer::RequestId Accept(balancer::TimePoint now, balancer::Submit submit, Actions* actions);
 
-  /// The client of a request disconnected, so it gets no response. Unknown and completed requests are
-  /// ignored.
+  /// Reports that the client of a request disconnected, so it gets no response. Unknown and completed
+  /// requests are ignored.
   void ClientDisconnected(balancer::TimePoint now, balancer::RequestId request, Actions* actions);
 
-  /// An attempt ended. If the outcome is kOk and the request is open, the first action appended is the
-  /// Respond action that serves it.
+  /// Reports the end of an attempt. If the outcome is kOk and the request is open, the first action appended
+  /// is the Respond action that serves it.
   void AttemptEnded(balancer::TimePoint now, const Send& attempt, balancer::Outcome outcome,
                     Actions* actions);
 
-  /// The endpoint list changed, or could not be read.
+  /// Reports that the endpoint list changed or could not be read.
   void UpdateEndpoints(balancer::TimePoint now, balancer::EndpointListUpdate update, Actions* actions);
 
   /// Sets how much work this proxy may send to each zone from now on.
   void UpdateZoneQuotas(balancer::TimePoint now, balancer::ZoneQuotas quotas, Actions* actions);
 
-  /// Handles all timers that are due. To be called at NextWake() or later.
+  /// Handles all due timers. Call it at NextWake() or later.
   void Wake(balancer::TimePoint now, Actions* actions);
 
-  /// When the earliest timer is due. Empty if there is none until another event comes.
+  /// When the earliest timer is due. Empty if no timer is set; only another event can set one then.
   std::optional<balancer::TimePoint> NextWake() const;
 
   /// Whether the request was accepted and is not complete.
@@ -156,7 +157,7 @@
     int attempts = 0;                            // attempts sent so far
     bool attempt_in_flight = false;              // the newest attempt has not ended
     balancer::TimePoint attempts_due{};          // no attempt is sent at or after this
-    balancer::TimePoint deadline_fallback_at{};  // the table answers by itself then
+    balancer::TimePoint deadline_fallback_at{};  // when the table answers by itself
   };
   using Table = std::unordered_map<balancer::RequestId, Entry>;
 
@@ -184,7 +185,7 @@
   void HandleInModule(balancer::TimePoint now, const balancer::Event& event, Actions* actions);
   void PerformDecisions(balancer::TimePoint now, Actions* actions);
 
-  // One for each kind of action that the decision module gives.
+  // One overload for each kind of action that the decision module returns.
   void Perform(balancer::TimePoint now, const balancer::Dispatch& action, Actions* actions);
   void Perform(balancer::TimePoint now, const balancer::CancelAttempt& action, Actions* actions);
   void Perform(balancer::TimePoint now, const balancer::Reject& action, Actions* actions);
@@ -207,11 +208,11 @@
   Table table_;
   std::vector<RequestCounters> counters_;  // by request class
   balancer::RequestId last_request_ = 0;
-  std::deque<balancer::Event> pending_events_;  // events that the decision module has not handled yet
-  std::vector<balancer::Action> decisions_;     // what it decided in the last call
-  std::size_t decisions_performed_ = 0;         // how many of them have been carried out
-  std::set<ModuleTimer> module_timers_;         // the earliest first
-  std::set<DeadlineFallback> fallbacks_;        // one for each open request, the earliest first
+  std::deque<balancer::Event> pending_events_;  // not handled by the decision module yet
+  std::vector<balancer::Action> decisions_;     // returned by its last call
+  std::size_t decisions_performed_ = 0;         // number of them carried out
+  std::set<ModuleTimer> module_timers_;         // earliest first
+  std::set<DeadlineFallback> fallbacks_;        // one for each open request, earliest first
 };
 
 }  // namespace badgerbridge::request_table
--- a/tests/mutation/mutation_test.cpp
+++ b/tests/mutation/mutation_test.cpp
@@ -13,14 +13,14 @@
 
 TEST(Mutation, IsReported) {
   SessionTotals totals;
-  for (const Work<SessionTotals>& piece : SessionPlaysOf(SessionState::MUTATION_STATE)) {
-    if (totals.found.MUTATION_BREAKS > 0) break;
+  for (const Work<SessionTotals>& piece : SessionScenariosOf(SessionState::MUTATION_STATE)) {
+    if (totals.violations.MUTATION_BREAKS > 0) break;
     piece(&totals);
   }
-  std::cout << "injected fault: plays=" << totals.plays << " lost=" << totals.found.lost
-            << " twice=" << totals.found.twice << " late=" << totals.found.late
-            << " leaked=" << totals.found.leaked << std::endl;
-  EXPECT_GT(totals.found.MUTATION_BREAKS, 0);
+  std::cout << "injected fault: plays=" << totals.runs << " lost=" << totals.violations.lost
+            << " twice=" << totals.violations.twice << " late=" << totals.violations.late
+            << " leaked=" << totals.violations.leaked << std::endl;
+  EXPECT_GT(totals.violations.MUTATION_BREAKS, 0);
 }
 
 }  // namespace
--- a/tests/proxy/allocation_test.cpp
+++ b/tests/proxy/allocation_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A proxy whose memory runs out for a moment: each allocation of its handlers fails in turn. Every request is
-// answered once and in time, nothing takes effect twice, and nothing is left behind.
+// Each memory allocation in the proxy's handlers fails in turn. Every request must be answered once and in
+// time, nothing may take effect twice, and no resource may leak.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -19,14 +19,14 @@
 namespace {
 
 TEST(AllocationTest, EachAllocationFailsInTurn) {
-  const long plays = FailEachCall(Call::kAllocation, 1, 0);
-  std::cout << "allocations: plays=" << plays << '\n';
+  const long runs = FailEachCall(Call::kAllocation, 1, 0);
+  std::cout << "allocations: plays=" << runs << '\n';
 }
 
-// A discovery that sends a drain 50 ms after its first list, and a proxy's watch of it.
-class DiscoveryPlay {
+// A discovery server that reports a draining backend after 50 ms, and a proxy's watch on it.
+class DiscoveryDrainRun {
  public:
-  DiscoveryPlay()
+  DiscoveryDrainRun()
       : server_(peer_io_, [this](Wire& wire) { Serve(wire); }),
         watch_(
             node_io_, server_.endpoint(), EndpointListReader(TestConfig({})), false, 7,
@@ -37,7 +37,7 @@
   std::vector<std::string> Run() {
     asio::post(node_io_, [this] { watch_.Watch(); });
     for (bool drained = false; !drained;) {
-      if (Elapsed() > kMaxTime) return {"the drain is not known after 7 s"};
+      if (Elapsed() > kMaxTime) return {"the drain was not received within 7 s"};
       if (!RunReady() && !RunReady()) clock_.AdvanceToNextTimer(milliseconds(10));
       const auto found = states_.find("s-0");
       drained = found != states_.end() && found->second == BackendState::kDraining;
@@ -46,7 +46,7 @@
   }
 
  private:
-  static constexpr milliseconds kDrain{50};  // when the backend drains
+  static constexpr milliseconds kDrainTime{50};  // when the backend starts to drain
   static constexpr milliseconds kHeartbeat{500};
   static constexpr milliseconds kMaxTime{7000};
 
@@ -60,21 +60,21 @@
     return ListJson(drained ? 9 : 8, snapshot, endpoints);
   }
 
-  // First what has changed after the version that is asked for, or a snapshot.
+  // Sends the changes after the requested version, or a snapshot, and then heartbeats.
   void Serve(Wire& wire) {
     const std::string& request = server_.requests.back();
     const int index = std::stoi(request.substr(request.find("index=") + 6));
-    const bool drained = Elapsed() >= kDrain;
+    const bool drained = Elapsed() >= kDrainTime;
     wire.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     if (index < 8) wire.Send(Chunk(List(true, drained) + "\n"));
     if (index == 8 && drained) wire.Send(Chunk(List(false, true) + "\n"));
     if (!drained)
-      due_.emplace(kDrain,
-                   [this, at = wire.shared_from_this()] { at->Send(Chunk(List(false, true) + "\n")); });
+      scheduled_.emplace(kDrainTime,
+                         [this, at = wire.shared_from_this()] { at->Send(Chunk(List(false, true) + "\n")); });
     SendHeartbeats(wire.shared_from_this());
   }
   void SendHeartbeats(const std::shared_ptr<Wire>& wire) {
-    due_.emplace(Elapsed() + kHeartbeat, [this, wire] {
+    scheduled_.emplace(Elapsed() + kHeartbeat, [this, wire] {
       if (wire->closed) return;
       wire->Send(Chunk("\n"));
       SendHeartbeats(wire);
@@ -82,7 +82,8 @@
   }
 
   void OnList(const EndpointList& list) {
-    const std::vector<Endpoint> copy = list.endpoints;  // may fail, as what a proxy does with the list
+    const std::vector<Endpoint> copy =
+        list.endpoints;  // an allocation that may fail, as in a proxy's handler
     if (list.snapshot) states_.clear();
     const bool was_counting = badgerbridge::testing::Counting(false);
     for (const Endpoint& endpoint : copy) states_[endpoint.name] = endpoint.entry.state;
@@ -91,9 +92,9 @@
 
   bool RunReady() {
     bool ran = false;
-    while (!due_.empty() && due_.begin()->first <= Elapsed()) {
-      const auto action = std::move(due_.begin()->second);
-      due_.erase(due_.begin());
+    while (!scheduled_.empty() && scheduled_.begin()->first <= Elapsed()) {
+      const auto action = std::move(scheduled_.begin()->second);
+      scheduled_.erase(scheduled_.begin());
       action();
       ran = true;
     }
@@ -112,27 +113,27 @@
   asio::io_context node_io_;
   asio::io_context peer_io_;
   Peer server_;
-  std::multimap<milliseconds, std::function<void()>> due_;
+  std::multimap<milliseconds, std::function<void()>> scheduled_;
   std::map<std::string, BackendState> states_;
   ProxyClock::Steady::time_point begin_{};
   Discovery watch_;
 };
 
-// No message of discovery is lost, and the watch goes on.
+// No message from discovery may be lost, and the watch must continue.
 TEST(AllocationTest, ADrainIsNotifiedWhicheverAllocationFails) {
   bool reached = true;
   long number = 0;
   for (; reached; ++number) {
     const PlannedFault fault(Call::kAllocation, number);
-    const std::string complaints = RunInChild([] { return DiscoveryPlay().Run(); });
+    const std::string violations = RunInChild([] { return DiscoveryDrainRun().Run(); });
     reached = fault.happened();
-    EXPECT_EQ(complaints, "") << "drain: " << Describe(fault, Call::kAllocation, number, complaints);
+    EXPECT_EQ(violations, "") << "drain: " << Describe(fault, Call::kAllocation, number, violations);
   }
   std::cout << "allocations of a watch: plays=" << number << '\n';
 }
 
-// However often there is no memory for its wait.
-TEST(AllocationTest, ATimerWithoutMemoryExpiresAllTheSame) {
+// A timer must expire even if memory for its wait is unavailable many times in a row.
+TEST(AllocationTest, ATimerWithoutMemoryStillExpires) {
   constexpr int kFailures = 20;
   asio::io_context io;
   int expired = 0;
--- a/tests/proxy/arrival_times_test.cpp
+++ b/tests/proxy/arrival_times_test.cpp
@@ -26,12 +26,12 @@
   EXPECT_TRUE(times.empty());
 }
 
-// Against a model that keeps the time of every byte: never younger than the truth, and exact while few pieces
-// stand in the buffer.
-TEST(ArrivalTimes, RandomPiecesNeverCountAsYoungerThanTheyAre) {
+// Compares with a model that keeps the time of every byte: the result is never later than the exact time, and
+// equals it while few ranges are in the buffer.
+TEST(ArrivalTimes, RandomRangesNeverCountAsLaterThanTheyAre) {
   std::mt19937 random(7);
-  for (int play = 0; play < 50; ++play) {
-    const bool many = play % 2 == 1;
+  for (int run = 0; run < 50; ++run) {
+    const bool many = run % 2 == 1;
     ArrivalTimes times;
     std::deque<TimePoint> bytes;
     for (int step = 0; step < 2000; ++step) {
--- a/tests/proxy/client_connection_test.cpp
+++ b/tests/proxy/client_connection_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Connections of clients: limits on their number and time, and clients that leave or send ahead.
+// Client connections: limits on their number and duration, disconnects, and pipelined requests.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,9 +16,9 @@
 
 using ClientConnectionTest = ProxyFixture;
 
-// Within 3 s of connecting: a connection that never sends anything gets no answer, and half a request will
-// not become complete.
-TEST_F(ClientConnectionTest, SilentAndHalfSentConnectionsAreClosed) {
+// Connections that send nothing, or an incomplete request, are closed within 3 s. Only the latter get an
+// answer.
+TEST_F(ClientConnectionTest, ConnectionsWithoutACompleteRequestAreClosed) {
   Start({});
   const TimePoint began = node->clock.Now();
   const auto silent = node->Connect();
@@ -33,28 +33,29 @@
   EXPECT_EQ(silent->in, "");
   EXPECT_EQ(half->in.rfind("HTTP/1.1 408 ", 0), 0u) << half->in;
   EXPECT_EQ(body->in.rfind("HTTP/1.1 408 ", 0), 0u) << body->in;
-  // Clients count on their connections for 2 s after an answer, and have only so many: those that have asked
-  // once and stay must not hold them for good.
+  // Clients rely on a connection for 2 s after an answer. Connections are limited, so an idle client must not
+  // keep one forever.
   ASSERT_TRUE(RunUntil(io, [&] { return kept->closed; }));
   EXPECT_GE((node->clock.Now() - began).count(), 2000);
 }
 
-// Hundreds that connect and send nothing, or half a request, must not keep the others out until their time is
-// over.
+// At max_clients, connections without a request, or with an incomplete one, must not block other clients
+// until they time out.
 TEST_F(ClientConnectionTest, AtTheLimitConnectionsWithoutARequestAreEvicted) {
   Peer backend(io, [](Wire& wire) { wire.Send(Reply(200)); });
   Start({EndpointJson("a", backend.address())}, 64);  // room for 8 clients
-  std::vector<std::shared_ptr<Wire>> strangers;
+  std::vector<std::shared_ptr<Wire>> silent_clients;
   for (int i = 0; i < 8; ++i) {
-    strangers.push_back(node->Connect());
-    if (i % 2 == 0) strangers.back()->Send("GET /preview HTTP/1.1\r\n");
+    silent_clients.push_back(node->Connect());
+    if (i % 2 == 0) silent_clients.back()->Send("GET /preview HTTP/1.1\r\n");
   }
   const auto client = node->Connect();
   client->Send(Get("c1"));
   ASSERT_TRUE(RunUntil(io, [&] { return IsServed(client->in); }));
-  EXPECT_LT(std::count_if(strangers.begin(), strangers.end(), [](const auto& wire) { return wire->closed; }),
+  EXPECT_LT(std::count_if(silent_clients.begin(), silent_clients.end(),
+                          [](const auto& wire) { return wire->closed; }),
             8)
-      << "not by their time-out";
+      << "evicted, not timed out";
 }
 
 TEST_F(ClientConnectionTest, AtTheLimitTheOldestIdleConnectionIsEvicted) {
@@ -70,9 +71,9 @@
   EXPECT_FALSE(clients[11]->closed);
 }
 
-// At the limit, connections that have ended and wait for their clients to close have places of their own, a
-// bounded number of them.
-TEST_F(ClientConnectionTest, ClosedConnectionsThatClientsKeepOpenDoNotKeepOthersOut) {
+// Lingering connections, which wait for their clients to close, don't count against max_clients but have a
+// limit of their own.
+TEST_F(ClientConnectionTest, LingeringConnectionsDoNotBlockOtherClients) {
   Peer backend(io, [](Wire& wire) { wire.Send(Reply(200)); });
   Start({EndpointJson("a", backend.address())}, 64);  // room for 8 clients
   std::vector<std::shared_ptr<Wire>> clients;
@@ -84,8 +85,8 @@
   }
 }
 
-// It tells the decision module how the backend does, and keeps the connection.
-TEST_F(ClientConnectionTest, TheAttemptOfAClientThatLeftGoesOnToItsEnd) {
+// The attempt's outcome is reported to the decision module, and the backend connection is kept.
+TEST_F(ClientConnectionTest, TheAttemptOfADisconnectedClientRunsToItsEnd) {
   Wire* waiting = nullptr;
   Peer backend(io, [&](Wire& wire) { waiting = &wire; });
   Start({EndpointJson("a", backend.address())});
@@ -107,24 +108,24 @@
   EXPECT_EQ(backend.wires.size(), 1u);
 }
 
-// Whatever else its connection holds: the next request complete or half, more than can be buffered, what is
-// no request, or what comes behind its last request.
-TEST_F(ClientConnectionTest, AClientThatLeavesIsNoticedWhateverItSentAhead) {
+// The disconnect must be detected whatever other input is pending: a complete or incomplete next request,
+// more than the buffer holds, malformed input, or input after the last request.
+TEST_F(ClientConnectionTest, ADisconnectIsDetectedWhateverWasPipelined) {
   std::string many;
   for (int i = 0; i < 1000; ++i) many += Get("m" + std::to_string(i));
   const std::pair<const char*, std::string> cases[] = {
       {"nothing", ""},
       {"the next request", Get("n1")},
       {"two more", Get("n1") + Get("n2")},
-      {"half a request", "GET /pre"},
-      {"more than can be held", many},
+      {"an incomplete request", "GET /pre"},
+      {"more than the buffer holds", many},
       {"far more", many + many + many + many},
-      {"what is no request", std::string("\x16\x03\x01 no request\r\n\r\n", 18)},
+      {"malformed input", std::string("\x16\x03\x01 no request\r\n\r\n", 18)},
       {"a body that is too large", "POST /certify HTTP/1.1\r\nContent-Length: 99999999\r\n\r\nxx"},
   };
   for (const bool last : {false, true}) {
     for (const auto& [what, ahead] : cases) {
-      SCOPED_TRACE(std::string(what) + (last ? ", behind the last" : ""));
+      SCOPED_TRACE(std::string(what) + (last ? ", after the last request" : ""));
       asio::io_context io;
       std::vector<Wire*> waiting;
       Peer backend(io, [&](Wire& wire) { waiting.push_back(&wire); });
@@ -139,17 +140,17 @@
       const TimePoint left = node->clock.Now();
       client->Close();
       ASSERT_TRUE(RunUntil(io, [&] { return node->proxy.open_requests() == 0; }));
-      EXPECT_EQ(node->proxy.counters()[0].client_disconnected, 1u) << "not by its time running out";
+      EXPECT_EQ(node->proxy.counters()[0].client_disconnected, 1u) << "detected, not timed out";
       EXPECT_EQ(node->listener.connections(), 0u);
       EXPECT_LT((node->clock.Now() - left).count(), 500);
       RunReady(io);
-      EXPECT_EQ(backend.requests.size(), 1u) << "what it sent ahead is not sent on";
+      EXPECT_EQ(backend.requests.size(), 1u) << "pipelined requests are not forwarded";
     }
   }
 }
 
-// All that was accepted is answered in order; then the client gets an error.
-TEST_F(ClientConnectionTest, AClientFarAheadIsAnsweredInOrderAndThenGetsAnError) {
+// All accepted requests are answered in order; then the client gets an error.
+TEST_F(ClientConnectionTest, AClientThatPipelinesTooMuchIsAnsweredInOrderAndThenGetsAnError) {
   std::vector<Wire*> waiting;
   Peer backend(io, [&](Wire& wire) {
     if (backend.requests.size() == 1) return waiting.push_back(&wire);
@@ -157,7 +158,7 @@
   });
   Start({EndpointJson("a", backend.address())});
   const auto client = node->Connect();
-  // Large requests, so that the exchanges that fit the buffer end well within the time that each request has.
+  // Large requests, so that those that fit the buffer are answered well before their deadlines.
   const std::string padding = "X-Padding: " + std::string(400, 'x') + "\r\n";
   std::string many;
   for (int i = 0; i < 250; ++i) many += Get("m" + std::to_string(i), padding);
--- a/tests/proxy/deadline_test.cpp
+++ b/tests/proxy/deadline_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The deadline that a backend is sent, where a request has waited before the proxy read it: its client counts
-// from when it sent it. By the real clock, since the kernel's own figures count.
+// The deadline sent to a backend when a request waited before the proxy read it. It must count from when the
+// client sent the request. Uses the real clock, because the proxy relies on the kernel's timestamps.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -19,18 +19,18 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-constexpr milliseconds kTimeLeft{900};   // of the harness's requests
-constexpr milliseconds kWaited{300};     // for which the process does not run
-constexpr milliseconds kMaxExcess{150};  // that a backend may be sent beyond what the client has left
+constexpr milliseconds kTimeLeft{900};     // deadline of the harness's requests
+constexpr milliseconds kBlockedTime{300};  // the process is blocked
+constexpr milliseconds kMaxExcess{150};    // of the forwarded deadline over the client's remaining time
 constexpr milliseconds kMaxShortfall{
-    50};  // that it may be sent less: the proxy's margins, and the kernel's ticks
+    50};  // of the forwarded deadline: the proxy's margins and the kernel's tick
 
 std::string WithTimeLeft(std::string request, milliseconds left) {
   const std::string usual = ": " + std::to_string(kTimeLeft.count());
   return request.replace(request.find(usual), usual.size(), ": " + std::to_string(left.count()));
 }
 
-int Answers(const Wire& client) {
+int CountAnswers(const Wire& client) {
   int answers = 0;
   for (std::size_t at = 0; (at = client.in.find("HTTP/1.1 ", at)) != std::string::npos; ++at) ++answers;
   return answers;
@@ -54,45 +54,46 @@
     client.Send(Get(id));
   }
 
-  // The process does not run.
-  static void Block() { std::this_thread::sleep_for(kWaited); }
+  // Blocks the process.
+  static void Block() { std::this_thread::sleep_for(kBlockedTime); }
 
   void RunUntilAnswered(const Wire& client, int answers) {
-    EXPECT_TRUE(RunUntil(io_, [&] { return Answers(client) == answers; })) << client.in;
+    EXPECT_TRUE(RunUntil(io_, [&] { return CountAnswers(client) == answers; })) << client.in;
   }
 
-  std::size_t served() const { return deadline_sent_.size(); }
+  std::size_t served() const { return forwarded_deadline_.size(); }
 
-  // The deadline that the backend was sent fits what the client had left then, less than it had at first.
+  // The forwarded deadline matches the client's remaining time, which the blocked time has reduced.
   void ExpectDeadlineFitsClient(const std::string& id) {
-    ASSERT_EQ(deadline_sent_.count(id), 1u) << id;
-    EXPECT_LE(deadline_sent_[id], left_[id] + kMaxExcess) << id;
-    EXPECT_GE(deadline_sent_[id], left_[id] - kMaxShortfall) << id;
-    EXPECT_LE(left_[id], kTimeLeft - kWaited) << id;
+    ASSERT_EQ(forwarded_deadline_.count(id), 1u) << id;
+    EXPECT_LE(forwarded_deadline_[id], client_time_left_[id] + kMaxExcess) << id;
+    EXPECT_GE(forwarded_deadline_[id], client_time_left_[id] - kMaxShortfall) << id;
+    EXPECT_LE(client_time_left_[id], kTimeLeft - kBlockedTime) << id;
   }
 
   asio::io_context io_;
   Peer backend_;
   std::optional<Node> node_;
-  Wire* held_ = nullptr;  // whose answer is put off
-  bool hold_ = false;
+  Wire* held_wire_ = nullptr;  // connection whose answer is held back
+  bool hold_answer_ = false;
 
  private:
   void Serve(Wire& wire) {
     const std::string& request = backend_.requests.back();
     const std::string id = HeaderIn(request, "X-Correlation-Id");
-    deadline_sent_[id] = milliseconds(std::stoi(HeaderIn(request, "X-Time-Left-Ms")));
-    left_[id] = kTimeLeft - std::chrono::duration_cast<milliseconds>(steady_clock::now() - sent_[id]);
-    if (hold_) {
-      held_ = &wire;
+    forwarded_deadline_[id] = milliseconds(std::stoi(HeaderIn(request, "X-Time-Left-Ms")));
+    client_time_left_[id] =
+        kTimeLeft - std::chrono::duration_cast<milliseconds>(steady_clock::now() - sent_[id]);
+    if (hold_answer_) {
+      held_wire_ = &wire;
     } else {
       wire.Send(Reply(200, id));
     }
   }
 
   std::map<std::string, steady_clock::time_point> sent_;
-  std::map<std::string, milliseconds> deadline_sent_;  // to the backend
-  std::map<std::string, milliseconds> left_;           // to the client at that time
+  std::map<std::string, milliseconds> forwarded_deadline_;  // as sent to the backend
+  std::map<std::string, milliseconds> client_time_left_;    // when the backend received the request
 };
 
 TEST_F(DeadlineTest, CountsTheWaitInTheReceiveBufferOfANewConnection) {
@@ -133,26 +134,26 @@
 
 TEST_F(DeadlineTest, CountsTheWaitBehindAnotherRequest) {
   const auto client = ConnectAndAccept();
-  hold_ = true;
+  hold_answer_ = true;
   Send(*client, "a");
-  ASSERT_TRUE(RunUntil(io_, [&] { return held_ != nullptr; }));
-  hold_ = false;
+  ASSERT_TRUE(RunUntil(io_, [&] { return held_wire_ != nullptr; }));
+  hold_answer_ = false;
   Send(*client, "b");
   Block();
   RunReady(io_);
-  held_->Send(Reply(200, "a"));
+  held_wire_->Send(Reply(200, "a"));
   RunUntilAnswered(*client, 2);
   ExpectDeadlineFitsClient("b");
 }
 
-TEST_F(DeadlineTest, CountsTheWaitBehindARequestThatIsAnsweredWhileTheProcessDoesNotRun) {
+TEST_F(DeadlineTest, CountsTheWaitBehindARequestThatIsAnsweredWhileTheProcessIsBlocked) {
   const auto client = ConnectAndAccept();
-  hold_ = true;
+  hold_answer_ = true;
   Send(*client, "a");
-  ASSERT_TRUE(RunUntil(io_, [&] { return held_ != nullptr; }));
-  hold_ = false;
+  ASSERT_TRUE(RunUntil(io_, [&] { return held_wire_ != nullptr; }));
+  hold_answer_ = false;
   Send(*client, "b");
-  held_->Send(Reply(200, "a"));
+  held_wire_->Send(Reply(200, "a"));
   Block();
   RunUntilAnswered(*client, 2);
   ExpectDeadlineFitsClient("b");
@@ -162,7 +163,7 @@
   const auto accepted = ConnectAndAccept();
   const auto waiting = node_->Connect();
   for (const auto& client : {accepted, waiting})
-    client->Send(WithTimeLeft(Get(client == accepted ? "a" : "b"), kWaited - milliseconds(100)));
+    client->Send(WithTimeLeft(Get(client == accepted ? "a" : "b"), kBlockedTime - milliseconds(100)));
   Block();
   for (const auto& client : {accepted, waiting}) {
     RunUntilAnswered(*client, 1);
--- a/tests/proxy/failing_calls_test.cpp
+++ b/tests/proxy/failing_calls_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A proxy whose system calls fail: without a descriptor, without memory of the system, or for no reason. Each
-// call of a kind fails in turn; every request is answered once and in time, and nothing is left behind.
+// System calls of the proxy fail, for lack of descriptors, kernel memory or other resources. Each call of a
+// kind fails in turn; every request must be answered once and in time, and no resource may leak.
 #include <gtest/gtest.h>
 
 #include <cerrno>
--- a/tests/proxy/fault_exchange.h
+++ b/tests/proxy/fault_exchange.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One exchange between clients, a proxy and backends, in which a planned fault happens inside the proxy's
-// handlers, and what must hold afterwards. Used by the tests of failing allocations and system calls.
+// One exchange between clients, a proxy and backends with a planned fault inside the proxy's handlers, and
+// the checks of its result. Used by the tests of failing allocations and system calls.
 #ifndef BADGERBRIDGE_TESTS_PROXY_FAULT_EXCHANGE_H_
 #define BADGERBRIDGE_TESTS_PROXY_FAULT_EXCHANGE_H_
 
@@ -30,11 +30,11 @@
 using badgerbridge::testing::CountedScope;
 using badgerbridge::testing::VirtualClock;
 
-/// Plays a scenario once, in virtual time. The proxy has an io_context of its own, and only what its handlers
-/// do counts for the planned fault; clients and backends run on another.
+/// Runs a scenario once, in virtual time. The proxy has its own io_context, and only calls in its handlers
+/// count for the planned fault; clients and backends run on another io_context.
 class FaultExchange {
  public:
-  /// `number`: of this play among all of the program, for an address of its own.
+  /// `number` of this run within the program determines its address.
   FaultExchange(const FaultScenario& scenario, unsigned number)
       : scenario_(scenario), address_(AddressOf(number)) {
     for (int i = 0; i < kBackends; ++i) {
@@ -51,53 +51,54 @@
     baseline_descriptors_ = badgerbridge::testing::CountDescriptors();
   }
 
-  /// Plays it, and returns what is wrong; empty: nothing.
+  /// Runs the scenario and returns the violations.
   std::vector<std::string> Run() {
     begin_ = Now();
     for (const ScriptedClient& script : scenario_.clients) Schedule(script);
     if (scenario_.stops_at) At(*scenario_.stops_at, [this] { Stop(); });
-    RunUntil(kMaxTime, [this] { return due_.empty() && AllDone(); });
-    Judge();
-    if (!scenario_.stops_at) AskOnceMore();
+    RunUntil(kMaxTime, [this] { return scheduled_.empty() && IsFinished(); });
+    CheckResult();
+    if (!scenario_.stops_at) CheckNextRequestIsServed();
     CheckNothingIsLeft();
-    return complaints_;
+    return violations_;
   }
 
  private:
   static constexpr int kBackends = 3;
   static constexpr Duration kBackendIdleTimeout{1000};
-  static constexpr milliseconds kDeadline{900};  // of each request
-  static constexpr milliseconds kGrace{500};     // beyond it, for an answer
-  static constexpr milliseconds kMaxTime{4000};  // of an exchange
-  static constexpr milliseconds kCleanUp{10000};
-  static constexpr milliseconds kMaxWait{10};  // without a timer: something is still on its way
+  static constexpr milliseconds kDeadline{900};     // deadline of each request
+  static constexpr milliseconds kAnswerGrace{500};  // time after the deadline to receive an answer
+  static constexpr milliseconds kMaxTime{4000};     // limit for one exchange
+  static constexpr milliseconds kMaxCleanUpTime{10000};
+  static constexpr milliseconds kMaxWait{10};  // if no timer is set, because data may be in transit
 
   struct Client {
     std::shared_ptr<Wire> wire;
     std::vector<ScriptedRequest> sent;
     std::vector<milliseconds> sent_at;
-    std::vector<milliseconds> answered_at;  // when the answer of that number was complete
-    bool left = false;
+    std::vector<milliseconds> answered_at;  // when the answer with this index was complete
+    bool disconnected = false;
   };
-  struct Answered {
+  struct ParsedAnswer {
     int status = 0;
     bool closes = false;  // the connection
     std::string body;
   };
-  struct AnswersRead {
-    std::vector<Answered> answers;  // the complete ones
-    bool has_rest = false;          // bytes behind them
+  struct ParsedAnswers {
+    std::vector<ParsedAnswer> answers;  // complete answers
+    bool has_trailing_bytes = false;    // bytes after the last complete answer
   };
 
-  // An address for each play: thousands of them leave more closed connections behind than one address has
-  // ports.
+  // Each run has its own address, because thousands of runs leave more closed connections than one address
+  // has ports.
   static tcp::endpoint AddressOf(unsigned number) {
     constexpr unsigned kLoopback = 127u << 24;
-    constexpr unsigned kPerNetwork = 200;
+    constexpr unsigned kHostsPerNetwork = 200;
     constexpr unsigned kNetworks = 250;
     const unsigned by_program = 1 + static_cast<unsigned>(getpgrp()) % 120;
-    return {asio::ip::make_address_v4(kLoopback | by_program << 16 | (number / kPerNetwork % kNetworks) << 8 |
-                                      (1 + number % kPerNetwork)),
+    return {asio::ip::make_address_v4(kLoopback | by_program << 16 |
+                                      (number / kHostsPerNetwork % kNetworks) << 8 |
+                                      (1 + number % kHostsPerNetwork)),
             0};
   }
 
@@ -111,16 +112,16 @@
   static ProxyClock::Steady::time_point Now() { return ProxyClock::Steady::now(); }
   milliseconds Elapsed() const { return std::chrono::duration_cast<milliseconds>(Now() - begin_); }
 
-  void At(milliseconds when, std::function<void()> action) { due_.emplace(when, std::move(action)); }
+  void At(milliseconds when, std::function<void()> action) { scheduled_.emplace(when, std::move(action)); }
 
   void Schedule(const ScriptedClient& script) {
     clients_.push_back(std::make_unique<Client>());
     Client* const client = clients_.back().get();
     for (const ClientWrite& write : script.writes)
       At(write.at, [this, client, write] { Send(*client, write); });
-    if (!script.leaves_at) return;
-    At(*script.leaves_at, [client] {
-      client->left = true;
+    if (!script.disconnects_at) return;
+    At(*script.disconnects_at, [client] {
+      client->disconnected = true;
       client->wire->Close();
     });
   }
@@ -141,9 +142,9 @@
         while (client.answered_at.size() < answers) client.answered_at.push_back(Elapsed());
       };
     }
-    // A client sends nothing on a connection that the proxy has announced to close.
+    // A client sends nothing on a connection after an answer with `Connection: close`.
     if (client.wire->closed) return;
-    const std::vector<Answered> answers = ReadAnswers(client.wire->in).answers;
+    const std::vector<ParsedAnswer> answers = ReadAnswers(client.wire->in).answers;
     if (!answers.empty() && answers.back().closes) return;
     std::string text;
     for (const ScriptedRequest& request : write.requests) {
@@ -188,12 +189,12 @@
     });
   }
 
-  // One handler of the proxy, if one is ready. What it throws leaves io.run, as in the program.
+  // Runs one handler of the proxy if one is ready. Its exceptions leave the io_context, as in the program.
   bool RunNodeHandler() {
     node_io_.restart();
     try {
       std::optional<CountedScope> counted;
-      if (count_) counted.emplace();
+      if (count_calls_) counted.emplace();
       return node_io_.poll_one() > 0;
     } catch (const std::exception&) {
       return true;
@@ -202,9 +203,9 @@
 
   bool RunPeers() {
     bool ran = false;
-    while (!due_.empty() && due_.begin()->first <= Elapsed()) {
-      const auto action = std::move(due_.begin()->second);
-      due_.erase(due_.begin());
+    while (!scheduled_.empty() && scheduled_.begin()->first <= Elapsed()) {
+      const auto action = std::move(scheduled_.begin()->second);
+      scheduled_.erase(scheduled_.begin());
       action();
       ran = true;
     }
@@ -212,10 +213,10 @@
     return peer_io_.poll() > 0 || ran;
   }
 
-  // False: none was ready. What was sent a moment ago may be handed over on another thread of the system, so
-  // it is looked for twice.
+  // False if no handler was ready. The kernel may deliver data that was just sent on another thread, so this
+  // polls twice.
   bool RunReady() {
-    for (int look = 0; look < 2; ++look) {
+    for (int poll = 0; poll < 2; ++poll) {
       const bool peers = RunPeers();
       if (RunNodeHandler() || peers) return true;
       std::this_thread::yield();
@@ -229,15 +230,15 @@
     while (!holds()) {
       if (Now() > limit) return false;
       if (RunReady()) continue;
-      const milliseconds to_next = due_.empty() ? kMaxWait : due_.begin()->first - Elapsed();
+      const milliseconds to_next = scheduled_.empty() ? kMaxWait : scheduled_.begin()->first - Elapsed();
       clock_.AdvanceToNextTimer(std::clamp(to_next, milliseconds(1), kMaxWait));
     }
     return true;
   }
 
-  // The answers in what a client has read.
-  static AnswersRead ReadAnswers(const std::string& text) {
-    std::vector<Answered> answers;
+  // Parses the answers in the data that a client has read.
+  static ParsedAnswers ReadAnswers(const std::string& text) {
+    std::vector<ParsedAnswer> answers;
     std::size_t at = 0;
     while (at < text.size()) {
       const std::size_t end = text.find("\r\n\r\n", at);
@@ -253,75 +254,75 @@
     return {std::move(answers), at < text.size()};
   }
 
-  bool AllDone() const {
+  bool IsFinished() const {
     for (const auto& client : clients_) {
       if (!client->wire) return false;
-      if (!client->left && !client->wire->closed && client->answered_at.size() < client->sent.size())
+      if (!client->disconnected && !client->wire->closed && client->answered_at.size() < client->sent.size())
         return false;
     }
     return !scenario_.stops_at || stopped_;
   }
 
-  void Complain(const std::string& text) { complaints_.push_back(text); }
+  void AddViolation(const std::string& text) { violations_.push_back(text); }
 
-  void Judge() {
+  void CheckResult() {
     for (const auto& client : clients_) {
-      if (!client->left) JudgeClient(*client);
+      if (!client->disconnected) CheckClient(*client);
     }
     for (const auto& [id, count] : attempts_) {
-      if (count > 4) Complain(id + ": more than four attempts");
+      if (count > 4) AddViolation(id + ": more than four attempts");
     }
-    if (scenario_.stops_at && !stopped_) Complain("the listener has not stopped");
+    if (scenario_.stops_at && !stopped_) AddViolation("the listener has not stopped");
   }
 
-  void JudgeClient(const Client& client) {
-    const auto [answers, has_rest] = ReadAnswers(client.wire->in);
-    if (has_rest) Complain("a part of an answer, or something else: " + client.wire->in);
-    if (answers.size() > client.sent.size()) Complain("more answers than requests: " + client.wire->in);
+  void CheckClient(const Client& client) {
+    const auto [answers, has_trailing_bytes] = ReadAnswers(client.wire->in);
+    if (has_trailing_bytes) AddViolation("bytes after the last complete answer: " + client.wire->in);
+    if (answers.size() > client.sent.size()) AddViolation("more answers than requests: " + client.wire->in);
     for (std::size_t i = 0; i < client.sent.size(); ++i) {
       const ScriptedRequest& request = client.sent[i];
       if (i >= answers.size()) {
-        JudgeUnanswered(client, request, i > 0 && i == answers.size() ? &answers[i - 1] : nullptr);
+        CheckUnanswered(client, request, i > 0 && i == answers.size() ? &answers[i - 1] : nullptr);
         if (i >= answers.size()) break;
       }
-      JudgeAnswered(request, answers[i], client.answered_at[i] - client.sent_at[i]);
+      CheckAnswered(request, answers[i], client.answered_at[i] - client.sent_at[i]);
     }
   }
 
-  void JudgeUnanswered(const Client& client, const ScriptedRequest& request, const Answered* before) {
+  void CheckUnanswered(const Client& client, const ScriptedRequest& request, const ParsedAnswer* before) {
     const bool closed_in_order = client.wire->closed && client.wire->end == asio::error::eof;
-    // One behind an answer that closes its connection can be sent once more.
+    // A client can retry a request that follows an answer with `Connection: close`.
     const bool excused = closed_in_order && before != nullptr && before->closes && attempts_[request.id] == 0;
     const bool never_accepted = closed_in_order && request.kind == ScriptedRequest::Kind::kMalformed;
     if (excused || never_accepted) return;
     std::string how = closed_in_order ? "closed in order" : "reset";
     if (!client.wire->closed) how = "still open";
-    Complain(request.id + ": no answer; its connection: " + how);
+    AddViolation(request.id + ": no answer; its connection: " + how);
   }
 
-  void JudgeAnswered(const ScriptedRequest& request, const Answered& answer, milliseconds took) {
+  void CheckAnswered(const ScriptedRequest& request, const ParsedAnswer& answer, milliseconds took) {
     using Kind = ScriptedRequest::Kind;
-    if (took > kDeadline + kGrace)
-      Complain(request.id + ": answered after " + std::to_string(took.count()) + " ms");
+    if (took > kDeadline + kAnswerGrace)
+      AddViolation(request.id + ": answered after " + std::to_string(took.count()) + " ms");
     if (request.kind == Kind::kHealthCheck || request.kind == Kind::kMalformed) return;
     if (answer.status == 200 && answer.body != request.id)
-      Complain(request.id + ": served with another answer: " + answer.body);
+      AddViolation(request.id + ": served with another answer: " + answer.body);
     if (request.kind != Kind::kNotIdempotent) return;
-    if (runs_[request.id] > 1) Complain(request.id + ": not idempotent, has run twice");
+    if (runs_[request.id] > 1) AddViolation(request.id + ": not idempotent, has run twice");
     if ((answer.status == 429 || answer.status == 503) && runs_[request.id] > 0)
-      Complain(request.id + ": not idempotent, rejected though it has run");
+      AddViolation(request.id + ": not idempotent, rejected though it has run");
   }
 
-  void AskOnceMore() {
+  void CheckNextRequestIsServed() {
     scenario_.backend_steps = {{}};
-    count_ = false;
+    count_calls_ = false;
     const auto wire = Connect();
     wire->Send(Get("next"));
     RunUntil(kDeadline, [&] { return wire->closed || wire->in.ends_with("\r\n\r\nnext"); });
     if (wire->in.rfind("HTTP/1.1 200 ", 0) != 0)
-      Complain("a next request is not served: " + (wire->in.empty() ? "no answer" : wire->in));
+      AddViolation("the next request is not served: " + (wire->in.empty() ? "no answer" : wire->in));
     wire->Close();
-    count_ = true;
+    count_calls_ = true;
   }
 
   bool IsProxyIdle() const {
@@ -336,7 +337,7 @@
 
   void CheckNothingIsLeft() {
     for (const auto& client : clients_) client->wire->Close();
-    const bool is_idle = RunUntil(kCleanUp, [this] { return due_.empty() && IsProxyIdle(); });
+    const bool is_idle = RunUntil(kMaxCleanUpTime, [this] { return scheduled_.empty() && IsProxyIdle(); });
     for (const auto& backend : backends_) {
       for (const auto& wire : backend->wires) wire->Close();
       backend->wires.clear();
@@ -345,35 +346,35 @@
     if (!is_idle) {
       int in_flight = 0;
       for (const BackendView& view : node_->proxy.Inspect()) in_flight += view.in_flight;
-      Complain("left behind: " + std::to_string(node_->listener.connections()) + " connections, " +
-               std::to_string(node_->proxy.open_requests()) + " requests, " +
-               std::to_string(node_->backends.open_connections()) + " connections to backends, " +
-               std::to_string(in_flight) + " attempts in flight");
+      AddViolation("leaked: " + std::to_string(node_->listener.connections()) + " connections, " +
+                   std::to_string(node_->proxy.open_requests()) + " requests, " +
+                   std::to_string(node_->backends.open_connections()) + " connections to backends, " +
+                   std::to_string(in_flight) + " attempts in flight");
     }
-    // The listener's own is closed once it has stopped.
+    // A stopped listener has closed its listening socket.
     const std::size_t expected = baseline_descriptors_ - (stopped_ ? 1 : 0);
     const std::size_t found = badgerbridge::testing::CountDescriptors();
     if (found != expected)
-      Complain("descriptors: " + std::to_string(found) + " for " + std::to_string(expected));
+      AddViolation("descriptors: " + std::to_string(found) + ", expected " + std::to_string(expected));
   }
 
   FaultScenario scenario_;
   VirtualClock clock_;
-  asio::io_context node_io_;  // of the proxy, the only one with timers
+  asio::io_context node_io_;  // runs the proxy; the only one with timers
   asio::io_context peer_io_;
   const tcp::endpoint address_;
   std::vector<std::unique_ptr<Peer>> backends_;
   std::vector<std::unique_ptr<Client>> clients_;
   std::optional<Node> node_;
   ProxyClock::Steady::time_point begin_{};
-  std::multimap<milliseconds, std::function<void()>> due_;  // what clients and backends do, by time
+  std::multimap<milliseconds, std::function<void()>> scheduled_;  // actions of clients and backends, by time
   std::size_t served_ = 0;
-  std::map<std::string, int> attempts_;  // by id
-  std::map<std::string, int> runs_;      // by id
+  std::map<std::string, int> attempts_;  // by request id
+  std::map<std::string, int> runs_;      // by request id
   bool stopped_ = false;
-  bool count_ = true;
+  bool count_calls_ = true;
   std::size_t baseline_descriptors_ = 0;
-  std::vector<std::string> complaints_;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace badgerbridge::proxy::testing
--- a/tests/proxy/fault_plays.h
+++ b/tests/proxy/fault_plays.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Plays exchanges with each call of a kind failing in turn, each play in a process of its own.
+// Runs the fault scenarios with each call of a kind failing in turn, each run in a child process.
 #ifndef BADGERBRIDGE_TESTS_PROXY_FAULT_PLAYS_H_
 #define BADGERBRIDGE_TESTS_PROXY_FAULT_PLAYS_H_
 
@@ -22,30 +22,30 @@
 using badgerbridge::testing::Call;
 using badgerbridge::testing::PlannedFault;
 
-/// Limits this process, so that a fault which makes the proxy loop or grow without end is found and harms
-/// nobody else.
-inline void BoundThisProcess() {
+/// Limits processor time and memory of this process, so that a fault which makes the proxy loop or grow
+/// without bound ends the run and doesn't affect others.
+inline void LimitChildResources() {
   constexpr rlim_t kMaxSeconds = 10;
   const rlimit processor{kMaxSeconds, kMaxSeconds};
   ::setrlimit(RLIMIT_CPU, &processor);
-#ifndef __SANITIZE_ADDRESS__  // it reserves more than any limit
+#ifndef __SANITIZE_ADDRESS__  // reserves more address space than any limit
   constexpr rlim_t kMaxMemoryBytes = rlim_t{1} << 30;
   const rlimit memory{kMaxMemoryBytes, kMaxMemoryBytes};
   ::setrlimit(RLIMIT_AS, &memory);
 #endif
 }
 
-/// Plays in a process of its own, so that a fault which ends the process is a complaint as any other. Returns
-/// the complaints, a line each.
-inline std::string RunInChild(const std::function<std::vector<std::string>()>& play) {
+/// Calls `run` in a child process, so that a fault which ends the process is reported as a violation. Returns
+/// the violations, one per line.
+inline std::string RunInChild(const std::function<std::vector<std::string>()>& run) {
   std::array<int, 2> ends{};
-  if (::pipe(ends.data()) != 0) return "\n  no pipe";
+  if (::pipe(ends.data()) != 0) return "\n  could not create a pipe";
   const pid_t child = ::fork();
   if (child == 0) {
     ::close(ends[0]);
-    BoundThisProcess();
+    LimitChildResources();
     std::string text;
-    for (const std::string& complaint : play()) text += "\n  " + complaint;
+    for (const std::string& violation : run()) text += "\n  " + violation;
     _exit(::write(ends[1], text.data(), text.size()) == static_cast<ssize_t>(text.size()) ? 0 : 1);
   }
   ::close(ends[1]);
@@ -62,34 +62,34 @@
   return text;
 }
 
-/// What failed, where, and the complaints.
+/// Describes the failed call, its call stack and the violations.
 inline std::string Describe(const PlannedFault& fault, Call call, long number,
-                            const std::string& complaints) {
+                            const std::string& violations) {
   return std::string(badgerbridge::testing::NameOf(call)) + " " + std::to_string(number) +
-         (fault.happened() ? " fails, at (see addr2line)" + fault.Site() : ": no fault") + complaints;
+         (fault.happened() ? " fails, at (see addr2line)" + fault.Site() : ": no fault") + violations;
 }
 
-/// Plays each scenario again and again with the calls from number 0, 1, 2, … failing, until it is over before
-/// that call. Returns the number of plays.
+/// Runs each scenario repeatedly, with `failures` calls failing from number 0, 1, 2, …, until a run ends
+/// before that call. Returns the number of runs.
 inline long FailEachCall(Call call, int failures, int error) {
   constexpr long kMaxCalls = 5000;
-  long plays = 0;
+  long runs = 0;
   for (const FaultScenario& scenario : FaultScenarios()) {
     bool reached = true;
-    for (long number = 0; reached; ++number, ++plays) {
+    for (long number = 0; reached; ++number, ++runs) {
       if (number == kMaxCalls) {
-        ADD_FAILURE() << scenario.name << ": never over";
+        ADD_FAILURE() << scenario.name << ": the failing calls were never exhausted";
         break;
       }
       const PlannedFault fault(call, number, failures, error);
-      const auto play = [&] { return FaultExchange(scenario, static_cast<unsigned>(plays)).Run(); };
-      const std::string complaints = RunInChild(play);
+      const auto run = [&] { return FaultExchange(scenario, static_cast<unsigned>(runs)).Run(); };
+      const std::string violations = RunInChild(run);
       reached = fault.happened();
-      if (!complaints.empty())
-        ADD_FAILURE() << scenario.name << ": " << Describe(fault, call, number, complaints);
+      if (!violations.empty())
+        ADD_FAILURE() << scenario.name << ": " << Describe(fault, call, number, violations);
     }
   }
-  return plays;
+  return runs;
 }
 
 }  // namespace badgerbridge::proxy::testing
--- a/tests/proxy/fault_scenarios.h
+++ b/tests/proxy/fault_scenarios.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The exchanges between clients, a proxy and backends in which faults are tried.
+// The exchanges between clients, a proxy and backends into which faults are injected.
 #ifndef BADGERBRIDGE_TESTS_PROXY_FAULT_SCENARIOS_H_
 #define BADGERBRIDGE_TESTS_PROXY_FAULT_SCENARIOS_H_
 
@@ -21,10 +21,10 @@
   enum class Action { kAnswer, kReset, kReject };
 
   Action action = Action::kAnswer;
-  milliseconds delay{0};  ///< after the request has come
+  milliseconds delay{0};  ///< from receiving the request to the action
 };
 
-/// A request, as far as the judgement needs it.
+/// A request, with the properties that the checks need.
 struct ScriptedRequest {
   enum class Kind { kIdempotent, kIdempotencyKey, kNotIdempotent, kHealthCheck, kMalformed };
 
@@ -33,7 +33,7 @@
   std::string text;
 };
 
-/// Requests that a client writes at once.
+/// Requests that a client sends in one write.
 struct ClientWrite {
   milliseconds at{0};
   std::vector<ScriptedRequest> requests;
@@ -41,16 +41,16 @@
 
 /// One connection of a client.
 struct ScriptedClient {
-  std::vector<ClientWrite> writes;             ///< the connection is opened with the first
-  std::optional<milliseconds> leaves_at = {};  ///< it closes without waiting for its answers
+  std::vector<ClientWrite> writes;                  ///< the connection is opened with the first
+  std::optional<milliseconds> disconnects_at = {};  ///< when it closes without waiting for its answers
 };
 
-/// What clients and backends do in one exchange.
+/// The actions of clients and backends in one exchange.
 struct FaultScenario {
   const char* name;
   std::vector<ScriptedClient> clients;
-  std::vector<BackendStep> backend_steps;     ///< one for each request, the last for all that follow
-  std::optional<milliseconds> stops_at = {};  ///< the listener
+  std::vector<BackendStep> backend_steps;     ///< one for each request; the last one repeats
+  std::optional<milliseconds> stops_at = {};  ///< when the listener stops
 };
 
 /// A request of an idempotent class.
@@ -66,16 +66,16 @@
 inline ScriptedRequest NonIdempotentRequest(const std::string& id) {
   return {ScriptedRequest::Kind::kNotIdempotent, id, Post(id, "certify", "END")};
 }
-/// A health check of the proxy.
+/// A readiness check of the proxy.
 inline ScriptedRequest HealthCheckRequest() {
   return {ScriptedRequest::Kind::kHealthCheck, "ready", "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n"};
 }
-/// Bytes that are no request.
+/// Bytes that don't form a request.
 inline ScriptedRequest MalformedRequest() {
   return {ScriptedRequest::Kind::kMalformed, "malformed", "\x16\x03\x01 no request\r\n\r\n"};
 }
 
-/// The exchanges that every fault is tried in.
+/// The scenarios into which every fault is injected.
 inline std::vector<FaultScenario> FaultScenarios() {
   using Action = BackendStep::Action;
   const milliseconds begin{0};
@@ -92,10 +92,10 @@
       {"two pipelined",
        {{{{begin, {IdempotentRequest("a"), IdempotentRequest("b")}}}}},
        {{Action::kAnswer, milliseconds(5)}}},
-      {"two after one another on one connection",
+      {"two in sequence on one connection",
        {{{{begin, {IdempotentRequest("a")}}, {milliseconds(100), {NonIdempotentRequest("b")}}}}},
        {{Action::kAnswer}}},
-      {"the last of its connection",
+      {"the last request of its connection",
        one(IdempotentRequest("a", "Connection: close\r\n")),
        {{Action::kAnswer}}},
       {"the listener stops",
@@ -104,7 +104,7 @@
         {{{milliseconds(60), {NonIdempotentRequest("c")}}, {milliseconds(300), {IdempotentRequest("d")}}}}},
        {{Action::kAnswer, milliseconds(50)}},
        milliseconds(30)},
-      {"a client leaves",
+      {"a client disconnects",
        {{{{begin, {IdempotentRequest("a")}}}, milliseconds(20)},
         {{{milliseconds(10), {NonIdempotentRequest("b")}}}}},
        {{Action::kAnswer, milliseconds(50)}}},
--- a/tests/proxy/hostile_clients_test.cpp
+++ b/tests/proxy/hostile_clients_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Well-behaved clients beside clients that misbehave, or while descriptors run out: each of their requests
-// gets one complete answer in time, and nothing is left behind.
+// Well-behaved clients next to misbehaving ones, or while descriptors run out: each request of a well-behaved
+// client must get one complete answer in time, and no resource may leak.
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 
@@ -15,8 +15,8 @@
 namespace badgerbridge::proxy::testing {
 namespace {
 
-// Many connections without a request, in the queue ahead of those of well-behaved clients.
-TEST_F(HostileTest, ManySilentConnectionsDoNotKeepOthersOut) {
+// Many connections without a request are in the accept queue ahead of those of well-behaved clients.
+TEST_F(HostileTest, ManySilentConnectionsDoNotBlockOthers) {
   Start({Backend::kGood, Backend::kGood}, 128);
   for (int i = 0; i < 100; ++i) Connect();
   RunFor(milliseconds(5));
@@ -27,8 +27,8 @@
   ExpectNothingLeft();
 }
 
-// At the limit of clients each place is held by a client that stops in the midst of a request.
-TEST_F(HostileTest, IncompleteRequestsAreRejectedAndDoNotKeepOthersOut) {
+// All of max_clients connections belong to clients that stop in the middle of a request.
+TEST_F(HostileTest, IncompleteRequestsAreRejectedAndDoNotBlockOthers) {
   for (const std::string& half :
        {std::string("GET /preview HTTP/1.1\r\nHost: h\r\n"), std::string("G"),
         std::string("POST /certify HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\n1234"),
@@ -49,7 +49,7 @@
   }
 }
 
-// A byte now and then does not keep a connection open.
+// Sending a byte now and then doesn't keep a connection open.
 TEST_F(HostileTest, AClientThatSendsSlowlyIsRejectedAndItsConnectionEnds) {
   Start({Backend::kGood});
   const std::string head = Get("slow", "X-Long: " + std::string(2000, 'x') + "\r\n");
@@ -69,8 +69,8 @@
   ExpectNothingLeft();
 }
 
-// Each place is held by a client that sends many requests and never reads.
-TEST_F(HostileTest, AClientThatDoesNotReadDoesNotKeepOthersOut) {
+// All of max_clients connections belong to clients that send many requests and never read.
+TEST_F(HostileTest, AClientThatDoesNotReadDoesNotBlockOthers) {
   Start({Backend::kGood, Backend::kGood}, kScarceSockets);
   answer_body_ = std::string(65000, 'y');
   constexpr int kMinBuffer = 1;  // the system rounds it up
@@ -89,15 +89,15 @@
   served_ = 0;
   SendOneOfEachClass();
   ExpectCheckedAnswers();
-  EXPECT_EQ(served_, 3) << "of those that came once a client was known not to read";
-  // No wait for them is without an end.
+  EXPECT_EQ(served_, 3) << "requests sent after a client was found not to read";
+  // Every wait for these clients is bounded.
   EXPECT_TRUE(RunUntil([this] { return node_->listener.connections() == 0; }, milliseconds(15000)))
       << node_->listener.connections();
   ExpectNothingLeft();
 }
 
-// Requests far ahead of the answers, on many connections; the others get theirs.
-TEST_F(HostileTest, AClientThatSendsFarAheadDoesNotHarmOthers) {
+// Clients pipeline many requests on many connections; the other clients are still answered.
+TEST_F(HostileTest, AClientThatPipelinesTooMuchDoesNotHarmOthers) {
   Start({Backend::kGood, Backend::kGood});
   std::vector<std::shared_ptr<PumpedClient>> flood;
   for (int i = 0; i < 20; ++i) {
@@ -111,7 +111,7 @@
   }
   ExpectCheckedAnswers();
   EXPECT_EQ(served_, 15);
-  // Each answer in the order of the requests, and then, where too much was ahead, that it was.
+  // The answers come in the order of the requests, followed by an error if too much was pipelined.
   for (const auto& client : flood) {
     EXPECT_TRUE(RunUntil([&] { return client->ended || client->Answers().answers.size() == 2000; }));
     const auto [answers, rest] = client->Answers();
@@ -124,8 +124,8 @@
   ExpectNothingLeft();
 }
 
-// Clients that leave at any point of their request or its answer, in order or by a reset.
-TEST_F(HostileTest, ClientsThatLeaveDoNotHarmOthers) {
+// Clients disconnect at any point of their request or its answer, by a close or a reset.
+TEST_F(HostileTest, ClientsThatDisconnectDoNotHarmOthers) {
   Start({Backend::kGood, Backend::kGood, Backend::kGood});
   hold_answers_ = true;
   const std::string whole = Post("gone", "certify", "END");
@@ -142,7 +142,7 @@
   RunFor(milliseconds(10));
   for (std::size_t i = 0; i < waiting.size(); ++i) i % 2 == 0 ? waiting[i]->Reset() : waiting[i]->Close();
   RunFor(milliseconds(10));
-  EXPECT_EQ(node_->proxy.open_requests(), 3u) << "those of well-behaved clients";
+  EXPECT_EQ(node_->proxy.open_requests(), 3u) << "the requests of well-behaved clients";
   hold_answers_ = false;
   for (const auto& [wire, id] : held_) wire->Send(Reply(200, id));
   held_.clear();
@@ -152,7 +152,7 @@
   ExpectNothingLeft();
 }
 
-// Requests that wait in the queue of the listener while there is no descriptor left.
+// Requests wait in the accept queue while no descriptor is available.
 TEST_F(HostileTest, WithoutDescriptorsForAWhileEachRequestIsAnswered) {
   Start({Backend::kGood, Backend::kGood});
   std::vector<std::shared_ptr<PumpedClient>> idle;
@@ -164,7 +164,7 @@
   rlimit usual{};
   ASSERT_EQ(::getrlimit(RLIMIT_NOFILE, &usual), 0);
   rlimit full = usual;
-  full.rlim_cur = 3;  // every descriptor beyond those that are open fails
+  full.rlim_cur = 3;  // no further descriptor can be opened
   ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &full), 0);
   RunFor(milliseconds(200));
   ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &usual), 0);
--- a/tests/proxy/http_text.h
+++ b/tests/proxy/http_text.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Text of HTTP/1.1 messages, as tests read it.
+// Helpers for tests that read HTTP/1.1 messages as text.
 #ifndef BADGERBRIDGE_TESTS_PROXY_HTTP_TEXT_H_
 #define BADGERBRIDGE_TESTS_PROXY_HTTP_TEXT_H_
 
@@ -9,7 +9,7 @@
 
 namespace badgerbridge::proxy::testing {
 
-// The value of the first header of that name; empty if there is none.
+// The value of the first header with this name; empty if there is none.
 inline std::string HeaderIn(const std::string& text, const std::string& name) {
   const std::size_t at = text.find(name + ": ");
   if (at == std::string::npos) return "";
--- a/tests/proxy/malformed_requests_test.cpp
+++ b/tests/proxy/malformed_requests_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Clients that send what is no request: each gets one error and sees one orderly end.
+// Clients that send malformed requests: each gets one error, and its connection is closed without a reset.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -51,7 +51,7 @@
 
 class MalformedRequestTest : public HostileTest, public ::testing::WithParamInterface<MalformedRequest> {
  protected:
-  // With a megabyte behind it.
+  // Sends the malformed request, followed by a megabyte of other bytes.
   std::shared_ptr<PumpedClient> Send() {
     auto client = Connect();
     client->to_send = GetParam().text + std::string(kBytesBehind, 'x');
@@ -59,7 +59,7 @@
   }
 };
 
-TEST_P(MalformedRequestTest, IsRejectedAndItsConnectionEndsInOrder) {
+TEST_P(MalformedRequestTest, IsRejectedAndItsConnectionIsClosedWithoutAReset) {
   Start({Backend::kGood, Backend::kGood});
   const auto alone = Connect(GetParam().text);
   const auto sends_on = Send();
@@ -72,7 +72,7 @@
   ExpectNothingLeft();
 }
 
-// One that reads only when it has sent all, or can send no more for a second.
+// The client reads only after it has sent everything, or could send nothing for a second.
 TEST_P(MalformedRequestTest, IsRejectedAlsoIfItReadsLate) {
   Start({Backend::kGood, Backend::kGood});
   const auto client = Send();
@@ -90,7 +90,7 @@
   ExpectNothingLeft();
 }
 
-// Behind a request whose answer is still owed, each gets its own.
+// After a request that is still unanswered, both requests get their own answer.
 TEST_P(MalformedRequestTest, BehindARequestBothAreAnswered) {
   Start({Backend::kGood, Backend::kGood});
   hold_answers_ = true;
--- a/tests/proxy/pumped_client.h
+++ b/tests/proxy/pumped_client.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A client that a test drives step by step.
+// A client that a test drives step by step, without an event loop.
 #ifndef BADGERBRIDGE_TESTS_PROXY_PUMPED_CLIENT_H_
 #define BADGERBRIDGE_TESTS_PROXY_PUMPED_CLIENT_H_
 
@@ -16,24 +16,24 @@
 
 namespace badgerbridge::proxy::testing {
 
-// An answer as its client read it.
+// A complete answer that a client has read.
 struct CompleteAnswer {
   int status = 0;
   bool closes = false;
   std::string body;
 };
 
-// What a client has read.
+// The answers that a client has read.
 struct ReadAnswers {
   std::vector<CompleteAnswer> answers;
-  std::size_t rest = 0;  // bytes behind the last complete answer
+  std::size_t rest = 0;  // bytes after the last complete answer
 };
 
-// A client without a handler in an event loop: it reads and writes when it is pumped, and never blocks.
+// A client without handlers in an event loop: it reads and writes only in Pump(), and never blocks.
 struct PumpedClient {
   explicit PumpedClient(tcp::socket connected) : socket(std::move(connected)) { socket.non_blocking(true); }
 
-  // Whether anything moved.
+  // Writes and reads as much as possible. True if any data was transferred or the connection ended.
   bool Pump() {
     if (!socket.is_open()) return false;
     bool moved = false;
@@ -91,12 +91,12 @@
   }
 
   tcp::socket socket;
-  std::string in;  // all that was read
+  std::string in;  // all data read
   std::string to_send;
   std::size_t sent = 0;
   bool reads = true;
   bool send_failed = false;
-  ErrorCode ended;  // how its reading ended
+  ErrorCode ended;  // error that ended reading
 };
 
 }  // namespace badgerbridge::proxy::testing
--- a/tests/proxy/request_validation_test.cpp
+++ b/tests/proxy/request_validation_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Requests that a proxy rejects by their form.
+// Requests that a proxy rejects because they are invalid.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -13,24 +13,23 @@
 
 using RequestValidationTest = ProxyFixture;
 
-const std::string kAcme = "X-Account: acme\r\n";  // a tenant that the proxy knows
+const std::string kAcme = "X-Account: acme\r\n";  // a configured tenant
 
-// A request, and the status that it gets.
+// A request and the expected status.
 struct InvalidRequest {
   std::string text;
   const char* status;
 };
 
-// A table of cases.
 std::vector<InvalidRequest> InvalidRequests() {
   return {{"nonsense\r\n\r\n", "400"},
           {"GET http://elsewhere/ HTTP/1.1\r\n\r\n", "400"},
-          {Post("c", "other", "END", kAcme), "400"},    // class
-          {Get("c"), "400"},                            // tenant
-          {Get("c", "X-Account: nobody\r\n"), "400"},   // tenant
-          {Get("", kAcme), "400"},                      // id
-          {Post("c", "convert", "END", kAcme), "400"},  // keyed, with no key
-          {Post("c", "preview", "END", kAcme), "405"},  // idempotent, and no GET
+          {Post("c", "other", "END", kAcme), "400"},    // unknown class
+          {Get("c"), "400"},                            // no tenant
+          {Get("c", "X-Account: nobody\r\n"), "400"},   // unknown tenant
+          {Get("", kAcme), "400"},                      // no id
+          {Post("c", "convert", "END", kAcme), "400"},  // no idempotency key
+          {Post("c", "preview", "END", kAcme), "405"},  // idempotent class, but not GET
           {Post("c", "certify", "END", kAcme + "X-Time-Left-Ms: soon\r\n"), "400"},
           {Post("c", "certify", "END", kAcme + "X-Time-Left-Ms: 99999999999999999999999\r\n"), "400"},
           {Post("c", "certify", "END", kAcme + "X-Weight-Hint: much\r\n"), "400"},
@@ -60,7 +59,7 @@
   for (auto [request, status] : InvalidRequests()) {
     if (CountOf(request, "X-Time-Left-Ms") == 2) request.erase(request.find("X-Time-Left-Ms: 900\r\n"), 21);
     const auto client = node->Connect();
-    client->Send(request + Get("hidden", kAcme));  // what comes behind is not looked at
+    client->Send(request + Get("hidden", kAcme));  // later input is ignored
     ASSERT_TRUE(RunUntil(io, [&] { return client->closed; })) << request.substr(0, 200);
     const std::string& answer = client->in;
     EXPECT_EQ(answer.rfind(std::string("HTTP/1.1 ") + status + " ", 0), 0u) << request.substr(0, 200) << "\n"
@@ -72,8 +71,8 @@
   EXPECT_TRUE(IsServed(node->Ask(Get("c", kAcme))));
 }
 
-// Two requests of one id could not be told apart at a backend, and the second would count as a retry.
-TEST_F(RequestValidationTest, AnIdInUseOrUsedAMomentAgoIsAConflict) {
+// A backend could not distinguish two requests with the same id, and would treat the second as a retry.
+TEST_F(RequestValidationTest, AnIdInUseOrRecentlyUsedIsAConflict) {
   Wire* waiting = nullptr;
   Peer backend(io, [&](Wire& wire) { waiting = &wire; });
   Start({EndpointJson("a", backend.address())});
@@ -101,10 +100,11 @@
   }
   EXPECT_EQ(node->listener.recent_ids(), 8u);
   client->Send(Get("c29"));
-  ASSERT_TRUE(RunUntil(io, [&] { return CountOf(client->in, "HTTP/1.1 409 ") == 1; })) << "of the newest";
+  ASSERT_TRUE(RunUntil(io, [&] { return CountOf(client->in, "HTTP/1.1 409 ") == 1; }))
+      << "the newest id is kept";
 }
 
-// The rest of 60 MB is not worth its reading.
+// Of a rejected 60 MB body, only the beginning is read.
 TEST_F(RequestValidationTest, OnlyALittleIsReadOfABodyThatIsTooLarge) {
   Start({});
   const auto client = node->Connect();
--- a/tests/proxy/request_validator_test.cpp
+++ b/tests/proxy/request_validator_test.cpp
@@ -25,7 +25,7 @@
   return parser.release();
 }
 
-// Nothing if the request is valid.
+// Empty if the request is valid.
 std::optional<RequestError> ErrorOf(const std::string& text, const std::string& tenants = "[]") {
   const RequestValidator validator(TestConfig({}, 1024, tenants));
   const ClientRequest request = Parse(text);
@@ -69,9 +69,9 @@
   const std::string key = "Idempotency-Key: k\r\n";
   EXPECT_EQ(ErrorOf(Get("a")), std::nullopt);
   EXPECT_EQ(ErrorOf(Post("a", "convert", "END", key)), std::nullopt);
-  EXPECT_EQ(ErrorOf(Post("a", "convert", "END")), RequestError::kIdempotencyKeyNotOfClass);
-  EXPECT_EQ(ErrorOf(Post("a", "certify", "END", key)), RequestError::kIdempotencyKeyNotOfClass);
-  EXPECT_EQ(ErrorOf(Post("a", "preview", "END")), RequestError::kMethodNotOfClass);
+  EXPECT_EQ(ErrorOf(Post("a", "convert", "END")), RequestError::kInvalidIdempotencyKey);
+  EXPECT_EQ(ErrorOf(Post("a", "certify", "END", key)), RequestError::kInvalidIdempotencyKey);
+  EXPECT_EQ(ErrorOf(Post("a", "preview", "END")), RequestError::kMethodNotAllowed);
   EXPECT_EQ(ErrorOf(Post("a", "unknown", "END")), RequestError::kUnknownClass);
   EXPECT_EQ(ErrorOf(WithTimeLeft("-1")), RequestError::kMalformedTimeLeft);
   EXPECT_EQ(ErrorOf(WithTimeLeft("1234567890")), RequestError::kMalformedTimeLeft);
@@ -85,14 +85,14 @@
 TEST(RequestValidator, ThePathBeginsWithTheClass) {
   std::string text = Get("a");
   text.replace(text.find("/preview"), 8, "/certify");
-  EXPECT_EQ(ErrorOf(text), RequestError::kPathNotOfClass);
+  EXPECT_EQ(ErrorOf(text), RequestError::kPathClassMismatch);
 }
 
 TEST(RequestValidator, EachErrorIsAnsweredByAStatusOfAnError) {
   for (int i = 0; i <= static_cast<int>(RequestError::kInternal); ++i) {
     const Rejection rejection = RejectionOf(static_cast<RequestError>(i));
     EXPECT_GE(rejection.status, 400u) << i;
-    EXPECT_NE(rejection.text, nullptr) << i;
+    EXPECT_NE(rejection.body, nullptr) << i;
   }
 }
 
--- a/tests/proxy/session_crossings_test.cpp
+++ b/tests/proxy/session_crossings_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Crossings of a client's connection in batches: several events become ready while the process does not run,
-// and are handled in one turn of the event loop, in any order.
+// Races between events of a client connection: several events become ready while the process is descheduled
+// and are handled in one event loop iteration, in any order.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -15,7 +15,7 @@
 namespace badgerbridge::proxy::testing {
 namespace {
 
-// The mutation programs (tests/mutation), and how many of them report the fault of their proxy.
+// Number of mutation programs (tests/mutation), and of those that detect the fault in their proxy.
 struct MutationResults {
   int programs = 0;
   int caught = 0;
@@ -35,14 +35,14 @@
 
 TEST(SessionCrossings, EveryPairOfEventsInOneTurnAndInEachOrder) {
   SessionTotals totals;
-  RunInProcesses(AllSessionPlays(), &totals);
+  RunInProcesses(AllSessionScenarios(), &totals);
   const MutationResults mutations = RunMutations();
-  const RuleViolations& found = totals.found;
-  std::cout << "session crossings: plays=" << totals.plays << " lost=" << found.lost
-            << " twice=" << found.twice << " late=" << found.late << " leaked=" << found.leaked
+  const RuleViolations& violations = totals.violations;
+  std::cout << "session crossings: plays=" << totals.runs << " lost=" << violations.lost
+            << " twice=" << violations.twice << " late=" << violations.late << " leaked=" << violations.leaked
             << " planted_caught=" << mutations.caught << "/" << mutations.programs << std::endl;
-  EXPECT_EQ(found.all(), 0);
-  EXPECT_GE(totals.plays, 15000u);
+  EXPECT_EQ(violations.all(), 0);
+  EXPECT_GE(totals.runs, 15000u);
   EXPECT_EQ(mutations.programs, 4);
 }
 
--- a/tests/proxy/session_play.cpp
+++ b/tests/proxy/session_play.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The course of a play: into its state, through its two events, to its end.
+// Steps of a run: reaching the state, the two events, and the end.
 #include "proxy/session_play.h"
 
 #include <signal.h>
@@ -19,11 +19,12 @@
 
 namespace {
 
-// While one exists, what the proxy writes on standard error is dropped: that requests fail is part of plays.
+// Discards the proxy's standard error during its lifetime, because failed requests are expected in these
+// runs.
 class SilencedErrors {
  public:
   SilencedErrors() : buffer_(std::cerr.rdbuf(nullptr)) {}
-  ~SilencedErrors() { std::cerr.rdbuf(buffer_); }  // which also clears the errors since
+  ~SilencedErrors() { std::cerr.rdbuf(buffer_); }  // also clears the error flags
   SilencedErrors(const SilencedErrors&) = delete;
   SilencedErrors& operator=(const SilencedErrors&) = delete;
 
@@ -38,12 +39,12 @@
 
 }  // namespace
 
-SessionPlay::SessionPlay(const PlayPlan& plan) : plan_(plan) {
-  // Whole milliseconds, so that timers expire at the very nanosecond that is planned.
+SessionScenarioRun::SessionScenarioRun(const SessionScenario& scenario) : scenario_(scenario) {
+  // Aligned to whole milliseconds, so that timers expire at exactly the planned nanosecond.
   const auto now = steady_clock::now().time_since_epoch();
   clock_.Advance(std::chrono::ceil<milliseconds>(now) - now);
 
-  const SessionState state = plan.state;
+  const SessionState state = scenario.state;
   hold_connects_ = state == SessionState::kConnecting;
   hold_reads_ = state == SessionState::kWriting;
   hold_answers_ = state == SessionState::kWaiting;
@@ -59,7 +60,7 @@
   });
 }
 
-void SessionPlay::Listen() {
+void SessionScenarioRun::Listen() {
   backend_.emplace(io_);
   backend_->open(tcp::v4());
   if (hold_reads_) backend_->set_option(asio::socket_base::receive_buffer_size(kSmallBuffer));
@@ -68,7 +69,7 @@
   AcceptAtBackend();
 }
 
-void SessionPlay::StartNode() {
+void SessionScenarioRun::StartNode() {
   const std::string backend =
       address_.address().to_string() + ":" + std::to_string(backend_->local_endpoint().port());
 
@@ -76,9 +77,9 @@
   Config config = kConfig;
   config.known = boost::json::parse(ListJson(7, true, {EndpointJson("s-1", backend)}));
   config.listen = address_;
-  const bool alone = Includes(Stimulus::kEvictionRetryTimer);
-  limited_ = alone || Includes(Stimulus::kNewcomer);
-  if (limited_) config.max_clients = alone ? 1 : 2;
+  const bool alone = Includes(SessionEvent::kEvictionRetryTimer);
+  at_client_limit_ = alone || Includes(SessionEvent::kNewClient);
+  if (at_client_limit_) config.max_clients = alone ? 1 : 2;
   node_.emplace(io_, config);
   listener_address_ = node_->listener.address();
   node_->backends.SetAttemptObserver(
@@ -88,62 +89,63 @@
   });
 }
 
-PlayResult SessionPlay::Run() {
+ScenarioResult SessionScenarioRun::Run() {
   ReachState();
-  RunTimeTo(reached_ + plan_.first_at - kAsleepBefore);
-  SleepUntil(reached_ + plan_.first_at);
-  if (IsUnread(plan_.state)) SendUnread();
-  Trigger(plan_.first);
-  while (plan_.handlers_between && result_.ran_between < *plan_.handlers_between && RunHandler())
-    ++result_.ran_between;
-  SleepUntil(reached_ + plan_.second_at);
-  Trigger(plan_.second);
-  clock_.Advance(plan_.asleep);
+  RunTimeTo(state_reached_at_ + scenario_.first_at - kDescheduledBefore);
+  AdvanceWithoutHandlers(state_reached_at_ + scenario_.first_at);
+  if (IsUnread(scenario_.state)) SendUnread();
+  Trigger(scenario_.first);
+  while (scenario_.handlers_between && result_.handlers_run_between < *scenario_.handlers_between &&
+         RunHandler())
+    ++result_.handlers_run_between;
+  AdvanceWithoutHandlers(state_reached_at_ + scenario_.second_at);
+  Trigger(scenario_.second);
+  clock_.Advance(scenario_.descheduled_for);
   RunToEnd();
   for (const Client& client : clients_) CheckClient(client);
   CleanUp();
   return result_;
 }
 
-bool SessionPlay::Includes(Stimulus stimulus) const {
-  return plan_.first == stimulus || plan_.second == stimulus;
+bool SessionScenarioRun::Includes(SessionEvent event) const {
+  return scenario_.first == event || scenario_.second == event;
 }
 
-// What is in the kernel's buffer when the first event happens.
-void SessionPlay::SendUnread() {
+// Sends the input that is still in the kernel's buffer when the first event occurs.
+void SessionScenarioRun::SendUnread() {
   const std::string id = NextId("u");
-  if (plan_.state == SessionState::kIdleHalfUnread) return SendFirstHalf(clients_.front(), Get(id), id);
+  if (scenario_.state == SessionState::kIdleHalfUnread) return SendFirstHalf(clients_.front(), Get(id), id);
   SendRequest(clients_.front(), Get(id), id);
 }
 
-void SessionPlay::ReachState() {
-  if (plan_.state != SessionState::kNone) ReachClientState();
-  if (Includes(Stimulus::kListenerClose)) Trigger(Stimulus::kTerm);
-  if (Includes(Stimulus::kDrainSweep)) Trigger(Stimulus::kDrain);
+void SessionScenarioRun::ReachState() {
+  if (scenario_.state != SessionState::kNone) ReachClientState();
+  if (Includes(SessionEvent::kListenerClose)) Trigger(SessionEvent::kSigterm);
+  if (Includes(SessionEvent::kDrainSweep)) Trigger(SessionEvent::kDrain);
   RunReady();
   watch_.SetSendBufferOfAccepted(std::nullopt);
-  reached_ = steady_clock::now();
+  state_reached_at_ = steady_clock::now();
 }
 
-void SessionPlay::ReachClientState() {
+void SessionScenarioRun::ReachClientState() {
   Client& client = Connect();
   RunReady();
   SendFirstRequest(client);
   RunReady();
-  if (plan_.state == SessionState::kIdleHalfRead) {
+  if (scenario_.state == SessionState::kIdleHalfRead) {
     const std::string next = NextId("r");
     SendFirstHalf(client, Get(next), next);
     RunReady();
   }
-  if (plan_.state == SessionState::kLingering) {
+  if (scenario_.state == SessionState::kLingering) {
     RunTimeTo(steady_clock::now() + kKeepAlive);
-    if (!client.ended) throw std::logic_error("the state was not reached: lingering");
+    if (!client.ended_at) throw std::logic_error("the state was not reached: lingering");
   }
 }
 
-void SessionPlay::SendFirstRequest(Client& client) {
+void SessionScenarioRun::SendFirstRequest(Client& client) {
   const std::string id = NextId("r");
-  switch (plan_.state) {
+  switch (scenario_.state) {
     case SessionState::kNone:
     case SessionState::kNewSilent:
     case SessionState::kNewWholeUnread:
@@ -166,7 +168,7 @@
     case SessionState::kConnecting:
     case SessionState::kWaiting:
       SendRequest(client, Post(id, "certify", "END"), id);
-      client.requests.back().unsafe = true;
+      client.requests.back().not_idempotent = true;
       return;
     case SessionState::kAnswering:
       return SendRequest(client, Get(id), id);
@@ -177,47 +179,47 @@
   }
 }
 
-void SessionPlay::Trigger(Stimulus stimulus) {
-  switch (stimulus) {
-    case Stimulus::kSessionTimer:
-    case Stimulus::kListenerClose:
-    case Stimulus::kDrainSweep:
-    case Stimulus::kEvictionRetryTimer:
-      return;  // its time has come by itself
-    case Stimulus::kRequest:
-    case Stimulus::kHalfRequest:
-    case Stimulus::kTwoRequests:
-      return TriggerRequest(clients_.front(), stimulus);
-    case Stimulus::kClientFin:
-    case Stimulus::kClientReset:
-      return Disconnect(clients_.front(), stimulus == Stimulus::kClientReset);
-    case Stimulus::kTerm:
-      terminated_ = steady_clock::now();
+void SessionScenarioRun::Trigger(SessionEvent event) {
+  switch (event) {
+    case SessionEvent::kSessionTimer:
+    case SessionEvent::kListenerClose:
+    case SessionEvent::kDrainSweep:
+    case SessionEvent::kEvictionRetryTimer:
+      return;  // expires without an action
+    case SessionEvent::kRequest:
+    case SessionEvent::kHalfRequest:
+    case SessionEvent::kTwoRequests:
+      return TriggerRequest(clients_.front(), event);
+    case SessionEvent::kClientFin:
+    case SessionEvent::kClientReset:
+      return Disconnect(clients_.front(), event == SessionEvent::kClientReset);
+    case SessionEvent::kSigterm:
+      sigterm_at_ = steady_clock::now();
       ::raise(SIGTERM);
       return;
-    case Stimulus::kDrain:
+    case SessionEvent::kDrain:
       return asio::post(io_, [this] { node_->listener.Drain(); });
-    case Stimulus::kConnectDone:
-      ReleaseOne();
+    case SessionEvent::kConnectDone:
+      RunNextDeferred();
       return;
-    case Stimulus::kNewcomer:
+    case SessionEvent::kNewClient:
       return TriggerConnections(1, Nanoseconds(0));
-    case Stimulus::kSilentConnections:
-      return TriggerConnections(kConnections, plan_.request_delay);
-    case Stimulus::kAskingConnections:
-      return TriggerConnections(kConnections, Nanoseconds(0));
+    case SessionEvent::kSilentConnections:
+      return TriggerConnections(kConnectionBurst, scenario_.request_delay);
+    case SessionEvent::kConnectionsWithRequest:
+      return TriggerConnections(kConnectionBurst, Nanoseconds(0));
   }
 }
 
-void SessionPlay::TriggerRequest(Client& client, Stimulus stimulus) {
+void SessionScenarioRun::TriggerRequest(Client& client, SessionEvent event) {
   if (!client.unwritten.empty()) return SendSecondHalf(client);
-  if (stimulus == Stimulus::kHalfRequest) {
+  if (event == SessionEvent::kHalfRequest) {
     const std::string id = NextId("h");
     SendFirstHalf(client, Get(id), id);
     client.second_half_at = steady_clock::now() + kSecondHalfDelay;
     return;
   }
-  if (stimulus == Stimulus::kTwoRequests) {
+  if (event == SessionEvent::kTwoRequests) {
     const std::string late = NextId("t");
     const std::string next = NextId("n");
     SendRequest(client, Timed(Get(late), 0), late);
@@ -227,7 +229,7 @@
   SendRequest(client, Get(id), id);
 }
 
-void SessionPlay::TriggerConnections(int count, Nanoseconds request_delay) {
+void SessionScenarioRun::TriggerConnections(int count, Nanoseconds request_delay) {
   for (int i = 0; i < count; ++i) {
     Client& client = Connect();
     client.request_at = steady_clock::now() + request_delay;
@@ -235,13 +237,15 @@
   SendDueRequests();
 }
 
-std::string SessionPlay::NextId(const std::string& prefix) { return prefix + std::to_string(requests_++); }
+std::string SessionScenarioRun::NextId(const std::string& prefix) {
+  return prefix + std::to_string(requests_++);
+}
 
-void SessionPlay::RunToEnd() {
-  const SteadyTime limit = steady_clock::now() + kMaxPlayTime;
+void SessionScenarioRun::RunToEnd() {
+  const SteadyTime limit = steady_clock::now() + kMaxRunTime;
   while (!IsOver() && steady_clock::now() < limit) {
     if (RunHandler()) continue;
-    if (ReleaseOne()) continue;
+    if (RunNextDeferred()) continue;
     bool read = false;
     for (Client& client : clients_) read |= ReadAll(client);
     if (read) continue;
@@ -252,40 +256,41 @@
   for (Client& client : clients_) ReadAll(client);
 }
 
-// Each client has left, seen the end, or had all its answers, and has nothing more to ask.
-bool SessionPlay::IsOver() const {
+// Whether each client has disconnected, seen the close, or received all its answers with no request left to
+// send.
+bool SessionScenarioRun::IsOver() const {
   return std::all_of(clients_.begin(), clients_.end(), [](const Client& client) {
-    if (client.left || client.read_end || client.refused) return true;
+    if (client.disconnected_at || client.read_end || client.refused) return true;
     return !client.request_at && !client.requests.empty() && client.unwritten.empty() &&
            AnswersIn(client.received).size() >= client.requests.size();
   });
 }
 
-void SessionPlay::CleanUp() {
+void SessionScenarioRun::CleanUp() {
   for (Client& client : clients_) {
     ErrorCode ignored;
     client.socket.close(ignored);
   }
-  const SteadyTime limit = steady_clock::now() + kMaxPlayTime;
+  const SteadyTime limit = steady_clock::now() + kMaxRunTime;
   const auto is_idle = [this] {
     return node_->listener.connections() == 0 && node_->proxy.open_requests() == 0 &&
-           (!terminated_ || stopped_);
+           (!sigterm_at_ || stopped_);
   };
   while (!is_idle() && steady_clock::now() < limit) {
-    if (!RunHandler() && !ReleaseOne()) clock_.AdvanceToNextTimer(kMaxWait);
+    if (!RunHandler() && !RunNextDeferred()) clock_.AdvanceToNextTimer(kMaxWait);
   }
-  if (!is_idle()) Report(&RuleViolations::leaked, "connections or requests are left");
+  if (!is_idle()) Report(&RuleViolations::leaked, "leaked connections or requests");
 }
 
-// One handler, if one is ready. The kernel may hand over on another thread what has just been sent: it gets
-// the processor before "none is ready" is believed.
-bool SessionPlay::RunHandler() {
-  constexpr int kLooks = 2;
+// Runs one handler if one is ready. The kernel may deliver data that was just sent on another thread, so this
+// yields and polls again before it concludes that none is ready.
+bool SessionScenarioRun::RunHandler() {
+  constexpr int kPolls = 2;
   if (handlers_ == kMaxHandlers) return false;
-  for (int look = 0; look < kLooks; ++look) {
+  for (int poll = 0; poll < kPolls; ++poll) {
     io_.restart();
     if (io_.poll_one() > 0) {
-      if (++handlers_ == kMaxHandlers) Report(&RuleViolations::leaked, "handlers run without end");
+      if (++handlers_ == kMaxHandlers) Report(&RuleViolations::leaked, "the event loop spins");
       DetectEnds();
       return true;
     }
@@ -294,12 +299,12 @@
   return false;
 }
 
-void SessionPlay::RunReady() {
+void SessionScenarioRun::RunReady() {
   while (RunHandler()) continue;
 }
 
-// As an idle process: handlers run when they are due.
-void SessionPlay::RunTimeTo(SteadyTime until) {
+// Advances the clock like an idle process: handlers run when they are due.
+void SessionScenarioRun::RunTimeTo(SteadyTime until) {
   RunReady();
   while (steady_clock::now() < until) {
     clock_.AdvanceToNextTimer(until - steady_clock::now());
@@ -307,31 +312,31 @@
   }
 }
 
-// As a process that is descheduled.
-void SessionPlay::SleepUntil(SteadyTime until) {
+// Advances the clock like a descheduled process: no handler runs.
+void SessionScenarioRun::AdvanceWithoutHandlers(SteadyTime until) {
   if (steady_clock::now() < until) clock_.Advance(until - steady_clock::now());
 }
 
-// The next thing that the backend or the network has not done yet.
-bool SessionPlay::ReleaseOne() {
-  if (held_.empty()) return false;
-  const auto next = std::move(held_.front());
-  held_.pop_front();
+// Runs the next pending action of the backend or the network. False if there is none.
+bool SessionScenarioRun::RunNextDeferred() {
+  if (deferred_.empty()) return false;
+  const auto next = std::move(deferred_.front());
+  deferred_.pop_front();
   next();
   return true;
 }
 
-PlayResult PlayOnce(const PlayPlan& plan) {
+ScenarioResult RunScenario(const SessionScenario& scenario) {
   const std::size_t before = CountDescriptors();
-  PlayResult result;
+  ScenarioResult result;
   {
     const SilencedErrors silenced;
-    SessionPlay play(plan);
-    result = play.Run();
+    SessionScenarioRun run(scenario);
+    result = run.Run();
   }
   if (CountDescriptors() != before) {
-    ++result.found.leaked;
-    result.violations += Describe(plan) + ": descriptors are left\n";
+    ++result.violations.leaked;
+    result.report += Describe(scenario) + ": leaked descriptors\n";
   }
   return result;
 }
--- a/tests/proxy/session_play.h
+++ b/tests/proxy/session_play.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One play of a client's connection: it is brought into a state, then two events happen, at given times and
-// with a given number of handlers between them, and the client's side judges what came of it. The clock is
-// virtual; none of the time passes in handlers. Where no handler runs between the events, both are ready in
-// one turn of the event loop, as in a process that was descheduled for a while.
+// One test run of a client connection: it is brought into a state, then two events occur at given times with
+// a given number of handlers between them, and the result is checked from the client's side. The clock is
+// virtual and doesn't advance during handlers. If no handler runs between the events, both are ready in one
+// event loop iteration, as in a process that was descheduled for a while.
 #ifndef BADGERBRIDGE_TESTS_PROXY_SESSION_PLAY_H_
 #define BADGERBRIDGE_TESTS_PROXY_SESSION_PLAY_H_
 
@@ -28,20 +28,20 @@
 
 namespace badgerbridge::proxy::testing {
 
-// What came of a play.
-struct PlayResult {
-  RuleViolations found;    // rules that were broken
-  std::string violations;  // a line for each
-  // Handlers that ran between the events; fewer than planned if no more were ready.
-  std::size_t ran_between = 0;
+// Result of one run.
+struct ScenarioResult {
+  RuleViolations violations;  // by rule
+  std::string report;         // one line for each violation
+  // Handlers that ran between the events; fewer than requested if no more were ready.
+  std::size_t handlers_run_between = 0;
 };
 
-// One play: a proxy in this process, a backend and clients, on one event loop. Used once.
-class SessionPlay {
+// Runs one scenario: a proxy in this process, a backend and clients on one event loop. Run() is called once.
+class SessionScenarioRun {
  public:
-  explicit SessionPlay(const PlayPlan& plan);
+  explicit SessionScenarioRun(const SessionScenario& scenario);
 
-  PlayResult Run();
+  ScenarioResult Run();
 
  private:
   using Nanoseconds = std::chrono::nanoseconds;
@@ -49,51 +49,51 @@
 
   struct Request {
     std::string id;
-    std::size_t begin = 0;                // in what its client writes, bytes
-    SteadyTime begun_writing{};           // its first byte
-    std::optional<SteadyTime> written{};  // its last byte
-    bool after_end = false;               // its first byte was written when the client could see the end
-    bool behind_another = false;          // written before the answer to the one ahead of it had come
-    bool after_close = false;             // written when the client knew that the connection would end
-    bool unsafe = false;                  // to repeat
-    int attempts = 0;                     // that have begun
+    std::size_t begin = 0;                   // offset in the client's output, in bytes
+    SteadyTime first_byte_at{};              // when its first byte was written
+    std::optional<SteadyTime> written_at{};  // when its last byte was written
+    bool written_after_end = false;          // the client could already detect the close
+    bool is_pipelined = false;               // written before the previous request was answered
+    bool after_close_announced = false;      // written after `Connection: close`
+    bool not_idempotent = false;             // must not be sent twice
+    int attempts = 0;                        // attempts begun
   };
   struct Client {
     explicit Client(tcp::socket s) : socket(std::move(s)) {}
     tcp::socket socket;
-    tcp::endpoint endpoint;  // its own
+    tcp::endpoint endpoint;  // local address
     std::vector<Request> requests;
-    std::size_t wrote = 0;  // bytes
-    std::string unwritten;  // the second half of a request
+    std::size_t bytes_written = 0;  // bytes
+    std::string unwritten;          // the second half of a request
     std::string received;
-    SteadyTime connected{};
-    std::optional<SteadyTime> left{};   // by itself
-    std::optional<SteadyTime> ended{};  // by the proxy, as the client can see
+    SteadyTime connected_at{};
+    std::optional<SteadyTime> disconnected_at{};  // closed or reset by the client
+    std::optional<SteadyTime> ended_at{};         // closed by the proxy, as seen by the client
     std::optional<SteadyTime> reset_at{};
     std::optional<SteadyTime> request_at{};      // when it writes its first request
     std::optional<SteadyTime> second_half_at{};  // when it writes the second half of one
     bool read_end = false;
     bool reset = false;
-    bool unread_at_reset = false;  // an answer came with the reset
-    bool refused = false;          // its connection did not come up
+    bool unread_at_reset = false;  // an answer was unread when the reset arrived
+    bool refused = false;          // the connection was not established
     bool requested_close = false;
   };
-  // Of one id; both null if no client has sent it.
+  // The owner of a request id; both null if no client has sent it.
   struct ClientAndRequest {
     Client* client = nullptr;
     Request* request = nullptr;
   };
 
-  // The course of a play.
+  // Steps of a run.
   void Listen();
   void StartNode();
-  bool Includes(Stimulus stimulus) const;
+  bool Includes(SessionEvent event) const;
   void ReachState();
   void ReachClientState();
   void SendFirstRequest(Client& client);
   void SendUnread();
-  void Trigger(Stimulus stimulus);
-  void TriggerRequest(Client& client, Stimulus stimulus);
+  void Trigger(SessionEvent event);
+  void TriggerRequest(Client& client, SessionEvent event);
   void TriggerConnections(int count, Nanoseconds request_delay);
   std::string NextId(const std::string& prefix);
   void RunToEnd();
@@ -104,8 +104,8 @@
   bool RunHandler();
   void RunReady();
   void RunTimeTo(SteadyTime until);
-  void SleepUntil(SteadyTime until);
-  bool ReleaseOne();
+  void AdvanceWithoutHandlers(SteadyTime until);
+  bool RunNextDeferred();
 
   // Clients.
   Client& Connect();
@@ -129,29 +129,29 @@
   void Dial(tcp::socket& socket, const tcp::endpoint& address, std::function<void(ErrorCode)> ended);
   void OnAttemptBegun(const ForwardedRequest& forwarded);
 
-  // The verdict.
+  // Checks of the result.
   void CheckClient(const Client& client);
   void CheckUnanswered(const Client& client, const Request& request, std::size_t answers);
   bool HadTimeToRead(const Client& client) const;
   bool TimedOutTooEarly(const Client& client, const Request& request) const;
   bool ReadsTooSlowly(const Client& client) const;
-  bool MayBeRefused(const Client& client, bool after_end) const;
+  bool MayBeRefused(const Client& client, bool written_after_end) const;
   void Report(int RuleViolations::*rule, const std::string& what);
 
-  const PlayPlan plan_;
+  const SessionScenario scenario_;
   const tcp::endpoint address_ = OwnAddress();
-  badgerbridge::testing::VirtualClock clock_;  // ahead of all that reads it
+  badgerbridge::testing::VirtualClock clock_;  // declared before all members that read it
   badgerbridge::testing::SocketWatch watch_;
   asio::io_context io_;
   asio::signal_set signals_{io_};
   std::optional<tcp::acceptor> backend_;
   std::vector<std::shared_ptr<Wire>> backend_wires_;
-  std::deque<std::function<void()>> held_;  // what the backend and the network do not do yet
+  std::deque<std::function<void()>> deferred_;  // pending actions of the backend and the network
   std::optional<Node> node_;
   tcp::endpoint listener_address_;
-  std::deque<Client> clients_;  // the first is the one whose connection has the state
-  SteadyTime reached_{};
-  std::optional<SteadyTime> terminated_;
+  std::deque<Client> clients_;  // the first has the connection under test
+  SteadyTime state_reached_at_{};
+  std::optional<SteadyTime> sigterm_at_;
   int requests_ = 0;
   int handlers_ = 0;
   bool hold_connects_ = false;
@@ -159,13 +159,13 @@
   bool hold_answers_ = false;
   bool large_answers_ = false;
   bool small_buffers_ = false;
-  bool limited_ = false;  // the limit of clients is reached
+  bool at_client_limit_ = false;  // the connections reach max_clients
   bool stopped_ = false;
-  PlayResult result_;
+  ScenarioResult result_;
 };
 
-// One play, and whether it left descriptors behind.
-PlayResult PlayOnce(const PlayPlan& plan);
+// Runs one scenario, and checks that it leaks no descriptors.
+ScenarioResult RunScenario(const SessionScenario& scenario);
 
 }  // namespace badgerbridge::proxy::testing
 
--- a/tests/proxy/session_play_backend.cpp
+++ b/tests/proxy/session_play_backend.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The backend of a play, and the connections to it.
+// The backend of a run, and the connections to it.
 #include <string_view>
 #include <utility>
 
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-SessionPlay::ClientAndRequest SessionPlay::FindRequest(const std::string& id) {
+SessionScenarioRun::ClientAndRequest SessionScenarioRun::FindRequest(const std::string& id) {
   for (Client& client : clients_) {
     for (Request& request : client.requests) {
       if (request.id == id) return {&client, &request};
@@ -28,31 +28,31 @@
   return {};
 }
 
-void SessionPlay::Dial(tcp::socket& socket, const tcp::endpoint& address,
-                       std::function<void(ErrorCode)> ended) {
-  // It may have been given up by the time it is let go: then it has been closed.
+void SessionScenarioRun::Dial(tcp::socket& socket, const tcp::endpoint& address,
+                              std::function<void(ErrorCode)> ended) {
+  // The proxy may abandon the connect while it is deferred; it has closed the socket then.
   socket.open(tcp::v4());
   if (hold_reads_) socket.set_option(asio::socket_base::send_buffer_size(kSmallBuffer));
   auto dial = [&socket, address, ended = std::move(ended)] { socket.async_connect(address, ended); };
   if (hold_connects_) {
-    held_.push_back(std::move(dial));
+    deferred_.push_back(std::move(dial));
   } else {
     dial();
   }
 }
 
-// The proxy is about to write the first byte of an attempt.
-void SessionPlay::OnAttemptBegun(const ForwardedRequest& forwarded) {
+// Called when the proxy is about to write the first byte of an attempt.
+void SessionScenarioRun::OnAttemptBegun(const ForwardedRequest& forwarded) {
   const auto [client, request] = FindRequest(forwarded.correlation_id);
-  if (!request) return Report(&RuleViolations::lost, "an attempt of no client's request");
+  if (!request) return Report(&RuleViolations::lost, "an attempt without a client request");
   ++request->attempts;
-  if (request->unsafe && request->attempts > 1)
-    Report(&RuleViolations::twice, "an unsafe request was sent twice");
-  if (client->left && steady_clock::now() - *client->left > kMaxAttemptDelay)
-    Report(&RuleViolations::late, "an attempt was begun after its client had left");
+  if (request->not_idempotent && request->attempts > 1)
+    Report(&RuleViolations::twice, "a request that is not idempotent was sent twice");
+  if (client->disconnected_at && steady_clock::now() - *client->disconnected_at > kMaxAttemptDelay)
+    Report(&RuleViolations::late, "an attempt was begun after its client had disconnected");
 }
 
-void SessionPlay::AcceptAtBackend() {
+void SessionScenarioRun::AcceptAtBackend() {
   backend_->async_accept([this](ErrorCode error, tcp::socket socket) {
     if (error) return;
     const auto wire = std::make_shared<Wire>(std::move(socket));
@@ -61,7 +61,7 @@
       if (IsComplete(with_data.in)) Serve(with_data);
     };
     if (hold_reads_) {
-      held_.push_back([wire] { wire->Start(); });
+      deferred_.push_back([wire] { wire->Start(); });
     } else {
       wire->Start();
     }
@@ -69,27 +69,27 @@
   });
 }
 
-void SessionPlay::Serve(Wire& wire) {
+void SessionScenarioRun::Serve(Wire& wire) {
   const std::string text = std::exchange(wire.in, {});
   const std::string id = IdIn(text);
   const Request* request = FindRequest(id).request;
-  if (request && request->written && !hold_reads_) {
+  if (request && request->written_at && !hold_reads_) {
     const auto left =
-        (id.starts_with('t') ? milliseconds(0) : kTimeLeft) - (steady_clock::now() - *request->written);
+        (id.starts_with('t') ? milliseconds(0) : kTimeLeft) - (steady_clock::now() - *request->written_at);
     if (milliseconds(TimeLeftIn(text)) > left + kMaxExcessDeadline)
-      Report(&RuleViolations::late, "the backend was given more time than the client has left");
+      Report(&RuleViolations::late, "the deadline sent to the backend exceeds the client's remaining time");
   }
   const auto answer = [this, id, weak = std::weak_ptr(wire.shared_from_this())] {
     if (const auto held = weak.lock()) held->Send(Reply(200, BodyFor(id)));
   };
   if (hold_answers_) {
-    held_.push_back(answer);
+    deferred_.push_back(answer);
   } else {
     answer();
   }
 }
 
-std::string SessionPlay::BodyFor(const std::string& id) const {
+std::string SessionScenarioRun::BodyFor(const std::string& id) const {
   const bool large = large_answers_ && id == clients_.front().requests.front().id;
   return large ? id + std::string(kLargeBody, 'x') : id;
 }
