--- a/tests/proxy/session_play_clients.cpp
+++ b/tests/proxy/session_play_clients.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The clients of a play.
+// The clients of a run.
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <poll.h>
@@ -18,8 +18,8 @@
 
 namespace {
 
-// Ends what a small receive buffer was for: from here on no wait of the kernel's own holds up what comes.
-void ReadFast(tcp::socket& socket) {
+// Enlarges the receive buffer and acknowledges at once, so that kernel timers no longer delay incoming data.
+void EnableFastReads(tcp::socket& socket) {
   constexpr int kLargeBuffer = 1 << 20, kYes = 1;
   const int descriptor = socket.native_handle();
   ::setsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &kLargeBuffer, sizeof kLargeBuffer);
@@ -27,22 +27,22 @@
 }
 
 short EventsOf(int descriptor, short wanted, milliseconds wait = milliseconds(0)) {
-  pollfd look{descriptor, wanted, 0};
-  return ::poll(&look, 1, static_cast<int>(wait.count())) > 0 ? look.revents : short{0};
+  pollfd polled{descriptor, wanted, 0};
+  return ::poll(&polled, 1, static_cast<int>(wait.count())) > 0 ? polled.revents : short{0};
 }
 
 }  // namespace
 
-SessionPlay::Client& SessionPlay::Connect() {
-  constexpr milliseconds kMaxHandshakeWait{20};  // a SYN that is dropped is sent again after a second
+SessionScenarioRun::Client& SessionScenarioRun::Connect() {
+  constexpr milliseconds kMaxHandshakeWait{20};  // a dropped SYN would be retransmitted after a second
   Client& client = clients_.emplace_back(tcp::socket(io_));
-  client.connected = steady_clock::now();
+  client.connected_at = steady_clock::now();
   client.socket.open(tcp::v4());
   if (small_buffers_ && clients_.size() == 1)
     client.socket.set_option(asio::socket_base::receive_buffer_size(kSmallBuffer));
   client.socket.bind({address_.address(), 0});
   client.endpoint = client.socket.local_endpoint();
-  client.socket.set_option(tcp::no_delay(true));  // what is written is there at once
+  client.socket.set_option(tcp::no_delay(true));  // deliver written data immediately
   client.socket.native_non_blocking(true);
   const tcp::endpoint& to = listener_address_;
   if (::connect(client.socket.native_handle(), to.data(), static_cast<socklen_t>(to.size())) != 0 &&
@@ -55,8 +55,8 @@
   return client;
 }
 
-// Bytes that the kernel takes; a connection that has been reset takes none.
-void SessionPlay::Write(Client& client, const std::string& text) {
+// Writes as much as the kernel accepts; after a reset, nothing.
+void SessionScenarioRun::Write(Client& client, const std::string& text) {
   std::size_t sent = 0;
   while (sent < text.size()) {
     const ssize_t n =
@@ -65,58 +65,58 @@
     sent += static_cast<std::size_t>(n);
   }
   watch_.NoteDataFrom(client.endpoint);
-  client.wrote += text.size();
-  if (sent == text.size()) client.requests.back().written = steady_clock::now();
+  client.bytes_written += text.size();
+  if (sent == text.size()) client.requests.back().written_at = steady_clock::now();
 }
 
-void SessionPlay::SendRequest(Client& client, const std::string& text, const std::string& id) {
+void SessionScenarioRun::SendRequest(Client& client, const std::string& text, const std::string& id) {
   SendFirstHalf(client, text, id);
   SendSecondHalf(client);
 }
 
-void SessionPlay::SendFirstHalf(Client& client, const std::string& text, const std::string& id) {
+void SessionScenarioRun::SendFirstHalf(Client& client, const std::string& text, const std::string& id) {
   DetectEnds();
-  if (client.left || client.refused || client.read_end) return;
+  if (client.disconnected_at || client.refused || client.read_end) return;
   ReadAnswersIfComplete(client);
   Request request;
   request.id = id;
-  request.begin = client.wrote;
-  request.begun_writing = steady_clock::now();
-  request.after_end = client.ended.has_value();
-  request.after_close =
+  request.begin = client.bytes_written;
+  request.first_byte_at = steady_clock::now();
+  request.written_after_end = client.ended_at.has_value();
+  request.after_close_announced =
       client.requested_close || client.received.find("Connection: close") != std::string::npos;
-  request.behind_another = AnswersIn(client.received).size() < client.requests.size();
+  request.is_pipelined = AnswersIn(client.received).size() < client.requests.size();
   client.requests.push_back(request);
-  Write(client, text.substr(0, kHalf));
-  client.requests.back().written.reset();
-  client.unwritten = text.substr(kHalf);
+  Write(client, text.substr(0, kFirstHalfBytes));
+  client.requests.back().written_at.reset();
+  client.unwritten = text.substr(kFirstHalfBytes);
 }
 
-void SessionPlay::SendSecondHalf(Client& client) {
-  if (client.left || client.refused || client.read_end || client.unwritten.empty()) return;
+void SessionScenarioRun::SendSecondHalf(Client& client) {
+  if (client.disconnected_at || client.refused || client.read_end || client.unwritten.empty()) return;
   Write(client, std::exchange(client.unwritten, {}));
 }
 
-void SessionPlay::Disconnect(Client& client, bool by_reset) {
-  if (client.left || client.refused || client.read_end) return;
-  client.left = steady_clock::now();
+void SessionScenarioRun::Disconnect(Client& client, bool by_reset) {
+  if (client.disconnected_at || client.refused || client.read_end) return;
+  client.disconnected_at = steady_clock::now();
   ErrorCode ignored;
   if (by_reset) client.socket.set_option(asio::socket_base::linger(true, 0), ignored);
   client.socket.close(ignored);
 }
 
-// What the clients could see of an end now.
-void SessionPlay::DetectEnds() {
+// Records which clients could detect a close or a reset now.
+void SessionScenarioRun::DetectEnds() {
   for (Client& client : clients_) {
-    if (client.reset_at || client.read_end || client.left || client.refused) continue;
+    if (client.reset_at || client.read_end || client.disconnected_at || client.refused) continue;
     const short events = EventsOf(client.socket.native_handle(), POLLRDHUP);
     const SteadyTime now = steady_clock::now();
-    if ((events & (POLLRDHUP | POLLHUP | POLLERR)) != 0 && !client.ended) client.ended = now;
+    if ((events & (POLLRDHUP | POLLHUP | POLLERR)) != 0 && !client.ended_at) client.ended_at = now;
     if ((events & (POLLHUP | POLLERR)) != 0) client.reset_at = now;
   }
 }
 
-void SessionPlay::SendDueRequests() {
+void SessionScenarioRun::SendDueRequests() {
   for (Client& client : clients_) {
     if (client.second_half_at && steady_clock::now() >= *client.second_half_at) {
       client.second_half_at.reset();
@@ -129,8 +129,9 @@
   }
 }
 
-// What has come. Below 0: the connection has been reset; 0: its end has come.
-ssize_t SessionPlay::Receive(Client& client, int flags, std::string& into) {
+// Appends the available input to `into`. Returns 0 at the end of the stream, and below 0 after a reset or if
+// no input is left.
+ssize_t SessionScenarioRun::Receive(Client& client, int flags, std::string& into) {
   std::array<char, 65536> piece;
   for (;;) {
     const ssize_t n = ::recv(client.socket.native_handle(), piece.data(), piece.size(), MSG_DONTWAIT | flags);
@@ -139,16 +140,16 @@
   }
 }
 
-// A client that has its answers reads them before it sends the next request.
-void SessionPlay::ReadAnswersIfComplete(Client& client) {
+// A client whose answers have all arrived reads them before it sends the next request.
+void SessionScenarioRun::ReadAnswersIfComplete(Client& client) {
   std::string waiting;
   Receive(client, MSG_PEEK, waiting);
   if (AnswersIn(client.received + waiting).size() < client.requests.size()) return;
   Receive(client, 0, client.received);
 }
 
-// Until a client asks that waits for its time, and no longer than one waits for a handler.
-SessionPlay::Nanoseconds SessionPlay::UntilNextRequest() const {
+// Time until the next scheduled request or second half, at most kMaxWait.
+SessionScenarioRun::Nanoseconds SessionScenarioRun::UntilNextRequest() const {
   Nanoseconds wait = kMaxWait;
   for (const Client& client : clients_) {
     for (const auto& at : {client.request_at, client.second_half_at}) {
@@ -158,11 +159,12 @@
   return std::max(wait, Nanoseconds(0));
 }
 
-// True if there was something. The client closes when it has read the end.
-bool SessionPlay::ReadAll(Client& client) {
-  if (client.left || client.refused || client.read_end) return false;
+// Reads the available input; the client closes after the end of the stream. True if there was any input or an
+// end.
+bool SessionScenarioRun::ReadAll(Client& client) {
+  if (client.disconnected_at || client.refused || client.read_end) return false;
   DetectEnds();
-  if (small_buffers_) ReadFast(client.socket);
+  if (small_buffers_) EnableFastReads(client.socket);
   const std::size_t had = client.received.size();
   const ssize_t end = Receive(client, 0, client.received);
   const bool read = client.received.size() > had;
@@ -170,7 +172,7 @@
   client.reset = end < 0;
   client.unread_at_reset = end < 0 && read;
   client.read_end = true;
-  if (!client.ended) client.ended = steady_clock::now();
+  if (!client.ended_at) client.ended_at = steady_clock::now();
   ErrorCode ignored;
   client.socket.close(ignored);
   return true;
--- a/tests/proxy/session_play_plan.cpp
+++ b/tests/proxy/session_play_plan.cpp
@@ -32,20 +32,21 @@
   return kNames[static_cast<int>(state)];
 }
 
-const char* NameOf(Stimulus stimulus) {
+const char* NameOf(SessionEvent event) {
   constexpr const char* kNames[] = {
       "timer",          "listener close", "drain sweep", "eviction retry",     "request",
       "half a request", "two requests",   "client FIN",  "client RST",         "SIGTERM",
-      "drain",          "connect done",   "newcomer",    "silent connections", "asking connections"};
-  return kNames[static_cast<int>(stimulus)];
+      "drain",          "connect done",   "new client",  "silent connections", "connections with requests"};
+  return kNames[static_cast<int>(event)];
 }
 
-bool IsTimer(Stimulus stimulus) { return stimulus <= Stimulus::kEvictionRetryTimer; }
+bool IsTimer(SessionEvent event) { return event <= SessionEvent::kEvictionRetryTimer; }
 
-std::optional<milliseconds> ExpiryOf(Stimulus timer, SessionState state) {
-  if (timer == Stimulus::kListenerClose) return kListenerOpen;
-  if (timer == Stimulus::kDrainSweep) return kSweepInterval;
-  if (timer == Stimulus::kEvictionRetryTimer) return IsNew(state) ? kSilentBeforeEviction : kEvictionRetry;
+std::optional<milliseconds> ExpiryOf(SessionEvent timer, SessionState state) {
+  if (timer == SessionEvent::kListenerClose) return kListenerOpen;
+  if (timer == SessionEvent::kDrainSweep) return kSweepInterval;
+  if (timer == SessionEvent::kEvictionRetryTimer)
+    return IsNew(state) ? kSilentBeforeEviction : kEvictionRetry;
   switch (state) {
     case SessionState::kNone:
       return std::nullopt;
@@ -64,17 +65,18 @@
   }
 }
 
-std::string Describe(const PlayPlan& plan) {
+std::string Describe(const SessionScenario& scenario) {
   const auto at = [](nanoseconds time) {
     return "@" + std::to_string(time.count() / 1000000) + "." + std::to_string(time.count() / 100000 % 10) +
            "ms";
   };
-  std::string text = NameOf(plan.state);
-  text += std::string(": ") + NameOf(plan.first) + at(plan.first_at);
-  text +=
-      plan.handlers_between ? ", " + std::to_string(*plan.handlers_between) + " handlers, " : ", at once ";
-  text += NameOf(plan.second) + at(plan.second_at);
-  if (plan.asleep.count() > 0) text += ", asleep " + at(plan.asleep).substr(1);
+  std::string text = NameOf(scenario.state);
+  text += std::string(": ") + NameOf(scenario.first) + at(scenario.first_at);
+  text += scenario.handlers_between ? ", " + std::to_string(*scenario.handlers_between) + " handlers, "
+                                    : ", at once ";
+  text += NameOf(scenario.second) + at(scenario.second_at);
+  if (scenario.descheduled_for.count() > 0)
+    text += ", descheduled for " + at(scenario.descheduled_for).substr(1);
   return text;
 }
 
--- a/tests/proxy/session_play_plan.h
+++ b/tests/proxy/session_play_plan.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What one play of a client's connection consists of: a state and two events.
+// A scenario for a client connection: a state and two events.
 #ifndef BADGERBRIDGE_TESTS_PROXY_SESSION_PLAY_PLAN_H_
 #define BADGERBRIDGE_TESTS_PROXY_SESSION_PLAY_PLAN_H_
 
@@ -12,61 +12,61 @@
 namespace badgerbridge::proxy::testing {
 
 enum class SessionState {
-  kNone,               // the play's connections come by its events
+  kNone,               // no connection yet; the events open connections
   kNewSilent,          // connected
-  kNewHalfRead,        // and half a request has been read
-  kNewWholeUnread,     // and a whole one is in the kernel's buffer
-  kIdle,               // has had an answer, and sent nothing since
-  kIdleHalfRead,       // and half a request has been read
-  kIdleHalfUnread,     // and half a request is in the kernel's buffer
-  kIdleWholeUnread,    // and a whole one is
-  kConnecting,         // a connection to the backend has not come up
-  kWriting,            // the backend does not read the request
-  kWaiting,            // it has the request
-  kAnswering,          // the client does not read the answer
-  kAnsweredWithClose,  // as the client wished; it has not read it
-  kLingering,          // ended while idle; the client has not closed its side
+  kNewHalfRead,        // connected; half a request has been read
+  kNewWholeUnread,     // connected; a whole request is in the kernel's buffer
+  kIdle,               // its request was answered, and it has sent nothing since
+  kIdleHalfRead,       // idle, then half a request has been read
+  kIdleHalfUnread,     // idle, then half a request is in the kernel's buffer
+  kIdleWholeUnread,    // idle, then a whole request is in the kernel's buffer
+  kConnecting,         // the connection to the backend is not established
+  kWriting,            // the backend doesn't read the request
+  kWaiting,            // the backend has the request and hasn't answered
+  kAnswering,          // the client doesn't read the answer
+  kAnsweredWithClose,  // answered with `Connection: close` as requested; not read by the client
+  kLingering,          // shut down while idle; the client hasn't closed its side
 };
 const char* NameOf(SessionState state);
 
-enum class Stimulus {
-  // Timers: nothing is done, but their time comes.
-  kSessionTimer,        // the one that rules the state
-  kListenerClose,       // after SIGTERM, which came when the state was reached
-  kDrainSweep,          // after a drain that began when the state was reached
-  kEvictionRetryTimer,  // at the limit of clients, which this connection alone reaches
-  // Events.
-  kRequest,      // a whole one, or what is missing of one that is half written
-  kHalfRequest,  // half of one; the rest follows kSecondHalfDelay later
-  kTwoRequests,  // at once; the first has no time left
+enum class SessionEvent {
+  // Timers, which expire without an action.
+  kSessionTimer,        // the timeout of the state
+  kListenerClose,       // after a SIGTERM sent when the state was reached
+  kDrainSweep,          // after a drain begun when the state was reached
+  kEvictionRetryTimer,  // at a limit of one client, reached by this connection
+  // Actions.
+  kRequest,      // a whole request, or the second half of one that is half written
+  kHalfRequest,  // the first half; the second follows after kSecondHalfDelay
+  kTwoRequests,  // in one write; the first has no time left
   kClientFin,
   kClientReset,
-  kTerm,               // SIGTERM
-  kDrain,              // by the control API
-  kConnectDone,        // the connection to the backend comes up
-  kNewcomer,           // another client connects and asks; with it the limit of clients is reached
-  kSilentConnections,  // clients connect; they ask kRequestDelay later
-  kAskingConnections,  // clients connect and ask
+  kSigterm,                 // SIGTERM
+  kDrain,                   // requested through the control API
+  kConnectDone,             // the connection to the backend is established
+  kNewClient,               // another client connects and sends a request, which reaches max_clients
+  kSilentConnections,       // clients connect, and send a request after `request_delay`
+  kConnectionsWithRequest,  // clients connect and send a request
 };
-const char* NameOf(Stimulus stimulus);
-bool IsTimer(Stimulus stimulus);
+const char* NameOf(SessionEvent event);
+bool IsTimer(SessionEvent event);
 
-// When the timer expires, after the state was reached. Nothing: it does not rule this state.
-std::optional<std::chrono::milliseconds> ExpiryOf(Stimulus timer, SessionState state);
+// When the timer expires, counted from when the state was reached. Empty if it doesn't apply to the state.
+std::optional<std::chrono::milliseconds> ExpiryOf(SessionEvent timer, SessionState state);
 
-struct PlayPlan {
+struct SessionScenario {
   using Nanoseconds = std::chrono::nanoseconds;
 
   SessionState state = SessionState::kNone;
-  Stimulus first = Stimulus::kRequest;
-  Stimulus second = Stimulus::kRequest;
-  Nanoseconds first_at{0};  // after the state was reached
+  SessionEvent first = SessionEvent::kRequest;
+  SessionEvent second = SessionEvent::kRequest;
+  Nanoseconds first_at{0};  // counted from when the state was reached
   Nanoseconds second_at{0};
-  std::optional<std::size_t> handlers_between{};  // nothing: one batch
-  Nanoseconds asleep{0};                          // after both, before the next handler runs
+  std::optional<std::size_t> handlers_between{};  // empty: both events in one iteration
+  Nanoseconds descheduled_for{0};                 // after both events, before the next handler runs
   std::chrono::milliseconds request_delay{100};   // of kSilentConnections
 };
-std::string Describe(const PlayPlan& plan);
+std::string Describe(const SessionScenario& scenario);
 
 }  // namespace badgerbridge::proxy::testing
 
--- a/tests/proxy/session_plays.cpp
+++ b/tests/proxy/session_plays.cpp
@@ -14,7 +14,7 @@
 
 using std::chrono::milliseconds;
 using std::chrono::nanoseconds;
-using Plays = std::vector<Work<SessionTotals>>;
+using ScenarioList = std::vector<Work<SessionTotals>>;
 
 constexpr SessionState kStates[] = {SessionState::kNewSilent,       SessionState::kNewHalfRead,
                                     SessionState::kNewWholeUnread,  SessionState::kIdle,
@@ -24,135 +24,139 @@
                                     SessionState::kAnswering,       SessionState::kAnsweredWithClose,
                                     SessionState::kLingering};
 
-// How long before (below 0) or after the timer's expiry the other event comes. A nanosecond before: both are
-// due at once, and the event is ready first.
+// Time of the other event relative to the expiry of the timer. At one nanosecond before, both are ready in
+// the same iteration, the event first.
 constexpr nanoseconds kOffsets[] = {milliseconds(-1), nanoseconds(-1), nanoseconds(0), milliseconds(1)};
 
-// For which the process does not run once both events have happened: none, and so long that a client's time
-// and the rules on lateness count.
-constexpr nanoseconds kSleeps[] = {milliseconds(0), milliseconds(250)};
+// How long no handler runs after both events: not at all, or long enough for client deadlines and the checks
+// of late attempts to matter.
+constexpr nanoseconds kDescheduledTimes[] = {milliseconds(0), milliseconds(250)};
 
-// Handlers between the events in the forced orders: one after the other, until no more are ready.
+// Limit of handlers between the events; each number from 1 is tried until no more handlers are ready.
 constexpr std::size_t kMaxHandlersBetween = 20;
 
 // Returns the number of handlers that ran between the events.
-std::size_t Play(const PlayPlan& plan, SessionTotals* totals) {
-  const PlayResult result = PlayOnce(plan);
-  totals->found.Add(result.found);
-  ++totals->plays;
-  std::cout << result.violations << std::flush;
-  return result.ran_between;
+std::size_t RunAndAddResult(const SessionScenario& scenario, SessionTotals* totals) {
+  const ScenarioResult result = RunScenario(scenario);
+  totals->violations.Add(result.violations);
+  ++totals->runs;
+  std::cout << result.report << std::flush;
+  return result.handlers_run_between;
 }
 
-void PlayAtOnce(PlayPlan plan, SessionTotals* totals) {
-  for (const nanoseconds asleep : kSleeps) {
-    plan.asleep = asleep;
-    Play(plan, totals);
+void RunInOneIteration(SessionScenario scenario, SessionTotals* totals) {
+  for (const nanoseconds time : kDescheduledTimes) {
+    scenario.descheduled_for = time;
+    RunAndAddResult(scenario, totals);
   }
 }
 
-// Where no more handlers are ready the kernel may only have been late to hand over what was sent: the play is
-// made once more, which counts as one with the first, before that is believed.
-void PlayForced(PlayPlan plan, SessionTotals* totals) {
+// If fewer handlers are ready than requested, the kernel may have delivered sent data late. So the run is
+// repeated before the loop ends; both runs count as one.
+void RunWithHandlersBetween(SessionScenario scenario, SessionTotals* totals) {
   for (std::size_t handlers = 1; handlers <= kMaxHandlersBetween; ++handlers) {
-    plan.handlers_between = handlers;
-    if (Play(plan, totals) == handlers) continue;
-    const std::size_t ran_between = Play(plan, totals);
-    --totals->plays;
-    if (ran_between < handlers) return;
+    scenario.handlers_between = handlers;
+    if (RunAndAddResult(scenario, totals) == handlers) continue;
+    const std::size_t handlers_run_between = RunAndAddResult(scenario, totals);
+    --totals->runs;
+    if (handlers_run_between < handlers) return;
   }
 }
 
-void PlayBoth(const PlayPlan& plan, SessionTotals* totals) {
-  PlayAtOnce(plan, totals);
-  PlayForced(plan, totals);
+void RunAllInterleavings(const SessionScenario& scenario, SessionTotals* totals) {
+  RunInOneIteration(scenario, totals);
+  RunWithHandlersBetween(scenario, totals);
 }
 
-// A timer of the state and an event round its expiry.
-void PlayRoundExpiry(SessionState state, Stimulus timer, Stimulus event, SessionTotals* totals) {
+// Combines a timer of the state with an event around its expiry.
+void RunAroundExpiry(SessionState state, SessionEvent timer, SessionEvent event, SessionTotals* totals) {
   const auto expiry = ExpiryOf(timer, state);
   if (!expiry) return;
   for (const nanoseconds offset : kOffsets) {
     const nanoseconds at = *expiry + offset;
     if (offset < nanoseconds(0)) {
-      PlayBoth({state, event, timer, at, *expiry}, totals);
+      RunAllInterleavings({state, event, timer, at, *expiry}, totals);
     } else {
-      PlayBoth({state, timer, event, *expiry, at}, totals);
+      RunAllInterleavings({state, timer, event, *expiry, at}, totals);
     }
   }
 }
 
-// Two events at one time, `age` after the state was reached, in both orders.
-void PlayEvents(SessionState state, Stimulus one, Stimulus other, nanoseconds age, SessionTotals* totals) {
-  PlayBoth({state, one, other, age, age}, totals);
-  if (one != other) PlayBoth({state, other, one, age, age}, totals);
+// Combines two simultaneous events, `age` after the state was reached, in both orders.
+void RunEventPair(SessionState state, SessionEvent one, SessionEvent other, nanoseconds age,
+                  SessionTotals* totals) {
+  RunAllInterleavings({state, one, other, age, age}, totals);
+  if (one != other) RunAllInterleavings({state, other, one, age, age}, totals);
 }
 
-void AddTimers(SessionState state, Plays* plays) {
-  constexpr Stimulus kTimers[] = {Stimulus::kSessionTimer, Stimulus::kListenerClose, Stimulus::kDrainSweep,
-                                  Stimulus::kEvictionRetryTimer};
-  constexpr Stimulus kEvents[] = {Stimulus::kRequest, Stimulus::kHalfRequest, Stimulus::kTwoRequests,
-                                  Stimulus::kClientFin, Stimulus::kClientReset};
-  for (const Stimulus timer : kTimers) {
-    for (const Stimulus event : kEvents)
-      plays->push_back([=](SessionTotals* totals) { PlayRoundExpiry(state, timer, event, totals); });
+void AddTimerScenarios(SessionState state, ScenarioList* scenarios) {
+  constexpr SessionEvent kTimers[] = {SessionEvent::kSessionTimer, SessionEvent::kListenerClose,
+                                      SessionEvent::kDrainSweep, SessionEvent::kEvictionRetryTimer};
+  constexpr SessionEvent kEvents[] = {SessionEvent::kRequest, SessionEvent::kHalfRequest,
+                                      SessionEvent::kTwoRequests, SessionEvent::kClientFin,
+                                      SessionEvent::kClientReset};
+  for (const SessionEvent timer : kTimers) {
+    for (const SessionEvent event : kEvents)
+      scenarios->push_back([=](SessionTotals* totals) { RunAroundExpiry(state, timer, event, totals); });
   }
 }
 
-void AddEvents(SessionState state, Plays* plays) {
-  constexpr std::array<Stimulus, 2> kPairs[] = {{Stimulus::kTerm, Stimulus::kRequest},
-                                                {Stimulus::kTerm, Stimulus::kClientFin},
-                                                {Stimulus::kDrain, Stimulus::kRequest},
-                                                {Stimulus::kDrain, Stimulus::kClientFin},
-                                                {Stimulus::kConnectDone, Stimulus::kClientFin},
-                                                {Stimulus::kConnectDone, Stimulus::kClientReset},
-                                                {Stimulus::kConnectDone, Stimulus::kTerm},
-                                                {Stimulus::kConnectDone, Stimulus::kRequest},
-                                                {Stimulus::kTerm, Stimulus::kHalfRequest},
-                                                {Stimulus::kDrain, Stimulus::kHalfRequest},
-                                                {Stimulus::kTerm, Stimulus::kTwoRequests},
-                                                {Stimulus::kDrain, Stimulus::kTwoRequests},
-                                                {Stimulus::kTerm, Stimulus::kDrain},
-                                                {Stimulus::kNewcomer, Stimulus::kTerm}};
+void AddEventScenarios(SessionState state, ScenarioList* scenarios) {
+  constexpr std::array<SessionEvent, 2> kPairs[] = {{SessionEvent::kSigterm, SessionEvent::kRequest},
+                                                    {SessionEvent::kSigterm, SessionEvent::kClientFin},
+                                                    {SessionEvent::kDrain, SessionEvent::kRequest},
+                                                    {SessionEvent::kDrain, SessionEvent::kClientFin},
+                                                    {SessionEvent::kConnectDone, SessionEvent::kClientFin},
+                                                    {SessionEvent::kConnectDone, SessionEvent::kClientReset},
+                                                    {SessionEvent::kConnectDone, SessionEvent::kSigterm},
+                                                    {SessionEvent::kConnectDone, SessionEvent::kRequest},
+                                                    {SessionEvent::kSigterm, SessionEvent::kHalfRequest},
+                                                    {SessionEvent::kDrain, SessionEvent::kHalfRequest},
+                                                    {SessionEvent::kSigterm, SessionEvent::kTwoRequests},
+                                                    {SessionEvent::kDrain, SessionEvent::kTwoRequests},
+                                                    {SessionEvent::kSigterm, SessionEvent::kDrain},
+                                                    {SessionEvent::kNewClient, SessionEvent::kSigterm}};
   for (const auto& [one, other] : kPairs) {
-    if ((one == Stimulus::kConnectDone) && state != SessionState::kConnecting) continue;
-    plays->push_back([=, one = one, other = other](SessionTotals* totals) {
-      PlayEvents(state, one, other, milliseconds(20), totals);
+    if ((one == SessionEvent::kConnectDone) && state != SessionState::kConnecting) continue;
+    scenarios->push_back([=, one = one, other = other](SessionTotals* totals) {
+      RunEventPair(state, one, other, milliseconds(20), totals);
     });
   }
 }
 
-// A newcomer reaches the limit of clients, at the ages that count there.
-void AddNewcomers(SessionState state, Plays* plays) {
+// A new client reaches max_clients when the connection under test is around the ages that matter for
+// eviction.
+void AddNewClientScenarios(SessionState state, ScenarioList* scenarios) {
   constexpr milliseconds kAges[] = {milliseconds(249),  milliseconds(250),  milliseconds(251),
                                     milliseconds(1999), milliseconds(2000), milliseconds(2001)};
-  for (const Stimulus event : {Stimulus::kRequest, Stimulus::kClientFin}) {
-    plays->push_back([=](SessionTotals* totals) {
-      for (const milliseconds age : kAges) PlayEvents(state, Stimulus::kNewcomer, event, age, totals);
+  for (const SessionEvent event : {SessionEvent::kRequest, SessionEvent::kClientFin}) {
+    scenarios->push_back([=](SessionTotals* totals) {
+      for (const milliseconds age : kAges) RunEventPair(state, SessionEvent::kNewClient, event, age, totals);
     });
   }
 }
 
-// Connections that come round the close of the listener, with and without their requests.
-void AddAcceptQueue(Plays* plays) {
-  // The requests of silent ones come while the proxy still has to answer them, and when it has not.
+// Connections opened around the close of the listening socket, with and without requests.
+void AddAcceptQueueScenarios(ScenarioList* scenarios) {
+  // Requests of silent connections arrive while the proxy must still answer them, and later.
   constexpr milliseconds kDelays[] = {milliseconds(0), milliseconds(100), milliseconds(199),
                                       milliseconds(250), milliseconds(1200)};
-  plays->push_back([](SessionTotals* totals) {
-    PlayRoundExpiry(SessionState::kNone, Stimulus::kListenerClose, Stimulus::kAskingConnections, totals);
+  scenarios->push_back([](SessionTotals* totals) {
+    RunAroundExpiry(SessionState::kNone, SessionEvent::kListenerClose, SessionEvent::kConnectionsWithRequest,
+                    totals);
   });
   for (const milliseconds delay : kDelays) {
-    plays->push_back([delay](SessionTotals* totals) {
+    scenarios->push_back([delay](SessionTotals* totals) {
       for (const nanoseconds offset : kOffsets) {
-        const nanoseconds close = *ExpiryOf(Stimulus::kListenerClose, SessionState::kNone);
-        PlayPlan plan{SessionState::kNone, Stimulus::kListenerClose, Stimulus::kSilentConnections, close,
-                      close + offset};
+        const nanoseconds close = *ExpiryOf(SessionEvent::kListenerClose, SessionState::kNone);
+        SessionScenario scenario{SessionState::kNone, SessionEvent::kListenerClose,
+                                 SessionEvent::kSilentConnections, close, close + offset};
         if (offset < nanoseconds(0)) {
-          std::swap(plan.first, plan.second);
-          std::swap(plan.first_at, plan.second_at);
+          std::swap(scenario.first, scenario.second);
+          std::swap(scenario.first_at, scenario.second_at);
         }
-        plan.request_delay = delay;
-        PlayBoth(plan, totals);
+        scenario.request_delay = delay;
+        RunAllInterleavings(scenario, totals);
       }
     });
   }
@@ -160,22 +164,22 @@
 
 }  // namespace
 
-std::vector<Work<SessionTotals>> SessionPlaysOf(SessionState state) {
-  Plays plays;
+std::vector<Work<SessionTotals>> SessionScenariosOf(SessionState state) {
+  ScenarioList scenarios;
   if (state == SessionState::kNone) {
-    AddAcceptQueue(&plays);
+    AddAcceptQueueScenarios(&scenarios);
   } else {
-    AddTimers(state, &plays);
-    AddEvents(state, &plays);
-    AddNewcomers(state, &plays);
+    AddTimerScenarios(state, &scenarios);
+    AddEventScenarios(state, &scenarios);
+    AddNewClientScenarios(state, &scenarios);
   }
-  return plays;
+  return scenarios;
 }
 
-std::vector<Work<SessionTotals>> AllSessionPlays() {
-  Plays all;
+std::vector<Work<SessionTotals>> AllSessionScenarios() {
+  ScenarioList all;
   for (const SessionState state : kStates) {
-    for (Work<SessionTotals>& piece : SessionPlaysOf(state)) all.push_back(std::move(piece));
+    for (Work<SessionTotals>& piece : SessionScenariosOf(state)) all.push_back(std::move(piece));
   }
   return all;
 }
--- a/tests/proxy/session_plays.h
+++ b/tests/proxy/session_plays.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The plays of a client's connection: which events meet, in which states, at which times and in which order.
+// All scenarios for a client connection: which events coincide, in which states, at which times and in which
+// order.
 #ifndef BADGERBRIDGE_TESTS_PROXY_SESSION_PLAYS_H_
 #define BADGERBRIDGE_TESTS_PROXY_SESSION_PLAYS_H_
 
@@ -13,18 +14,18 @@
 namespace badgerbridge::proxy::testing {
 
 struct SessionTotals {
-  RuleViolations found;
-  std::size_t plays = 0;
+  RuleViolations violations;
+  std::size_t runs = 0;
 
   void Add(const SessionTotals& other) {
-    found.Add(other.found);
-    plays += other.plays;
+    violations.Add(other.violations);
+    runs += other.runs;
   }
 };
 
-// All plays of a state, in pieces that don't depend on one another. Each prints what broke a rule.
-std::vector<Work<SessionTotals>> SessionPlaysOf(SessionState state);
-std::vector<Work<SessionTotals>> AllSessionPlays();
+// All scenarios of a state, in independent pieces. Each piece prints the violations.
+std::vector<Work<SessionTotals>> SessionScenariosOf(SessionState state);
+std::vector<Work<SessionTotals>> AllSessionScenarios();
 
 }  // namespace badgerbridge::proxy::testing
 
--- a/tests/proxy/session_race_test.cpp
+++ b/tests/proxy/session_race_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Races of a client's connection: several events become ready in one turn of the event loop, as in a process
-// that was descheduled for a while. The clock is virtual, so that which events meet is forced.
+// Races between events of a client connection: several events become ready in one event loop iteration, as in
+// a process that was descheduled for a while. The clock is virtual, to force which events coincide.
 #include <gtest/gtest.h>
 #include <netinet/tcp.h>
 #include <sys/socket.h>
@@ -26,11 +26,11 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kKeepAlive{2200};
-constexpr milliseconds kAcceptGrace{500};  // as ListenerLimits has it
+constexpr milliseconds kAcceptGrace{500};  // as in ListenerLimits
 constexpr milliseconds kTypicalFirstRequestTime{250};
 constexpr int kManyDescriptors = 1024;
 constexpr int kScarceDescriptors = 64;
-constexpr std::size_t kMaxClientsOfScarceDescriptors = 8;  // that these descriptors leave room for
+constexpr std::size_t kMaxClientsOfScarceDescriptors = 8;  // for kScarceDescriptors
 
 class SessionRaceTest : public ::testing::Test {
  protected:
@@ -47,16 +47,16 @@
     node_.emplace(io_, TestConfig({EndpointJson("s-1", backend_->address())}, descriptors), limits);
   }
 
-  static bool Answered(const Wire& client) { return client.in.find("\r\n\r\n") != std::string::npos; }
-  static bool Served(const Wire& client) { return client.in.rfind("HTTP/1.1 200 ", 0) == 0; }
+  static bool IsAnswered(const Wire& client) { return client.in.find("\r\n\r\n") != std::string::npos; }
+  static bool IsServed(const Wire& client) { return client.in.rfind("HTTP/1.1 200 ", 0) == 0; }
 
   void RunAllReady() {
     io_.restart();
     io_.poll();
   }
 
-  // Runs handlers until the condition holds, and moves the clock by a millisecond where none is ready. False
-  // if it does not hold within 20 virtual seconds.
+  // Runs handlers until the condition holds, and advances the clock by a millisecond if none is ready. False
+  // if the condition does not hold within 20 virtual seconds.
   template <typename Condition>
   bool RunUntilVirtual(Condition holds) {
     constexpr int kMaxSteps = 20000;
@@ -84,7 +84,7 @@
   bool hold_answers_ = false;
 };
 
-// The whole request and the end of the keep-alive time become ready in one turn.
+// A complete request and the keep-alive timeout become ready in the same iteration.
 TEST_F(SessionRaceTest, ARequestThatMeetsTheKeepAliveTimeoutIsAnswered) {
   const auto client = ConnectIdle();
   client->Send(Get("second"));
@@ -94,7 +94,8 @@
   EXPECT_NE(client->in.find("HTTP/1.1 200"), std::string::npos) << "closed: " << client->closed;
 }
 
-// The process was descheduled while the listener was to close: connections with their requests wait.
+// The process is descheduled when the listener should close, so connections with requests wait in the accept
+// queue.
 TEST_F(SessionRaceTest, RequestsInTheAcceptQueueWhenTheListenerClosesAreAnswered) {
   bool stopped = false;
   node_->listener.Stop([&] { stopped = true; });
@@ -113,8 +114,8 @@
   }
 }
 
-// The second half of a request and the end of the time that a request may take to come. It is whole, and too
-// late to be sent on: its client waits 0.9 s.
+// The second half of a request and the request timeout become ready together. The request is complete, but
+// past its deadline of 0.9 s, so it is rejected without being forwarded.
 TEST_F(SessionRaceTest, ARequestCompletedAtItsTimeoutIsNotIncomplete) {
   const std::string request = Get("halves");
   const auto client = node_->Connect();
@@ -122,12 +123,12 @@
   RunAllReady();
   client->Send(request.substr(40));
   clock_.Advance(kKeepAlive);
-  EXPECT_TRUE(RunUntilVirtual([&] { return client->closed || Answered(*client); }));
+  EXPECT_TRUE(RunUntilVirtual([&] { return client->closed || IsAnswered(*client); }));
   EXPECT_EQ(client->in.rfind("HTTP/1.1 503 ", 0), 0u) << client->in;
   EXPECT_FALSE(client->closed);
 }
 
-// At the limit of clients a new connection whose request waits in the kernel does not count as silent.
+// At max_clients a new connection with an unread request in the kernel does not count as silent.
 TEST_F(SessionRaceTest, AConnectionWithAnUnreadRequestIsNotEvicted) {
   StartNode(kScarceDescriptors);
   hold_answers_ = true;
@@ -136,7 +137,7 @@
     busy.push_back(node_->Connect());
     busy.back()->Send(Get("busy-" + std::to_string(i)));
   }
-  const auto young = node_->Connect();
+  const auto new_client = node_->Connect();
   ASSERT_TRUE(RunUntilVirtual([&] {
     return node_->proxy.open_requests() == busy.size() &&
            node_->listener.connections() == kMaxClientsOfScarceDescriptors;
@@ -144,13 +145,13 @@
   hold_answers_ = false;
   clock_.Advance(kTypicalFirstRequestTime);
   const auto next = node_->Connect();
-  // Between the look for events and the handler of the pause after which one is evicted.
-  asio::post(io_, [&] { young->Send(Get("young")); });
-  EXPECT_TRUE(RunUntilVirtual([&] { return young->closed || Answered(*young); }));
-  EXPECT_TRUE(Answered(*young)) << "closed: " << young->closed;
+  // Runs after the poll for events and before the handler of the timer that retries the eviction.
+  asio::post(io_, [&] { new_client->Send(Get("young")); });
+  EXPECT_TRUE(RunUntilVirtual([&] { return new_client->closed || IsAnswered(*new_client); }));
+  EXPECT_TRUE(IsAnswered(*new_client)) << "closed: " << new_client->closed;
 }
 
-// A connection that sends slowly is evicted, and gets an answer.
+// A client that sends slowly is evicted, but gets an answer.
 TEST_F(SessionRaceTest, AnEvictedIncompleteRequestIsAnswered) {
   StartNode(kScarceDescriptors);
   std::vector<std::shared_ptr<Wire>> slow;
@@ -163,8 +164,8 @@
   clock_.Advance(kTypicalFirstRequestTime);
   const auto next = node_->Connect();
   next->Send(Get("next"));
-  EXPECT_TRUE(RunUntilVirtual([&] { return Answered(*next); }));
-  EXPECT_TRUE(Served(*next)) << next->in;
+  EXPECT_TRUE(RunUntilVirtual([&] { return IsAnswered(*next); }));
+  EXPECT_TRUE(IsServed(*next)) << next->in;
   std::size_t rejected = 0;
   for (const auto& wire : slow) {
     if (wire->in.rfind("HTTP/1.1 503 ", 0) == 0) ++rejected;
@@ -173,8 +174,9 @@
   EXPECT_GE(rejected, 1u);
 }
 
-// Before the listener closes nothing may come up that its close would reset: a SYN gets no answer.
-TEST_F(SessionRaceTest, NoConnectionComesUpRightBeforeTheListenerCloses) {
+// Shortly before the listener closes, no connection may be established that the close would reset: a SYN gets
+// no answer.
+TEST_F(SessionRaceTest, NoConnectionIsEstablishedRightBeforeTheListenerCloses) {
   node_->listener.Stop([] {});
   clock_.Advance(kAcceptGrace);
   RunAllReady();
@@ -182,7 +184,7 @@
   tcp::socket late(io_);
   late.open(tcp::v4());
   late.native_non_blocking(true);
-  // Not by Asio's connect, which waits for the outcome.
+  // Calls connect(2) directly, because Asio's connect waits for the result.
   ASSERT_EQ(::connect(late.native_handle(), address.data(), static_cast<socklen_t>(address.size())), -1);
   ASSERT_EQ(errno, EINPROGRESS);
   tcp_info info{};
@@ -191,7 +193,7 @@
   EXPECT_EQ(static_cast<int>(info.tcpi_state), static_cast<int>(TCP_SYN_SENT));
 }
 
-// Connected in the last moment, and its request is still on its way when the listener closes.
+// The client connects just before the listener closes, and its request arrives afterwards.
 TEST_F(SessionRaceTest, ANewConnectionMayStillSendARequestWhenTheListenerHasClosed) {
   bool stopped = false;
   node_->listener.Stop([&] { stopped = true; });
@@ -205,12 +207,12 @@
   EXPECT_FALSE(client->closed);
   client->Send(Get("late"));
   EXPECT_TRUE(RunUntilVirtual([&] { return client->closed; }));
-  EXPECT_TRUE(Served(*client)) << client->in;
+  EXPECT_TRUE(IsServed(*client)) << client->in;
   client->Close();
   EXPECT_TRUE(RunUntilVirtual([&] { return stopped; }));
 }
 
-// Behind a request that is still served, long after the listener has closed.
+// The second request is pipelined behind one that is still being served, long after the listener has closed.
 TEST_F(SessionRaceTest, ARequestBehindAnotherIsAnsweredLateInTheStopToo) {
   constexpr milliseconds kPastServing{50};
   ListenerLimits limits;
@@ -247,9 +249,9 @@
   EXPECT_TRUE(RunUntilVirtual([&] { return stopped; }));
 }
 
-// A close over unread bytes is a reset. While the client has not got its answer, and has sent what crosses
-// the end, the connection stays.
-TEST_F(SessionRaceTest, AnAnswerThatIsStillOnItsWayIsNotTakenAwayByWhatCrossesTheEnd) {
+// Closing with unread bytes resets the connection. While the client has not received its answer, and has sent
+// a request that crosses the shutdown, the connection must stay open.
+TEST_F(SessionRaceTest, AnAnswerInTransitIsNotLostByARequestThatCrossesTheShutdown) {
   const std::string body(60000, 'x');
   tcp::socket client(io_);
   client.open(tcp::v4());
@@ -265,28 +267,28 @@
   asio::write(client, asio::buffer(Get("crossing")));
   clock_.Advance(milliseconds(1000));
   RunAllReady();
-  EXPECT_EQ(node_->listener.connections(), 1u) << "the time for the client's close is over";
+  EXPECT_EQ(node_->listener.connections(), 1u) << "the linger time has expired";
   std::string answer;
   ErrorCode error;
   asio::read(client, asio::dynamic_buffer(answer), error);
   EXPECT_EQ(error, asio::error::eof) << error.message();
   EXPECT_EQ(answer.size() - answer.find("\r\n\r\n") - 4, body.size());
-  EXPECT_TRUE(RunUntilVirtual([&] { return node_->listener.connections() == 0; })) << "a bounded time";
+  EXPECT_TRUE(RunUntilVirtual([&] { return node_->listener.connections() == 0; })) << "lingering is bounded";
   EXPECT_EQ(backend_->requests.size(), 1u);
 }
 
-// The drain's sweep runs in the turn in which a request has come.
+// The drain sweep runs in the iteration in which a request arrives.
 TEST_F(SessionRaceTest, ARequestThatMeetsTheDrainIsAnswered) {
   const auto client = ConnectIdle();
   client->Send(Get("second"));
   node_->listener.Drain();
   EXPECT_TRUE(RunUntilVirtual([&] { return client->closed; }));
-  EXPECT_TRUE(Served(*client)) << client->in;
+  EXPECT_TRUE(IsServed(*client)) << client->in;
 }
 
-// Nothing is sent for a client that has left, though the end of its connection has not been handled yet: the
-// completion of the dial is, and bytes of a next request stand before the end.
-TEST_F(SessionRaceTest, NoAttemptBeginsForAClientWhoseEndIsUnhandled) {
+// No attempt may be sent for a client that has disconnected, even if the disconnect has not been handled yet.
+// The backend connect completes first, and bytes of a next request may precede the end of the stream.
+TEST_F(SessionRaceTest, NoAttemptBeginsForAClientWhoseDisconnectIsUnhandled) {
   for (const std::string& ahead : {std::string(), Get("next"), std::string("GET /pre")}) {
     SCOPED_TRACE(ahead);
     std::vector<std::function<void()>> dials;
--- a/tests/proxy/stop_schedule_test.cpp
+++ b/tests/proxy/stop_schedule_test.cpp
@@ -17,17 +17,17 @@
 TEST(StopSchedule, WithoutAStopEachTimeIsFarAway) {
   const StopSchedule schedule({}, kLongestDeadline);
   EXPECT_FALSE(schedule.has_begun());
-  EXPECT_EQ(schedule.UntilLastAnswer(At(5)), std::chrono::hours(1));
+  EXPECT_EQ(schedule.UntilAnswerDeadline(At(5)), std::chrono::hours(1));
   EXPECT_EQ(schedule.UntilServingEnds(At(5)), std::chrono::hours(1));
-  EXPECT_GT(schedule.LastAnswer(), At(1e15));
+  EXPECT_GT(schedule.AnswerDeadline(), At(1e15));
 }
 
 TEST(StopSchedule, TimesCountFromTheStop) {
   StopSchedule schedule({}, kLongestDeadline);
   schedule.Begin(At(100));
   EXPECT_TRUE(schedule.has_begun());
-  EXPECT_EQ(schedule.LastAnswer(), At(100 + 1000 + 300));
-  EXPECT_EQ(schedule.UntilLastAnswer(At(200)), milliseconds(1200));
+  EXPECT_EQ(schedule.AnswerDeadline(), At(100 + 1000 + 300));
+  EXPECT_EQ(schedule.UntilAnswerDeadline(At(200)), milliseconds(1200));
   EXPECT_EQ(schedule.UntilServingEnds(At(100)), milliseconds(700));
   EXPECT_TRUE(schedule.MayRetryAccept(At(1099)));
   EXPECT_FALSE(schedule.MayRetryAccept(At(1100)));
@@ -38,7 +38,7 @@
   schedule.Begin(At(0));
   EXPECT_EQ(schedule.UntilServingEnds(At(699.5)), milliseconds(1));
   EXPECT_EQ(schedule.UntilServingEnds(At(701)), milliseconds(0));
-  EXPECT_EQ(schedule.UntilLastAnswer(At(5000)), milliseconds(0));
+  EXPECT_EQ(schedule.UntilAnswerDeadline(At(5000)), milliseconds(0));
 }
 
 }  // namespace
--- a/tests/request_table/request_table_harness.h
+++ b/tests/request_table/request_table_harness.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A harness for tests of the request table: it plays clients, servers and the clock, and checks the
+/// A test harness for the request table: it simulates clients, servers and the clock, and checks the
 /// invariants after each step.
 #ifndef BADGERBRIDGE_TESTS_REQUEST_TABLE_REQUEST_TABLE_HARNESS_H_
 #define BADGERBRIDGE_TESTS_REQUEST_TABLE_REQUEST_TABLE_HARNESS_H_
@@ -27,13 +27,13 @@
   return outcome != Outcome::kRejected && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
 }
 
-/// A request table with its clients, servers and clock. After each step it checks the invariants that
-/// exchange.h states, and the rules about retries that table and decision module keep together.
+/// A request table with its clients, servers and clock. After each step it checks the invariants stated in
+/// request_table.h, and the retry rules that the table and the decision module enforce together.
 class Harness {
  public:
   Harness(Settings settings, std::uint64_t seed) : settings_(std::move(settings)), table_(settings_, seed) {}
 
-  /// A request as the harness sees it from outside.
+  /// The state of a request as observed from outside the table.
   struct Request {
     int request_class = 0;
     TimePoint deadline{};
@@ -41,7 +41,7 @@
     int responses = 0;
     bool in_flight = false;  // its newest attempt has not ended
     bool may_have_run = false;
-    bool client_left = false;
+    bool disconnected = false;
     bool withdrawn = false;  // the attempt in flight
     int cell = 0;            // of the first attempt that may have run
     TimePoint first_run{};
@@ -58,16 +58,16 @@
   int responses = 0;
   int withdrawals = 0;
 
-  /// Lets a client send a request that it gives up after `patience_ms`. `key` 0: no routing key.
-  RequestId Accept(int request_class, double patience_ms, std::uint64_t key = 0) {
+  /// Sends a request of a client with a deadline after `timeout_ms`. `key` 0: no routing key.
+  RequestId Accept(int request_class, double timeout_ms, std::uint64_t key = 0) {
     Submit submit;
     submit.request_class = request_class;
-    submit.due = At(now + patience_ms);
+    submit.due = At(now + timeout_ms);
     submit.key = key;
     submit.has_hint = true;
     submit.work_ms = 10;
     Actions actions;
-    // Recorded first, because the call that returns its id already appends actions on it.
+    // Recorded first, because the call that returns the id may already append actions for it.
     Request request;
     request.request_class = request_class;
     request.deadline = submit.due;
@@ -80,7 +80,7 @@
 
   void Disconnect(RequestId id) {
     Actions actions;
-    if (requests.at(id).responses == 0) requests.at(id).client_left = true;
+    if (requests.at(id).responses == 0) requests.at(id).disconnected = true;
     table_.ClientDisconnected(At(now), id, &actions);
     Check(actions);
   }
@@ -99,7 +99,7 @@
     }
     Actions actions;
     table_.AttemptEnded(At(now), send, outcome, &actions);
-    if (outcome == Outcome::kOk && !request.client_left && request.responses == 0) {
+    if (outcome == Outcome::kOk && !request.disconnected && request.responses == 0) {
       ASSERT_FALSE(actions.empty());
       const auto* respond = std::get_if<Respond>(&actions.front());
       ASSERT_TRUE(respond && respond->request == send.request && respond->outcome == RequestOutcome::kServed);
@@ -134,7 +134,7 @@
     for (const Action& action : actions) std::visit([this](const auto& a) { Record(a); }, action);
     CheckCounters();
     for (const auto& [id, request] : requests) {
-      EXPECT_EQ(table_.IsOpen(id), request.responses == 0 && !request.client_left) << id;
+      EXPECT_EQ(table_.IsOpen(id), request.responses == 0 && !request.disconnected) << id;
       // An attempt in flight is withdrawn exactly if its request is complete.
       EXPECT_EQ(request.in_flight && !table_.IsOpen(id), request.withdrawn) << id;
       if (table_.IsOpen(id)) {
@@ -171,7 +171,8 @@
     in_flight.push_back(send);
   }
 
-  /// What may be sent once an attempt may have had an effect (the protocol's rules for each class).
+  /// Checks which attempts may be sent after one that may have had an effect (the protocol's rules for each
+  /// class).
   void CheckRetryRules(const Send& send, const Request& request) const {
     const ClassSettings& settings = SettingsOf(request);
     if (request.may_have_run) {
@@ -206,7 +207,7 @@
     ++responses;
     Request& request = requests.at(respond.request);
     EXPECT_EQ(++request.responses, 1);
-    EXPECT_FALSE(request.client_left);
+    EXPECT_FALSE(request.disconnected);
     EXPECT_LT(At(now), request.deadline);
     request.outcome = respond.outcome;
     if (respond.outcome != RequestOutcome::kRejected) return;
--- a/tests/request_table/request_table_test.cpp
+++ b/tests/request_table/request_table_test.cpp
@@ -27,48 +27,48 @@
   EXPECT_EQ(harness.table().counters()[2].served, 1u);
 }
 
-/// Events that may coincide.
-enum class Coincidence { kAttemptEnds, kServerDrains, kClientDisconnects, kTimersFire };
+/// Events that may occur at the same time.
+enum class TableEvent { kAttemptEnds, kServerDrains, kClientDisconnects, kTimersFire };
 
-/// Sends one request to one of two servers; then lets all events come at one moment, in the given order.
+/// Sends one request to one of two servers; then delivers all events at the same time, in the given order.
 void ExpectOneCompletion(int request_class, Outcome outcome, double elapsed_ms,
-                         const std::array<Coincidence, 4>& order) {
+                         const std::array<TableEvent, 4>& order) {
   Harness harness(Usual(), 7);
   AddServers(harness, 2);
   const RequestId id = harness.Accept(request_class, 300);
   ASSERT_EQ(harness.in_flight.size(), 1u);
   const BackendId server = harness.in_flight[0].server;
   harness.now += elapsed_ms;
-  for (const Coincidence event : order) {
+  for (const TableEvent event : order) {
     switch (event) {
-      case Coincidence::kAttemptEnds:
+      case TableEvent::kAttemptEnds:
         harness.EndAttempt(0, outcome);
         break;
-      case Coincidence::kServerDrains:
+      case TableEvent::kServerDrains:
         harness.UpdateEndpoint(Entry(server, 0, harness.servers.at(server).cell, BackendState::kDraining));
         break;
-      case Coincidence::kClientDisconnects:
+      case TableEvent::kClientDisconnects:
         harness.Disconnect(id);
         break;
-      case Coincidence::kTimersFire:
+      case TableEvent::kTimersFire:
         harness.Wake();
         break;
     }
   }
-  EXPECT_EQ(harness.requests[id].responses + harness.requests[id].client_left, 1);
+  EXPECT_EQ(harness.requests[id].responses + harness.requests[id].disconnected, 1);
   EXPECT_EQ(harness.table().open(), 0u);
 }
 
 TEST(RequestTableTest, SimultaneousEventsInAnyOrderCompleteRequestOnce) {
   constexpr std::array kOutcomes = {Outcome::kOk, Outcome::kError, Outcome::kReset, Outcome::kRejected,
                                     Outcome::kTimeout};
-  // While another attempt still has time, and at the moment of the deadline fallback.
+  // With time left for another attempt, and at the time of the deadline fallback.
   const std::array elapsed_ms = {40.0, 300 - kDeadlineFallbackMargin.count()};
   for (const int request_class : {0, 1, 2}) {
     for (const Outcome outcome : kOutcomes) {
       for (const double elapsed : elapsed_ms) {
-        std::array order = {Coincidence::kAttemptEnds, Coincidence::kServerDrains,
-                            Coincidence::kClientDisconnects, Coincidence::kTimersFire};
+        std::array order = {TableEvent::kAttemptEnds, TableEvent::kServerDrains,
+                            TableEvent::kClientDisconnects, TableEvent::kTimersFire};
         do {
           SCOPED_TRACE(::testing::Message()
                        << "class " << request_class << " outcome " << static_cast<int>(outcome) << " order "
@@ -149,17 +149,17 @@
 }
 
 TEST(RequestTableTest, RequestWithoutTimeLeftIsNotSent) {
-  for (const double patience : {0.0, 1.0, 4.9, 5.0}) {
+  for (const double timeout : {0.0, 1.0, 4.9, 5.0}) {
     constexpr double now = 100000;
     Submit submit;
-    submit.due = At(now + patience);
+    submit.due = At(now + timeout);
     RequestTable table(Usual(), 1);
     RequestTable::Actions actions;
     table.UpdateEndpoints(At(now), {EndpointListKind::kFull, {Entry(1), Entry(2)}}, &actions);
     const RequestId id = table.Accept(At(now), submit, &actions);
-    for (const Action& action : actions) EXPECT_FALSE(std::holds_alternative<Send>(action)) << patience;
-    if (table.IsOpen(id)) table.Wake(At(now + patience), &actions);
-    EXPECT_FALSE(table.IsOpen(id)) << patience;
+    for (const Action& action : actions) EXPECT_FALSE(std::holds_alternative<Send>(action)) << timeout;
+    if (table.IsOpen(id)) table.Wake(At(now + timeout), &actions);
+    EXPECT_FALSE(table.IsOpen(id)) << timeout;
   }
 }
 
@@ -181,7 +181,7 @@
   }
 }
 
-/// Sums over all random runs, to show that they reach what is checked.
+/// Sums over all random runs, to show that they cover the checked cases.
 struct RandomRunTotals {
   int sends = 0;
   int retries = 0;
@@ -192,38 +192,39 @@
 /// Drives one harness by random events.
 class RandomRun {
  public:
-  explicit RandomRun(std::uint64_t seed) : random_(seed), harness_(DrawSettings(seed), seed) {
+  explicit RandomRun(std::uint64_t seed) : random_(seed), harness_(RandomSettings(seed), seed) {
     AddServers(harness_, 6);
   }
 
   void Step() {
-    const int kind = Draw(100);
+    const int kind = RandomBelow(100);
     if (kind < 25) {
-      harness_.Accept(Draw(3), Draw(10) == 0 ? 1 + Draw(8) : 20 + Draw(900), Draw(3) == 0 ? Draw(20) : 0);
+      harness_.Accept(RandomBelow(3), RandomBelow(10) == 0 ? 1 + RandomBelow(8) : 20 + RandomBelow(900),
+                      RandomBelow(3) == 0 ? RandomBelow(20) : 0);
     } else if (kind < 65 && !harness_.in_flight.empty()) {
       EndRandomAttempt();
     } else if (kind < 68 && !harness_.requests.empty()) {
       auto request = harness_.requests.begin();
-      std::advance(request, Draw(harness_.requests.size()));
+      std::advance(request, RandomBelow(harness_.requests.size()));
       harness_.Disconnect(request->first);
     } else if (kind < 71) {
       UpdateRandomEndpoint();
     } else {
-      PassTime();
+      AdvanceTime();
     }
   }
 
-  /// Drops requests that are complete and have no attempt in flight, to bound the cost of the checks.
-  void ForgetCompletedRequests() {
+  /// Drops completed requests without an attempt in flight, to bound the cost of the checks.
+  void DropCompletedRequests() {
     std::erase_if(harness_.requests, [this](const auto& entry) {
       const auto& [id, request] = entry;
-      return (request.responses > 0 || request.client_left) &&
+      return (request.responses > 0 || request.disconnected) &&
              std::none_of(harness_.in_flight.begin(), harness_.in_flight.end(),
                           [id = id](const Send& send) { return send.request == id; });
     });
   }
 
-  /// Ends all attempts and lets time pass; then no request may be open.
+  /// Ends all attempts and advances the clock; no request may be open afterwards.
   void Finish() {
     while (!harness_.in_flight.empty()) harness_.EndAttempt(0, Outcome::kReset);
     for (int i = 0; i < 3000 && harness_.table().open() > 0; ++i) {
@@ -244,11 +245,11 @@
   }
 
  private:
-  int Draw(std::uint64_t limit) { return static_cast<int>(random_() % limit); }
+  int RandomBelow(std::uint64_t limit) { return static_cast<int>(random_() % limit); }
 
-  Settings DrawSettings(std::uint64_t seed) {
+  Settings RandomSettings(std::uint64_t seed) {
     Settings settings = Usual();
-    settings.max_attempts = 1 + Draw(4);
+    settings.max_attempts = 1 + RandomBelow(4);
     if (seed % 3 == 0) settings.max_retry_after = Duration(600);
     return settings;
   }
@@ -258,24 +259,24 @@
         Outcome::kOk,        Outcome::kOk,      Outcome::kOk,      Outcome::kOk,    Outcome::kError,
         Outcome::kRejected,  Outcome::kNotSent, Outcome::kTimeout, Outcome::kReset, Outcome::kConnectFailed,
         Outcome::kCancelled, Outcome::kUnknown};
-    harness_.EndAttempt(static_cast<std::size_t>(Draw(harness_.in_flight.size())),
-                        kOutcomes[Draw(std::size(kOutcomes))]);
+    harness_.EndAttempt(static_cast<std::size_t>(RandomBelow(harness_.in_flight.size())),
+                        kOutcomes[RandomBelow(std::size(kOutcomes))]);
   }
 
   void UpdateRandomEndpoint() {
-    const auto server = static_cast<BackendId>(1 + Draw(8));
+    const auto server = static_cast<BackendId>(1 + RandomBelow(8));
     constexpr BackendState kStates[] = {BackendState::kGone, BackendState::kDraining, BackendState::kReady,
                                         BackendState::kReady};
-    const BackendState state = kStates[Draw(std::size(kStates))];
-    const double up_since = Draw(3) == 0 ? harness_.now - Draw(12000) : 0;
+    const BackendState state = kStates[RandomBelow(std::size(kStates))];
+    const double up_since = RandomBelow(3) == 0 ? harness_.now - RandomBelow(12000) : 0;
     harness_.UpdateEndpoint(Entry(server, 0, static_cast<int>(server % 2), state, up_since));
   }
 
-  /// To the next timer at the most; sometimes beyond it, as on a busy machine.
-  void PassTime() {
+  /// Advances the clock by a random time, at most to the next timer, and fires the timer if it is due.
+  void AdvanceTime() {
     const auto wake = harness_.NextWake();
     const double until = wake ? std::max(harness_.now, wake->time_since_epoch().count()) : harness_.now + 5;
-    harness_.now = Draw(8) == 0 ? until : std::min(until, harness_.now + Draw(30));
+    harness_.now = RandomBelow(8) == 0 ? until : std::min(until, harness_.now + RandomBelow(30));
     if (wake && harness_.now >= wake->time_since_epoch().count()) harness_.Wake();
   }
 
@@ -293,7 +294,7 @@
     for (int step = 1; step <= kStepsPerSeed; ++step) {
       run.Step();
       if (::testing::Test::HasFailure()) FAIL() << "seed " << seed << " step " << step;
-      if (step % kStepsBetweenCleanups == 0) run.ForgetCompletedRequests();
+      if (step % kStepsBetweenCleanups == 0) run.DropCompletedRequests();
     }
     run.Finish();
     run.AddTo(&totals);
--- a/tests/sample_settings.h
+++ b/tests/sample_settings.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Settings as the platform writes them.
+// Sample settings in the format written by the platform.
 #ifndef BADGERBRIDGE_TESTS_SAMPLE_SETTINGS_H_
 #define BADGERBRIDGE_TESTS_SAMPLE_SETTINGS_H_
 
 namespace badgerbridge::balancer::testing {
 
-/// Two classes and a tenant, one `key=value` a line.
+/// Settings with two classes and one tenant, one `key=value` per line.
 inline constexpr char kSampleSettings[] = R"(
 balancers=2
 classes.count=2
