--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -22,7 +22,7 @@
 // Clients write a request in one go, so one that takes longer is not going to be completed. Also limits the
 // time to the first byte of a new connection.
 constexpr milliseconds kRequestTimeout{2200};
-constexpr milliseconds kKeepAliveTimeout{2200};    // clients may rely on 2 s
+constexpr milliseconds kKeepAliveTimeout{2200};    // longer than the 2 s that clients may rely on
 constexpr Duration kTypicalFirstRequestTime{250};  // from connecting until the complete first request
 constexpr Duration kTypicalReadTime{1000};         // for reading a complete answer
 // Extensions for a client that has not received its answer, if unread bytes would turn the close into a
--- a/tests/proxy/deadline_test.cpp
+++ b/tests/proxy/deadline_test.cpp
@@ -20,10 +20,10 @@
 using std::chrono::steady_clock;
 
 constexpr milliseconds kTimeLeft{900};     // deadline of the harness's requests
-constexpr milliseconds kBlockedTime{300};  // the process is blocked
-constexpr milliseconds kMaxExcess{150};    // of the forwarded deadline over the client's remaining time
+constexpr milliseconds kBlockedTime{300};  // how long the process is blocked
+constexpr milliseconds kMaxExcess{150};    // the forwarded deadline may exceed the remaining time by this
 constexpr milliseconds kMaxShortfall{
-    50};  // of the forwarded deadline: the proxy's margins and the kernel's tick
+    50};  // it may be shorter by this, for the proxy's margins and the kernel's tick
 
 std::string WithTimeLeft(std::string request, milliseconds left) {
   const std::string usual = ": " + std::to_string(kTimeLeft.count());
--- a/tests/proxy/fault_exchange.h
+++ b/tests/proxy/fault_exchange.h
@@ -70,7 +70,7 @@
   static constexpr milliseconds kAnswerGrace{500};  // time after the deadline to receive an answer
   static constexpr milliseconds kMaxTime{4000};     // limit for one exchange
   static constexpr milliseconds kMaxCleanUpTime{10000};
-  static constexpr milliseconds kMaxWait{10};  // if no timer is set, because data may be in transit
+  static constexpr milliseconds kMaxWait{10};  // longest wait without a timer, because data may be in transit
 
   struct Client {
     std::shared_ptr<Wire> wire;
--- a/tests/proxy/session_play_times.h
+++ b/tests/proxy/session_play_times.h
@@ -15,11 +15,12 @@
 
 // Time limits of the proxy.
 inline constexpr milliseconds kKeepAlive{2200};  // also for an incomplete request, and for a new connection
-inline constexpr milliseconds kLinger{1000};     // after the shutdown of a connection
+inline constexpr milliseconds kLinger{
+    1000};  // a client has this long to close a connection after its shutdown
 inline constexpr milliseconds kTypicalRead{
     1000};  // for reading an answer, at max_clients; more than kTimeLeft
 inline constexpr milliseconds kWriteTimeout{5000};  // for writing an answer
-inline constexpr milliseconds kListenerOpen{500};   // after SIGTERM
+inline constexpr milliseconds kListenerOpen{500};   // how long connections are accepted after SIGTERM
 inline constexpr milliseconds kSweepInterval{100};  // during a drain
 inline constexpr milliseconds kSilentBeforeEviction{
     250};  // at max_clients: age of a new connection without a request
@@ -29,15 +30,16 @@
 inline constexpr milliseconds kAttemptsDue{895};   // all attempts of a request end by then
 
 // Tolerances of the checks.
-inline constexpr milliseconds kMaxAttemptDelay{100};  // of an attempt after its client has disconnected
+inline constexpr milliseconds kMaxAttemptDelay{
+    100};  // an attempt may begin this long after its client disconnects
 inline constexpr milliseconds kMaxExcessDeadline{
-    150};  // of the deadline sent to a backend over the client's remaining time
+    150};  // a forwarded deadline may exceed the client's remaining time by this
 inline constexpr milliseconds kSigtermToRefusal{700};  // from SIGTERM until a new connection may be refused
 
 // Parameters of the runs.
 inline constexpr milliseconds kDescheduledBefore{10};  // no handler runs for this time before the first event
 inline constexpr milliseconds kSecondHalfDelay{100};   // between the two halves of a request
-inline constexpr milliseconds kMaxWait{50};            // for a handler if no timer is set
+inline constexpr milliseconds kMaxWait{50};            // longest wait for a handler if no timer is set
 inline constexpr milliseconds kMaxRunTime{10000};
 inline constexpr int kMaxHandlers = 20000;  // far more than any run needs; beyond it the event loop spins
 inline constexpr std::size_t kLargeBody = 60000;    // bytes
--- a/tests/proxy/session_race_test.cpp
+++ b/tests/proxy/session_race_test.cpp
@@ -30,7 +30,7 @@
 constexpr milliseconds kTypicalFirstRequestTime{250};
 constexpr int kManyDescriptors = 1024;
 constexpr int kScarceDescriptors = 64;
-constexpr std::size_t kMaxClientsOfScarceDescriptors = 8;  // for kScarceDescriptors
+constexpr std::size_t kMaxClientsOfScarceDescriptors = 8;  // max_clients with kScarceDescriptors
 
 class SessionRaceTest : public ::testing::Test {
  protected:
--- a/tests/request_table/request_table_harness.h
+++ b/tests/request_table/request_table_harness.h
@@ -42,8 +42,8 @@
     bool in_flight = false;  // its newest attempt has not ended
     bool may_have_run = false;
     bool disconnected = false;
-    bool withdrawn = false;  // the attempt in flight
-    int cell = 0;            // of the first attempt that may have run
+    bool withdrawn = false;  // the attempt in flight has been withdrawn
+    int cell = 0;            // cell of the first attempt that may have run
     TimePoint first_run{};
     RequestOutcome outcome = RequestOutcome::kFailed;
   };
