--- a/examples/minimal.cpp
+++ b/examples/minimal.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The smallest use of the library: one class, two servers, one request and its answer.
+// Minimal use of the library: one request class, two backends, one request and its response.
 #include <cstdio>
 #include <variant>
 #include <vector>
@@ -20,7 +20,7 @@
   settings.max_attempts = 3;
   Balancer balancer(settings, /*seed=*/42);
 
-  // The caller owns the clock and the network: events in, actions out.
+  // The caller provides the clock and the network: it passes in events and executes the resulting actions.
   TimePoint now{milliseconds(1000)};
   std::vector<Action> actions;
   EndpointListUpdate list{EndpointListKind::kFull, {}};
--- a/include/badgerbridge/balancer.h
+++ b/include/badgerbridge/balancer.h
@@ -5,8 +5,8 @@
 ///
 /// A Balancer is pure and deterministic. It has no clock, I/O, threads or globals: time comes in with each
 /// event and randomness derives from the seed alone. Classes, tenants, zones and kinds are indices into the
-/// lists of the settings, so names cannot decide anything. All types but Balancer are plain values, which own
-/// what they hold.
+/// lists of the settings, so names influence no decision. All types but Balancer are plain values that own
+/// their data.
 #ifndef BADGERBRIDGE_BALANCER_H_
 #define BADGERBRIDGE_BALANCER_H_
 
@@ -19,245 +19,244 @@
 
 namespace badgerbridge::balancer {
 
-/// The clock of events, in milliseconds. It is the caller's; its origin is arbitrary and it only advances.
+/// The monotonic clock of the events, in milliseconds. The caller provides the time; the origin is arbitrary.
 struct Clock {
   using duration = std::chrono::duration<double, std::milli>;  ///< Milliseconds, with fractions.
-  using rep = duration::rep;                                   ///< As std::chrono wants it.
-  using period = duration::period;                             ///< As std::chrono wants it.
-  using time_point = std::chrono::time_point<Clock>;           ///< As std::chrono wants it.
-  /// It only advances.
-  // NOLINTNEXTLINE(readability-identifier-naming): the standard's name
+  using rep = duration::rep;                                   ///< Required by std::chrono.
+  using period = duration::period;                             ///< Required by std::chrono.
+  using time_point = std::chrono::time_point<Clock>;           ///< Required by std::chrono.
+  /// Required by std::chrono: the clock never goes back.
+  // NOLINTNEXTLINE(readability-identifier-naming): name required by the standard
   static constexpr bool is_steady = true;
 };
 using Duration = Clock::duration;     ///< A span of time, in milliseconds.
-using TimePoint = Clock::time_point;  ///< A point in time of the caller's clock.
+using TimePoint = Clock::time_point;  ///< A point in time on the caller's clock.
 
-using RequestId =
-    std::uint64_t;  ///< Identifies a request; chosen by the caller, unique among those that are open.
+using RequestId = std::uint64_t;  ///< Identifies a request; chosen by the caller, unique among open requests.
 using BackendId = std::uint32_t;  ///< Identifies a backend; chosen by the caller.
 
-/// Whether requests of a class may run more than once (RFC 9110, 9.2.2).
+/// Whether requests of a class may be processed more than once (RFC 9110, section 9.2.2).
 enum class Idempotency {
-  kIdempotent,      ///< Idempotent: may be repeated anywhere.
-  kIdempotencyKey,  ///< Idempotent by a key: backends of a group drop repeats within a window.
-  kNotIdempotent,   ///< Not idempotent: must not be repeated once it may have run.
+  kIdempotent,      ///< May be processed repeatedly by any backend.
+  kIdempotencyKey,  ///< Carries a key: backends of one scope drop duplicates within a window.
+  kNotIdempotent,   ///< Must not be sent again once a backend may have processed it.
 };
 
-/// Which backends drop each other's repeats of a request with an idempotency key.
+/// Which backends share the deduplication of requests with an idempotency key.
 enum class DeduplicationScope {
-  kAll,   ///< All of them.
-  kZone,  ///< Those of the same zone.
-  kCell,  ///< Those of the same cell of the same zone.
+  kAll,   ///< All backends.
+  kZone,  ///< The backends of one zone.
+  kCell,  ///< The backends of one cell of a zone.
 };
 
-/// What the settings say of a class of requests.
+/// Settings of one class of requests.
 struct ClassSettings {
-  Idempotency effect = Idempotency::kNotIdempotent;  ///< Whether its requests may run more than once.
+  Idempotency effect = Idempotency::kNotIdempotent;  ///< Whether requests may be processed more than once.
   DeduplicationScope group =
-      DeduplicationScope::kAll;   ///< Keyed classes: the backends that drop each other's repeats.
-  Duration window{0};             ///< Keyed classes: how long backends remember a key.
-  Duration latency_objective{0};  ///< Latency objective.
-  Duration deadline{0};           ///< What a client waits for, over all its attempts.
+      DeduplicationScope::kAll;   ///< With idempotency keys: which backends share deduplication.
+  Duration window{0};             ///< With idempotency keys: how long backends remember a key.
+  Duration latency_objective{0};  ///< Answers that take longer count as late.
+  Duration deadline{0};           ///< Time a client waits in total, over all its attempts.
   double priority_weight = 1;     ///< Weight of a request answered within the objective.
-  double late_weight = 0;         ///< Share of the weight that an answer after the objective still earns.
+  double late_weight = 0;         ///< Factor of the weight of a request answered late.
 };
 
-/// What the settings say of a tenant.
+/// Settings of one tenant.
 struct TenantSettings {
-  double quota_per_s = 0;  ///< Requests a second within its quota, over all proxies.
+  double quota_per_s = 0;  ///< Requests per second over all proxies.
 };
 
-/// Everything that is configured. Defaults are the documented meaning of an absent optional setting; none of
-/// them steers a decision.
+/// The configuration of a balancer. Each default is the documented meaning of an absent optional setting;
+/// no default influences a decision.
 struct Settings {
   int balancer_count = 1;               ///< Number of proxies.
-  int balancer_index = 0;               ///< The number of this proxy among them, from 0.
+  int balancer_index = 0;               ///< Index of this proxy among them, from 0.
   int zone = 0;                         ///< The zone of this proxy.
   std::vector<ClassSettings> classes;   ///< By request class.
   std::vector<TenantSettings> tenants;  ///< By tenant.
-  double over_quota_weight = 1;         ///< Factor of the weight of requests beyond their tenant's quota.
-  double cross_zone_cost = 0;  ///< Deducted for an attempt sent to another zone, as a part of a request.
-  bool key_affinity = false;   ///< A backend that served a key lately serves it again with less work.
-  bool polls_endpoint_list = false;  ///< The endpoint list must be polled; otherwise it is pushed.
-  int max_attempts = 1;              ///< Attempts of a request, the first included.
-  Duration max_retry_after{0};    ///< The longest that rejected clients are told to stay away; 0: never told.
-  Duration tick{1};               ///< Resolution of the caller's clock.
-  Duration max_poll_interval{0};  ///< Where the endpoint list is polled: the longest interval between calls.
-  double slow_start_floor = 1;    ///< Slow start: a backend has at least this share of its capacity at once,
-  Duration slow_start_window{0};  ///< and all of it no later than this.
-  double overload_factor = 1;     ///< It is overloaded when sent more than this multiple of its capacity,
-  Duration overload_duration{0};  ///< for this long.
+  double over_quota_weight = 1;         ///< Weight factor of requests beyond their tenant's quota.
+  double cross_zone_cost = 0;        ///< Cost of an attempt sent to another zone, as a fraction of a request.
+  bool key_affinity = false;         ///< A backend that served a key recently serves it again with less work.
+  bool polls_endpoint_list = false;  ///< Whether the endpoint list must be polled; false: it is pushed.
+  int max_attempts = 1;              ///< Maximum attempts per request, including the first.
+  Duration max_retry_after{0};       ///< Maximum Retry-After of rejections; 0: none is sent.
+  Duration tick{1};                  ///< Resolution of the caller's clock.
+  Duration max_poll_interval{0};     ///< With polling: maximum interval between calls to discovery.
+  double slow_start_floor = 1;       ///< Slow start: minimum capacity share of a backend at its start.
+  Duration slow_start_window{0};     ///< Slow start: time until a backend has its full capacity.
+  double overload_factor = 1;     ///< A backend is overloaded if sent more than this multiple of its capacity
+  Duration overload_duration{0};  ///< during this time.
 };
 
-/// Whether a backend takes requests.
+/// Whether a backend accepts requests.
 enum class BackendState {
-  kGone,      ///< It is no longer listed.
-  kReady,     ///< It takes requests.
-  kDraining,  ///< It finishes what it has, and takes no more.
+  kGone,      ///< No longer listed.
+  kReady,     ///< Accepts requests.
+  kDraining,  ///< Finishes requests in flight and accepts no new ones.
 };
 
-/// Where an endpoint list comes from.
+/// How an endpoint list relates to the previous one, or how the call to discovery ended.
 enum class EndpointListKind {
-  kDelta,   ///< Changes: backends that are not in it stay as they are.
-  kFull,    ///< All backends: those that are not in it are gone.
-  kCached,  ///< All backends as a proxy that starts had them last; they may be old.
-  kFailed,  ///< None: the call to discovery failed.
+  kDelta,   ///< Incremental: backends that it does not list are unchanged.
+  kFull,    ///< Complete: backends that it does not list are gone.
+  kCached,  ///< Complete, from the cache of a proxy that has just started; may be stale.
+  kFailed,  ///< The call to discovery failed; there is no list.
 };
 
-/// One backend, as discovery lists it.
+/// One backend in the endpoint list.
 struct BackendEntry {
-  BackendId server = 0;  ///< Its id.
-  int zone = 0;          ///< Its zone; below 0: unknown.
-  int kind = 0;          ///< Its kind of machine; backends of a kind have the same capacity.
-  int cell = 0;          ///< Its cell within the zone.
-  BackendState state = BackendState::kReady;  ///< Whether it takes requests.
-  double weight = 1;                          ///< Its listed weight; no decision uses it.
-  TimePoint up_since{};                       ///< When it started; zero: long ago.
+  BackendId server = 0;                       ///< Id of the backend.
+  int zone = 0;                               ///< Zone index; negative: unknown.
+  int kind = 0;                               ///< Machine type; backends of one type have the same capacity.
+  int cell = 0;                               ///< Cell within the zone.
+  BackendState state = BackendState::kReady;  ///< Whether it accepts requests.
+  double weight = 1;                          ///< Weight in the list; not used for decisions.
+  TimePoint up_since{};                       ///< When it started; zero: long ago, so it is warm.
 };
 
-/// How an attempt ended. kRejected, kConnectFailed and kNotSent prove that the backend did not act on it.
+/// How an attempt ended. kRejected, kConnectFailed and kNotSent prove that the backend did not process it.
 enum class Outcome {
-  kOk,             ///< Answered with success.
-  kError,          ///< Answered with an error.
-  kRejected,       ///< Rejected by the backend, unprocessed.
-  kTimeout,        ///< Not answered within its time-out or the client's time.
-  kConnectFailed,  ///< No connection came up.
-  kReset,          ///< The connection was reset while it was out.
-  kCancelled,      ///< Given up by the client, or by the balancer.
-  kNotSent,        ///< Never sent, through no fault of the backend.
-  kUnknown,        ///< Nothing is known.
+  kOk,             ///< Successful response.
+  kError,          ///< Error response.
+  kRejected,       ///< Rejected by the backend without processing.
+  kTimeout,        ///< No response before its timeout or the client's deadline.
+  kConnectFailed,  ///< No connection could be established.
+  kReset,          ///< The connection was reset while it was in flight.
+  kCancelled,      ///< Cancelled by the client or by the balancer.
+  kNotSent,        ///< Never sent, for a reason unrelated to the backend.
+  kUnknown,        ///< Unknown; the backend may have processed it.
 };
 
 // ---- events -------------------------------------------------------------------------------------------
 
-/// The endpoint list, or a change of it, has arrived.
+/// A new endpoint list or an incremental update has arrived.
 struct EndpointListUpdate {
-  EndpointListKind kind = EndpointListKind::kDelta;  ///< Where it comes from.
-  std::vector<BackendEntry> entries;                 ///< The backends that it lists; empty if it failed.
+  EndpointListKind kind = EndpointListKind::kDelta;  ///< How to apply `entries`.
+  std::vector<BackendEntry> entries;                 ///< Listed backends; empty for kFailed.
 };
 
-/// A client has sent a request. It ends with exactly one of: an attempt that is settled, Refuse, Fail, or
+/// A client has sent a request. It ends with exactly one of: a settled attempt, Reject, FailRequest, or
 /// ClientDisconnected.
 struct Submit {
-  RequestId request = 0;      ///< Its id; one that is open already is ignored.
-  TimePoint due{};            ///< When the client gives this attempt of its own up.
-  int request_class = 0;      ///< Index into Settings::classes; an unknown one is refused.
-  int tenant = 0;             ///< Index into Settings::tenants; an unknown one has no quota.
-  std::uint64_t key = 0;      ///< Hash of its idempotency key; 0: none.
-  bool has_hint = false;      ///< `work_ms` is set.
-  bool client_retry = false;  ///< The client says that it has tried before.
-  double work_ms = 0;         ///< Hinted work, in ms on a standard core.
+  RequestId request = 0;      ///< Id; ignored if a request with this id is open.
+  TimePoint due{};            ///< When the client stops waiting for this try.
+  int request_class = 0;      ///< Index into Settings::classes; an unknown class is rejected.
+  int tenant = 0;             ///< Index into Settings::tenants; an unknown tenant has no quota.
+  std::uint64_t key = 0;      ///< Hash of the idempotency key; 0: none.
+  bool has_hint = false;      ///< Whether `work_ms` is set.
+  bool client_retry = false;  ///< The client marked the request as a retry.
+  double work_ms = 0;         ///< Work hint, in ms on a standard core.
 };
 
-/// The first bytes of an answer have reached the client: no other attempt may follow.
+/// The first bytes of a response were sent to the client, so no further attempt is possible.
 struct StreamStarted {
-  RequestId request = 0;  ///< The request.
-  int attempt = 0;        ///< The number of the attempt, from 0.
+  RequestId request = 0;  ///< Id of the request.
+  int attempt = 0;        ///< Index of the attempt, from 0.
 };
 
-/// An attempt has ended. Told once for each Dispatch.
+/// An attempt has ended. The caller sends it once for each Dispatch.
 struct AttemptEnded {
-  RequestId request = 0;                ///< The request.
-  int attempt = 0;                      ///< The number of the attempt, from 0.
-  BackendId server = 0;                 ///< The backend that it was sent to.
+  RequestId request = 0;                ///< Id of the request.
+  int attempt = 0;                      ///< Index of the attempt, from 0.
+  BackendId server = 0;                 ///< Backend of the attempt.
   bool settled = false;                 ///< The request has its final answer.
   Outcome outcome = Outcome::kUnknown;  ///< How it ended.
-  Duration took{0};                     ///< Time since its dispatch.
+  Duration took{0};                     ///< Time from its dispatch to its end.
 };
 
-/// The client of a request has closed its connection; the request needs no answer.
+/// The client closed its connection; the request needs no answer.
 struct ClientDisconnected {
-  RequestId request = 0;  ///< The request.
+  RequestId request = 0;  ///< Id of the request.
 };
 
-/// A timer has fired, at its time or a little before or after.
+/// A timer has fired, possibly slightly before or after its time.
 struct TimerFired {
-  std::uint64_t token = 0;  ///< The token of its SetTimer.
+  std::uint64_t token = 0;  ///< Token of the SetTimer action.
 };
 
-/// How much this proxy may send to each zone from here on; until the first such event there is no limit.
+/// New limits on the work that this proxy may send to each zone. No limit applies before the first such
+/// event.
 struct ZoneQuotas {
-  std::vector<double> work_per_ms;  ///< By zone, hinted work in ms a ms; below 0: without limit.
+  std::vector<double> work_per_ms;  ///< By zone, work in ms per ms; negative: unlimited.
 };
 
-/// Anything that happens to a balancer.
+/// Input of Balancer::Handle.
 using Event = std::variant<EndpointListUpdate, Submit, StreamStarted, AttemptEnded, ClientDisconnected,
                            TimerFired, ZoneQuotas>;
 
 // ---- actions ------------------------------------------------------------------------------------------
 
-/// Send an attempt. Attempts of a request are numbered from 0 in the order of their dispatch.
+/// Send an attempt to a backend. The attempts of a request are numbered from 0 in dispatch order.
 struct Dispatch {
-  RequestId request = 0;  ///< The request.
-  BackendId server = 0;   ///< The backend to send it to.
-  Duration timeout{0};    ///< Its time-out; 0: until the client gives up.
-  TimePoint begin_before =
-      TimePoint::max();  ///< A retry whose connection is not up by then must not be sent.
+  RequestId request = 0;                      ///< Id of the request.
+  BackendId server = 0;                       ///< Target backend.
+  Duration timeout{0};                        ///< Timeout of the attempt; 0: the client's deadline.
+  TimePoint begin_before = TimePoint::max();  ///< A retry without a connection by then must not be sent.
 };
 
-/// Stop waiting for an attempt that is out; it ends as cancelled, or as it already has.
+/// Cancel an attempt in flight. An attempt that ended meanwhile keeps its outcome.
 struct CancelAttempt {
-  RequestId request = 0;  ///< The request.
-  int attempt = 0;        ///< The number of the attempt.
+  RequestId request = 0;  ///< Id of the request.
+  int attempt = 0;        ///< Index of the attempt.
 };
 
-/// Answer the client that the request was not processed, and that another attempt is harmless. Final.
+/// Final answer: the request was not processed, or a retry by the client is safe.
 struct Reject {
-  RequestId request = 0;    ///< The request.
-  Duration retry_after{0};  ///< How long the client should stay away; 0: no advice.
+  RequestId request = 0;    ///< Id of the request.
+  Duration retry_after{0};  ///< Retry-After for the client; 0: none.
 };
 
-/// Answer the client that the request failed, without saying whether it was processed. Final.
+/// Final answer: the request failed and may have been processed.
 struct FailRequest {
-  RequestId request = 0;  ///< The request.
+  RequestId request = 0;  ///< Id of the request.
 };
 
-/// Send a TimerFired at a point in time. Earlier timers stay set, and may be dropped by the caller.
+/// Send TimerFired at `at`. Timers set before stay valid, but the caller may drop them.
 struct SetTimer {
-  TimePoint at{};           ///< When.
-  std::uint64_t token = 0;  ///< To be sent with TimerFired.
+  TimePoint at{};           ///< When to send TimerFired.
+  std::uint64_t token = 0;  ///< Token to pass in TimerFired.
 };
 
-/// Ask discovery for the endpoint list and its changes from here on.
+/// Request the endpoint list and subsequent updates from discovery.
 struct Subscribe {};
 
-/// Write a line to the log. For people: the text may change.
+/// Write a line to the log. The text is not a stable interface.
 struct Log {
-  std::string text;  ///< The line, without an end.
+  std::string text;  ///< The line without a line terminator.
 };
 
-/// Anything that a balancer asks of its caller.
+/// Output of Balancer::Handle, to be executed by the caller.
 using Action = std::variant<Dispatch, CancelAttempt, Reject, FailRequest, SetTimer, Subscribe, Log>;
 
-/// What a balancer holds of a backend, as of the last event; for people and tools, never for a decision.
+/// State of a backend as of the last event, for operators and tools; no decision depends on it.
 struct BackendView {
-  BackendEntry entry;         ///< As it was listed last.
-  bool ejected = false;       ///< Outlier detection has taken it out of service.
-  TimePoint ejected_until{};  ///< While it is ejected: when it returns.
-  bool silent = false;        ///< Its last attempt timed out or is overdue, and no response came since.
-  int in_flight = 0;          ///< Attempts of this proxy.
-  double work_in_flight = 0;  ///< Their estimated work, in ms on a standard core.
-  double slowness = 1;        ///< Latency of its responses over what the like takes elsewhere.
-  double warm_share = 1;      ///< Share of its capacity that it has at the least; 1: warm.
-  double cold_budget = 0;     ///< While it warms up: work in ms that it may be sent within the window,
-  double cold_sent = 0;       ///< and was sent.
+  BackendEntry entry;            ///< Most recent entry in the endpoint list.
+  bool ejected = false;          ///< Ejected by outlier detection.
+  TimePoint ejected_until{};     ///< End of the ejection; only valid if `ejected`.
+  bool unresponsive = false;     ///< Its last attempt timed out or is overdue, without a response since.
+  int in_flight = 0;             ///< Attempts of this proxy in flight.
+  double work_in_flight = 0;     ///< Their estimated work in ms on a standard core.
+  double slowness = 1;           ///< Its latency relative to the usual latency of such requests.
+  double capacity_share = 1;     ///< Minimum share of its capacity during slow start; 1: warm.
+  double slow_start_budget = 0;  ///< During slow start: work in ms that this proxy may send per window.
+  double slow_start_sent = 0;    ///< During slow start: work in ms sent within the window.
 };
 
-/// Decides where requests go, whether they are tried again, and which are rejected. Not thread-safe: one
-/// thread at a time may use it.
+/// Selects backends for requests and decides on retries and rejections. Not thread-safe: calls must not
+/// overlap.
 class Balancer {
  public:
-  /// For one proxy. The same settings, seed and events give the same actions.
+  /// Creates the balancer of one proxy. Equal settings, seed and events produce equal actions.
   Balancer(Settings settings, std::uint64_t seed);
-  ~Balancer();                               ///< Open requests are forgotten without an answer.
-  Balancer(Balancer&&) noexcept;             ///< The source may then only be destroyed or assigned to.
-  Balancer& operator=(Balancer&&) noexcept;  ///< The same.
+  ~Balancer();                               ///< Drops open requests without an answer.
+  Balancer(Balancer&&) noexcept;             ///< The source may only be destroyed or assigned to afterwards.
+  Balancer& operator=(Balancer&&) noexcept;  ///< Same condition as above.
 
-  /// Appends what is to be done at `now` because of `event` to `actions`, which must not be null and is not
-  /// kept. Ignores what it does not know; throws nothing but std::bad_alloc, whatever the event holds.
+  /// Handles `event` at time `now` and appends the resulting actions to `actions`, which must not be null and
+  /// is not retained. Ignores unknown ids; throws only std::bad_alloc, even on invalid events.
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions);
 
-  /// Every backend that is not forgotten, by id.
+  /// All backends whose state is kept, ordered by id.
   std::vector<BackendView> Inspect() const;
 
  private:
--- a/src/admin_api/response_codec.cpp
+++ b/src/admin_api/response_codec.cpp
@@ -53,7 +53,7 @@
 
 std::string_view WireNameOfHealth(const BackendView& view) {
   if (view.ejected) return "ejected";
-  return view.silent ? "silent" : "healthy";
+  return view.unresponsive ? "silent" : "healthy";
 }
 
 json::object EncodeCounters(const RequestCounters& counters) {
@@ -102,11 +102,11 @@
                        {"in_flight", view.in_flight},
                        {"work_in_flight_ms", RoundToTenths(view.work_in_flight)},
                        {"slowness", RoundToHundredths(view.slowness)},
-                       {"warm_share", RoundToHundredths(view.warm_share)}};
+                       {"warm_share", RoundToHundredths(view.capacity_share)}};
   if (view.ejected) encoded["ejected_for_ms"] = std::max(0.0, std::ceil((view.ejected_until - now).count()));
-  if (view.warm_share < 1) {
-    encoded["cold_budget"] = json::object{{"work_ms", RoundToTenths(view.cold_budget)},
-                                          {"sent_ms", RoundToTenths(view.cold_sent)}};
+  if (view.capacity_share < 1) {
+    encoded["cold_budget"] = json::object{{"work_ms", RoundToTenths(view.slow_start_budget)},
+                                          {"sent_ms", RoundToTenths(view.slow_start_sent)}};
   }
   return encoded;
 }
--- a/src/balancer/admission.cpp
+++ b/src/balancer/admission.cpp
@@ -7,9 +7,11 @@
 namespace badgerbridge::balancer {
 namespace {
 
-constexpr double kMaxQueuedShare = 0.45;  // of a client's time: early enough to try elsewhere
-constexpr int kMinObjectiveParts = 4;     // a request may be queued for one of so many parts of its objective
-constexpr int kMarginTicks = 2;           // before the deadline
+// A request that is rejected before half of its time has passed can still succeed elsewhere.
+constexpr double kMaxQueuedShareOfDeadline = 0.45;
+// A request may be queued for at least its latency objective divided by this.
+constexpr int kMinQueueTimeDivisor = 4;
+constexpr int kDeadlineMarginTicks = 2;
 
 }  // namespace
 
@@ -26,9 +28,9 @@
 
 TimePoint RejectTime(const TimeBudget& budget, const EwmaStats& latency, Duration tick, TimePoint now) {
   const Duration useful = budget.objective_left - Duration(latency.mean() + latency.deviation());
-  const TimePoint reject_at = std::min(budget.deadline - tick * kMarginTicks,
-                                       now + std::max(useful, budget.class_objective / kMinObjectiveParts));
-  return std::min(reject_at, now + (budget.deadline - now) * kMaxQueuedShare);
+  const TimePoint reject_at = std::min(budget.deadline - tick * kDeadlineMarginTicks,
+                                       now + std::max(useful, budget.class_objective / kMinQueueTimeDivisor));
+  return std::min(reject_at, now + (budget.deadline - now) * kMaxQueuedShareOfDeadline);
 }
 
 Duration RetryAfter(const Settings& settings, int request_class) {
--- a/src/balancer/admission.h
+++ b/src/balancer/admission.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Load shedding: with which priority a request is admitted, and how long it may wait in the queue.
+/// Load shedding: the priority at which a request is admitted and its maximum queueing time.
 #ifndef BADGERBRIDGE_BALANCER_ADMISSION_H_
 #define BADGERBRIDGE_BALANCER_ADMISSION_H_
 
@@ -10,26 +10,27 @@
 
 namespace badgerbridge::balancer {
 
-/// The time that a request has.
+/// The time left to answer a request.
 struct TimeBudget {
   Duration class_objective{0};  ///< The latency objective of its class.
-  Duration objective_left{0};   ///< What is left of it; below 0: it has passed.
-  TimePoint deadline{};         ///< When the client gives up.
+  Duration objective_left{0};   ///< Time left of the objective; negative: exceeded.
+  TimePoint deadline{};         ///< When the client stops waiting.
 };
 
-/// The priority of a request whose weight is `weight` if it is in time. One that is too large to be in time
-/// has `late_weight` of it, or none: it must not take the place of others. Each such finding weakens the
-/// next one (LatencyStats::RelaxUncontended).
+/// The priority of a request, `weight` if it can meet its latency objective. A request too large for its
+/// objective gets the share `late_weight` of it, and 0 if it is too large for its deadline, so that it does
+/// not displace other requests. Each request too large for its class objective lowers the latency estimate
+/// (LatencyStats::RelaxUncontended).
 double Priority(double weight, double late_weight, double work_ms, const TimeBudget& budget, TimePoint now,
                 LatencyStats& latencies);
 
-/// When a queued request is rejected: while the client can still be served by another attempt. `tick` is the
-/// caller's clock resolution.
+/// When a queued request is rejected: early enough for the client to succeed with another attempt. `tick` is
+/// the resolution of the caller's clock.
 TimePoint RejectTime(const TimeBudget& budget, const EwmaStats& latency, Duration tick, TimePoint now);
 
-/// Exception, where clients honour Retry-After: one whose latency objective could not be met would come back
-/// only to be late, and take the place of one in time. It is told to stay away for as long as it would have
-/// come back.
+/// Exception, where clients honour Retry-After: a client whose latency objective cannot be met any more would
+/// retry, get a late answer and displace a request that can be in time. The advised wait covers the time in
+/// which it would retry.
 Duration RetryAfter(const Settings& settings, int request_class);
 
 }  // namespace badgerbridge::balancer
--- a/src/balancer/aperture.cpp
+++ b/src/balancer/aperture.cpp
@@ -11,7 +11,8 @@
 namespace badgerbridge::balancer {
 namespace {
 
-constexpr double kMinAperture = 6;  // warm backends: two may fail and the rest still carry their share
+// With 6 warm backends, the others can still carry the load if two fail.
+constexpr double kMinApertureBackends = 6;
 
 bool PrecedesOnRing(const Backend* left, const Backend* right) {
   return std::pair(left->ring_position, left->endpoint.server) <
@@ -52,8 +53,9 @@
 }
 
 double Aperture::Size(double requests_per_ms) const {
-  return std::min(static_cast<double>(ready_backends()),
-                  std::max(kMinAperture, requests_per_ms * kMinOutlierInterval.count() / kMinRequestVolume));
+  return std::min(
+      static_cast<double>(ready_backends()),
+      std::max(kMinApertureBackends, requests_per_ms * kMinOutlierInterval.count() / kMinRequestVolume));
 }
 
 }  // namespace badgerbridge::balancer
--- a/src/balancer/aperture.h
+++ b/src/balancer/aperture.h
@@ -1,13 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// The ring of backends, and the part of it over which this proxy spreads its requests.
+/// The ring of backends, and the part of it to which this proxy sends its requests (deterministic aperture).
 ///
-/// Exception, where a proxy has too few requests for all backends: it ranks no more backends than it can give
-/// the request volume of outlier detection within an interval. Spread over hundreds, it learns nothing of
-/// any, and pays for a connection to each: at full size nine attempts in ten found a backend's connections
-/// taken. Proxies take positions evenly spaced on a ring of backends, a ring for each group of proxies, so
-/// that every backend is in as many apertures, and proxies that share one backend share no other. Backends
-/// that are ejected or warming up are made up for by the next ones on the ring.
+/// Exception, where a proxy has too few requests for all backends: it considers only as many backends as it
+/// can send the request volume of outlier detection within one interval. A proxy that spreads few requests
+/// over hundreds of backends gets no usable statistics of any and needs a connection to each: at full size,
+/// nine attempts in ten found all connections of the backend in use. Each group of proxies has its own ring,
+/// on which its proxies start at evenly spaced positions. Each backend is thus in about the same number of
+/// apertures, and two proxies that share one backend usually share no other. For each ejected or
+/// warming-up backend, the aperture extends to the next backends on the ring.
 #ifndef BADGERBRIDGE_BALANCER_APERTURE_H_
 #define BADGERBRIDGE_BALANCER_APERTURE_H_
 
@@ -21,26 +22,26 @@
 
 namespace badgerbridge::balancer {
 
-/// The ready backends in the order of their ring positions, and where this proxy starts on it. Holds pointers
-/// to backends that the BackendList owns.
+/// The ready backends by ring position, and the index at which this proxy starts. Holds pointers to backends
+/// owned by BackendList.
 class Aperture {
  public:
-  /// For the proxy with the number `balancer_index` among `balancer_count`.
+  /// Creates the aperture of the proxy with index `balancer_index` among `balancer_count` proxies.
   Aperture(int balancer_count, int balancer_index);
 
-  /// The ring position of a backend, for all proxies of this proxy's group.
+  /// The ring position of a backend; the same for all proxies of this proxy's group.
   std::uint64_t RingPosition(BackendId id) const;
 
-  /// Puts a backend on the ring or takes it off, as its state says; the rest stays where it is.
+  /// Adds a backend to the ring or removes it according to its state.
   void Update(Backend& backend);
 
-  /// Takes all backends off the ring, without a look at them; Rebuild must follow.
+  /// Empties the ring without updating Backend::on_ring; Rebuild must follow.
   void Clear() { ring_.clear(); }
 
-  /// Puts all ready backends of `backends` on the empty ring at once.
+  /// Adds all ready backends of `backends` to the empty ring.
   void Rebuild(std::map<BackendId, Backend>& backends);
 
-  /// The backends on the ring, in order.
+  /// The backends on the ring, by position.
   const std::vector<Backend*>& ring() const { return ring_; }
 
   /// Number of ready backends.
@@ -49,12 +50,12 @@
   /// Index of the first backend of this proxy's aperture; the ring must not be empty.
   std::size_t StartIndex() const;
 
-  /// Over how many warm backends this proxy spreads its requests, `requests_per_ms` of them.
+  /// The number of warm backends to which this proxy sends its requests at a rate of `requests_per_ms`.
   double Size(double requests_per_ms) const;
 
  private:
   std::uint64_t balancer_index_;
-  std::uint64_t group_size_;  // proxies whose starts are spaced evenly on the same ring
+  std::uint64_t group_size_;  // proxies that share a ring
   std::vector<Backend*> ring_;
 };
 
--- a/src/balancer/attempt_permission.cpp
+++ b/src/balancer/attempt_permission.cpp
@@ -7,7 +7,8 @@
 namespace badgerbridge::balancer {
 namespace {
 
-constexpr double kWindowMargin = 0.9;  // of the window in which a keyed retry is dropped
+// A retry must reach the backend before the deduplication window ends.
+constexpr double kUsableShareOfWindow = 0.9;
 
 }  // namespace
 
@@ -31,7 +32,7 @@
 
   permission.may_reject =
       request_class.effect == Idempotency::kIdempotencyKey && request_class.group == DeduplicationScope::kAll;
-  permission.begin_before = first_run->sent_at + request_class.window * kWindowMargin;
+  permission.begin_before = first_run->sent_at + request_class.window * kUsableShareOfWindow;
   const Backend* const first_backend = backends.Find(first_run->backend);
   if (request_class.effect == Idempotency::kNotIdempotent || now >= permission.begin_before ||
       first_backend == nullptr) {
--- a/src/balancer/attempt_permission.h
+++ b/src/balancer/attempt_permission.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Which further attempts and which final answers a request permits: the rules of idempotency.
+/// Which further attempts and final answers the idempotency of a request permits.
 #ifndef BADGERBRIDGE_BALANCER_ATTEMPT_PERMISSION_H_
 #define BADGERBRIDGE_BALANCER_ATTEMPT_PERMISSION_H_
 
@@ -10,27 +10,27 @@
 
 namespace badgerbridge::balancer {
 
-/// What may be done with a request now.
+/// The permitted actions on a request.
 struct AttemptPermission {
   /// An attempt may be dispatched.
   bool may_dispatch = false;
-  /// It may be rejected: no backend has acted on it, or acting on it again is harmless.
+  /// It may be rejected: no backend has processed it, or processing it again is safe.
   bool may_reject = false;
-  /// If set: only backends that deduplicate with this one may be tried.
+  /// If not null: only backends that share deduplication with this one are permitted.
   const Backend* deduplicated_with = nullptr;
-  /// The attempt must begin before the backends forget the idempotency key.
+  /// The attempt must start before this time, while the backends remember the idempotency key.
   TimePoint begin_before = TimePoint::max();
 };
 
-/// Whether an outcome proves that the backend did not act on the attempt.
+/// Whether an outcome proves that the backend did not process the attempt.
 bool ProvesNotRun(Outcome outcome);
 
-/// Decides on a request; the one place that does. `backends` resolves the backend of its first attempt that
-/// may have run.
+/// The permission for a request at `now`; all decisions on attempts and answers use it. `backends` is
+/// used to look up the backend of its first attempt that may have run.
 AttemptPermission PermissionFor(const Request& request, const Settings& settings, const BackendList& backends,
                                 TimePoint now);
 
-/// Whether `backend` drops the retries of a request that `first` may have acted on.
+/// Whether `backend` drops a retry of a request that `first` may have processed.
 bool SharesDeduplication(DeduplicationScope scope, const BackendEntry& first, const BackendEntry& backend);
 
 }  // namespace badgerbridge::balancer
--- a/src/balancer/attempt_recorder.cpp
+++ b/src/balancer/attempt_recorder.cpp
@@ -8,9 +8,9 @@
 namespace badgerbridge::balancer {
 namespace {
 
-constexpr double kMinLatencyMs = 1e-9;  // guards a division
-// Of the latency objective: what takes longer without contention is late whatever is done.
-constexpr double kMaxTimelyShare = 0.5;
+constexpr double kMinLatencyMs = 1e-9;  // avoids a division by zero
+// A request that takes longer than this even without contention is expected to be late at any load.
+constexpr double kMaxUncontendedShareOfObjective = 0.5;
 
 }  // namespace
 
@@ -27,8 +27,8 @@
     backend.completed_work.Count(request.work_ms);
     concurrency_.RecordSuccess();
   }
-  // A time-out on a connection that has stalled, while the backend responds on others, is a failure, but no
-  // sign of slowness.
+  // A timeout on a stalled connection, while the backend responds on others, counts as a failure but says
+  // nothing about the latency of the backend.
   const bool stalled = backend.responsiveness.HasAnsweredLaterThan(attempt.sent_at);
   const bool measures_latency = success || (outcome == Outcome::kTimeout && !stalled);
   const double took_ms = ended.took.count();
@@ -48,10 +48,11 @@
   if (responded) backend.responsiveness.last_response_at = now;
   backend.in_flight.work_ms -= request.work_ms;
   --backend.in_flight.attempts;
-  if (backend.in_flight.attempts == 0) backend.in_flight.work_ms = 0;  // rounding must not accumulate
+  if (backend.in_flight.attempts == 0)
+    backend.in_flight.work_ms = 0;  // prevents accumulation of rounding errors
 }
 
-// Gives back what an attempt that was never sent has taken from the budgets.
+// Returns the budget used by an attempt that was never sent.
 void AttemptRecorder::RefundUnsent(const Request& request, const Attempt& attempt, Backend& backend) {
   backend.slow_start.sent.Refund(attempt.sent_at, request.work_ms);
   if (backend.responsiveness.last_sent_at == attempt.sent_at) {
@@ -65,14 +66,14 @@
   const int request_class = request.request_class;
   const double scaled_ms = took_ms / requests_.LatencyScale(request_class, request.work_ms);
   latencies_.Record(request_class, scaled_ms);
-  // Neither a request of the heavy tail, which is late whatever is done, nor a late response of a backend
-  // slower than most says that the backends are overloaded.
+  // Lateness indicates overload of all backends, so it is not recorded for requests that are too large to be
+  // in time, nor for late responses of a backend that is slower than most.
   const bool many_warming_up = warm_capacity_.ManyWarmingUp();
   const Duration objective = settings_.classes[static_cast<std::size_t>(request_class)].latency_objective;
   const bool late = took_ms > objective.count();
   const double uncontended_ms = request.work_ms * latencies_.uncontended_time_per_work();
-  const bool may_be_timely = uncontended_ms < kMaxTimelyShare * objective.count();
-  if (may_be_timely && !(late && slow_backends_.IsSlow(backend.slowness, many_warming_up))) {
+  const bool may_meet_objective = uncontended_ms < kMaxUncontendedShareOfObjective * objective.count();
+  if (may_meet_objective && !(late && slow_backends_.IsSlow(backend.slowness, many_warming_up))) {
     concurrency_.RecordLateness(late);
   }
   const EwmaStats& usual =
--- a/src/balancer/attempt_recorder.h
+++ b/src/balancer/attempt_recorder.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Passes the end of an attempt on to the modules that learn from it.
+/// Updates the statistics of the modules when an attempt ends.
 #ifndef BADGERBRIDGE_BALANCER_ATTEMPT_RECORDER_H_
 #define BADGERBRIDGE_BALANCER_ATTEMPT_RECORDER_H_
 
@@ -16,11 +16,11 @@
 
 namespace badgerbridge::balancer {
 
-/// Releases what an attempt held, and takes in what its outcome tells of its backend, of its request class
-/// and of all backends together. Holds no state of its own.
+/// Releases the load of an ended attempt and records its outcome for its backend, its request class and all
+/// backends together. Stateless.
 class AttemptRecorder {
  public:
-  /// Keeps references to all, which must outlive it.
+  /// Keeps references to all arguments, which must outlive it.
   AttemptRecorder(const Settings& settings, const RequestStats& requests, const WarmCapacity& warm_capacity,
                   const SlowBackends& slow_backends, LatencyStats& latencies, ConcurrencyLimit& concurrency,
                   ZoneQuotaBuckets& zone_quotas)
@@ -32,8 +32,8 @@
         concurrency_(concurrency),
         zone_quotas_(zone_quotas) {}
 
-  /// Takes in that `attempt` of `request` at `backend` has ended. Returns whether that says anything of the
-  /// backend, so that its outlier detection may give a new verdict.
+  /// Records the end of `attempt` of `request` at `backend`. Returns whether it was counted for outlier
+  /// detection, which must then be evaluated again.
   bool Record(const Request& request, const Attempt& attempt, const AttemptEnded& ended, Backend& backend,
               TimePoint now);
 
--- a/src/balancer/attempt_timeout.cpp
+++ b/src/balancer/attempt_timeout.cpp
@@ -6,9 +6,10 @@
 
 namespace badgerbridge::balancer {
 
-// Only a backend that has become unresponsive gets a time-out short of the client's own: it owes responses,
-// and has owed them for longer than is likely for this class. Timing out what was merely late doubled its
-// work on every site. None also where no retry is permitted or would come in time.
+// An attempt gets a timeout before the client's deadline only at an unresponsive backend, one that has
+// attempts in flight and has not responded for longer than is likely for this class. Timeouts on attempts
+// that were merely late doubled the work at every site. There is no timeout either if a retry is not
+// permitted or would be too late.
 Duration AttemptTimeouts::TimeoutFor(const Request& request, const Backend& backend, TimePoint now) const {
   const Responsiveness& responsiveness = backend.responsiveness;
   const bool owes_response = backend.in_flight.attempts > 0 || responsiveness.unresponsive;
@@ -16,12 +17,14 @@
     return Duration(0);
   if (static_cast<int>(request.attempts.size()) + 1 >= settings_.max_attempts) return Duration(0);
   const Duration max_likely = MaxLikelyLatency(request);
-  const bool is_quiet = responsiveness.unresponsive || !(now - responsiveness.last_response_at < max_likely);
+  const bool is_unresponsive =
+      responsiveness.unresponsive || !(now - responsiveness.last_response_at < max_likely);
   const bool retry_in_time = !(now + max_likely + ExpectedLatency(request) > request.deadline);
-  return is_quiet && retry_in_time ? max_likely : Duration(0);
+  return is_unresponsive && retry_in_time ? max_likely : Duration(0);
 }
 
-// One huge request, out for seconds, must not keep a small proxy from sending either.
+// The limit at the latency objective keeps one huge request, in flight for seconds, from blocking all
+// dispatches of a small proxy.
 Duration AttemptTimeouts::MaxCountedTime(const Request& request, bool many_warming_up) const {
   const Duration max_likely = std::min(MaxLikelyLatency(request), ClassOf(request).latency_objective);
   if (many_warming_up) return max_likely;
--- a/src/balancer/attempt_timeout.h
+++ b/src/balancer/attempt_timeout.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// How long attempts are waited for.
+/// Timeouts of attempts.
 #ifndef BADGERBRIDGE_BALANCER_ATTEMPT_TIMEOUT_H_
 #define BADGERBRIDGE_BALANCER_ATTEMPT_TIMEOUT_H_
 
@@ -12,23 +12,23 @@
 
 namespace badgerbridge::balancer {
 
-/// Derives time-outs from the latencies seen. Holds no state of its own.
+/// Derives timeouts from measured latencies. Stateless.
 class AttemptTimeouts {
  public:
-  /// Keeps references to all three, which must outlive it.
+  /// Keeps references to all arguments, which must outlive it.
   AttemptTimeouts(const Settings& settings, const RequestStats& requests, const LatencyStats& latencies)
       : settings_(settings), requests_(requests), latencies_(latencies) {}
 
-  /// The time-out of an attempt of `request` at `backend`; 0: none short of the client's own.
+  /// The timeout of an attempt of `request` at `backend`; 0: none before the client's deadline.
   Duration TimeoutFor(const Request& request, const Backend& backend, TimePoint now) const;
 
-  /// For how long an attempt counts as in flight.
+  /// How long an attempt counts towards the concurrency limit.
   Duration MaxCountedTime(const Request& request, bool many_warming_up) const;
 
-  /// Whether attempts of `request` can become overdue: enough is known of its class.
+  /// Whether attempts of `request` can become overdue, which requires enough latency samples of its class.
   bool IsBounded(const Request& request) const { return latencies_.IsKnown(request.request_class); }
 
-  /// Whether the settings permit a retry of an attempt that is out, and it would come in time.
+  /// Whether a retry of an attempt in flight is permitted by the settings and can meet the deadline.
   bool RetryWouldHelp(const Request& request, TimePoint now) const;
 
  private:
--- a/src/balancer/backend.h
+++ b/src/balancer/backend.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// The balancer's record of one backend: its endpoint, and what each module holds of it.
+/// The balancer's record of one backend: its endpoint and the state of each module for it.
 #ifndef BADGERBRIDGE_BALANCER_BACKEND_H_
 #define BADGERBRIDGE_BALANCER_BACKEND_H_
 
@@ -16,32 +16,32 @@
 
 namespace badgerbridge::balancer {
 
-/// What this proxy has in flight at one backend.
+/// Load of this proxy in flight at one backend.
 struct InFlightLoad {
-  double work_ms = 0;        ///< Estimated work.
-  int attempts = 0;          ///< All that are outstanding.
-  int counted_attempts = 0;  ///< Of these, those that the concurrency limit counts.
+  double work_ms = 0;        ///< Estimated work in ms.
+  int attempts = 0;          ///< All outstanding attempts.
+  int counted_attempts = 0;  ///< Those that count towards the concurrency limit.
 };
 
-/// One backend. Owned by the BackendList; its address is stable.
+/// One backend. Owned by BackendList; its address is stable.
 struct Backend {
-  BackendEntry endpoint;             ///< As it was listed last.
-  TimePoint gone_at{};               ///< While it is not listed: since when.
+  BackendEntry endpoint;             ///< Most recent entry in the endpoint list.
+  TimePoint gone_at{};               ///< When it was removed; only valid while it is not listed.
   InFlightLoad in_flight;            ///< Attempts of this proxy.
   OutlierState outlier;              ///< Owned by OutlierDetector.
   SlowStartState slow_start;         ///< Owned by SlowStart.
-  CompletedWorkRate completed_work;  ///< What it serves for this proxy; slow start compares with it.
+  CompletedWorkRate completed_work;  ///< Reference rate for the slow-start budgets of other backends.
   SlownessState slowness;            ///< Owned by SlowBackends.
-  KeyAffinity key_affinity;          ///< Keys that it was sent lately.
-  Responsiveness responsiveness;     ///< When it responded last.
+  KeyAffinity key_affinity;          ///< Idempotency keys recently sent to it.
+  Responsiveness responsiveness;     ///< Times of its last responses and attempts.
   std::uint64_t ring_position = 0;   ///< Set once, by Aperture::RingPosition.
   bool on_ring = false;              ///< Owned by Aperture.
-  bool active = false;               ///< It is in BackendList::active().
+  bool active = false;               ///< Whether it is in BackendList::active().
 
-  /// Whether it is listed and takes requests.
+  /// Whether it is listed and accepts requests.
   bool IsReady() const { return endpoint.state == BackendState::kReady; }
 
-  /// Whether nothing is known of it that the passing of time would change.
+  /// Whether it has no load and no statistics that still have to decay.
   bool IsIdle() const {
     constexpr double kMaxSlownessDeviation = 1e-3;
     return in_flight.attempts == 0 && completed_work.IsIdle() && !responsiveness.unresponsive &&
--- a/src/balancer/backend_list.cpp
+++ b/src/balancer/backend_list.cpp
@@ -7,16 +7,16 @@
 namespace badgerbridge::balancer {
 namespace {
 
-constexpr Duration kMaxGoneTime{60000};        // one that is gone for this long loses its state
-constexpr std::size_t kMaxSingleUpdates = 32;  // of a list: more are put on the ring all at once
+constexpr Duration kRemovedStateRetention{60000};   // backends listed again within this time keep their state
+constexpr std::size_t kMaxIncrementalUpdates = 32;  // a longer list rebuilds the ring instead
 
 }  // namespace
 
 void BackendList::Apply(const EndpointListUpdate& update, TimePoint now, Aperture& aperture) {
-  const bool rebuild = update.entries.size() > kMaxSingleUpdates;
-  Aperture* const updated_one_by_one = rebuild ? nullptr : &aperture;
+  const bool rebuild = update.entries.size() > kMaxIncrementalUpdates;
+  Aperture* const updated_aperture = rebuild ? nullptr : &aperture;
   if (rebuild) aperture.Clear();
-  if (update.kind != EndpointListKind::kDelta) RemoveUnlisted(update, now, updated_one_by_one);
+  if (update.kind != EndpointListKind::kDelta) RemoveUnlisted(update, now, updated_aperture);
   for (const BackendEntry& endpoint : update.entries) {
     const auto [position, added] = backends_.try_emplace(endpoint.server);
     Backend& backend = position->second;
@@ -25,10 +25,10 @@
     backend.endpoint = endpoint;
     backend.endpoint.state = state_before;
     SetState(backend, endpoint.state, now);
-    if (updated_one_by_one != nullptr) updated_one_by_one->Update(backend);
+    if (updated_aperture != nullptr) updated_aperture->Update(backend);
   }
   if (rebuild) aperture.Rebuild(backends_);
-  ForgetGone(now);
+  RemoveExpired(now);
 }
 
 Backend* BackendList::Find(BackendId id) {
@@ -41,7 +41,7 @@
   return found == backends_.end() ? nullptr : &found->second;
 }
 
-void BackendList::RetireIdle() {
+void BackendList::DeactivateIdle() {
   for (Backend* backend : active_) backend->active = !backend->IsIdle();
   std::erase_if(active_, [](const Backend* backend) { return !backend->active; });
 }
@@ -54,7 +54,7 @@
   backend.endpoint.state = state;
 }
 
-// The aperture is null if it is rebuilt anyway.
+// `aperture` is null if the caller rebuilds it.
 void BackendList::RemoveUnlisted(const EndpointListUpdate& update, TimePoint now, Aperture* aperture) {
   std::set<BackendId> listed;
   for (const BackendEntry& endpoint : update.entries) listed.insert(endpoint.server);
@@ -65,13 +65,14 @@
   }
 }
 
-// The longest gone first; one that has come back, or is still active, is looked at again when it is due next.
-void BackendList::ForgetGone(TimePoint now) {
+// Checks removed backends in removal order. Backends that are listed again leave the queue; those that are
+// still active are queued again.
+void BackendList::RemoveExpired(TimePoint now) {
   for (std::size_t left = gone_.size(); left > 0; --left) {
     const BackendId id = gone_.front();
     const auto found = backends_.find(id);
     const bool is_gone = found != backends_.end() && found->second.endpoint.state == BackendState::kGone;
-    if (is_gone && now - found->second.gone_at <= kMaxGoneTime) break;
+    if (is_gone && now - found->second.gone_at <= kRemovedStateRetention) break;
     gone_.pop_front();
     if (!is_gone) continue;
     if (found->second.active) {
--- a/src/balancer/backend_list.h
+++ b/src/balancer/backend_list.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// The backends that this proxy knows.
+/// The backends of the endpoint list.
 #ifndef BADGERBRIDGE_BALANCER_BACKEND_LIST_H_
 #define BADGERBRIDGE_BALANCER_BACKEND_LIST_H_
 
@@ -15,42 +15,43 @@
 
 namespace badgerbridge::balancer {
 
-/// Owns the backends. One that is no longer listed keeps its state for a while, in case it returns.
+/// Owns the backends. A backend that is no longer listed keeps its state for a minute, in case it is listed
+/// again.
 class BackendList {
  public:
-  /// Takes in an endpoint list or a change of it; the kind must not be kFailed. `aperture` is kept in step.
+  /// Applies an endpoint list or an incremental update, also to `aperture`. The kind must not be kFailed.
   void Apply(const EndpointListUpdate& update, TimePoint now, Aperture& aperture);
 
-  /// The backend with this id; null: unknown or forgotten.
+  /// The backend with this id; null: unknown or removed.
   Backend* Find(BackendId id);
-  const Backend* Find(BackendId id) const;  ///< The same.
+  const Backend* Find(BackendId id) const;  ///< Null: unknown or removed.
 
-  /// All backends, by id.
+  /// All backends, including recently removed ones, by id.
   const std::map<BackendId, Backend>& all() const { return backends_; }
 
-  /// The backends that this proxy has dealt with lately: work per event is theirs alone.
+  /// The backends with load or recent statistics. Periodic work covers only these.
   const std::vector<Backend*>& active() const { return active_; }
 
-  /// Adds a backend to the active ones; allocates nothing if ReserveActive was called before.
+  /// Marks a backend as active; allocates nothing if ReserveActive was called before.
   void MarkActive(Backend& backend) {
     if (!backend.active) active_.push_back(&backend);
     backend.active = true;
   }
 
-  /// Allocates what the next MarkActive needs.
+  /// Allocates the memory for the next MarkActive.
   void ReserveActive() { ReserveOne(active_); }
 
-  /// Removes the backends that are idle from the active ones.
-  void RetireIdle();
+  /// Removes idle backends from active().
+  void DeactivateIdle();
 
  private:
   void SetState(Backend& backend, BackendState state, TimePoint now);
   void RemoveUnlisted(const EndpointListUpdate& update, TimePoint now, Aperture* aperture);
-  void ForgetGone(TimePoint now);
+  void RemoveExpired(TimePoint now);
 
   std::map<BackendId, Backend> backends_;
   std::vector<Backend*> active_;
-  std::deque<BackendId> gone_;  // in the order in which they went
+  std::deque<BackendId> gone_;  // in removal order
 };
 
 }  // namespace badgerbridge::balancer
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// The events of the balancer, in the order in which its modules take them in. The types of events and
+/// The event handlers of the balancer, which call the modules in a fixed order. The types of events and
 /// actions are in include/badgerbridge/balancer.h.
 ///
-/// The ordinary path is gRFC A50 outlier detection (failure percentage) and, among the backends in service, a
-/// selection of the one with the least estimated work of this proxy's own in flight. Whatever departs from
-/// that is marked "Exception", in the module that it belongs to, with the condition under which it acts;
-/// docs/design.md lists them all.
+/// The ordinary path is gRFC A50 outlier detection (failure percentage) and selection of the backend in
+/// service with the least estimated work of this proxy in flight. Each departure from it is marked
+/// "Exception" in its module, with its condition; docs/design.md lists them all.
 #include "badgerbridge/balancer.h"
 
 #include <algorithm>
@@ -47,9 +46,9 @@
 namespace badgerbridge::balancer {
 namespace {
 
-constexpr Duration kSampleInterval{100};  // between samples of rates
-constexpr int kMinRetryTicks = 4;         // a request that is retried may be queued for at least so long
-constexpr int kDeadlineMarginTicks = 2;   // but not longer than so long before its deadline
+constexpr Duration kRateSampleInterval{100};
+constexpr int kMinRetryQueueTicks = 4;
+constexpr int kDeadlineMarginTicks = 2;
 
 std::string BackendName(BackendId id) { return "backend " + std::to_string(id); }
 
@@ -77,8 +76,8 @@
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions) {
     AdvanceTime(now);
     actions_ = actions;
-    std::visit([this](const auto& received) { On(received); },
-               event);  // first: a list may forbid what is due
+    // The event is handled before due work: a new endpoint list may remove a backend that would be used.
+    std::visit([this](const auto& received) { On(received); }, event);
     ReturnEjectedBackends();
     EndOutlierInterval();
     SampleRates();
@@ -126,7 +125,7 @@
     request.arrived_at = now_;
     request.key = submit.key;
     if (submit.request_class < 0 || submit.request_class >= static_cast<int>(settings_.classes.size())) {
-      // Nothing is known of what it may do twice, and it never ran: the client may try again.
+      // The idempotency is unknown, but the request was never sent: rejecting it is safe.
       actions_->push_back(Reject{request.id, Duration(0)});
       return;
     }
@@ -178,7 +177,7 @@
 
   // ---- Admission and dispatch -------------------------------------------------------------------------
 
-  // Estimates the work of a request, and sets its priority and how long it may be queued.
+  // Estimates the work of a request and sets its priority and maximum queueing time.
   void Admit(const Submit& submit, Request& request) {
     const ClassSettings& request_class = ClassOf(request);
     const Duration elapsed = client_timeouts_.RecordAndEstimateElapsed(submit, request_class.deadline, now_);
@@ -193,7 +192,7 @@
     request.reject_at = RejectTime(budget, latency, settings_.tick, now_);
   }
 
-  // Dispatches the request, queues it or ends it; returns whether it was dispatched.
+  // Dispatches, queues or finishes the request; returns whether it was dispatched.
   bool TryDispatch(Request& request) {
     const AttemptPermission permission = PermissionFor(request, settings_, backends_, now_);
     Backend* const backend = permission.may_dispatch ? SelectBackend(request, permission) : nullptr;
@@ -250,7 +249,7 @@
     actions_->push_back(Dispatch{request.id, backend.endpoint.server, timeout, begin_before});
   }
 
-  // Allocates all that a dispatch needs, first: an attempt that is counted must be sent.
+  // Allocates all memory for a dispatch before any state changes: a counted attempt must be sent.
   void ReserveForSend(Request& request, Backend& backend) {
     backends_.ReserveActive();
     ReserveOne(request.attempts);
@@ -260,7 +259,7 @@
     if (timeouts_.IsBounded(request)) wakeups_.Add(now_ + MaxCountedTime(request), request.id);
   }
 
-  // After a failed attempt: another one where permitted, within the retry budget if it adds load.
+  // Retries after a failed attempt where permitted; a retry that adds load needs a token of the retry budget.
   void Retry(Request& request, bool adds_load) {
     const bool may_dispatch = PermissionFor(request, settings_, backends_, now_).may_dispatch;
     if (!may_dispatch || (adds_load && !retry_budget_.HasToken())) {
@@ -268,17 +267,18 @@
       return;
     }
     const TimePoint latest = request.deadline - settings_.tick * kDeadlineMarginTicks;
-    request.reject_at = std::max(request.reject_at, std::min(latest, now_ + settings_.tick * kMinRetryTicks));
+    request.reject_at =
+        std::max(request.reject_at, std::min(latest, now_ + settings_.tick * kMinRetryQueueTicks));
     TryDispatch(request);
   }
 
-  // Rejects the request where that is permitted, or fails it.
+  // Rejects the request where permitted, otherwise fails it.
   void Finish(Request& request, Duration retry_after) {
     const bool may_reject = PermissionFor(request, settings_, backends_, now_).may_reject;
     if (log_throttle_.Permits(LogTopic::kFinalAnswer, now_)) {
       const std::string last = request.attempts.empty()
                                    ? "not in time"
-                                   : "last at " + BackendName(request.attempts.back().backend);
+                                   : "last attempt at " + BackendName(request.attempts.back().backend);
       WriteLog((may_reject ? "rejecting: " : "failing: ") + last + "; " +
                std::to_string(concurrency_.in_flight()) + " in flight, " + std::to_string(queue_.size()) +
                " queued");
@@ -339,9 +339,9 @@
       backend->key_affinity.Expire(now_);
       SlowBackends::Decay(backend->slowness, elapsed_ms);
     }
-    backends_.RetireIdle();
+    backends_.DeactivateIdle();
     slow_backends_.Update(backends_.active(), warm_capacity_.ManyWarmingUp());
-    // A proxy that sends little learns little: lateness is forgotten with time.
+    // Lateness decays with time, since a proxy that sends little gets few new samples.
     if (!warm_capacity_.ManyWarmingUp()) concurrency_.DecayLateness(elapsed_ms);
     if (warm_capacity_.AnyWarmingUp()) {
       warm_capacity_.Update(backends_, aperture_.ready_backends(), slow_start_, now_);
@@ -352,12 +352,12 @@
     }
     tenant_quotas_.Refill(elapsed_ms);
     sampled_at_ = now_;
-    next_sample_at_ = now_ + kSampleInterval;
-    queue_needs_dispatch_ = true;  // slow-start budgets have moved on
+    next_sample_at_ = now_ + kRateSampleInterval;
+    queue_needs_dispatch_ = true;  // slow-start budgets have grown
   }
 
   void PollEndpoints() {
-    if (poller_.TakeDuePoll(now_)) actions_->push_back(Subscribe{});
+    if (poller_.ConsumeDuePoll(now_)) actions_->push_back(Subscribe{});
   }
 
   void WakeRequests() {
@@ -373,8 +373,9 @@
     }
   }
 
-  // What is out for longer than its like is stuck at one backend, and no sign of what the others can do: two
-  // at an unresponsive backend kept a small proxy from sending anything for seconds.
+  // An attempt in flight for longer than usual is stuck at one backend and no longer counts towards the
+  // concurrency limit: two attempts at an unresponsive backend blocked all dispatches of a small proxy for
+  // seconds.
   void ReleaseOverdue(Request& request) {
     for (Attempt& attempt : request.attempts) {
       if (!attempt.outstanding || now_ < attempt.sent_at + MaxCountedTime(request)) continue;
@@ -389,9 +390,9 @@
     }
   }
 
-  // Exception: an attempt whose backend has answered what was sent after it, and that is out for longer than
-  // is likely, is lost with its connection: on days with stalled connections a proxy waited for each to the
-  // end of the client's time. It is cancelled where a retry is permitted and comes in time.
+  // Exception: an overdue attempt whose backend has answered later attempts is lost on a stalled connection.
+  // It is cancelled where a retry is permitted and can be in time. Without this, a proxy waited for each such
+  // attempt until the client's deadline.
   void CancelIfStalled(const Request& request, Attempt& attempt, const Backend* backend) {
     if (attempt.cancelled || request.finished || !timeouts_.RetryWouldHelp(request, now_)) return;
     const bool stalled = backend != nullptr && backend->responsiveness.HasAnsweredLaterThan(attempt.sent_at);
@@ -420,7 +421,7 @@
     if (const std::optional<SetTimer> timer = timer_.Arm(at, now_)) actions_->push_back(*timer);
   }
 
-  // ---- Shared -----------------------------------------------------------------------------------------
+  // ---- Helpers ----------------------------------------------------------------------------------------
 
   const ClassSettings& ClassOf(const Request& request) const {
     return settings_.classes[static_cast<std::size_t>(request.request_class)];
@@ -435,28 +436,28 @@
   BackendView ViewOf(const Backend& backend) const {
     BackendView view{.entry = backend.endpoint,
                      .ejected = backend.outlier.ejected,
-                     .silent = backend.responsiveness.unresponsive};
+                     .unresponsive = backend.responsiveness.unresponsive};
     if (view.ejected) view.ejected_until = backend.outlier.ejected_until;
     view.in_flight = backend.in_flight.attempts;
     view.work_in_flight = backend.in_flight.work_ms;
     view.slowness = backend.slowness.ratio;
-    view.warm_share = slow_start_.CapacityShare(backend.endpoint, now_);
-    if (view.warm_share < 1) {
-      view.cold_budget = slow_start_.Budget(backend, view.warm_share, now_, backends_.active());
-      view.cold_sent = slow_start_.SentWithinWindow(backend, now_);
+    view.capacity_share = slow_start_.CapacityShare(backend.endpoint, now_);
+    if (view.capacity_share < 1) {
+      view.slow_start_budget = slow_start_.Budget(backend, view.capacity_share, now_, backends_.active());
+      view.slow_start_sent = slow_start_.SentWithinWindow(backend, now_);
     }
     return view;
   }
 
   const Settings settings_;
   Random random_;
-  TimePoint now_{};                         // of the newest event
-  std::vector<Action>* actions_ = nullptr;  // of the event that is being handled
+  TimePoint now_{};                         // time of the latest event
+  std::vector<Action>* actions_ = nullptr;  // output of the event being handled; null otherwise
 
   RequestMap requests_;
   RequestQueue queue_;
   WakeupSchedule wakeups_;
-  bool queue_needs_dispatch_ = false;  // something changed that may let a queued request be dispatched
+  bool queue_needs_dispatch_ = false;  // whether a queued request may have become dispatchable
 
   RequestStats request_stats_;
   LatencyStats latencies_;
--- a/src/balancer/client_timeout.cpp
+++ b/src/balancer/client_timeout.cpp
@@ -7,10 +7,11 @@
 namespace badgerbridge::balancer {
 namespace {
 
-constexpr double kTolerance = 0.04;         // part by which time-outs may differ and still be the same
-constexpr int kMinVotes = 10;               // below, nothing is made of it: clients may differ widely
-constexpr int kMaxVotes = 50;               // for the usual time-out
-constexpr double kRetryElapsedShare = 0.5;  // of what may have passed before a client's own retry
+constexpr double kMaxRelativeDifference = 0.04;  // between timeouts that count as equal
+constexpr int kMinVotesForEstimate = 10;  // below, the timeouts of clients differ too much for an estimate
+constexpr int kMaxVotes = 50;             // bounds the time to adopt a changed timeout
+// The actual elapsed time before a client's retry is unknown: half of the maximum is assumed.
+constexpr double kElapsedShareBeforeClientRetry = 0.5;
 
 }  // namespace
 
@@ -18,7 +19,8 @@
                                                   TimePoint now) {
   UsualTimeout& usual = usual_[static_cast<std::size_t>(submit.request_class)];
   const Duration left = submit.due - now;
-  const bool is_usual = std::abs((left - usual.timeout).count()) <= kTolerance * usual.timeout.count();
+  const bool is_usual =
+      std::abs((left - usual.timeout).count()) <= kMaxRelativeDifference * usual.timeout.count();
   if (is_usual) {
     usual.votes = std::min(kMaxVotes, usual.votes + 1);
   } else if (!submit.client_retry) {
@@ -28,10 +30,10 @@
       usual.votes = 0;
     }
   }
-  if (usual.votes < kMinVotes) return Duration(0);
+  if (usual.votes < kMinVotesForEstimate) return Duration(0);
   const Duration max_elapsed = std::max(Duration(0), class_deadline - left);
   if (!is_usual) return max_elapsed;
-  return submit.client_retry ? max_elapsed * kRetryElapsedShare : Duration(0);
+  return submit.client_retry ? max_elapsed * kElapsedShareBeforeClientRetry : Duration(0);
 }
 
 }  // namespace badgerbridge::balancer
--- a/src/balancer/client_timeout.h
+++ b/src/balancer/client_timeout.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Finds out how much of a client's time has passed before a request reached this proxy.
+/// Estimates the part of a client's deadline that elapsed before its request reached this proxy.
 #ifndef BADGERBRIDGE_BALANCER_CLIENT_TIMEOUT_H_
 #define BADGERBRIDGE_BALANCER_CLIENT_TIMEOUT_H_
 
@@ -11,18 +11,18 @@
 
 namespace badgerbridge::balancer {
 
-/// The time that clients usually give an attempt, by request class.
+/// The usual timeout of client requests, by request class.
 ///
-/// Exception: what has passed of a client's deadline has passed of its latency objective. A client's last
-/// attempt has what is left of its deadline, all others of a class have the same time: the usual one, found
-/// by vote.
+/// Exception, if part of a client's deadline has elapsed: that part is deducted from the latency objective,
+/// too. All tries of a client have the usual timeout of their class, except the last one, which has the rest
+/// of the deadline. The usual timeout is found by majority vote.
 class ClientTimeouts {
  public:
-  /// For `class_count` request classes.
+  /// `class_count` is the number of request classes.
   explicit ClientTimeouts(std::size_t class_count) : usual_(class_count) {}
 
-  /// Takes in a request of a known class whose deadline in the settings is `class_deadline`, and returns how
-  /// much of it is taken to have passed already.
+  /// Records the timeout of a request of a known class and returns the estimated elapsed part of
+  /// `class_deadline`, the deadline of its class in the settings.
   Duration RecordAndEstimateElapsed(const Submit& submit, Duration class_deadline, TimePoint now);
 
  private:
--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// How many attempts this proxy may have in flight.
+/// Limits the attempts of this proxy in flight.
 #ifndef BADGERBRIDGE_BALANCER_CONCURRENCY_LIMIT_H_
 #define BADGERBRIDGE_BALANCER_CONCURRENCY_LIMIT_H_
 
@@ -18,19 +18,22 @@
 
 /// Counts the attempts in flight and limits them.
 ///
-/// Exception, when all backends together are slow: by Little's law attempts in flight are the responses a ms
-/// times their latency; more than kMaxQueueingShare of the latency objective at the rate of late could only
-/// queue, and more than kMaxContention times the latency without contention lets backends choke (i42a2e5).
-/// The rest is queued, by priority, and rejected while an attempt elsewhere can still be of use. Attempts are
-/// counted, not weighed, for the sake of huge requests.
+/// Exception, when all backends together are slow: by Little's law, the attempts in flight equal the response
+/// rate times the latency. The limit is the recent response rate times the smaller of two latencies: attempts
+/// beyond kMaxQueueingShare of the latency objective would only wait at the backends, and attempts beyond
+/// kMaxLatencyOverUncontended times the latency without contention overload the backends (i42a2e5). Further
+/// requests are queued by priority, and rejected while the client can still succeed elsewhere. Attempts are
+/// counted and not weighted by work, so that huge requests are not excluded.
 class ConcurrencyLimit {
  public:
-  /// For one proxy among `balancer_count`. The first limit leaves room for one attempt whole.
+  /// Creates the limit of one proxy among `balancer_count`. Initially, it leaves room for one whole
+  /// attempt.
   explicit ConcurrencyLimit(int balancer_count) : balancer_count_(balancer_count) {}
 
-  /// Averages the attempts in flight over the `passed_ms` since the last call.
-  void AdvanceTime(double passed_ms) {
-    mean_in_flight_ += std::min(1.0, passed_ms / kRateAveragingTime.count()) * (in_flight_ - mean_in_flight_);
+  /// Updates the mean number in flight; `elapsed_ms` is the time since the last call.
+  void AdvanceTime(double elapsed_ms) {
+    mean_in_flight_ +=
+        std::min(1.0, elapsed_ms / kRateAveragingTime.count()) * (in_flight_ - mean_in_flight_);
   }
 
   /// Counts an attempt sent to `backend`.
@@ -40,7 +43,7 @@
     fractional_slot_ = random.Unit();
   }
 
-  /// An attempt counts as in flight no longer. `backend`: where it was sent; null: forgotten.
+  /// Stops counting an attempt sent to `backend`, which is null if it was removed.
   void AttemptReleased(Backend* backend) {
     --in_flight_;
     if (backend != nullptr) --backend->in_flight.counted_attempts;
@@ -49,31 +52,31 @@
   /// Counts a successful response.
   void RecordSuccess() { successes_.Count(); }
 
-  /// Takes in whether a response exceeded its latency objective.
+  /// Records whether a response exceeded its latency objective.
   void RecordLateness(bool late);
 
-  /// Forgets part of the share of late responses; `elapsed_ms` since the last call.
+  /// Decays the share of late responses; `elapsed_ms` is the time since the last call.
   void DecayLateness(double elapsed_ms);
 
-  /// Brings the rate of successes up to date; `elapsed_ms` since the last call.
+  /// Updates the rate of successful responses; `elapsed_ms` is the time since the last call.
   void SampleRate(double elapsed_ms) { successes_.Sample(elapsed_ms); }
 
-  /// Whether one more attempt may be sent; `warm_backends`: the capacity, in warm backends.
+  /// Whether another attempt may be sent. `warm_backends` is the capacity, in units of a warm backend.
   bool HasCapacity(const RequestStats& requests, const LatencyStats& latencies, double warm_backends,
                    const SlowBackends& slow_backends) const;
 
-  /// Attempts in flight, without overdue ones.
+  /// Attempts in flight, excluding overdue ones.
   int in_flight() const { return in_flight_; }
 
  private:
   double MeanLimit(const RequestStats& requests, const LatencyStats& latencies, double warm_backends) const;
-  double WeighedInFlight(double mean_limit, const SlowBackends& slow_backends) const;
+  double WeightedInFlight(double mean_limit, const SlowBackends& slow_backends) const;
 
   int balancer_count_;
   int in_flight_ = 0;
   double mean_in_flight_ = 0;
-  double fractional_slot_ = 0;  // part of one attempt that must be free for the next; drawn at each dispatch
-  double late_share_ = 0;       // of the responses lately
+  double fractional_slot_ = 0;  // in [0, 1); drawn at each dispatch
+  double late_share_ = 0;       // of recent responses
   RateEstimator successes_;
 };
 
--- a/src/balancer/endpoint_poller.cpp
+++ b/src/balancer/endpoint_poller.cpp
@@ -6,9 +6,11 @@
 namespace badgerbridge::balancer {
 namespace {
 
-constexpr Duration kMaxBackoff{2000};  // after failed calls: a change must be learnt of within 6 s
-constexpr int kMaxBackoffParts = 4;    // and no more than one of so many parts of the maximum interval
-constexpr int kMinBackoffParts = 20;   // nor less than one of so many
+// Changes must arrive within 6 s after discovery has recovered from failed calls.
+constexpr Duration kMaxBackoff{2000};
+// The backoff is also bounded by fractions of the maximum poll interval.
+constexpr int kMaxBackoffDivisor = 4;
+constexpr int kMinBackoffDivisor = 20;
 
 }  // namespace
 
@@ -18,10 +20,10 @@
 void EndpointPoller::RecordUpdate(EndpointListKind kind, TimePoint now, Random& random) {
   if (!enabled_) return;
   if (kind == EndpointListKind::kCached) {
-    next_at_ = now;  // the proxy has just started: nothing is subscribed yet
+    next_at_ = now;  // the proxy has just started and has no subscription yet
   } else if (kind == EndpointListKind::kFailed) {
-    backoff_ = std::min({max_interval_ / kMaxBackoffParts, kMaxBackoff,
-                         std::max(max_interval_ / kMinBackoffParts, backoff_ * 2)});
+    backoff_ = std::min({max_interval_ / kMaxBackoffDivisor, kMaxBackoff,
+                         std::max(max_interval_ / kMinBackoffDivisor, backoff_ * 2)});
     next_at_ = now + backoff_ * (0.5 + 0.5 * random.Unit());
   } else {
     backoff_ = Duration(0);
--- a/src/balancer/endpoint_poller.h
+++ b/src/balancer/endpoint_poller.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Polls discovery for the endpoint list where it must be asked for.
+/// Schedules polls of discovery for the endpoint list.
 #ifndef BADGERBRIDGE_BALANCER_ENDPOINT_POLLER_H_
 #define BADGERBRIDGE_BALANCER_ENDPOINT_POLLER_H_
 
@@ -10,19 +10,19 @@
 
 namespace badgerbridge::balancer {
 
-/// When the next call to discovery is due. Where lists are pushed, none ever is.
+/// Determines when the next call to discovery is due: never if lists are pushed.
 class EndpointPoller {
  public:
-  /// Polls if the settings say so.
+  /// Enabled by Settings::polls_endpoint_list.
   explicit EndpointPoller(const Settings& settings);
 
-  /// Takes in the outcome of a call, or what the proxy started with.
+  /// Records the result of a call, or the cached list at the start of the proxy.
   void RecordUpdate(EndpointListKind kind, TimePoint now, Random& random);
 
-  /// Whether a call is due; if so, it counts as made.
-  bool TakeDuePoll(TimePoint now) {
+  /// Whether a call is due; if so, the caller must make it, and the next one is scheduled.
+  bool ConsumeDuePoll(TimePoint now) {
     if (now < next_at_) return false;
-    next_at_ = now + max_interval_ / 2;  // a response may never come
+    next_at_ = now + max_interval_ / 2;  // in case there is no response
     return true;
   }
 
@@ -31,7 +31,7 @@
 
  private:
   bool enabled_;
-  Duration max_interval_;  // within which the settings want a call
+  Duration max_interval_;  // between calls, from the settings
   Duration backoff_{0};
   TimePoint next_at_ = kNever;
 };
--- a/src/balancer/event_timer.h
+++ b/src/balancer/event_timer.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// The one timer that the balancer asks its caller for.
+/// The timer that wakes up the balancer.
 #ifndef BADGERBRIDGE_BALANCER_EVENT_TIMER_H_
 #define BADGERBRIDGE_BALANCER_EVENT_TIMER_H_
 
@@ -12,18 +12,18 @@
 
 namespace badgerbridge::balancer {
 
-/// Which timer is set. One that is set earlier replaces it; the later one then fires for nothing.
+/// Tracks the pending timer. An earlier timer replaces it; the later one then still fires, without effect.
 class EventTimer {
  public:
-  /// Takes in that a timer has fired. The caller may round times: one that fires a little early must be set
-  /// again, or nothing wakes an idle proxy and what it has queued is lost.
+  /// Records that a timer has fired. Callers may round times: a timer that fires slightly early must be set
+  /// again, or an idle proxy would not wake up and its queued requests would be lost.
   void Fired(std::uint64_t token) {
     if (token == token_) set_for_ = kNever;
   }
 
-  /// The action that makes sure that a timer fires at `at` or before; nothing if one is set already.
+  /// Returns the action that sets a timer for `at`; nullopt if a timer for `at` or earlier is pending.
   std::optional<SetTimer> Arm(TimePoint at, TimePoint now) {
-    if (now >= set_for_) set_for_ = kNever;  // that one is due
+    if (now >= set_for_) set_for_ = kNever;  // the pending timer is due
     if (at >= set_for_) return std::nullopt;
     set_for_ = at;
     ++token_;
@@ -32,7 +32,7 @@
 
  private:
   TimePoint set_for_ = kNever;
-  std::uint64_t token_ = 0;  // of the timer that is set
+  std::uint64_t token_ = 0;  // of the pending timer
 };
 
 }  // namespace badgerbridge::balancer
--- a/src/balancer/ewma_stats.h
+++ b/src/balancer/ewma_stats.h
@@ -9,11 +9,11 @@
 
 namespace badgerbridge::balancer {
 
-/// Mean and mean absolute deviation of a series, as RFC 6298 keeps them for round-trip times. Until
-/// 1 / kMinGain samples have come, every sample has the same weight.
+/// Mean and mean absolute deviation of a series, as in RFC 6298 for round-trip times. The first
+/// 1 / kMinGain samples have equal weight.
 class EwmaStats {
  public:
-  /// Takes in one sample.
+  /// Adds a sample, in the unit of the series.
   void Add(double sample) {
     ++samples_;
     const double gain = std::max(kMinGain, 1.0 / samples_);
@@ -27,10 +27,10 @@
 
   double mean() const { return mean_; }            ///< 0 before the first sample.
   double deviation() const { return deviation_; }  ///< Mean absolute deviation; 0 before the first sample.
-  int samples() const { return samples_; }         ///< Number of samples taken in.
+  int samples() const { return samples_; }         ///< Number of samples added.
 
  private:
-  static constexpr double kMinGain = 0.02;  // weight of one sample once there are many
+  static constexpr double kMinGain = 0.02;  // weight of a sample after the first 50
 
   double mean_ = 0;
   double deviation_ = 0;
--- a/src/balancer/key_affinity.h
+++ b/src/balancer/key_affinity.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Which idempotency keys a backend has been sent lately.
+/// The idempotency keys recently sent to a backend.
 #ifndef BADGERBRIDGE_BALANCER_KEY_AFFINITY_H_
 #define BADGERBRIDGE_BALANCER_KEY_AFFINITY_H_
 
@@ -11,11 +11,11 @@
 
 namespace badgerbridge::balancer {
 
-/// The keys for which a backend is assumed to hold warm state. Per backend; empty unless the settings say
-/// that keys are warm.
+/// The keys for which a backend is assumed to hold warm state. One per backend; empty unless
+/// Settings::key_affinity is set.
 class KeyAffinity {
  public:
-  /// Notes that a request with `key` is sent to the backend.
+  /// Records that a request with `key` is sent to the backend.
   void Record(std::uint64_t key, TimePoint now) { last_sent_[key] = now; }
 
   /// Whether the backend is assumed to serve `key` with less work.
@@ -24,15 +24,15 @@
     return found != last_sent_.end() && now - found->second < kMaxAge;
   }
 
-  /// Forgets the keys that are no longer warm.
+  /// Removes the keys that are no longer warm.
   void Expire(TimePoint now) {
     std::erase_if(last_sent_, [now](const auto& entry) { return now - entry.second >= kMaxAge; });
   }
 
-  bool empty() const { return last_sent_.empty(); }  ///< Whether no key is remembered.
+  bool empty() const { return last_sent_.empty(); }  ///< Whether no key is recorded.
 
  private:
-  static constexpr Duration kMaxAge{4000};  // how long a key is taken to be warm
+  static constexpr Duration kMaxAge{4000};  // warm state is assumed until then
 
   std::map<std::uint64_t, TimePoint> last_sent_;
 };
--- a/src/balancer/latency_stats.cpp
+++ b/src/balancer/latency_stats.cpp
@@ -8,8 +8,7 @@
 void LatencyStats::Record(int request_class, double scaled_ms) {
   ClassLatency& latency = classes_[static_cast<std::size_t>(request_class)];
   latency.all.Add(scaled_ms);
-  // No response counts for more than a long one that is still likely: a few slow backends must not pass for
-  // what is usual.
+  // Latencies are capped at the maximum likely value, so that a few slow backends don't distort the baseline.
   const bool is_bounded = latency.baseline.samples() >= kMinSamples;
   const double max_ms = is_bounded ? MaxLikely(latency.baseline) : scaled_ms;
   latency.baseline.Add(std::min(scaled_ms, max_ms));
--- a/src/balancer/latency_stats.h
+++ b/src/balancer/latency_stats.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Latencies of attempts, by request class, and of requests that meet no contention.
+/// Latencies of attempts by request class, and of requests without contention.
 #ifndef BADGERBRIDGE_BALANCER_LATENCY_STATS_H_
 #define BADGERBRIDGE_BALANCER_LATENCY_STATS_H_
 
@@ -12,27 +12,27 @@
 
 namespace badgerbridge::balancer {
 
-/// Share of the latency objective that an attempt may take in the mean before it counts as queueing.
+/// Share of the latency objective above which the mean latency of attempts indicates queueing.
 constexpr double kMaxQueueingShare = 0.33;
 
-/// The longest that is likely for one of a series of latencies: mean and four deviations, as RFC 6298 has its
-/// retransmission time-out.
+/// The maximum likely value of a series of latencies: the mean plus four deviations, as in the retransmission
+/// timeout of RFC 6298.
 inline double MaxLikely(const EwmaStats& latency) {
   constexpr double kDeviations = 4;
   return latency.mean() + kDeviations * latency.deviation();
 }
 
-/// What this proxy has seen of the latencies of attempts. All are scaled to a request of mean work
-/// (RequestStats::LatencyScale), in ms.
+/// Latencies of attempts measured by this proxy, in ms, scaled to a request of mean work
+/// (RequestStats::LatencyScale).
 class LatencyStats {
  public:
-  /// For `class_count` request classes.
+  /// `class_count` is the number of request classes.
   explicit LatencyStats(std::size_t class_count) : classes_(class_count) {}
 
-  /// Takes in the scaled latency of an attempt.
+  /// Records the scaled latency of an attempt.
   void Record(int request_class, double scaled_ms);
 
-  /// Takes in that a request of at least mean work took `took_ms`, which must be positive.
+  /// Records the latency `took_ms`, which must be positive, of a request of at least mean work.
   void RecordUncontended(double work_ms, double took_ms);
 
   /// All latencies of a class.
@@ -40,24 +40,24 @@
     return classes_[static_cast<std::size_t>(request_class)].all;
   }
 
-  /// The latencies of a class at usual backends.
+  /// The latencies of a class, without the influence of a few slow backends.
   const EwmaStats& BaselineLatency(int request_class) const {
     return classes_[static_cast<std::size_t>(request_class)].baseline;
   }
 
-  /// Whether enough is known of how long a class takes.
+  /// Whether a class has enough latency samples.
   bool IsKnown(int request_class) const { return Latency(request_class).samples() >= kMinSamples; }
 
-  /// Time over work that large requests take at the least; 0: nothing is known yet.
+  /// Minimum ratio of latency to work of large requests; 0: no sample yet.
   double uncontended_time_per_work() const { return uncontended_time_per_work_; }
 
-  /// Lowers uncontended_time_per_work. Called for each request that it judges too large for its latency
-  /// objective: a spell of contention must not shut a class out for good.
+  /// Lowers uncontended_time_per_work. Called for each request that appears too large for its latency
+  /// objective, so that a period of contention does not exclude a class permanently.
   void RelaxUncontended() { uncontended_time_per_work_ *= 1 - 5 * kUncontendedGain; }
 
  private:
-  static constexpr int kMinSamples = 10;            // below, nothing is known of how long a class takes
-  static constexpr double kUncontendedGain = 0.01;  // of a slower response; of a faster one ten times that
+  static constexpr int kMinSamples = 10;
+  static constexpr double kUncontendedGain = 0.01;  // for higher samples; lower ones have ten times this
 
   struct ClassLatency {
     EwmaStats all;
--- a/src/balancer/log_throttle.h
+++ b/src/balancer/log_throttle.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Keeps the balancer's log short.
+/// Rate limit of the balancer's log.
 #ifndef BADGERBRIDGE_BALANCER_LOG_THROTTLE_H_
 #define BADGERBRIDGE_BALANCER_LOG_THROTTLE_H_
 
@@ -11,17 +11,17 @@
 
 namespace badgerbridge::balancer {
 
-/// What a log line is about; each topic is throttled by itself.
+/// Topic of a log line; each topic is throttled separately.
 enum class LogTopic {
   kOutlier,      ///< A backend was ejected or returned to service.
   kFinalAnswer,  ///< A request was rejected or failed.
-  kSlowStart,    ///< A backend was passed over because it is warming up.
+  kSlowStart,    ///< A backend was skipped because of its slow-start budget.
 };
 
-/// Permits one line for each topic within the topic's interval.
+/// Permits one line per topic and interval.
 class LogThrottle {
  public:
-  /// Whether a line about `topic` may be written now; if so, the topic's interval starts.
+  /// Whether a line about `topic` may be written now; if so, the next interval of the topic starts.
   bool Permits(LogTopic topic, TimePoint now) {
     TimePoint& next = next_permitted_[static_cast<std::size_t>(topic)];
     if (now < next) return false;
@@ -30,8 +30,8 @@
   }
 
  private:
-  static constexpr Duration kMinOutlierInterval{1000};  // between lines about ejections and returns
-  static constexpr Duration kMinInterval{10000};        // between lines about any other topic
+  static constexpr Duration kMinOutlierInterval{1000};
+  static constexpr Duration kMinInterval{10000};  // of all other topics
   static constexpr std::size_t kTopics = 3;
 
   std::array<TimePoint, kTopics> next_permitted_{};
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -8,19 +8,19 @@
 namespace badgerbridge::balancer {
 namespace {
 
-// In A50's terms.
-constexpr Duration kBaseEjectionTime{2000};   // the first ejection: as long as one interval
-constexpr Duration kMaxEjectionTime{16000};   // a recovered backend is tried again within this
-constexpr int kMinHosts = 2;                  // backends to compare with each other
-constexpr double kMinFailureThreshold = 0.4;  // share of failures; well over what noise and overlap produce
-constexpr double kMaxEjectionPercent = 50;    // the rest must be able to carry the load
-constexpr double kEnforcingPercent = 100;     // every finding is enforced
+// Parameters of gRFC A50.
+constexpr Duration kBaseEjectionTime{2000};  // as long as the shortest interval
+constexpr Duration kMaxEjectionTime{16000};  // a recovered backend returns within this time
+constexpr int kMinHosts = 2;                 // with the request volume
+constexpr double kMinFailureShare = 0.4;     // well above random variation
+constexpr double kMaxEjectionPercent = 50;   // the others must be able to carry the load
+constexpr double kEnforcingPercent = 100;    // each detected outlier is ejected
 
-// What the backends in comparison with one of them have.
+// Totals of the backends with which one backend is compared.
 struct Comparison {
-  int with_volume = 0;     // backends with the request volume, the one in question included
-  int ejected = 0;         // backends out of service
-  int other_failures = 0;  // of the others in service
+  int with_volume = 0;  // backends with the request volume, including the compared one
+  int ejected = 0;
+  int other_failures = 0;  // of the other backends in service
   int other_attempts = 0;
 };
 
@@ -38,14 +38,15 @@
   return comparison;
 }
 
-// The threshold rises with the share failing elsewhere, to twice that while it is small and to 1 with it:
-// overloaded backends must not all be ejected, but one that always fails is, however bad the rest.
+// The threshold rises with the failure share of the other backends: to twice that share while it is small,
+// and to 1 as it reaches 1. Backends that are all overloaded are thus not ejected together, while a backend
+// that always fails is ejected whatever the others' share.
 double FailureThreshold(const Comparison& comparison) {
-  const double failing_elsewhere =
+  const double other_failure_share =
       comparison.other_attempts > 0
           ? static_cast<double>(comparison.other_failures) / comparison.other_attempts
           : 0;
-  return std::max(kMinFailureThreshold, failing_elsewhere * (2 - failing_elsewhere));
+  return std::max(kMinFailureShare, other_failure_share * (2 - other_failure_share));
 }
 
 }  // namespace
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// gRFC A50 outlier detection by failure percentage, evaluated at each response.
+/// gRFC A50 outlier detection by failure percentage, evaluated at the end of each attempt.
 #ifndef BADGERBRIDGE_BALANCER_OUTLIER_DETECTION_H_
 #define BADGERBRIDGE_BALANCER_OUTLIER_DETECTION_H_
 
@@ -15,45 +15,46 @@
 
 struct Backend;
 
-/// A50's interval at its shortest: long enough for the request volume at 2 requests/s.
+/// Shortest interval (A50): long enough for the request volume at 2 requests/s.
 constexpr Duration kMinOutlierInterval{2000};
-/// A50's request_volume: a proxy sends few requests to one backend; 3 of 3 failing is no chance.
+/// request_volume of A50. It is low because a proxy sends few requests to each backend; 3 failures of 3
+/// attempts are not a coincidence.
 constexpr int kMinRequestVolume = 3;
 
-/// What outlier detection holds of one backend.
+/// Outlier detection state of one backend.
 struct OutlierState {
   int successes = 0;            ///< Within the current interval.
   int failures = 0;             ///< Within the current interval.
   int ejection_multiplier = 0;  ///< A50's multiplier of the base ejection time.
-  bool ejected = false;         ///< Out of service.
-  TimePoint ejected_until{};    ///< While ejected: when it returns to service.
+  bool ejected = false;         ///< Whether it is out of service.
+  TimePoint ejected_until{};    ///< End of the ejection; only valid if `ejected`.
 
-  /// Attempts that have ended within the current interval.
+  /// Attempts counted within the current interval.
   int attempts() const { return successes + failures; }
 
-  /// Whether the backend has the request volume that a verdict needs.
+  /// Whether the backend has the request volume required for an ejection.
   bool HasRequestVolume() const { return attempts() >= kMinRequestVolume; }
 
-  /// Counts the end of an attempt.
+  /// Counts an ended attempt.
   void Record(bool success) { ++(success ? successes : failures); }
 };
 
 /// Ejects backends whose failure percentage exceeds the threshold, and returns them to service.
 class OutlierDetector {
  public:
-  /// Tests a backend in service that has just had an attempt counted. `active`: the backends that this proxy
-  /// has dealt with lately; `ready_backends`: all that take requests. Returns whether it is ejected by this.
+  /// Evaluates a backend after an attempt was counted and returns whether it was ejected. `active` are the
+  /// backends with recent attempts; `ready_backends` is the number of all backends that accept requests.
   bool EjectIfOutlier(Backend& backend, TimePoint now, const std::vector<Backend*>& active,
                       std::size_t ready_backends, Random& random);
 
-  /// Returns the backends whose ejection is over to service, and gives their ids.
+  /// Ends the ejections that are due and returns the ids of these backends.
   std::vector<BackendId> UnejectDue(TimePoint now, const std::vector<Backend*>& active);
 
   /// Whether the current interval has ended.
   bool IntervalIsOver(TimePoint now) const { return now >= interval_ends_at_; }
 
-  /// Starts a new interval. It is long enough for twice the request volume at each backend of the aperture:
-  /// `requests_per_ms` over `aperture` backends.
+  /// Starts a new interval. Within bounds, it is long enough for twice the request volume at each of
+  /// `aperture` backends, given a total of `requests_per_ms`.
   void EndInterval(TimePoint now, double requests_per_ms, double aperture,
                    const std::vector<Backend*>& active);
 
--- a/src/balancer/random.h
+++ b/src/balancer/random.h
@@ -9,11 +9,11 @@
 
 namespace badgerbridge::balancer {
 
-/// A generator that is determined by its seed alone. The standard distributions differ between libraries, so
-/// none of them is used.
+/// A generator determined by its seed. It uses no standard distributions, since these differ between standard
+/// libraries.
 class Random {
  public:
-  /// Starts the sequence that belongs to `seed`.
+  /// Equal seeds produce equal sequences.
   explicit Random(std::uint64_t seed) : engine_(seed) {}
 
   /// A number in [0, 1).
@@ -26,7 +26,7 @@
   std::mt19937_64 engine_;
 };
 
-/// Scatters consecutive ids over all 64-bit values: the finalizer of SplitMix64.
+/// Hashes an id with the finalizer of SplitMix64, so that consecutive ids differ in all bits.
 inline std::uint64_t MixBits(std::uint64_t value) {
   value += 0x9e3779b97f4a7c15;
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9;
--- a/src/balancer/rate_estimator.h
+++ b/src/balancer/rate_estimator.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// The rate of an event that is counted one by one.
+/// Estimates the rate of counted events.
 #ifndef BADGERBRIDGE_BALANCER_RATE_ESTIMATOR_H_
 #define BADGERBRIDGE_BALANCER_RATE_ESTIMATOR_H_
 
@@ -10,18 +10,18 @@
 
 namespace badgerbridge::balancer {
 
-/// Over how long rates of requests and of successful responses are averaged.
+/// Averaging time of the rates of requests and of successful responses.
 constexpr Duration kRateAveragingTime{1500};
 
-/// Events per millisecond, averaged over kRateAveragingTime. The estimate starts from 0 and trusts its first
-/// samples: a new proxy that floods the backends at its start leaves queues that take far longer to drain
-/// than the start took.
+/// Events per millisecond, averaged over kRateAveragingTime. The estimate starts from 0, and the first
+/// samples have equal weight: a new proxy with a high initial estimate would flood the backends, whose queues
+/// take far longer to drain than the start takes.
 class RateEstimator {
  public:
   /// Counts one event.
   void Count() { ++events_since_sample_; }
 
-  /// Takes in the events counted within the last `elapsed_ms`, which must be positive.
+  /// Updates the rate with the events counted within the last `elapsed_ms`, which must be positive.
   void Sample(double elapsed_ms) {
     ++samples_;
     const double gain = std::min(1.0, std::max(elapsed_ms / kRateAveragingTime.count(), 1.0 / samples_));
--- a/src/balancer/request_queue.h
+++ b/src/balancer/request_queue.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// The requests that wait for a backend.
+/// The queue of requests that wait for a backend.
 #ifndef BADGERBRIDGE_BALANCER_REQUEST_QUEUE_H_
 #define BADGERBRIDGE_BALANCER_REQUEST_QUEUE_H_
 
@@ -13,8 +13,8 @@
 
 namespace badgerbridge::balancer {
 
-/// Queued requests, those of the highest priority first; of equal priority the newest first, since an
-/// overloaded proxy that took the oldest would send only what has hardly any of its time left.
+/// Queued requests by descending priority, and newest first at equal priority: in oldest-first order, an
+/// overloaded proxy would send only requests that are close to their deadline.
 class RequestQueue {
  public:
   /// Adds a request that is not queued.
@@ -23,18 +23,18 @@
     queue_.insert(PositionOf(request));
   }
 
-  /// Removes a request, if it is queued.
+  /// Removes a request if it is queued.
   void Dequeue(Request& request) {
     if (request.queued) queue_.erase(PositionOf(request));
     request.queued = false;
   }
 
-  /// Calls `dispatch` with the id of each queued request, in order, until it has returned false
-  /// kMaxFailures times. `dispatch` may remove the request that it is called with, and no other.
+  /// Calls `dispatch` with the id of each queued request in order, until it has returned false
+  /// kMaxFailedDispatches times. `dispatch` may remove only the request with that id.
   template <typename Dispatch>
   void DispatchInOrder(Dispatch dispatch) {
     int failures = 0;
-    for (auto next = queue_.begin(); next != queue_.end() && failures < kMaxFailures;) {
+    for (auto next = queue_.begin(); next != queue_.end() && failures < kMaxFailedDispatches;) {
       const RequestId id = next->id;
       ++next;
       if (!dispatch(id)) ++failures;
@@ -44,7 +44,7 @@
   std::size_t size() const { return queue_.size(); }  ///< Number of queued requests.
 
  private:
-  static constexpr int kMaxFailures = 8;  // requests tried although there is capacity for none
+  static constexpr int kMaxFailedDispatches = 8;  // per pass over the queue
 
   struct Position {
     double priority = 0;
--- a/src/balancer/request_stats.cpp
+++ b/src/balancer/request_stats.cpp
@@ -7,8 +7,8 @@
 namespace badgerbridge::balancer {
 namespace {
 
-constexpr double kMaxWorkMs = 1e6;    // a larger hint is taken as this
-constexpr double kInitialWorkMs = 1;  // of a request without a hint, before any other
+constexpr double kMaxWorkMs = 1e6;    // larger hints are clamped
+constexpr double kInitialWorkMs = 1;  // assumed for a first request without a hint
 
 }  // namespace
 
--- a/src/balancer/request_stats.h
+++ b/src/balancer/request_stats.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Statistics of the requests that were submitted, whatever became of them.
+/// Statistics of all submitted requests, including rejected ones.
 #ifndef BADGERBRIDGE_BALANCER_REQUEST_STATS_H_
 #define BADGERBRIDGE_BALANCER_REQUEST_STATS_H_
 
@@ -16,30 +16,30 @@
 /// Work, latency objectives and arrival rate of submitted requests.
 class RequestStats {
  public:
-  /// For `class_count` request classes.
+  /// `class_count` is the number of request classes.
   explicit RequestStats(std::size_t class_count) : class_work_(class_count) {}
 
-  /// Counts a request of a known class, whose latency objective is `latency_objective`, and estimates its
-  /// work in ms on a standard core: its hint, or the mean of all if it has no usable one.
+  /// Records a request of a known class with its `latency_objective`, and returns its estimated work in ms on
+  /// a standard core: its hint if usable, otherwise the mean of all requests.
   double RecordSubmit(const Submit& submit, Duration latency_objective);
 
-  /// Brings the arrival rate up to date; `elapsed_ms` since the last call.
+  /// Updates the arrival rate; `elapsed_ms` is the time since the last call.
   void SampleRate(double elapsed_ms) { arrivals_.Sample(elapsed_ms); }
 
-  /// Mean work of a request in ms; 0 before the first.
+  /// Mean work of a request in ms; 0 before the first request.
   double mean_work_ms() const { return work_.mean(); }
 
-  /// Mean latency objective of a request in ms; 0 before the first.
+  /// Mean latency objective of a request in ms; 0 before the first request.
   double mean_objective_ms() const { return latency_objective_.mean(); }
 
-  /// Whether any request has told its work.
+  /// Whether any request had a usable work hint.
   bool work_was_hinted() const { return work_was_hinted_; }
 
   /// Requests submitted per millisecond.
   double arrivals_per_ms() const { return arrivals_.per_ms(); }
 
-  /// How much longer than a mean request of its class one with `work_ms` is expected to take. Half of the
-  /// time of a small request is taken not to depend on its work.
+  /// Expected latency of a request with `work_ms`, relative to a mean request of its class. For requests
+  /// smaller than the mean, half of the latency is assumed to be independent of the work.
   double LatencyScale(int request_class, double work_ms) const {
     const double mean = class_work_[static_cast<std::size_t>(request_class)].mean();
     const double ratio = mean > 0 ? work_ms / mean : 1;
--- a/src/balancer/reserve.h
+++ b/src/balancer/reserve.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Allocation ahead of a change that must not fail half-way.
+/// Allocates memory before a change that must not fail halfway.
 #ifndef BADGERBRIDGE_BALANCER_RESERVE_H_
 #define BADGERBRIDGE_BALANCER_RESERVE_H_
 
@@ -8,7 +8,7 @@
 
 namespace badgerbridge::balancer {
 
-/// Grows a vector for one more element, so that appending it does not throw.
+/// Ensures capacity for one more element, so that appending it does not throw.
 template <typename T>
 void ReserveOne(std::vector<T>& elements) {
   if (elements.size() == elements.capacity()) elements.reserve(2 * elements.size() + 1);
--- a/src/balancer/responsiveness.h
+++ b/src/balancer/responsiveness.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Whether a backend still responds to this proxy at all.
+/// Detects backends that no longer respond to this proxy.
 #ifndef BADGERBRIDGE_BALANCER_RESPONSIVENESS_H_
 #define BADGERBRIDGE_BALANCER_RESPONSIVENESS_H_
 
@@ -11,16 +11,16 @@
 
 namespace badgerbridge::balancer {
 
-/// When a backend was last sent an attempt and when it last responded. Per backend.
+/// Times of the last attempts and responses of one backend.
 struct Responsiveness {
-  /// Its last attempt timed out or is overdue, and there was no response since.
+  /// Its last attempt timed out or is overdue, without a response since.
   bool unresponsive = false;
-  /// Its last response, or when the first of the attempts that are out now was sent, if that is later.
+  /// Time of its last response, or when the first of the attempts now in flight was sent, whichever is later.
   TimePoint last_response_at{};
-  /// When the newest attempt was sent to it; zero: never.
+  /// When the latest attempt was sent to it; zero: never.
   TimePoint last_sent_at{};
 
-  /// Takes in how an attempt that was sent at `sent_at` ended.
+  /// Records the outcome of an attempt sent at `sent_at`.
   void RecordOutcome(Outcome outcome, TimePoint sent_at) {
     if (outcome == Outcome::kOk || outcome == Outcome::kError || outcome == Outcome::kRejected) {
       const auto oldest = std::min_element(newest_answered_.begin(), newest_answered_.end());
@@ -30,20 +30,20 @@
     if (outcome == Outcome::kTimeout) RecordOverdue(sent_at);
   }
 
-  /// Takes in that an attempt that was sent at `sent_at` is out for longer than is likely.
+  /// Records that an attempt sent at `sent_at` timed out or is overdue.
   void RecordOverdue(TimePoint sent_at) { unresponsive |= last_response_at <= sent_at; }
 
-  /// Whether the backend has answered so many attempts that were sent after `sent_at` that one sent then
-  /// waits for something else than its turn: its connection has stalled.
+  /// Whether the backend has answered kTrackedAnswers attempts sent after `sent_at`. An attempt sent at
+  /// `sent_at` is then not merely queued: its connection has stalled.
   bool HasAnsweredLaterThan(TimePoint sent_at) const {
     return *std::min_element(newest_answered_.begin(), newest_answered_.end()) > sent_at;
   }
 
  private:
-  static constexpr std::size_t kAnsweredAttempts = 3;
+  static constexpr std::size_t kTrackedAnswers = 3;
 
-  /// When the newest of the attempts that it has answered were sent.
-  std::array<TimePoint, kAnsweredAttempts> newest_answered_{};
+  /// Send times of the latest answered attempts.
+  std::array<TimePoint, kTrackedAnswers> newest_answered_{};
 };
 
 }  // namespace badgerbridge::balancer
--- a/src/balancer/selection.cpp
+++ b/src/balancer/selection.cpp
@@ -6,12 +6,11 @@
 namespace badgerbridge::balancer {
 namespace {
 
-constexpr double kZoneCrossingWeight =
-    10;                                // mean requests of work that the whole cost of a crossing is worth
-constexpr double kSlownessWeight = 1;  // of the time lost at a slow backend, against work in flight
-constexpr double kWarmKeyWeight = 2;   // of a request's work, at a backend that was sent its key lately
-constexpr Duration kMinProbeInterval{1000};  // between requests that try an unresponsive backend
-constexpr int kEjectedRank = 2;              // of a backend that is out of service, at the least
+constexpr double kZoneCrossingCostInRequests = 10;  // mean requests per unit of Settings::cross_zone_cost
+constexpr double kSlownessWeight = 1;               // of the time lost at a slow backend
+constexpr double kWarmKeySaving = 2;                // multiple of the request's work saved by a warm key
+constexpr Duration kMinProbeInterval{1000};         // between requests to an unresponsive backend
+constexpr int kEjectedRank = 2;                     // lowest rank of an ejected backend
 
 }  // namespace
 
@@ -44,15 +43,15 @@
     if (!backend.outlier.ejected && !tried) warm_backends += slow_start_.CapacityShare(backend.endpoint, now);
     if (warm_backends >= aperture_size) break;
   }
-  // If some backend is in service, though without capacity now, the ejected ones need not serve.
+  // Ejected backends are used only if none is in service, even if those in service have no capacity now.
   const bool only_ejected = best.rank >= kEjectedRank;
   selection.backend = only_ejected && any_in_service ? nullptr : best.backend;
   return selection;
 }
 
-// Exception: an unresponsive backend gets only one request a while, and one that may be retried elsewhere in
-// time. Cut off from some, a proxy lost two requests a second at each: too few to fill the request volume for
-// an ejection, each waiting to the end of the client's time.
+// Exception: an unresponsive backend comes last, except for one request per kMinProbeInterval that may be
+// retried. Without this, a proxy that was cut off from some backends lost two requests per second at each:
+// too few to reach the request volume for an ejection, and each waited until the client's deadline.
 bool BackendSelector::AwaitsResponse(const Request& request, const Backend& backend, TimePoint now) const {
   if (!backend.responsiveness.unresponsive) return false;
   const ClassSettings& request_class = settings_.classes[static_cast<std::size_t>(request.request_class)];
@@ -60,28 +59,28 @@
          now - backend.responsiveness.last_sent_at < kMinProbeInterval;
 }
 
-// In ms of work in flight: the lowest wins.
+// In ms of work in flight; the lowest score is selected.
 double BackendSelector::Score(const Request& request, const Backend& backend, TimePoint now) const {
   const double slowness_cost = kSlownessWeight * request.work_ms * (backend.slowness.ratio - 1);
   const bool key_is_warm = backend.key_affinity.IsWarm(request.key, now);
-  const double key_saving = key_is_warm ? kWarmKeyWeight * request.work_ms : 0;
+  const double key_saving = key_is_warm ? kWarmKeySaving * request.work_ms : 0;
   const bool crosses_zones = backend.endpoint.zone != settings_.zone;
   const double crossing_cost =
-      crosses_zones ? kZoneCrossingWeight * settings_.cross_zone_cost * requests_.mean_work_ms() : 0;
+      crosses_zones ? kZoneCrossingCostInRequests * settings_.cross_zone_cost * requests_.mean_work_ms() : 0;
   return backend.in_flight.work_ms + slowness_cost - key_saving + crossing_cost;
 }
 
 void BackendSelector::Consider(const Request& request, Backend& backend, bool tried, TimePoint now,
                                Candidate& best) {
-  const bool comes_last = tried || AwaitsResponse(request, backend, now);
-  const int rank = (backend.outlier.ejected ? kEjectedRank : 0) + (comes_last ? 1 : 0);
+  const bool is_deprioritized = tried || AwaitsResponse(request, backend, now);
+  const int rank = (backend.outlier.ejected ? kEjectedRank : 0) + (is_deprioritized ? 1 : 0);
   const double score = Score(request, backend, now);
   const bool is_tie = best.backend != nullptr && rank == best.rank && score == best.score;
   const bool is_worse =
       best.backend != nullptr && (rank > best.rank || (rank == best.rank && score > best.score));
   if (is_worse) return;
   best.ties = is_tie ? best.ties + 1 : 1;
-  // Each of the backends that tie is chosen with the same probability.
+  // Reservoir sampling: tied backends are selected with equal probability.
   if (is_tie && random_.Below(static_cast<std::uint64_t>(best.ties)) != 0) return;
   best.backend = &backend;
   best.rank = rank;
--- a/src/balancer/selection.h
+++ b/src/balancer/selection.h
@@ -18,25 +18,27 @@
 
 namespace badgerbridge::balancer {
 
-/// What a selection has found.
+/// Result of a selection.
 struct Selection {
-  /// Where to send the attempt; null: nowhere now.
+  /// Selected backend; null: none is available now.
   Backend* backend = nullptr;
-  /// The first backend that was passed over because its slow-start budget is used up; null: none.
+  /// The first backend skipped because its slow-start budget is exhausted; null: none.
   const Backend* over_slow_start_budget = nullptr;
 };
 
-/// Selects, among the backends of the aperture, the one with the least estimated work of this proxy in
-/// flight; ties are broken at random.
+/// Selects the backend of the aperture with the least estimated work of this proxy in flight; ties are broken
+/// at random.
 ///
-/// Exceptions: a crossing of zones counts as the work that its cost is worth; where keys are warm, a backend
-/// that was sent this one lately serves it with less work, and what it saves serves others; backends over
-/// their slow-start budget or in a zone over its quota are passed over; those that the request has tried come
-/// last; if no backend that may be tried is in service, an ejected one is used: a request is never lost for
-/// that.
+/// Exceptions:
+/// - For a backend in another zone, the cost of crossing zones is added as work.
+/// - With key affinity, the work saved by a backend that was sent the key recently is deducted.
+/// - Backends over their slow-start budget, or in a zone over its quota, are skipped.
+/// - Backends that the request has tried come last.
+/// - If no permitted backend is in service, an ejected one is selected, so that ejection never causes a
+///   rejection.
 class BackendSelector {
  public:
-  /// Keeps references to all, which must outlive it.
+  /// Keeps references to all arguments, which must outlive it.
   BackendSelector(const Settings& settings, const RequestStats& requests, const Aperture& aperture,
                   SlowStart& slow_start, ZoneQuotaBuckets& zone_quotas, Random& random)
       : settings_(settings),
@@ -46,8 +48,8 @@
         zone_quotas_(zone_quotas),
         random_(random) {}
 
-  /// Selects a backend for an attempt of `request` that `permission` allows. `active`: the backends that this
-  /// proxy has dealt with lately.
+  /// Selects a backend for an attempt of `request` within `permission`. `active` are the backends with recent
+  /// attempts.
   Selection Select(const Request& request, const AttemptPermission& permission,
                    const std::vector<Backend*>& active, TimePoint now);
 
@@ -55,7 +57,7 @@
   // The best backend so far.
   struct Candidate {
     Backend* backend = nullptr;
-    int rank = 0;  // the lowest wins, whatever the scores
+    int rank = 0;  // the lowest rank takes precedence over scores
     int ties = 0;  // backends with this rank and score
     double score = 0;
   };
--- a/src/balancer/slow_backends.cpp
+++ b/src/balancer/slow_backends.cpp
@@ -9,24 +9,24 @@
 namespace badgerbridge::balancer {
 namespace {
 
-constexpr double kMinGain = 0.08;      // of one response
-constexpr double kMaxGain = 0.3;       // of one that comes alone: three outweigh what was known
-constexpr double kMaxRatio = 8;        // one response counts as no slower than this
-constexpr Duration kMemory{4000};      // what is not confirmed is forgotten
-constexpr double kMinSlowRatio = 1.5;  // times the median: the backend is slow, not all of them
+constexpr double kMinGain = 0.08;             // weight of a response at a high rate
+constexpr double kMaxGain = 0.3;              // weight of a rare response: three outweigh the earlier ratio
+constexpr double kMaxRecordedRatio = 8;       // limits the effect of one response
+constexpr Duration kSlownessDecayTime{4000};  // ratios return to 1 without new responses
+constexpr double kMinSlowRatio = 1.5;         // relative to the median
 
 }  // namespace
 
 void SlowBackends::Record(SlownessState& state, double relative_latency, TimePoint now) {
-  const double relative = std::min(kMaxRatio, relative_latency);
-  // The rarer the responses of a backend, the more each tells.
-  const double gain = std::clamp((now - state.last_response_at) / kMemory, kMinGain, kMaxGain);
+  const double relative = std::min(kMaxRecordedRatio, relative_latency);
+  // The rarer the responses of a backend, the higher the weight of each.
+  const double gain = std::clamp((now - state.last_response_at) / kSlownessDecayTime, kMinGain, kMaxGain);
   state.ratio += gain * (relative - state.ratio);
   state.last_response_at = now;
 }
 
 void SlowBackends::Decay(SlownessState& state, double elapsed_ms) {
-  state.ratio += std::min(1.0, elapsed_ms / kMemory.count()) * (1 - state.ratio);
+  state.ratio += std::min(1.0, elapsed_ms / kSlownessDecayTime.count()) * (1 - state.ratio);
 }
 
 bool SlowBackends::IsSlow(const SlownessState& state, bool many_warming_up) const {
@@ -34,7 +34,7 @@
 }
 
 void SlowBackends::Update(const std::vector<Backend*>& active, bool many_warming_up) {
-  // The median, so that fewer than half of the backends can't pass for the usual ones.
+  // The median is not affected by slow backends as long as they are fewer than half.
   std::vector<double> ratios;
   ratios.reserve(active.size());
   for (const Backend* backend : active) ratios.push_back(backend->slowness.ratio);
--- a/src/balancer/slow_backends.h
+++ b/src/balancer/slow_backends.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Finds backends that respond, but slower than most.
+/// Detects backends that respond more slowly than most.
 #ifndef BADGERBRIDGE_BALANCER_SLOW_BACKENDS_H_
 #define BADGERBRIDGE_BALANCER_SLOW_BACKENDS_H_
 
@@ -12,33 +12,32 @@
 
 struct Backend;
 
-/// How slow the responses of one backend are. Per backend.
+/// Relative latency of one backend.
 struct SlownessState {
-  double ratio = 1;              ///< Latency of its responses over what the like takes elsewhere.
-  TimePoint last_response_at{};  ///< When the newest latency was taken in.
+  double ratio = 1;              ///< Its latency relative to the usual latency of such requests.
+  TimePoint last_response_at{};  ///< When the latest latency was recorded.
 };
 
-/// The median slowness, and the backends that exceed it by far. Holds pointers to backends that the
-/// BackendList owns.
+/// The median latency ratio, and the backends far above it. Holds pointers to backends owned by BackendList.
 class SlowBackends {
  public:
-  /// Takes in the latency of a response over what is usual for the like.
+  /// Records the ratio of the latency of a response to the usual latency of such requests.
   static void Record(SlownessState& state, double relative_latency, TimePoint now);
 
-  /// Forgets part of what is not confirmed; `elapsed_ms` since the last call.
+  /// Decays the ratio towards 1; `elapsed_ms` is the time since the last call.
   static void Decay(SlownessState& state, double elapsed_ms);
 
-  /// Whether a backend is much slower than most. None is while `many_warming_up`: then many are slow, and
-  /// nothing can be blamed on single ones.
+  /// Whether a backend is much slower than most. Always false while `many_warming_up`: many backends are slow
+  /// then, and single outliers cannot be told apart.
   bool IsSlow(const SlownessState& state, bool many_warming_up) const;
 
-  /// Computes the median and the slow backends of `active` anew.
+  /// Recomputes the median and the slow backends among `active`.
   void Update(const std::vector<Backend*>& active, bool many_warming_up);
 
-  /// The slow backends as of the last update.
+  /// Slow backends as of the last update.
   const std::vector<Backend*>& slow() const { return slow_; }
 
-  /// The median of the slowness, at least 1, as of the last update.
+  /// Median latency ratio as of the last update; at least 1.
   double median() const { return median_; }
 
  private:
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -8,18 +8,19 @@
 namespace badgerbridge::balancer {
 namespace {
 
-constexpr double kOverloadSafety =
-    0.55;  // of the overload factor: the rest is for chance and for late updates
-constexpr double kMinBackendCores = 0.25;          // standard cores that a warm backend has at the very least
-constexpr double kWindowSlack = 1.1;               // rolling window over that of the settings, for delays
-constexpr Duration kCompletedAveragingTime{8000};  // of work completed by warm backends
-constexpr double kInitialZeroSamples = 20;         // with which that average begins at a proxy that is new
-constexpr double kMinWorkRate = 1e-9;              // of a backend that counts as busy
-constexpr double kMinWorkUnit = 1e-3;              // ms; guards a division
+// The rest of the overload factor is reserved for random variation and delayed updates.
+constexpr double kUsableShareOfOverload = 0.55;
+constexpr double kMinBackendCores = 0.25;     // assumed minimum of a warm backend, in standard cores
+constexpr double kRollingWindowFactor = 1.1;  // rolling window over Settings::overload_duration, for delays
+constexpr Duration kCompletedAveragingTime{8000};  // of completed work
+// The average of completed work starts from this number of zero samples.
+constexpr double kInitialZeroSampleCount = 20;
+constexpr double kMinBusyWorkPerMs = 1e-9;  // below, a backend is idle
+constexpr double kMinWorkUnitMs = 1e-3;     // avoids a division by zero
 
 }  // namespace
 
-double SentWindow::ForgetAndSum(TimePoint now, Duration window) {
+double SentWindow::ExpireAndSum(TimePoint now, Duration window) {
   while (first_ < sent_.size() && now - sent_[first_].at > window) {
     sum_ -= sent_[first_].work_ms;
     ++first_;
@@ -29,7 +30,7 @@
     first_ = 0;
     if (sent_.empty()) sent_.shrink_to_fit();
   }
-  if (sent_.empty()) sum_ = 0;  // rounding must not accumulate
+  if (sent_.empty()) sum_ = 0;  // prevents accumulation of rounding errors
   return sum_;
 }
 
@@ -53,11 +54,13 @@
 void CompletedWorkRate::Sample(double elapsed_ms) {
   ++samples_;
   const double gain = std::min(1.0, elapsed_ms / kCompletedAveragingTime.count());
-  work_per_ms_ += std::max(gain, 1 / (kInitialZeroSamples + samples_)) *
+  work_per_ms_ += std::max(gain, 1 / (kInitialZeroSampleCount + samples_)) *
                   (work_since_sample_ms_ / elapsed_ms - work_per_ms_);
 }
 
-bool CompletedWorkRate::IsIdle() const { return work_since_sample_ms_ == 0 && work_per_ms_ < kMinWorkRate; }
+bool CompletedWorkRate::IsIdle() const {
+  return work_since_sample_ms_ == 0 && work_per_ms_ < kMinBusyWorkPerMs;
+}
 
 SlowStart::SlowStart(const Settings& settings, const RequestStats& requests, const LatencyStats& latencies,
                      Random& random)
@@ -65,7 +68,7 @@
       warm_up_window_(settings.slow_start_window),
       overload_factor_(settings.overload_factor),
       overload_window_(settings.overload_duration),
-      rolling_window_(settings.overload_duration * kWindowSlack),
+      rolling_window_(settings.overload_duration * kRollingWindowFactor),
       balancer_count_(settings.balancer_count),
       requests_(requests),
       latencies_(latencies),
@@ -81,7 +84,7 @@
                              const std::vector<Backend*>& active) {
   SlowStartState& state = backend.slow_start;
   const double share = CapacityShare(backend.endpoint, now);
-  const double sent_ms = state.sent.ForgetAndSum(now, rolling_window_);
+  const double sent_ms = state.sent.ExpireAndSum(now, rolling_window_);
   if (share >= 1 || overload_factor_ <= 0) return true;
   const double rate = SlowStartRate(backend, share, now, active);
   AccrueSlowStartToken(backend, std::max(rate, MinSlowStartRate(share)), now);
@@ -90,12 +93,12 @@
          state.tokens >= std::max(1.0, work_ms / requests_.mean_work_ms());
 }
 
-// A budget of less than one request is one in so many windows, accrued at the budget's rate, the first from a
-// part that is drawn at random: proxies that learn of a start together, or that start themselves and know
-// nothing yet, would each send their one request at once.
+// With a budget of less than one request per window, tokens accrue at the rate of the budget. The initial
+// number of tokens is random: otherwise, all proxies that are notified of a backend's start together, or that
+// start themselves, would send one request each at the same time.
 void SlowStart::AccrueSlowStartToken(Backend& backend, double work_rate, TimePoint now) {
   SlowStartState& state = backend.slow_start;
-  if (state.token_epoch != backend.endpoint.up_since) {  // it started anew
+  if (state.token_epoch != backend.endpoint.up_since) {  // the backend has restarted
     const bool one_per_window = work_rate * rolling_window_.count() >= requests_.mean_work_ms();
     state.tokens = one_per_window ? 1 : random_.Unit();
     state.token_epoch = backend.endpoint.up_since;
@@ -116,14 +119,14 @@
   return backend.slow_start.sent.Sum(now, rolling_window_);
 }
 
-// Work a ms.
+// In work per ms.
 double SlowStart::SlowStartRate(const Backend& backend, double capacity_share, TimePoint now,
                                 const std::vector<Backend*>& active) const {
-  return kOverloadSafety * overload_factor_ * capacity_share * WarmBackendRate(backend, now, active);
+  return kUsableShareOfOverload * overload_factor_ * capacity_share * WarmBackendRate(backend, now, active);
 }
 
-// Where no request tells its work, each counts as 1, and is about as long as one takes without contention;
-// until that is known, as one may take.
+// Without work hints, each request counts as work of 1. Its duration is then estimated by the latency without
+// contention or, before that is known, by the usable part of the latency objective.
 double SlowStart::MinSlowStartRate(double capacity_share) const {
   double work_unit = 1;
   if (!requests_.work_was_hinted()) {
@@ -131,10 +134,11 @@
     work_unit = uncontended > 0 ? uncontended : kMaxQueueingShare * requests_.mean_objective_ms();
   }
   return kMinBackendCores * overload_factor_ * capacity_share / balancer_count_ /
-         std::max(work_unit, kMinWorkUnit);
+         std::max(work_unit, kMinWorkUnitMs);
 }
 
-// Work a ms that a warm backend of the same kind completes for this proxy; of any kind if there is none.
+// Mean work per ms that warm backends of the same kind complete for this proxy; of any kind if there are
+// none.
 double SlowStart::WarmBackendRate(const Backend& like, TimePoint now,
                                   const std::vector<Backend*>& active) const {
   double same_kind_rate = 0;
--- a/src/balancer/tenant_quota.cpp
+++ b/src/balancer/tenant_quota.cpp
@@ -7,8 +7,8 @@
 namespace badgerbridge::balancer {
 namespace {
 
-constexpr double kBurstMs = 2000;  // of a quota that may be used at once
-constexpr double kMinBurst = 1;    // requests, however small the quota
+constexpr double kBurstMs = 2000;        // a bucket holds the quota of this time
+constexpr double kMinBurstRequests = 1;  // however small the quota
 
 }  // namespace
 
@@ -28,7 +28,7 @@
 
 void TenantQuotas::Refill(double elapsed_ms) {
   for (Bucket& bucket : buckets_) {
-    const double burst = std::max(kMinBurst, bucket.tokens_per_ms * kBurstMs);
+    const double burst = std::max(kMinBurstRequests, bucket.tokens_per_ms * kBurstMs);
     bucket.tokens = std::min(burst, bucket.tokens + bucket.tokens_per_ms * elapsed_ms);
   }
 }
--- a/src/balancer/tenant_quota.h
+++ b/src/balancer/tenant_quota.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Which requests are within the quota of their tenant.
+/// Request quotas of tenants.
 #ifndef BADGERBRIDGE_BALANCER_TENANT_QUOTA_H_
 #define BADGERBRIDGE_BALANCER_TENANT_QUOTA_H_
 
@@ -10,18 +10,18 @@
 
 namespace badgerbridge::balancer {
 
-/// A token bucket for each tenant, with this proxy's part of the tenant's quota. A request beyond it is not
-/// rejected for that, but has less priority (Settings::over_quota_weight).
+/// A token bucket per tenant, with this proxy's part of the tenant's quota. A request over the quota is not
+/// rejected, but its priority is lowered (Settings::over_quota_weight).
 class TenantQuotas {
  public:
-  /// Divides the quotas of the settings evenly among all proxies.
+  /// Divides the quotas in the settings evenly among all proxies.
   explicit TenantQuotas(const Settings& settings);
 
-  /// Takes a token for a request of `tenant`; false if there is none. Tenants that the settings do not name
-  /// have no limit.
+  /// Takes a token for a request of `tenant`; false if there is none. Always true for tenants that are not in
+  /// the settings.
   bool Acquire(int tenant);
 
-  /// Adds the tokens that `elapsed_ms` bring.
+  /// Adds the tokens of `elapsed_ms`, the time since the last call.
   void Refill(double elapsed_ms);
 
  private:
--- a/src/balancer/time_limits.h
+++ b/src/balancer/time_limits.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// The time point that no clock reaches.
+/// A time point in the infinite future.
 #ifndef BADGERBRIDGE_BALANCER_TIME_LIMITS_H_
 #define BADGERBRIDGE_BALANCER_TIME_LIMITS_H_
 
@@ -8,7 +8,7 @@
 
 namespace badgerbridge::balancer {
 
-/// Later than every time of an event; stands for "no timer is pending".
+/// Later than the time of any event; stands for "no timer is pending".
 constexpr TimePoint kNever{Duration(1e300)};
 
 }  // namespace badgerbridge::balancer
--- a/src/balancer/wakeup_schedule.h
+++ b/src/balancer/wakeup_schedule.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// When which request is to be looked at again.
+/// Wake-up times of requests.
 #ifndef BADGERBRIDGE_BALANCER_WAKEUP_SCHEDULE_H_
 #define BADGERBRIDGE_BALANCER_WAKEUP_SCHEDULE_H_
 
@@ -12,13 +12,13 @@
 
 namespace badgerbridge::balancer {
 
-/// Points in time with a request each, in order; a request may have several, and may be over by then.
+/// Wake-ups by time. A request may have several, and may have ended before its wake-up.
 class WakeupSchedule {
  public:
   /// Adds a wake-up for `request`.
   void Add(TimePoint at, RequestId request) { wakeups_.insert({at, request}); }
 
-  /// Removes the first wake-up that is due and returns its request; nothing if none is.
+  /// Removes the earliest wake-up if it is due and returns its request; nullopt if none is due.
   std::optional<RequestId> PopDue(TimePoint now) {
     if (wakeups_.empty() || wakeups_.begin()->at > now) return std::nullopt;
     const RequestId request = wakeups_.begin()->request;
@@ -26,7 +26,7 @@
     return request;
   }
 
-  /// When the first wake-up is due, or kNever.
+  /// Time of the earliest wake-up, or kNever.
   TimePoint next_at() const { return wakeups_.empty() ? kNever : wakeups_.begin()->at; }
 
  private:
--- a/src/balancer/warm_capacity.cpp
+++ b/src/balancer/warm_capacity.cpp
@@ -7,7 +7,7 @@
                           const SlowStart& slow_start, TimePoint now) {
   ready_backends_ = ready_backends;
   double shares = 0;
-  // Only the shares of those that were warming up when they were listed change.
+  // Capacity shares change only for backends that were warming up when they were listed.
   std::erase_if(warming_up_, [&](BackendId id) {
     const Backend* const backend = backends.Find(id);
     const bool is_ready = backend != nullptr && backend->IsReady();
--- a/src/balancer/warm_capacity.h
+++ b/src/balancer/warm_capacity.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// How much of the backends' capacity is warmed up.
+/// The warm part of the total capacity of all backends.
 #ifndef BADGERBRIDGE_BALANCER_WARM_CAPACITY_H_
 #define BADGERBRIDGE_BALANCER_WARM_CAPACITY_H_
 
@@ -13,28 +13,28 @@
 
 namespace badgerbridge::balancer {
 
-/// The ready backends, weighed by the share of their capacity that slow start leaves them.
+/// Sums up the capacity shares of the ready backends during slow start.
 class WarmCapacity {
  public:
-  /// Follows a backend that warms up until it is warm.
+  /// Tracks a warming-up backend until it is warm.
   void Track(BackendId id) { warming_up_.insert(id); }
 
-  /// Whether any backend is followed.
+  /// Whether any backend is tracked.
   bool AnyWarmingUp() const { return !warming_up_.empty(); }
 
-  /// Sums the capacity up anew; `ready_backends` is the number of those on the ring.
+  /// Recomputes the capacity; `ready_backends` is the number of backends on the ring.
   void Update(const BackendList& backends, std::size_t ready_backends, const SlowStart& slow_start,
               TimePoint now);
 
-  /// The capacity in warm backends, as of the last update.
+  /// Capacity in units of a warm backend, as of the last update.
   double warm_backends() const { return warm_backends_; }
 
-  /// Whether more than a twentieth of the capacity is missing. Then backends are slow for all to know and can
-  /// do less together, and nothing is blamed on single ones.
+  /// Whether more than 5 % of the capacity is still missing. Many backends are slow then and have less
+  /// capacity together, so slowness is not attributed to single backends.
   bool ManyWarmingUp() const { return warm_backends_ < kMinWarmShare * static_cast<double>(ready_backends_); }
 
  private:
-  static constexpr double kMinWarmShare = 0.95;  // of the ready backends
+  static constexpr double kMinWarmShare = 0.95;  // below, many backends are warming up
 
   std::set<BackendId> warming_up_;
   std::size_t ready_backends_ = 0;
--- a/src/balancer/zone_quota.cpp
+++ b/src/balancer/zone_quota.cpp
@@ -17,17 +17,17 @@
   for (std::size_t zone = 0; zone < buckets_.size(); ++zone) {
     Bucket& bucket = buckets_[zone];
     if (bucket.work_per_ms < 0) {
-      bucket.work_ms = 0;  // a zone that had no limit starts with an empty bucket
+      bucket.work_ms = 0;  // a previously unlimited zone starts with an empty bucket
       bucket.refilled_at = now;
     }
-    Refill(bucket, now);  // what has been accrued until now was by the old rate
+    Refill(bucket, now);  // accrues at the old rate until now
     const double rate = quotas.work_per_ms[zone];
     bucket.work_per_ms = std::isfinite(rate) ? rate : -1;
   }
 }
 
 void ZoneQuotaBuckets::Refill(Bucket& bucket, TimePoint now) {
-  const double max_work_ms = std::max(0.0, bucket.work_per_ms) * kBurst.count();
+  const double max_work_ms = std::max(0.0, bucket.work_per_ms) * kBurstDuration.count();
   bucket.work_ms =
       std::min(max_work_ms, bucket.work_ms + bucket.work_per_ms * (now - bucket.refilled_at).count());
   bucket.refilled_at = now;
--- a/src/balancer/zone_quota.h
+++ b/src/balancer/zone_quota.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// \file
-/// How much work this proxy may send to each zone.
+/// Limits the work that this proxy sends to each zone.
 #ifndef BADGERBRIDGE_BALANCER_ZONE_QUOTA_H_
 #define BADGERBRIDGE_BALANCER_ZONE_QUOTA_H_
 
@@ -11,48 +11,48 @@
 
 namespace badgerbridge::balancer {
 
-/// A bucket of work for each zone.
+/// A token bucket per zone, in ms of work.
 ///
-/// Exception, where something decides how much goes to each zone (ZoneQuotas): a zone whose quota is used up
-/// is passed over. Each bucket holds a second's worth; requests of low priority leave most of it to others.
+/// Exception, where quotas are set by a ZoneQuotas event: a zone whose quota is exhausted is skipped. Each
+/// bucket holds the quota of one second, of which requests of low priority leave up to half to others.
 class ZoneQuotaBuckets {
  public:
-  /// No zone has a limit until the first update.
+  /// All zones are unlimited until the first update.
   explicit ZoneQuotaBuckets(const Settings& settings);
 
-  /// Sets the quotas from here on.
+  /// Replaces the quotas; zones that they don't cover are unlimited.
   void Update(const ZoneQuotas& quotas, TimePoint now);
 
-  /// The part of a zone's bucket that a request class with this priority leaves to others.
+  /// The share of a zone's bucket reserved from requests with this priority weight.
   double ReservedShare(double priority_weight) const {
     return kMaxReservedShare * (1 - priority_weight / max_priority_weight_);
   }
 
-  /// Whether a request that leaves `reserved_share` of the bucket to others may be sent to `zone` now.
+  /// Whether a request that must leave `reserved_share` of the bucket may be sent to `zone` now.
   bool HasCapacity(int zone, double reserved_share, TimePoint now) {
     Bucket* const bucket = Find(zone);
     if (bucket == nullptr || bucket->work_per_ms < 0) return true;
     Refill(*bucket, now);
-    return bucket->work_ms > reserved_share * bucket->work_per_ms * kBurst.count();
+    return bucket->work_ms > reserved_share * bucket->work_per_ms * kBurstDuration.count();
   }
 
-  /// Takes work out of the bucket of `zone`, if it has one.
+  /// Deducts work from the bucket of `zone`, if it has one.
   void Spend(int zone, double work_ms) {
     if (Bucket* const bucket = Find(zone)) bucket->work_ms -= work_ms;
   }
 
-  /// Puts back what was never sent.
+  /// Returns the work of an attempt that was never sent.
   void Refund(int zone, double work_ms) {
     if (Bucket* const bucket = Find(zone)) bucket->work_ms += work_ms;
   }
 
  private:
-  static constexpr Duration kBurst{1000};           // of a quota that may be used at once
-  static constexpr double kMaxReservedShare = 0.5;  // of that, for requests of higher priority
+  static constexpr Duration kBurstDuration{1000};   // a bucket holds the quota of this time
+  static constexpr double kMaxReservedShare = 0.5;  // of a bucket, for requests of higher priority
 
   struct Bucket {
-    double work_per_ms = -1;  // below 0: without limit
-    double work_ms = 0;       // that may be sent now
+    double work_per_ms = -1;  // negative: unlimited
+    double work_ms = 0;       // available now
     TimePoint refilled_at{};
   };
 
@@ -62,8 +62,8 @@
   }
   static void Refill(Bucket& bucket, TimePoint now);
 
-  double max_priority_weight_ = 1e-9;  // of the classes; not 0, since it divides
-  std::vector<Bucket> buckets_;        // by zone
+  double max_priority_weight_ = 1e-9;  // of all classes; positive to avoid division by zero
+  std::vector<Bucket> buckets_;        // indexed by zone
 };
 
 }  // namespace badgerbridge::balancer
--- a/tests/balancer/admission_test.cpp
+++ b/tests/balancer/admission_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Which requests are queued, and when they are rejected.
+// Tests which requests are queued and when they are rejected.
 #include <gtest/gtest.h>
 
 #include "badgerbridge/balancer.h"
@@ -10,45 +10,46 @@
 namespace badgerbridge::balancer {
 namespace {
 
+using testing::BalancerHarness;
 using testing::next_request_id;
-using testing::Rig;
 using testing::SubmitAndEnd;
 using testing::SubmitUntilQueued;
 
 TEST(Admission, LimitReached_QueuesAndRejectsInTime) {
-  Rig rig;
-  rig.ListBackends(1);
-  EXPECT_NEAR(SubmitUntilQueued(rig, 2), 4.7, 0.9) << "1.5 a backend, a deviation of that and two in a burst";
+  BalancerHarness harness;
+  harness.ListBackends(1);
+  EXPECT_NEAR(SubmitUntilQueued(harness, 2), 4.7, 0.9)
+      << "1.5 per backend, one standard deviation of that and a burst of two";
   double waited = 0;
-  while (rig.CountActions<Reject>() == 0 && waited < 2000) {
-    rig.AdvanceTime(5);
+  while (harness.CountActions<Reject>() == 0 && waited < 2000) {
+    harness.AdvanceTime(5);
     waited += 5;
   }
-  EXPECT_EQ(rig.CountActions<Reject>(), 1);
+  EXPECT_EQ(harness.CountActions<Reject>(), 1);
   EXPECT_LE(waited, 205) << "within the objective, not at the deadline";
 }
 
-// One that is rejected after more than half of its time can do nothing with it.
+// A request that is rejected in the second half of its time is too late to succeed elsewhere.
 TEST(Admission, QueuedRequest_IsRejectedInTheFirstHalfOfItsTime) {
-  Rig rig;
-  rig.UpdateEndpoints({});
-  rig.SubmitRequest(1, 0, 10, 100);
-  EXPECT_EQ(rig.CountActions<Reject>(), 0);
-  rig.AdvanceTime(50);
-  EXPECT_EQ(rig.CountActions<Reject>(), 1);
+  BalancerHarness harness;
+  harness.UpdateEndpoints({});
+  harness.SubmitRequest(1, 0, 10, 100);
+  EXPECT_EQ(harness.CountActions<Reject>(), 0);
+  harness.AdvanceTime(50);
+  EXPECT_EQ(harness.CountActions<Reject>(), 1);
 }
 
 TEST(Admission, RequestTooLargeToBeInTime_IsRejectedAtOnce) {
-  Rig rig;
-  rig.ListBackends(3);
+  BalancerHarness harness;
+  harness.ListBackends(3);
   for (int i = 0; i < 100; ++i) {
-    SubmitAndEnd(rig, Outcome::kOk, {}, 15);
-    rig.AdvanceTime(50);
+    SubmitAndEnd(harness, Outcome::kOk, {}, 15);
+    harness.AdvanceTime(50);
   }
-  rig.SubmitRequest(next_request_id++, 0, 1000, 900);
-  EXPECT_EQ(rig.CountActions<Reject>(), 1) << "about 1500 ms of 900";
-  rig.SubmitRequest(next_request_id++, 0, 100, 900);
-  EXPECT_EQ(rig.CountActions<Dispatch>(), 1);
+  harness.SubmitRequest(next_request_id++, 0, 1000, 900);
+  EXPECT_EQ(harness.CountActions<Reject>(), 1) << "takes about 1500 ms, but has 900";
+  harness.SubmitRequest(next_request_id++, 0, 100, 900);
+  EXPECT_EQ(harness.CountActions<Dispatch>(), 1);
 }
 
 }  // namespace
--- a/tests/balancer/event_timer_test.cpp
+++ b/tests/balancer/event_timer_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The timer that the balancer asks its caller for.
+// Tests the timer that wakes up the balancer.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,32 +13,32 @@
 namespace badgerbridge::balancer {
 namespace {
 
-using testing::Rig;
+using testing::BalancerHarness;
 
-// The simulator reckons in microseconds: a timer fired one part of that early, was not set again, and a proxy
-// with no other event lost the request it queued.
-TEST(EventTimer, FiresALittleEarly_IsSetAgain) {
-  Rig rig;
-  rig.UpdateEndpoints({});
-  const std::vector<Action> listed = rig.actions;
-  rig.SubmitRequest(1, 0, 10, 300);
-  rig.actions.insert(rig.actions.begin(), listed.begin(), listed.end());
+// The simulator rounds times to microseconds: a timer fired a fraction of that early and was not set again,
+// so a proxy without other events lost its queued request.
+TEST(EventTimer, FiresSlightlyEarly_IsSetAgain) {
+  BalancerHarness harness;
+  harness.UpdateEndpoints({});
+  const std::vector<Action> listed = harness.actions;
+  harness.SubmitRequest(1, 0, 10, 300);
+  harness.actions.insert(harness.actions.begin(), listed.begin(), listed.end());
   double at = 0;
   std::uint64_t token = 0;
   int finals = 0;
   for (int i = 0; i < 200 && finals == 0; ++i) {
-    for (const Action& action : rig.actions) {
+    for (const Action& action : harness.actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) {
         at = timer->at.time_since_epoch().count();
         token = timer->token;
       }
     }
-    rig.now = std::max(rig.now + 0.001, at - 0.0004);
-    rig.Handle(TimerFired{token});
-    finals = rig.CountActions<Reject>() + rig.CountActions<FailRequest>();
+    harness.now = std::max(harness.now + 0.001, at - 0.0004);
+    harness.Handle(TimerFired{token});
+    finals = harness.CountActions<Reject>() + harness.CountActions<FailRequest>();
   }
   EXPECT_EQ(finals, 1);
-  EXPECT_LE(rig.now, 100300);
+  EXPECT_LE(harness.now, 100300);
 }
 
 }  // namespace
--- a/tests/balancer/log_throttle_test.cpp
+++ b/tests/balancer/log_throttle_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The lines that the balancer logs.
+// Tests the log lines of the balancer.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -14,28 +14,28 @@
 namespace badgerbridge::balancer {
 namespace {
 
+using testing::BalancerHarness;
 using testing::Entry;
 using testing::next_request_id;
-using testing::Rig;
 
 TEST(LogThrottle, RepeatedEvents_FewLinesEachNamingBackendAndReason) {
-  Rig rig;
+  BalancerHarness harness;
   std::vector<std::string> lines;
-  auto note = [&] {
-    for (const Action& action : rig.actions)
+  auto collect_lines = [&] {
+    for (const Action& action : harness.actions)
       if (const auto* log = std::get_if<Log>(&action)) lines.push_back(log->text);
   };
   for (int i = 0; i < 5; ++i) {
-    rig.SubmitRequest(next_request_id++, 0, 10, -50);  // due in the past
-    note();
+    harness.SubmitRequest(next_request_id++, 0, 10, -50);  // due in the past
+    collect_lines();
   }
-  ASSERT_EQ(lines.size(), 1u) << "others within ten seconds are not told";
+  ASSERT_EQ(lines.size(), 1u) << "further lines within ten seconds are suppressed";
   EXPECT_NE(lines[0].find("rejecting: not in time"), std::string::npos) << lines[0];
-  rig.now += 100;
-  rig.UpdateEndpoints({Entry(1, 0, 0, BackendState::kReady, rig.now)});
+  harness.now += 100;
+  harness.UpdateEndpoints({Entry(1, 0, 0, BackendState::kReady, harness.now)});
   for (int i = 0; i < 10; ++i) {
-    rig.SubmitRequest(next_request_id++);
-    note();
+    harness.SubmitRequest(next_request_id++);
+    collect_lines();
   }
   ASSERT_EQ(lines.size(), 2u);
   EXPECT_NE(lines[1].find("backend 1 passed over: warming up, at 25%"), std::string::npos) << lines[1];
--- a/tests/balancer/retry_budget_test.cpp
+++ b/tests/balancer/retry_budget_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The bound on retries.
+// Tests the limit on retries.
 #include <gtest/gtest.h>
 
 #include "badgerbridge/balancer.h"
@@ -10,22 +10,23 @@
 namespace badgerbridge::balancer {
 namespace {
 
+using testing::BalancerHarness;
 using testing::next_request_id;
-using testing::Rig;
 
 TEST(RetryBudget, AllAttemptsFail_RetriesAreBounded) {
-  Rig rig;
-  rig.ListBackends(5);
+  BalancerHarness harness;
+  harness.ListBackends(5);
   for (int i = 0; i < 300; ++i) {
     const RequestId id = next_request_id++;
-    auto backend = rig.SubmitRequest(id, 0);
+    auto backend = harness.SubmitRequest(id, 0);
     for (int attempt = 0; backend; ++attempt) {
-      rig.EndAttempt(id, attempt, *backend, Outcome::kError);
-      backend = rig.SentTo(id);
+      harness.EndAttempt(id, attempt, *backend, Outcome::kError);
+      backend = harness.SentTo(id);
     }
   }
-  EXPECT_LE(rig.sent.size(), 300u + 20u + 61u) << "a store of 20, and a fifth of the first sends";
-  EXPECT_GE(rig.sent.size(), 300u + 20u);
+  EXPECT_LE(harness.sent.size(), 300u + 20u + 61u)
+      << "a full bucket of 20, and a fifth of the first attempts";
+  EXPECT_GE(harness.sent.size(), 300u + 20u);
 }
 
 }  // namespace
--- a/tests/fingerprint/decision_module_fingerprint_test.cpp
+++ b/tests/fingerprint/decision_module_fingerprint_test.cpp
@@ -169,9 +169,10 @@
     AddViews(views, &fingerprint_.digest());
     for (const balancer::BackendView& view : views) {
       coverage_->ejected += view.ejected;
-      coverage_->silent += view.silent;
-      coverage_->cold += view.warm_share < 1;
-      coverage_->over_cold_budget += view.warm_share < 1 && view.cold_sent >= view.cold_budget;
+      coverage_->silent += view.unresponsive;
+      coverage_->cold += view.capacity_share < 1;
+      coverage_->over_cold_budget +=
+          view.capacity_share < 1 && view.slow_start_sent >= view.slow_start_budget;
     }
     timeline_.After(Duration(250), [this] { InspectRegularly(); });
   }
--- a/tests/fingerprint/scenario.cpp
+++ b/tests/fingerprint/scenario.cpp
@@ -290,8 +290,8 @@
   for (const balancer::BackendView& view : views) {
     digest->Add(view.entry.server, view.entry.zone, view.entry.kind, view.entry.cell, view.entry.state);
     digest->Add(view.entry.weight, view.entry.up_since);
-    digest->Add(view.ejected, view.ejected_until, view.silent, view.in_flight, view.work_in_flight);
-    digest->Add(view.slowness, view.warm_share, view.cold_budget, view.cold_sent);
+    digest->Add(view.ejected, view.ejected_until, view.unresponsive, view.in_flight, view.work_in_flight);
+    digest->Add(view.slowness, view.capacity_share, view.slow_start_budget, view.slow_start_sent);
   }
 }
 
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A Balancer under test, its clock, and short ways to say what happens.
+// A Balancer under test with its clock, and helpers to create settings, backends and events.
 #ifndef BADGERBRIDGE_TESTS_HARNESS_H_
 #define BADGERBRIDGE_TESTS_HARNESS_H_
 
@@ -16,7 +16,8 @@
 /// The point in time `ms` after the origin of the clock.
 inline TimePoint At(double ms) { return TimePoint(Duration(ms)); }
 
-/// A request class with the latency objective and the deadline in ms; keyed ones are remembered for 500 ms.
+/// A request class with `latency_objective` and `deadline` in ms; backends remember idempotency keys for 500
+/// ms.
 inline ClassSettings Class(Idempotency effect, double latency_objective = 200, double deadline = 1000) {
   ClassSettings c;
   c.effect = effect;
@@ -26,9 +27,9 @@
   return c;
 }
 
-/// Settings of one proxy with three classes: 0 idempotent, 1 idempotent by key within a cell, 2 not
-/// idempotent.
-inline Settings Usual() {
+/// Settings of a single proxy with three classes: 0 is idempotent, 1 idempotent by key within a cell, and 2
+/// not idempotent.
+inline Settings ThreeClassSettings() {
   Settings s;
   s.classes = {Class(Idempotency::kIdempotent), Class(Idempotency::kIdempotencyKey),
                Class(Idempotency::kNotIdempotent)};
@@ -43,7 +44,7 @@
   return s;
 }
 
-/// A backend of the endpoint list; `up_since` in ms, 0: long ago.
+/// An entry of the endpoint list. `up_since` in ms; 0: long ago, so it is warm.
 inline BackendEntry Entry(BackendId id, int zone = 0, int cell = 0, BackendState state = BackendState::kReady,
                           double up_since = 0) {
   BackendEntry e;
@@ -55,17 +56,17 @@
   return e;
 }
 
-/// A Balancer and its clock. Nothing happens but what a test says: timers that are set don't fire by
-/// themselves.
-class Rig {
+/// A Balancer and its clock. Timers don't fire on their own: time passes only by calls of the test.
+class BalancerHarness {
  public:
-  explicit Rig(Settings settings = Usual(), std::uint64_t seed = 1) : balancer_(std::move(settings), seed) {}
+  explicit BalancerHarness(Settings settings = ThreeClassSettings(), std::uint64_t seed = 1)
+      : balancer_(std::move(settings), seed) {}
 
   double now = 100000;          ///< In ms; a test may advance it.
-  std::vector<Action> actions;  ///< Of the last event.
-  std::vector<Dispatch> sent;   ///< Of all events.
+  std::vector<Action> actions;  ///< Actions of the last event.
+  std::vector<Dispatch> sent;   ///< Dispatches of all events, in order.
 
-  /// Passes an event on; what is to be done because of it.
+  /// Handles an event at `now` and returns the resulting actions.
   const std::vector<Action>& Handle(const Event& event) {
     actions.clear();
     balancer_.Handle(At(now), event, &actions);
@@ -75,19 +76,19 @@
     return actions;
   }
 
-  /// An endpoint list arrives, or a change of it.
+  /// Delivers an endpoint list or an incremental update.
   void UpdateEndpoints(std::vector<BackendEntry> entries, EndpointListKind kind = EndpointListKind::kFull) {
     Handle(EndpointListUpdate{kind, std::move(entries)});
   }
 
-  /// A list of ready, warm backends with the ids 1 to `count` arrives.
+  /// Delivers a full list of ready, warm backends with the ids 1 to `count`.
   void ListBackends(int count) {
     std::vector<BackendEntry> entries;
     for (int i = 1; i <= count; ++i) entries.push_back(Entry(static_cast<BackendId>(i)));
     UpdateEndpoints(entries);
   }
 
-  /// What the balancer holds of a backend.
+  /// The state of a backend; a default view if the balancer has none.
   BackendView View(BackendId id) const {
     for (const BackendView& view : balancer_.Inspect()) {
       if (view.entry.server == id) return view;
@@ -95,22 +96,22 @@
     return {};
   }
 
-  /// Submits a request and returns the backend that it was sent to at once, if any. `work` in ms, 0: no hint;
-  /// the client gives up after `patience` ms.
+  /// Submits a request and returns the backend to which it was sent immediately, if any. `work` is the hint
+  /// in ms, 0 for none; the client stops waiting after `client_timeout_ms`.
   std::optional<BackendId> SubmitRequest(RequestId id, int request_class = 0, double work = 10,
-                                         double patience = 1000, std::uint64_t key = 0) {
+                                         double client_timeout_ms = 1000, std::uint64_t key = 0) {
     Submit s;
     s.request = id;
     s.request_class = request_class;
     s.has_hint = work > 0;
     s.work_ms = work;
     s.key = key;
-    s.due = At(now + patience);
+    s.due = At(now + client_timeout_ms);
     Handle(s);
     return SentTo(id);
   }
 
-  /// An attempt ends `took` ms after its dispatch; a success settles the request.
+  /// Ends an attempt `took` ms after its dispatch; a success settles the request.
   void EndAttempt(RequestId id, int attempt, BackendId server, Outcome outcome, double took = 10,
                   bool settled = false) {
     AttemptEnded e;
@@ -123,13 +124,13 @@
     Handle(e);
   }
 
-  /// `ms` pass, and a timer fires.
+  /// Advances the clock by `ms` and fires a timer.
   void AdvanceTime(double ms) {
     now += ms;
     Handle(TimerFired{});
   }
 
-  /// Where the last event had a request sent to, if anywhere.
+  /// The backend to which the last event sent a request, if any.
   std::optional<BackendId> SentTo(RequestId id) const {
     for (const Action& action : actions) {
       const auto* dispatch = std::get_if<Dispatch>(&action);
@@ -138,7 +139,7 @@
     return std::nullopt;
   }
 
-  /// Number of actions of type T that the last event caused.
+  /// Number of actions of type T caused by the last event.
   template <typename T>
   int CountActions() const {
     int count = 0;
--- a/tests/proxy/soak_test.cpp
+++ b/tests/proxy/soak_test.cpp
@@ -49,10 +49,10 @@
 
 using namespace balancer;
 using balancer::testing::At;
-using balancer::testing::Usual;
+using balancer::testing::ThreeClassSettings;
 
 Settings SoakSettings() {
-  Settings settings = Usual();
+  Settings settings = ThreeClassSettings();
   settings.balancer_count = 300;
   settings.key_affinity = true;
   settings.max_retry_after = Duration(500);
--- a/tests/request_table/request_table_test.cpp
+++ b/tests/request_table/request_table_test.cpp
@@ -13,10 +13,10 @@
 namespace badgerbridge::request_table::testing {
 namespace {
 
-using balancer::testing::Usual;
+using balancer::testing::ThreeClassSettings;
 
 TEST(RequestTableTest, SuccessfulAttemptServesRequestOnce) {
-  Harness harness(Usual(), 1);
+  Harness harness(ThreeClassSettings(), 1);
   AddServers(harness, 2);
   const RequestId id = harness.Accept(2, 500);
   ASSERT_EQ(harness.in_flight.size(), 1u);
@@ -33,7 +33,7 @@
 /// Sends one request to one of two servers; then lets all events come at one moment, in the given order.
 void ExpectOneCompletion(int request_class, Outcome outcome, double elapsed_ms,
                          const std::array<Coincidence, 4>& order) {
-  Harness harness(Usual(), 7);
+  Harness harness(ThreeClassSettings(), 7);
   AddServers(harness, 2);
   const RequestId id = harness.Accept(request_class, 300);
   ASSERT_EQ(harness.in_flight.size(), 1u);
@@ -82,7 +82,7 @@
 }
 
 TEST(RequestTableTest, UnendedAttemptIsAnsweredByDeadlineFallback) {
-  Harness harness(Usual(), 3);
+  Harness harness(ThreeClassSettings(), 3);
   AddServers(harness, 1);
   const RequestId id = harness.Accept(2, 200);
   ASSERT_EQ(harness.in_flight.size(), 1u);
@@ -97,7 +97,7 @@
 // The attempt's connection may still be being established when the request completes.
 TEST(RequestTableTest, CompletedRequestWithdrawsAttemptInFlight) {
   for (const int request_class : {0, 1, 2}) {
-    Harness harness(Usual(), 3);
+    Harness harness(ThreeClassSettings(), 3);
     AddServers(harness, 1);
     const RequestId left = harness.Accept(request_class, 500);
     const RequestId kept = harness.Accept(request_class, 500);
@@ -122,7 +122,7 @@
 // run. A retry carries the time until which it may begin, and is not sent without such a time.
 TEST(RequestTableTest, RetryWithIdempotencyKeyMustBeginWithinWindow) {
   for (const double window : {0.0, 100.0, 10000.0}) {
-    Settings settings = Usual();
+    Settings settings = ThreeClassSettings();
     settings.classes[1].window = Duration(window);
     Harness harness(settings, 3);
     harness.UpdateEndpoint(Entry(1, 0, 0));
@@ -153,7 +153,7 @@
     constexpr double now = 100000;
     Submit submit;
     submit.due = At(now + patience);
-    RequestTable table(Usual(), 1);
+    RequestTable table(ThreeClassSettings(), 1);
     RequestTable::Actions actions;
     table.UpdateEndpoints(At(now), {EndpointListKind::kFull, {Entry(1), Entry(2)}}, &actions);
     const RequestId id = table.Accept(At(now), submit, &actions);
@@ -164,7 +164,7 @@
 }
 
 TEST(RequestTableTest, AttemptsAreBoundedWhateverSettingsAllow) {
-  Settings settings = Usual();
+  Settings settings = ThreeClassSettings();
   settings.max_attempts = 9;
   Harness harness(settings, 5);
   AddServers(harness, 8);
@@ -247,7 +247,7 @@
   int Draw(std::uint64_t limit) { return static_cast<int>(random_() % limit); }
 
   Settings DrawSettings(std::uint64_t seed) {
-    Settings settings = Usual();
+    Settings settings = ThreeClassSettings();
     settings.max_attempts = 1 + Draw(4);
     if (seed % 3 == 0) settings.max_retry_after = Duration(600);
     return settings;
