--- a/examples/minimal.cpp
+++ b/examples/minimal.cpp
@@ -13,7 +13,7 @@
 
   Settings settings;
   ClassSettings reads;
-  reads.effect = Idempotency::kIdempotent;
+  reads.idempotency = Idempotency::kIdempotent;
   reads.latency_objective = milliseconds(100);
   reads.deadline = milliseconds(400);
   settings.classes = {reads};
--- a/include/badgerbridge/balancer.h
+++ b/include/badgerbridge/balancer.h
@@ -51,14 +51,15 @@
 
 /// Settings of one class of requests.
 struct ClassSettings {
-  Idempotency effect = Idempotency::kNotIdempotent;  ///< Whether requests may be processed more than once.
-  DeduplicationScope group =
-      DeduplicationScope::kAll;   ///< With idempotency keys: which backends share deduplication.
-  Duration window{0};             ///< With idempotency keys: how long backends remember a key.
-  Duration latency_objective{0};  ///< Answers that take longer count as late.
-  Duration deadline{0};           ///< Time a client waits in total, over all its attempts.
-  double priority_weight = 1;     ///< Weight of a request answered within the objective.
-  double late_weight = 0;         ///< Factor of the weight of a request answered late.
+  Idempotency idempotency =
+      Idempotency::kNotIdempotent;  ///< Whether requests may be processed more than once.
+  DeduplicationScope deduplication_scope =
+      DeduplicationScope::kAll;      ///< With idempotency keys: which backends share deduplication.
+  Duration deduplication_window{0};  ///< With idempotency keys: how long backends remember a key.
+  Duration latency_objective{0};     ///< Answers that take longer count as late.
+  Duration deadline{0};              ///< Time a client waits in total, over all its attempts.
+  double priority_weight = 1;        ///< Weight of a request answered within the objective.
+  double late_weight = 0;            ///< Factor of the weight of a request answered late.
 };
 
 /// Settings of one tenant.
--- a/src/balancer/attempt_permission.cpp
+++ b/src/balancer/attempt_permission.cpp
@@ -27,14 +27,14 @@
   const ClassSettings& request_class = settings.classes[static_cast<std::size_t>(request.request_class)];
   const auto first_run = std::find_if(request.attempts.begin(), request.attempts.end(),
                                       [](const Attempt& attempt) { return attempt.may_have_run; });
-  if (first_run == request.attempts.end() || request_class.effect == Idempotency::kIdempotent)
+  if (first_run == request.attempts.end() || request_class.idempotency == Idempotency::kIdempotent)
     return permission;
 
-  permission.may_reject =
-      request_class.effect == Idempotency::kIdempotencyKey && request_class.group == DeduplicationScope::kAll;
-  permission.begin_before = first_run->sent_at + request_class.window * kUsableShareOfWindow;
+  permission.may_reject = request_class.idempotency == Idempotency::kIdempotencyKey &&
+                          request_class.deduplication_scope == DeduplicationScope::kAll;
+  permission.begin_before = first_run->sent_at + request_class.deduplication_window * kUsableShareOfWindow;
   const Backend* const first_backend = backends.Find(first_run->backend);
-  if (request_class.effect == Idempotency::kNotIdempotent || now >= permission.begin_before ||
+  if (request_class.idempotency == Idempotency::kNotIdempotent || now >= permission.begin_before ||
       first_backend == nullptr) {
     permission.may_dispatch = false;
   }
--- a/src/balancer/attempt_timeout.cpp
+++ b/src/balancer/attempt_timeout.cpp
@@ -13,7 +13,7 @@
 Duration AttemptTimeouts::TimeoutFor(const Request& request, const Backend& backend, TimePoint now) const {
   const Responsiveness& responsiveness = backend.responsiveness;
   const bool owes_response = backend.in_flight.attempts > 0 || responsiveness.unresponsive;
-  if (!owes_response || ClassOf(request).effect == Idempotency::kNotIdempotent || !IsBounded(request))
+  if (!owes_response || ClassOf(request).idempotency == Idempotency::kNotIdempotent || !IsBounded(request))
     return Duration(0);
   if (static_cast<int>(request.attempts.size()) + 1 >= settings_.max_attempts) return Duration(0);
   const Duration max_likely = MaxLikelyLatency(request);
@@ -33,7 +33,7 @@
 }
 
 bool AttemptTimeouts::RetryWouldHelp(const Request& request, TimePoint now) const {
-  return ClassOf(request).effect != Idempotency::kNotIdempotent &&
+  return ClassOf(request).idempotency != Idempotency::kNotIdempotent &&
          static_cast<int>(request.attempts.size()) < settings_.max_attempts &&
          !(now + ExpectedLatency(request) > request.deadline);
 }
--- a/src/balancer/selection.cpp
+++ b/src/balancer/selection.cpp
@@ -29,7 +29,8 @@
     if (index >= ring.size()) index -= ring.size();
     Backend& backend = *ring[index];
     const Backend* const first = permission.deduplicated_with;
-    if (first != nullptr && !SharesDeduplication(request_class.group, first->endpoint, backend.endpoint)) {
+    if (first != nullptr &&
+        !SharesDeduplication(request_class.deduplication_scope, first->endpoint, backend.endpoint)) {
       continue;
     }
     if (!zone_quotas_.HasCapacity(backend.endpoint.zone, reserved_share, now)) continue;
@@ -55,7 +56,7 @@
 bool BackendSelector::AwaitsResponse(const Request& request, const Backend& backend, TimePoint now) const {
   if (!backend.responsiveness.unresponsive) return false;
   const ClassSettings& request_class = settings_.classes[static_cast<std::size_t>(request.request_class)];
-  return request_class.effect == Idempotency::kNotIdempotent || backend.in_flight.attempts > 0 ||
+  return request_class.idempotency == Idempotency::kNotIdempotent || backend.in_flight.attempts > 0 ||
          now - backend.responsiveness.last_sent_at < kMinProbeInterval;
 }
 
--- a/src/proxy/request_validator.cpp
+++ b/src/proxy/request_validator.cpp
@@ -78,12 +78,12 @@
 }
 
 RequestResult<void> CheckMethodAndKey(const ClientRequest& request, const ClassSettings& settings) {
-  const bool idempotent = settings.effect == Idempotency::kIdempotent;
+  const bool idempotent = settings.idempotency == Idempotency::kIdempotent;
   if (request.method() != (idempotent ? http::verb::get : http::verb::post))
     return RequestError::kMethodNotOfClass;
   // Without its key a repetition would not be dropped at the backend, and the balancer counts on that.
   const auto key = HeaderOf(request, "Idempotency-Key");
-  const bool needs_key = settings.effect == Idempotency::kIdempotencyKey;
+  const bool needs_key = settings.idempotency == Idempotency::kIdempotencyKey;
   if (needs_key == key.empty() || key.size() > kMaxIdLength) return RequestError::kIdempotencyKeyNotOfClass;
   return {};
 }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -37,10 +37,10 @@
 // `prefix` is the path of the class, with its last dot.
 ClassSettings ReadClass(SettingsReader& reader, const std::string& prefix) {
   ClassSettings settings;
-  settings.effect = ReadIdempotency(reader, prefix + "effect");
-  if (settings.effect == Idempotency::kIdempotencyKey) {
-    settings.group = ReadDeduplicationScope(reader, prefix + "group");
-    settings.window = reader.Time(prefix + "windowMs");
+  settings.idempotency = ReadIdempotency(reader, prefix + "effect");
+  if (settings.idempotency == Idempotency::kIdempotencyKey) {
+    settings.deduplication_scope = ReadDeduplicationScope(reader, prefix + "group");
+    settings.deduplication_window = reader.Time(prefix + "windowMs");
   }
   settings.latency_objective = reader.Time(prefix + "goalTimeMs");
   settings.deadline = reader.Time(prefix + "deadlineMs");
--- a/src/simulator/backend_pool.cpp
+++ b/src/simulator/backend_pool.cpp
@@ -61,7 +61,7 @@
 }
 
 int BackendPool::DeduplicationScopeOf(const balancer::ClassSettings& rules, std::size_t index) const {
-  switch (rules.group) {
+  switch (rules.deduplication_scope) {
     case DeduplicationScope::kAll:
       return 0;
     case DeduplicationScope::kZone:
--- a/src/simulator/client_population.cpp
+++ b/src/simulator/client_population.cpp
@@ -128,7 +128,7 @@
   const ClientRequest& request = state_.requests.client_request(id);
   ClassResult& result = state_.class_result(request.request_class);
   const bool is_rejected = response.outcome == RequestOutcome::kRejected;
-  const Idempotency effect = state_.class_model(request.request_class).rules.effect;
+  const Idempotency effect = state_.class_model(request.request_class).rules.idempotency;
   const bool may_retry = is_rejected || effect != Idempotency::kNotIdempotent;
   if (request.submissions >= state_.model.clients.max_submissions || !may_retry) {
     ++(is_rejected ? result.rejected : result.failed);
--- a/src/simulator/rule_checker.cpp
+++ b/src/simulator/rule_checker.cpp
@@ -33,7 +33,7 @@
   if (submission.has_disconnected) return;
   if (queue_.now() > submission.deadline) Violate(Rule::kNoRequestLost, "an answer after the client's time");
   submission.is_answered = true;
-  submission.is_rejected = is_rejection && rules.effect == Idempotency::kNotIdempotent;
+  submission.is_rejected = is_rejection && rules.idempotency == Idempotency::kNotIdempotent;
   if (submission.is_rejected && submission.effects > 0)
     Violate(Rule::kNoRepeatedEffect, "a refusal of what has taken effect");
 }
@@ -60,15 +60,15 @@
                                 int deduplication_scope) {
   if (submission.is_rejected) Violate(Rule::kNoRepeatedEffect, "what was refused takes effect");
   const bool is_first = submission.effects == 0;
-  const bool is_dropped = !is_first && rules.effect == Idempotency::kIdempotencyKey &&
+  const bool is_dropped = !is_first && rules.idempotency == Idempotency::kIdempotencyKey &&
                           deduplication_scope == submission.effect_scope &&
-                          queue_.now() - submission.first_effect_at <= rules.window;
+                          queue_.now() - submission.first_effect_at <= rules.deduplication_window;
   if (is_dropped) return false;
   ++submission.effects;
   if (is_first) {
     submission.effect_scope = deduplication_scope;
     submission.first_effect_at = queue_.now();
-  } else if (rules.effect != Idempotency::kIdempotent) {
+  } else if (rules.idempotency != Idempotency::kIdempotent) {
     Violate(Rule::kNoRepeatedEffect, "a second effect of a request");
   }
   return true;
--- a/src/simulator/scenario.cpp
+++ b/src/simulator/scenario.cpp
@@ -95,9 +95,9 @@
   table.Require("name", "the class's name");
   model.name = table.Text("name");
   ClassSettings& rules = model.rules;
-  rules.effect = static_cast<Idempotency>(ReadName(table, "effect", kIdempotencyNames, 0));
-  rules.group = static_cast<DeduplicationScope>(ReadName(table, "group", kScopeNames, 2));
-  rules.window = ReadDuration(table, "window", milliseconds(10000), milliseconds(0), kDay);
+  rules.idempotency = static_cast<Idempotency>(ReadName(table, "effect", kIdempotencyNames, 0));
+  rules.deduplication_scope = static_cast<DeduplicationScope>(ReadName(table, "group", kScopeNames, 2));
+  rules.deduplication_window = ReadDuration(table, "window", milliseconds(10000), milliseconds(0), kDay);
   rules.latency_objective = ReadDuration(table, "aim", milliseconds(500), milliseconds(1), kDay);
   rules.deadline = ReadDuration(table, "deadline", milliseconds(1500), milliseconds(10), kTenMinutes);
   if (rules.deadline < rules.latency_objective)
--- a/tests/balancer/random_schedules_test.cpp
+++ b/tests/balancer/random_schedules_test.cpp
@@ -160,14 +160,14 @@
     EXPECT_LT(static_cast<int>(request.attempts.size()), settings_.max_attempts);
     EXPECT_TRUE(listed_.count(dispatch.server) && listed_[dispatch.server].state == BackendState::kReady)
         << "drain";
-    const Idempotency effect = ClassOf(request).effect;
+    const Idempotency effect = ClassOf(request).idempotency;
     for (const SentAttempt& attempt : request.attempts) {
       EXPECT_TRUE(!attempt.outstanding) << "two attempts outstanding";
       if (NeverRan(attempt)) continue;
       EXPECT_NE(effect, Idempotency::kNotIdempotent) << "may be processed twice";
       if (effect == Idempotency::kIdempotencyKey) {
         EXPECT_EQ(backends_[attempt.server].cell, backends_[dispatch.server].cell);
-        EXPECT_LE(now_ - attempt.sent_at, ClassOf(request).window.count());
+        EXPECT_LE(now_ - attempt.sent_at, ClassOf(request).deduplication_window.count());
       }
     }
   }
@@ -193,7 +193,7 @@
       OpenRequest& request = open_.at(reject->request);
       EXPECT_EQ(++request.finals, 1);
       for (const SentAttempt& attempt : request.attempts) {
-        EXPECT_TRUE(NeverRan(attempt) || ClassOf(request).effect == Idempotency::kIdempotent)
+        EXPECT_TRUE(NeverRan(attempt) || ClassOf(request).idempotency == Idempotency::kIdempotent)
             << "rejected though it may have run";
       }
     } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
--- a/tests/compatibility/settings_dump.h
+++ b/tests/compatibility/settings_dump.h
@@ -19,9 +19,9 @@
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     const balancer::ClassSettings& one = settings.classes[i];
     dump->BeginTable("classes." + std::to_string(i));
-    dump->Add("effect", one.effect);
-    dump->Add("group", one.group);
-    dump->Add("windowMs", one.window);
+    dump->Add("effect", one.idempotency);
+    dump->Add("group", one.deduplication_scope);
+    dump->Add("windowMs", one.deduplication_window);
     dump->Add("goalTimeMs", one.latency_objective);
     dump->Add("deadlineMs", one.deadline);
     dump->Add("worth", one.priority_weight);
--- a/tests/compatibility/simulator_compatibility_test.cpp
+++ b/tests/compatibility/simulator_compatibility_test.cpp
@@ -93,9 +93,9 @@
 void AddClass(const simulator::ClassModel& one, KeyValueDump* dump) {
   dump->BeginTable("class");
   dump->Add("name", one.name);
-  dump->Add("effect", one.rules.effect);
-  dump->Add("group", one.rules.group);
-  dump->Add("window", one.rules.window);
+  dump->Add("effect", one.rules.idempotency);
+  dump->Add("group", one.rules.deduplication_scope);
+  dump->Add("window", one.rules.deduplication_window);
   dump->Add("aim", one.rules.latency_objective);
   dump->Add("deadline", one.rules.deadline);
   dump->Add("worth", one.rules.priority_weight);
--- a/tests/fingerprint/scenario.cpp
+++ b/tests/fingerprint/scenario.cpp
@@ -25,11 +25,11 @@
 
 balancer::ClassSettings DrawClass(Random* random) {
   balancer::ClassSettings settings;
-  settings.effect = static_cast<balancer::Idempotency>(random->Integer(0, 2));
-  settings.group = static_cast<balancer::DeduplicationScope>(random->Integer(0, 2));
+  settings.idempotency = static_cast<balancer::Idempotency>(random->Integer(0, 2));
+  settings.deduplication_scope = static_cast<balancer::DeduplicationScope>(random->Integer(0, 2));
   settings.latency_objective = Duration(random->Between(60, 500));
   settings.deadline = settings.latency_objective * random->Between(1.2, 5);
-  settings.window = settings.deadline * random->Between(0.2, 1.2);
+  settings.deduplication_window = settings.deadline * random->Between(0.2, 1.2);
   settings.priority_weight = random->Between(1, 10);
   settings.late_weight = random->Chance(0.3) ? 0 : random->Between(0, 0.8);
   return settings;
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -20,10 +20,10 @@
 /// ms.
 inline ClassSettings Class(Idempotency effect, double latency_objective = 200, double deadline = 1000) {
   ClassSettings c;
-  c.effect = effect;
+  c.idempotency = effect;
   c.latency_objective = Duration(latency_objective);
   c.deadline = Duration(deadline);
-  c.window = Duration(500);
+  c.deduplication_window = Duration(500);
   return c;
 }
 
@@ -33,7 +33,7 @@
   Settings s;
   s.classes = {Class(Idempotency::kIdempotent), Class(Idempotency::kIdempotencyKey),
                Class(Idempotency::kNotIdempotent)};
-  s.classes[1].group = DeduplicationScope::kCell;
+  s.classes[1].deduplication_scope = DeduplicationScope::kCell;
   s.max_attempts = 4;
   s.balancer_count = 1;
   s.slow_start_floor = 0.25;
--- a/tests/multiprocess/backend_fleet.cpp
+++ b/tests/multiprocess/backend_fleet.cpp
@@ -17,7 +17,7 @@
 double MaxDeduplicationWindowMs(const simulator::Model& model) {
   double max_ms = 0;
   for (const simulator::ClassModel& request_class : model.classes)
-    max_ms = std::max(max_ms, request_class.rules.window.count());
+    max_ms = std::max(max_ms, request_class.rules.deduplication_window.count());
   return max_ms;
 }
 
--- a/tests/multiprocess/client_fleet.cpp
+++ b/tests/multiprocess/client_fleet.cpp
@@ -15,9 +15,10 @@
 std::vector<ClientClass> ClassesFrom(const simulator::Model& model) {
   std::vector<ClientClass> classes;
   for (const simulator::ClassModel& request_class : model.classes) {
-    classes.push_back({request_class.name, static_cast<int>(request_class.rules.effect), request_class.share,
-                       request_class.rules.deadline.count(), static_cast<int>(request_class.work.kind),
-                       request_class.work.mean, request_class.work.spread});
+    classes.push_back({request_class.name, static_cast<int>(request_class.rules.idempotency),
+                       request_class.share, request_class.rules.deadline.count(),
+                       static_cast<int>(request_class.work.kind), request_class.work.mean,
+                       request_class.work.spread});
   }
   return classes;
 }
--- a/tests/multiprocess/proxy_files.cpp
+++ b/tests/multiprocess/proxy_files.cpp
@@ -21,9 +21,9 @@
   constexpr const char* kDeduplicationScopes[] = {"all", "zone", "cell"};
   const balancer::ClassSettings& rules = request_class.rules;
   return {{"name", request_class.name},
-          {"effect", kIdempotency[static_cast<int>(rules.effect)]},
-          {"group", kDeduplicationScopes[static_cast<int>(rules.group)]},
-          {"windowMs", rules.window.count()},
+          {"effect", kIdempotency[static_cast<int>(rules.idempotency)]},
+          {"group", kDeduplicationScopes[static_cast<int>(rules.deduplication_scope)]},
+          {"windowMs", rules.deduplication_window.count()},
           {"goalTimeMs", rules.latency_objective.count()},
           {"deadlineMs", rules.deadline.count()},
           {"worth", rules.priority_weight},
--- a/tests/multiprocess/run_outcome.cpp
+++ b/tests/multiprocess/run_outcome.cpp
@@ -54,7 +54,7 @@
 VerdictRules RulesFrom(const simulator::Model& model) {
   VerdictRules rules;
   for (const simulator::ClassModel& request_class : model.classes) {
-    rules.classes.push_back({request_class.rules.effect, request_class.rules.priority_weight,
+    rules.classes.push_back({request_class.rules.idempotency, request_class.rules.priority_weight,
                              request_class.rules.latency_objective.count(), request_class.rules.late_weight});
   }
   rules.drain_grace_ms = model.drain_grace.count();
--- a/tests/proxy/config_test.cpp
+++ b/tests/proxy/config_test.cpp
@@ -42,8 +42,8 @@
   EXPECT_EQ(config.seed, 0xa5u);
   EXPECT_EQ(config.classes, (std::vector<std::string>{"preview", "convert", "certify"}));
   EXPECT_EQ(config.zones, (std::vector<std::string>{"port louis", "ebene"}));
-  EXPECT_EQ(config.settings.classes[1].effect, Idempotency::kIdempotencyKey);
-  EXPECT_EQ(config.settings.classes[2].effect, Idempotency::kNotIdempotent);
+  EXPECT_EQ(config.settings.classes[1].idempotency, Idempotency::kIdempotencyKey);
+  EXPECT_EQ(config.settings.classes[2].idempotency, Idempotency::kNotIdempotent);
   EXPECT_EQ(config.settings.max_retry_after.count(), 600);
   EXPECT_EQ(config.connect_timeout.count(), 250);
   EXPECT_EQ(config.backend_idle_timeout.count(), 60000);
--- a/tests/proxy/crossings_play.cpp
+++ b/tests/proxy/crossings_play.cpp
@@ -53,7 +53,7 @@
   static const Config kConfig = TestConfig({});
   Config config = kConfig;
   config.listen = address_;
-  config.settings.classes[1].window = Duration(exchange_.window_ms);
+  config.settings.classes[1].deduplication_window = Duration(exchange_.window_ms);
   return config;
 }
 
--- a/tests/proxy/customer_settings_test.cpp
+++ b/tests/proxy/customer_settings_test.cpp
@@ -133,12 +133,12 @@
     const std::size_t index = static_cast<std::size_t>(number) % config_.classes.size();
     const ClassSettings& settings = config_.settings.classes[index];
     const std::string& name = config_.classes[index];
-    const bool is_get = settings.effect == Idempotency::kIdempotent;
+    const bool is_get = settings.idempotency == Idempotency::kIdempotent;
     std::string request =
         std::string(is_get ? "GET /" : "POST /") + name +
         "?obj=9 HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: " + id + "\r\nX-Service-Class: " + name +
         "\r\nX-Time-Left-Ms: " + std::to_string(static_cast<int>(settings.deadline.count())) + "\r\n";
-    if (settings.effect == Idempotency::kIdempotencyKey) request += "Idempotency-Key: k" + id + "\r\n";
+    if (settings.idempotency == Idempotency::kIdempotencyKey) request += "Idempotency-Key: k" + id + "\r\n";
     if (!customer_.tenants.empty()) request += "X-Account: t" + std::to_string(number) + "\r\n";
     return request + (is_get ? "\r\n" : "Content-Length: 3\r\n\r\nEND");
   }
@@ -148,18 +148,18 @@
     EXPECT_TRUE(IsServed(answer) || IsFailed(answer) || IsRejected(answer)) << answer;
     const std::size_t index = std::stoul(id.substr(1)) % config_.classes.size();
     const ClassSettings& settings = config_.settings.classes[index];
-    const bool is_keyed = settings.effect == Idempotency::kIdempotencyKey;
+    const bool is_keyed = settings.idempotency == Idempotency::kIdempotencyKey;
     EXPECT_LE(runs_[id], std::min(kMaxAttempts, customer_.attempts));
-    if (settings.effect == Idempotency::kNotIdempotent) {
+    if (settings.idempotency == Idempotency::kNotIdempotent) {
       EXPECT_LE(runs_[id], 1);
     }
-    if (is_keyed && settings.group == balancer::DeduplicationScope::kCell) {
+    if (is_keyed && settings.deduplication_scope == balancer::DeduplicationScope::kCell) {
       EXPECT_LE(cells_[id].size(), 1u);
     }
-    if (is_keyed && settings.window == Duration(0)) {
+    if (is_keyed && settings.deduplication_window == Duration(0)) {
       EXPECT_LE(runs_[id], 1) << "nothing remembers it";
     }
-    if (IsRejected(answer) && settings.effect == Idempotency::kNotIdempotent) {
+    if (IsRejected(answer) && settings.idempotency == Idempotency::kNotIdempotent) {
       EXPECT_EQ(runs_[id], 0);
     }
   }
--- a/tests/request_table/request_table_harness.h
+++ b/tests/request_table/request_table_harness.h
@@ -175,15 +175,15 @@
   void CheckRetryRules(const Send& send, const Request& request) const {
     const ClassSettings& settings = SettingsOf(request);
     if (request.may_have_run) {
-      EXPECT_NE(settings.effect, Idempotency::kNotIdempotent);
-      if (settings.effect == Idempotency::kIdempotencyKey) {
+      EXPECT_NE(settings.idempotency, Idempotency::kNotIdempotent);
+      if (settings.idempotency == Idempotency::kIdempotencyKey) {
         EXPECT_EQ(servers.at(send.server).cell, request.cell);
-        EXPECT_LE(At(now) - request.first_run, settings.window);
-        EXPECT_LE(send.begin_before - request.first_run, settings.window);
+        EXPECT_LE(At(now) - request.first_run, settings.deduplication_window);
+        EXPECT_LE(send.begin_before - request.first_run, settings.deduplication_window);
         EXPECT_LT(At(now), send.begin_before);
       }
     }
-    if (!request.may_have_run || settings.effect == Idempotency::kIdempotent) {
+    if (!request.may_have_run || settings.idempotency == Idempotency::kIdempotent) {
       EXPECT_EQ(send.begin_before, TimePoint::max());
     }
   }
@@ -210,8 +210,8 @@
     EXPECT_LT(At(now), request.deadline);
     request.outcome = respond.outcome;
     if (respond.outcome != RequestOutcome::kRejected) return;
-    EXPECT_FALSE(request.in_flight && SettingsOf(request).effect == Idempotency::kNotIdempotent);
-    if (SettingsOf(request).effect == Idempotency::kNotIdempotent) {
+    EXPECT_FALSE(request.in_flight && SettingsOf(request).idempotency == Idempotency::kNotIdempotent);
+    if (SettingsOf(request).idempotency == Idempotency::kNotIdempotent) {
       EXPECT_FALSE(request.may_have_run) << "a rejection says that a retry is harmless";
     }
   }
--- a/tests/request_table/request_table_test.cpp
+++ b/tests/request_table/request_table_test.cpp
@@ -123,7 +123,7 @@
 TEST(RequestTableTest, RetryWithIdempotencyKeyMustBeginWithinWindow) {
   for (const double window : {0.0, 100.0, 10000.0}) {
     Settings settings = ThreeClassSettings();
-    settings.classes[1].window = Duration(window);
+    settings.classes[1].deduplication_window = Duration(window);
     Harness harness(settings, 3);
     harness.UpdateEndpoint(Entry(1, 0, 0));
     harness.UpdateEndpoint(Entry(2, 0, 0));
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -39,10 +39,10 @@
   const Settings settings = ParseSettings(kSampleSettings).value();
   EXPECT_EQ(settings.balancer_count, 2);
   ASSERT_EQ(settings.classes.size(), 2u);
-  EXPECT_EQ(settings.classes[0].effect, Idempotency::kIdempotent);
-  EXPECT_EQ(settings.classes[1].effect, Idempotency::kIdempotencyKey);
-  EXPECT_EQ(settings.classes[1].group, DeduplicationScope::kCell);
-  EXPECT_EQ(settings.classes[1].window.count(), 750);
+  EXPECT_EQ(settings.classes[0].idempotency, Idempotency::kIdempotent);
+  EXPECT_EQ(settings.classes[1].idempotency, Idempotency::kIdempotencyKey);
+  EXPECT_EQ(settings.classes[1].deduplication_scope, DeduplicationScope::kCell);
+  EXPECT_EQ(settings.classes[1].deduplication_window.count(), 750);
   EXPECT_EQ(settings.classes[1].priority_weight, 10);
   ASSERT_EQ(settings.tenants.size(), 1u);
   EXPECT_EQ(settings.tenants[0].quota_per_s, 57);
--- a/tests/simulator/slow_start_simulation_test.cpp
+++ b/tests/simulator/slow_start_simulation_test.cpp
@@ -25,9 +25,9 @@
                          double mean_work) {
   ClassModel model;
   model.name = name;
-  model.rules.effect = effect;
-  model.rules.group = DeduplicationScope::kCell;
-  model.rules.window = Duration(10000);
+  model.rules.idempotency = effect;
+  model.rules.deduplication_scope = DeduplicationScope::kCell;
+  model.rules.deduplication_window = Duration(10000);
   model.rules.latency_objective = Duration(500);
   model.rules.deadline = Duration(2000);
   model.rules.priority_weight = priority_weight;
--- a/tests/simulator/small_model.cpp
+++ b/tests/simulator/small_model.cpp
@@ -10,9 +10,9 @@
 ClassModel MakeClass(const char* name, Idempotency effect, double priority_weight, double share) {
   ClassModel model;
   model.name = name;
-  model.rules.effect = effect;
-  model.rules.group = DeduplicationScope::kCell;
-  model.rules.window = Duration(10000);
+  model.rules.idempotency = effect;
+  model.rules.deduplication_scope = DeduplicationScope::kCell;
+  model.rules.deduplication_window = Duration(10000);
   model.rules.latency_objective = Duration(300);
   model.rules.deadline = Duration(1000);
   model.rules.priority_weight = priority_weight;
