--- a/include/badgerbridge/balancer.h
+++ b/include/badgerbridge/balancer.h
@@ -84,8 +84,10 @@
   Duration max_poll_interval{0};     ///< With polling: maximum interval between calls to discovery.
   double slow_start_floor = 1;       ///< Slow start: minimum capacity share of a backend at its start.
   Duration slow_start_window{0};     ///< Slow start: time until a backend has its full capacity.
-  double overload_factor = 1;     ///< A backend is overloaded if sent more than this multiple of its capacity
-  Duration overload_duration{0};  ///< during this time.
+  /// A backend is overloaded if it is sent more than this multiple of its capacity within
+  /// `overload_duration`.
+  double overload_factor = 1;
+  Duration overload_duration{0};  ///< Time window of `overload_factor`.
 };
 
 /// Whether a backend accepts requests.
--- a/src/agent/agent_runtime.cpp
+++ b/src/agent/agent_runtime.cpp
@@ -25,7 +25,7 @@
 constexpr Time kMinLogCheckInterval{1000};
 constexpr Time kMaxIdleTime{60000};  // between two runs of RunDueWork()
 constexpr milliseconds kMaxStatusWait{60};
-constexpr std::size_t kMaxExitLogBytes = 200;  // of the last log line quoted in the description of an exit
+constexpr std::size_t kMaxExitLogBytes = 200;  // limits the log line quoted in the description of an exit
 
 }  // namespace
 
--- a/src/balancer/attempt_permission.h
+++ b/src/balancer/attempt_permission.h
@@ -14,7 +14,7 @@
 struct AttemptPermission {
   /// An attempt may be dispatched.
   bool may_dispatch = false;
-  /// It may be rejected: no backend has processed it, or processing it again is safe.
+  /// The request may be rejected: no backend has processed it, or processing it again is safe.
   bool may_reject = false;
   /// If not null: only backends that share deduplication with this one are permitted.
   const Backend* deduplicated_with = nullptr;
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -219,7 +219,7 @@
     const Backend* const skipped = selection.over_slow_start_budget;
     if (skipped != nullptr && log_throttle_.Permits(LogTopic::kSlowStart, now_)) {
       const double share = slow_start_.CapacityShare(skipped->endpoint, now_);
-      WriteLog(BackendName(skipped->endpoint.server) + " passed over: warming up, at " +
+      WriteLog(BackendName(skipped->endpoint.server) + " skipped: slow-start budget exhausted at " +
                std::to_string(static_cast<int>(100 * share)) + "% or more of its capacity");
     }
     return selection.backend;
@@ -277,9 +277,9 @@
     const bool may_reject = PermissionFor(request, settings_, backends_, now_).may_reject;
     if (log_throttle_.Permits(LogTopic::kFinalAnswer, now_)) {
       const std::string last = request.attempts.empty()
-                                   ? "not in time"
+                                   ? "cannot be answered in time"
                                    : "last attempt at " + BackendName(request.attempts.back().backend);
-      WriteLog((may_reject ? "rejecting: " : "failing: ") + last + "; " +
+      WriteLog((may_reject ? "rejecting a request: " : "failing a request: ") + last + "; " +
                std::to_string(concurrency_.in_flight()) + " in flight, " + std::to_string(queue_.size()) +
                " queued");
     }
--- a/src/proxy/backend_connection.h
+++ b/src/proxy/backend_connection.h
@@ -44,7 +44,7 @@
     std::shared_ptr<const ForwardedRequest> request;  ///< the request to send
     std::shared_ptr<Requester> requester;             ///< the client; may be null
     TimePoint deadline{};                             ///< when the attempt times out
-    TimePoint begin_before{};                         ///< when its last byte must have been written
+    TimePoint begin_before{};                         ///< when the whole request must have been written
     AttemptCallback on_end;                           ///< called exactly once
   };
 
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -25,8 +25,8 @@
 constexpr milliseconds kKeepAliveTimeout{2200};    // longer than the 2 s that clients may rely on
 constexpr Duration kTypicalFirstRequestTime{250};  // from connecting until the complete first request
 constexpr Duration kTypicalReadTime{1000};         // for reading a complete answer
-// Extensions for a client that has not received its answer, if unread bytes would turn the close into a
-// reset.
+// The linger time is extended at most this often while a close would reset the connection, because bytes are
+// unread, before the client has received its answer.
 constexpr int kMaxLingerExtensions = 3;
 
 }  // namespace
--- a/src/zone_failover/admission.cpp
+++ b/src/zone_failover/admission.cpp
@@ -45,11 +45,11 @@
 }
 
 Decision Admission::WithoutNewMembers(const Decision& previous, const Decision& next) {
-  Decision without = next;
-  without.admitted_revision = previous.admitted_revision;
-  std::erase_if(without.readmitted,
+  Decision without_new_members = next;
+  without_new_members.admitted_revision = previous.admitted_revision;
+  std::erase_if(without_new_members.readmitted,
                 [&](const MemberIncarnation& incarnation) { return !IsReadmitted(previous, incarnation); });
-  return without;
+  return without_new_members;
 }
 
 bool Admission::ShouldDelay(TimePoint now, bool reduces_grants) {
--- a/src/zone_failover/decision.h
+++ b/src/zone_failover/decision.h
@@ -45,7 +45,7 @@
   friend auto operator<=>(const MemberIncarnation&, const MemberIncarnation&) = default;
 };
 
-/// A member that a decision counts.
+/// A member that Decision::Zone::members counts: it shares the grants of its zone.
 struct RosterEntry {
   std::string member;  ///< name of the member; empty: not known
   int zone = 0;        ///< index of the member's zone
--- a/src/zone_failover/error.h
+++ b/src/zone_failover/error.h
@@ -16,7 +16,7 @@
   enum class Record {
     kLoadReport,  ///< a member's load report
     kDecision,    ///< the decision that all members share
-    kRoster,      ///< the list of members that the decision counts
+    kRoster,      ///< the list of members that share the grants of a decision
   };
   /// The cause of the rejection.
   enum class Kind {
--- a/src/zone_failover/failover_leader.cpp
+++ b/src/zone_failover/failover_leader.cpp
@@ -99,9 +99,10 @@
                               const AllocationInput& input, Decision* next) {
   allocator_.Allocate(input, members_.HoldersUnder(now, snapshot, *next), next);
   if (!Admission::AdmitsMore(previous, *next)) return;
-  Decision without = Admission::WithoutNewMembers(previous, *next);
-  allocator_.Allocate(input, members_.HoldersUnder(now, snapshot, without), &without);
-  if (admission_.ShouldDelay(now, ReducesGrants(without, *next))) *next = std::move(without);
+  Decision without_new_members = Admission::WithoutNewMembers(previous, *next);
+  allocator_.Allocate(input, members_.HoldersUnder(now, snapshot, without_new_members), &without_new_members);
+  if (admission_.ShouldDelay(now, ReducesGrants(without_new_members, *next)))
+    *next = std::move(without_new_members);
 }
 
 std::optional<Decision> FailoverLeader::NextDecision(TimePoint now, const Snapshot& snapshot,
--- a/src/zone_failover/member.cpp
+++ b/src/zone_failover/member.cpp
@@ -135,7 +135,7 @@
   }
   backoff_ = settings_.backoff;
   wake_at_ = now;
-  std::visit([&](const auto& made) { HandleReply(now, made, reply); }, call);
+  std::visit([&](const auto& ended_call) { HandleReply(now, ended_call, reply); }, call);
 }
 
 void Member::HandleReply(TimePoint /*now*/, const GrantLease& /*call*/, const Reply& reply) {
--- a/src/zone_failover/member_tracker.cpp
+++ b/src/zone_failover/member_tracker.cpp
@@ -95,8 +95,8 @@
     state.epoch = report.load.epoch;
     state.demand = report.load.demand;
     if (is_new) state.inherits_share = counted.count(report.member) > 0;
-    if (state.admitted_at == 0 && snapshot.decision && Admits(*snapshot.decision, report))
-      state.admitted_at = is_new ? 1 : snapshot.decision->epoch;
+    if (state.admitted_epoch == 0 && snapshot.decision && Admits(*snapshot.decision, report))
+      state.admitted_epoch = is_new ? 1 : snapshot.decision->epoch;
     next[report.incarnation()] = state;
   }
   return next;
@@ -133,13 +133,13 @@
 // than 0.
 bool MemberTracker::MayActOnEarlierGrants(const IncarnationState& state, std::uint64_t epoch) {
   if (!state.inherits_share || epoch == 0) return false;
-  return state.admitted_at == 0 || epoch < state.admitted_at;
+  return state.admitted_epoch == 0 || epoch < state.admitted_epoch;
 }
 
 std::uint64_t MemberTracker::OldestEpoch(const IncarnationState& state, std::uint64_t epoch) {
   if (MayActOnEarlierGrants(state, epoch)) return epoch;
-  if (state.admitted_at == 0) return kNoEpoch;
-  return std::max(state.admitted_at, epoch);  // it had no share of the grants before its admission
+  if (state.admitted_epoch == 0) return kNoEpoch;
+  return std::max(state.admitted_epoch, epoch);  // the member had no share of grants before its admission
 }
 
 std::vector<GrantHolders> MemberTracker::HoldersUnder(TimePoint now, const Snapshot& snapshot,
@@ -149,7 +149,7 @@
     const IncarnationState state = StateOf(report);
     const std::uint64_t epoch = report.load.epoch;
     const bool may_act_on_earlier = MayActOnEarlierGrants(state, epoch);
-    const bool counts_before_admission = may_act_on_earlier && state.admitted_at == 0;
+    const bool counts_before_admission = may_act_on_earlier && state.admitted_epoch == 0;
     if (!Admits(decision, report) && !counts_before_admission) continue;
     AddHolder({report.zone(), OldestEpoch(state, epoch), true, !may_act_on_earlier, 1}, &groups);
   }
--- a/src/zone_failover/member_tracker.h
+++ b/src/zone_failover/member_tracker.h
@@ -67,8 +67,8 @@
     std::size_t zone = 0;
     std::uint64_t epoch = 0;  // last confirmed
     double demand = 0;
-    bool inherits_share = false;    // a member of this name was counted when it appeared
-    std::uint64_t admitted_at = 0;  // first epoch whose grants it may use; 0: not admitted
+    bool inherits_share = false;       // a member of this name was counted when it appeared
+    std::uint64_t admitted_epoch = 0;  // first epoch whose grants it may use; 0: not admitted
   };
   using Incarnations = std::map<MemberIncarnation, IncarnationState>;
 
--- a/tests/balancer/log_throttle_test.cpp
+++ b/tests/balancer/log_throttle_test.cpp
@@ -30,7 +30,7 @@
     collect_lines();
   }
   ASSERT_EQ(lines.size(), 1u) << "further lines within ten seconds are suppressed";
-  EXPECT_NE(lines[0].find("rejecting: not in time"), std::string::npos) << lines[0];
+  EXPECT_NE(lines[0].find("rejecting a request: cannot be answered in time"), std::string::npos) << lines[0];
   harness.now += 100;
   harness.UpdateEndpoints({Entry(1, 0, 0, BackendState::kReady, harness.now)});
   for (int i = 0; i < 10; ++i) {
@@ -38,7 +38,8 @@
     collect_lines();
   }
   ASSERT_EQ(lines.size(), 2u);
-  EXPECT_NE(lines[1].find("backend 1 passed over: warming up, at 25%"), std::string::npos) << lines[1];
+  EXPECT_NE(lines[1].find("backend 1 skipped: slow-start budget exhausted at 25%"), std::string::npos)
+      << lines[1];
 }
 
 }  // namespace
