--- a/src/membership/error.cpp
+++ b/src/membership/error.cpp
@@ -21,9 +21,9 @@
     case ErrorCode::kUnreadablePassword:
       return "cannot read a password from " + error.where;
     case ErrorCode::kUnknownHistory:
-      return error.where + ": changes up to version " + error.value + " of an unknown list";
+      return error.where + ": changes up to version " + error.value + " do not apply to a known list";
     case ErrorCode::kStaleVersion:
-      return error.where + ": version " + error.value + " is older than what was reported before";
+      return error.where + ": version " + error.value + " is older than an earlier report";
     case ErrorCode::kPageOutOfOrder:
       return error.where + ": version " + error.value + " does not continue the list in progress";
   }
--- a/src/membership/error.h
+++ b/src/membership/error.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// @file
-/// The errors of the membership package, and the result type that carries them.
+/// The errors of the membership package, and the result type that returns them.
 #ifndef BADGERBRIDGE_MEMBERSHIP_ERROR_H_
 #define BADGERBRIDGE_MEMBERSHIP_ERROR_H_
 
@@ -11,34 +11,34 @@
 
 namespace badgerbridge::membership {
 
-/// What went wrong.
+/// The kinds of errors.
 enum class ErrorCode {
   kNotJsonObject,       ///< A value in etcd is not a JSON object.
-  kNameMismatch,        ///< A value in etcd names another backend than its key.
-  kUnknownStatus,       ///< A backend's status is neither of the two that are defined.
+  kNameMismatch,        ///< The name in a value in etcd differs from the name in its key.
+  kUnknownStatus,       ///< The status is neither "Ready" nor "Terminating".
   kMissingAddress,      ///< A value in etcd has no address.
-  kInvalidNumber,       ///< A numeric field is no number, negative or too large.
-  kUnreadablePassword,  ///< The file that should hold a password cannot be read, or is empty.
-  kUnknownHistory,      ///< A report of changes to a list that its source has not reported.
-  kStaleVersion,        ///< A report that is older than what its source has reported.
-  kPageOutOfOrder,      ///< A report that does not belong to the paged list in progress.
+  kInvalidNumber,       ///< A numeric field is not a number, is negative or is too large.
+  kUnreadablePassword,  ///< The password file cannot be read or is empty.
+  kUnknownHistory,      ///< Changes before the source's first complete list, or in another epoch.
+  kStaleVersion,        ///< A report older than an earlier report of the same source.
+  kPageOutOfOrder,      ///< Does not continue the paged list in progress, or there is none.
 };
 
-/// One error: what went wrong, where, and the value that was wrong.
+/// An error with its location and the offending value.
 struct MembershipError {
-  ErrorCode code = ErrorCode::kNotJsonObject;  ///< What went wrong.
-  std::string where;                           ///< The field, the file, or the source of a report.
-  std::string value;  ///< The wrong value, as far as it is worth showing; may be empty.
+  ErrorCode code = ErrorCode::kNotJsonObject;  ///< The kind of error.
+  std::string where;                           ///< The field, the file, or the name of the source.
+  std::string value;                           ///< The offending value, possibly truncated; may be empty.
 };
 
-/// The error as one line for people, without a line feed.
+/// The error as one human-readable line, without a line feed.
 std::string Message(const MembershipError& error);
 
-/// Either a value or the error that prevented it.
+/// A value or an error.
 template <typename T>
 using Result = boost::system::result<T, MembershipError>;
 
-/// Called by `Result::value()` where there is no value: throws std::runtime_error with the message.
+/// Called by `Result::value()` if there is no value. Throws std::runtime_error with the message.
 [[noreturn]] void throw_exception_from_error(const MembershipError& error,
                                              const boost::source_location& location);
 
--- a/src/membership/etcd_settings.cpp
+++ b/src/membership/etcd_settings.cpp
@@ -38,9 +38,10 @@
   return password;
 }
 
-// Fills in what the settings of the source and of the client have in common.
+// Sets the connection settings that EtcdSourceSettings and etcd::ClientSettings have in common.
 template <typename Settings>
-Result<Settings> WithLink(Settings settings, const operator_config::EtcdConnectionSettings& table) {
+Result<Settings> WithConnectionSettings(Settings settings,
+                                        const operator_config::EtcdConnectionSettings& table) {
   settings.endpoints = ParseEndpoints(table);
   settings.channel = MakeChannelOptions(table);
   if (table.user.empty()) return settings;
@@ -57,11 +58,11 @@
   EtcdSourceSettings settings;
   settings.follower.prefix = table.prefix;
   if (!table.services.empty()) settings.FollowServices(table.services_prefix, table.services);
-  return WithLink(std::move(settings), table);
+  return WithConnectionSettings(std::move(settings), table);
 }
 
 Result<etcd::ClientSettings> MakeEtcdClientSettings(const operator_config::EtcdConnectionSettings& table) {
-  return WithLink(etcd::ClientSettings(), table);
+  return WithConnectionSettings(etcd::ClientSettings(), table);
 }
 
 }  // namespace badgerbridge::membership
--- a/src/membership/etcd_settings.h
+++ b/src/membership/etcd_settings.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// @file
-/// The operator's [etcd] table as settings of the membership source and of etcd's client.
+/// Converts the [etcd] table of the operator's file to settings of the membership source and the etcd client.
 #ifndef BADGERBRIDGE_MEMBERSHIP_ETCD_SETTINGS_H_
 #define BADGERBRIDGE_MEMBERSHIP_ETCD_SETTINGS_H_
 
@@ -12,10 +12,11 @@
 
 namespace badgerbridge::membership {
 
-/// The settings to follow the members with. Reads the password's file. Error: kUnreadablePassword.
+/// The settings of an EtcdSource. Reads the password file if a user is set. Error: kUnreadablePassword.
 Result<EtcdSourceSettings> MakeEtcdSourceSettings(const operator_config::EtcdSettings& table);
 
-/// The settings for single calls. Reads the password's file. Error: kUnreadablePassword.
+/// The settings of an etcd client for unary calls. Reads the password file if a user is set. Error:
+/// kUnreadablePassword.
 Result<etcd::ClientSettings> MakeEtcdClientSettings(const operator_config::EtcdConnectionSettings& table);
 
 }  // namespace badgerbridge::membership
--- a/src/membership/etcd_source.h
+++ b/src/membership/etcd_source.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// @file
-/// Follows the backends' keys in etcd and passes on what it learns, as reports for the ledger.
+/// Watches the backends' keys in etcd and converts what it receives to reports for the ledger.
 #ifndef BADGERBRIDGE_MEMBERSHIP_ETCD_SOURCE_H_
 #define BADGERBRIDGE_MEMBERSHIP_ETCD_SOURCE_H_
 
@@ -16,40 +16,40 @@
 
 namespace badgerbridge::membership {
 
-/// The settings of the link, with the backends' prefix.
+/// The settings of the connection to etcd, with the prefix of the backends' keys.
 struct EtcdSourceSettings : etcd::FollowerLinkSettings {
-  /// Follows the members under kBackendsPrefix.
+  /// Watches the members under kBackendsPrefix.
   EtcdSourceSettings() { follower.prefix = kBackendsPrefix; }
 
-  /// Follows the members of these services alone, whose keys are prefix + service + "/" + name.
+  /// Watches only the members of these services, whose keys are prefix + service + "/" + name.
   void FollowServices(const std::string& prefix, const std::vector<std::string>& names) {
     follower.prefix = prefix;
     services = names;
     for (const std::string& service : services) follower.sections.push_back(Feed::SectionOf(service));
   }
 
-  std::vector<std::string> services;  ///< Set by FollowServices.
+  std::vector<std::string> services;  ///< Set by FollowServices; empty: members are not listed by service.
 };
 
-/// One proxy's watch of the members. Runs on its io_context's thread.
+/// One proxy's watch of the members. Runs on the thread of its io_context.
 class EtcdSource {
  public:
-  /// Called with each report.
+  /// Called with the time of arrival and each report.
   using OnReport = std::function<void(Time, const Report&)>;
-  /// Called whenever etcd has shown that the list is up to date.
+  /// Called whenever a message from etcd confirms that the list is up to date.
   using OnContact = std::function<void(Time)>;
-  /// Called for each key that was read: why its value cannot be read, or an empty reason.
+  /// Called for each key received, with the reason why its value cannot be parsed; empty: it can.
   using OnKey = std::function<void(const std::string& key, const std::string& reason)>;
 
-  /// Starts at once. None of the functions is called from within the constructor.
+  /// Starts the watch. The constructor calls none of the callbacks.
   EtcdSource(boost::asio::io_context& io, const EtcdSourceSettings& settings, std::uint64_t seed,
              OnReport on_report, OnContact on_contact, OnKey on_key);
   EtcdSource(const EtcdSource&) = delete;
   EtcdSource& operator=(const EtcdSource&) = delete;
 
-  /// The state of the link, for status.
+  /// The state of the watch, for status reports.
   const etcd::Follower& follower() const { return link_.follower(); }
-  /// The monotonic clock that reports are stamped with.
+  /// The current time on the monotonic clock that the callbacks use.
   static Time Now() { return etcd::FollowerLink::Now(); }
 
  private:
--- a/src/membership/feed.cpp
+++ b/src/membership/feed.cpp
@@ -14,7 +14,6 @@
   return page.last ? Page::kLast : Page::kMiddle;
 }
 
-// The key with the reason why its value cannot be read, or with none.
 Feed::KeyProblem ProblemOf(const pb::KeyValue& kv, const Result<Member>& member) {
   return {kv.key(), member ? "" : Message(member.error())};
 }
--- a/src/membership/feed.h
+++ b/src/membership/feed.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// @file
-/// Turns what an etcd::Follower learns of the backends' keys into reports for the ledger. Pure.
+/// Converts the pages and events of an etcd::Follower to reports for the ledger. Pure: no I/O, no clock.
 #ifndef BADGERBRIDGE_MEMBERSHIP_FEED_H_
 #define BADGERBRIDGE_MEMBERSHIP_FEED_H_
 
@@ -16,30 +16,31 @@
 
 namespace badgerbridge::membership {
 
-/// Converts the pages and events of one follower. It keeps no copy of the list.
+/// Converts the pages and events of one follower. Keeps no copy of the list.
 class Feed {
  public:
-  /// Whether the value under a key can be read.
+  /// Whether the value of a key can be parsed.
   struct KeyProblem {
-    std::string key;     ///< The whole key in etcd.
-    std::string reason;  ///< Why its value cannot be read; empty: it can be.
+    std::string key;     ///< The full key in etcd.
+    std::string reason;  ///< Why its value cannot be parsed; empty: it can.
   };
-  /// What one page or one revision's events become.
+  /// The conversion of one page, or of the events of one revision.
   struct Output {
-    std::vector<KeyProblem> keys;  ///< Each key of the input.
+    std::vector<KeyProblem> keys;  ///< One entry for each key of the input, valid or not.
     Report report;                 ///< For the ledger.
   };
 
-  /// `prefix`: of the follower's keys. `services`: those of the follower's sections, in its order; empty: the
-  /// members' names follow the prefix. `source`: the index of these reports' source in the ledger.
+  /// `prefix`: the prefix of the follower's keys. `services`: the service of each section of the follower, in
+  /// the same order; empty: the member's name follows the prefix directly. `source`: the index of the
+  /// reports' source in the ledger.
   explicit Feed(std::string prefix, std::vector<std::string> services = {}, std::size_t source = 0);
 
-  /// What stands between the prefix and a member's name in the keys of a service.
+  /// The part of a key between the prefix and the member's name, for a member of `service`.
   static std::string SectionOf(const std::string& service) { return service + "/"; }
 
-  /// A page of the list at one revision as a page of a complete list.
+  /// Converts a page of the list at one revision to a page of a complete list.
   Output Convert(const etcd::Follower::SnapshotPage& page) const;
-  /// The events of one revision as changes, the newest of each member.
+  /// Converts the events of one revision to changes; of several events of a member only the last counts.
   Output Convert(const etcd::Follower::Events& events) const;
 
  private:
--- a/src/membership/ledger.cpp
+++ b/src/membership/ledger.cpp
@@ -10,13 +10,13 @@
 
 bool IsReady(const ViewEntry& entry) { return entry.member->state == MemberState::kReady; }
 
-// Whether a state takes a member further out of work than another does.
+// Order from best to worst: ready, draining, gone.
 bool IsWorse(MemberState state, MemberState than) {
   if (state == MemberState::kGone) return than != MemberState::kGone;
   return than == MemberState::kReady;
 }
 
-// Adds later changes to earlier ones. A member that is in both keeps its place with the later change.
+// Appends later changes. The later change of a member that is in both replaces the earlier one in place.
 void MergeChanges(std::vector<Member>* changes, std::vector<Member> later) {
   std::unordered_map<std::string_view, std::size_t> positions;
   for (std::size_t i = 0; i < changes->size(); ++i) positions.emplace((*changes)[i].name, i);
@@ -28,7 +28,7 @@
       continue;
     }
     const std::size_t position = found->second;
-    positions.erase(found);  // its key views the name that is overwritten here
+    positions.erase(found);  // its key points into the member that is overwritten next
     (*changes)[position] = std::move(member);
   }
   std::move(added.begin(), added.end(), std::back_inserter(*changes));
@@ -47,31 +47,31 @@
   SourceList& list = lists_[report.source];
   const Result<SourceList::Names> changed = list.Apply(now, report);
   if (!changed) return changed.error();
-  const bool staleness_matters = UpdateStaleness(now);
+  const bool staleness_may_change_view = UpdateStaleness(now);
   if (report.source == authority_) GuardMassDeparture(now, *changed);
   std::vector<Member> changes = Reevaluate(now, *changed);
-  if (staleness_matters) MergeChanges(&changes, ReevaluateAllNotReady(now));
-  list.ForgetDepartures(now, report.source == authority_ ? nullptr : &authority());
+  if (staleness_may_change_view) MergeChanges(&changes, ReevaluateAllNotReady(now));
+  list.DropTombstones(now, report.source == authority_ ? nullptr : &authority());
   return changes;
 }
 
-// Retains the members that the authority reports as gone, where they are too many at once.
+// Retains the members that the authority no longer lists if they exceed the limit of a mass departure.
 void Ledger::GuardMassDeparture(Time now, const SourceList::Names& changed) {
-  guard_.ForgetOldDepartures(now);
+  guard_.DropOldDepartures(now);
   std::vector<MemberPtr> leaving;
   for (const std::string& name : changed) {
-    if (authority().Lists(name)) {
+    if (authority().HasListed(name)) {
       guard_.Release(name);
       continue;
     }
-    const auto known = view_.find(name);
-    const bool was_ready = known != view_.end() && IsReady(known->second);
-    if (was_ready && !guard_.FindRetained(name)) leaving.push_back(known->second.member);
+    const auto old_entry = view_.find(name);
+    const bool was_ready = old_entry != view_.end() && IsReady(old_entry->second);
+    if (was_ready && !guard_.FindRetained(name)) leaving.push_back(old_entry->second.member);
   }
   guard_.RecordDepartures(now, leaving, ready_count_);
 }
 
-// The entry by the authority's report alone.
+// The entry according to the authority alone, retained members included.
 ViewEntry Ledger::EvaluateByAuthority(const std::string& name) const {
   ViewEntry entry;
   entry.source = authority_;
@@ -90,7 +90,7 @@
   return entry;
 }
 
-// An entry of state kGone: the member does not belong in the view.
+// Returns an entry of state kGone if the member does not belong in the view.
 ViewEntry Ledger::Evaluate(const std::string& name) const {
   ViewEntry entry = EvaluateByAuthority(name);
   if (entry.member->state == MemberState::kGone) return entry;
@@ -99,9 +99,9 @@
     const SourceList& list = lists_[source];
     if (source == authority_ || (list.staleness() == Staleness::kStale && is_authority_current)) continue;
     const Member* reported = list.Find(name);
-    const bool is_same_incarnation =
-        reported && !(reported->start_time_ms < entry.member->start_time_ms);  // or a later one
-    if (!is_same_incarnation || reported->state == MemberState::kReady) continue;
+    const bool is_same_or_newer_incarnation =
+        reported && !(reported->start_time_ms < entry.member->start_time_ms);
+    if (!is_same_or_newer_incarnation || reported->state == MemberState::kReady) continue;
     if (!IsWorse(reported->state, entry.member->state)) continue;
     entry.member = WithState(*entry.member, reported->state);
     entry.version = list.version();
@@ -125,24 +125,24 @@
   return changes;
 }
 
-// The member's change, if there is one.
+// Returns the member if its entry in the view changed.
 std::optional<Member> Ledger::ReevaluateMember(Time now, const std::string& name) {
   ViewEntry next = Evaluate(name);
-  const auto known = view_.find(name);
-  const bool is_known = known != view_.end();
+  const auto old_entry = view_.find(name);
+  const bool was_in_view = old_entry != view_.end();
   const bool is_gone = next.member->state == MemberState::kGone;
-  if (is_gone && !is_known) return std::nullopt;
+  if (is_gone && !was_in_view) return std::nullopt;
   if (is_gone) guard_.Release(name);
-  if (is_known && *known->second.member == *next.member) {
-    next.changed_at = known->second.changed_at;
+  if (was_in_view && *old_entry->second.member == *next.member) {
+    next.changed_at = old_entry->second.changed_at;
     PutEntry(&view_, std::move(next));
     return std::nullopt;
   }
-  if (is_known && IsReady(known->second)) --ready_count_;
+  if (was_in_view && IsReady(old_entry->second)) --ready_count_;
   if (IsReady(next)) ++ready_count_;
   const MemberPtr change = next.member;
   if (is_gone) {
-    view_.erase(known);
+    view_.erase(old_entry);
   } else {
     next.changed_at = now;
     PutEntry(&view_, std::move(next));
@@ -150,7 +150,7 @@
   return *change;
 }
 
-// Only these can be decided otherwise by another staleness.
+// Staleness affects only members that a source other than the authority reports as draining or gone.
 std::vector<Member> Ledger::ReevaluateAllNotReady(Time now) {
   SourceList::Names names;
   for (std::size_t source = 0; source < lists_.size(); ++source) {
@@ -160,16 +160,17 @@
   return Reevaluate(now, names);
 }
 
-// Whether a source's staleness changed so that its reports, or the others', may count otherwise.
+// Whether a change of staleness may change the view: the authority became current or ceased to be, or another
+// source became stale or ceased to be.
 bool Ledger::UpdateStaleness(Time now) {
-  bool matters = false;
+  bool may_change_view = false;
   for (std::size_t source = 0; source < lists_.size(); ++source) {
     const Staleness before = lists_[source].UpdateStaleness(now);
     const Staleness after = lists_[source].staleness();
     const Staleness decisive = source == authority_ ? Staleness::kCurrent : Staleness::kStale;
-    matters |= (before == decisive) != (after == decisive);
+    may_change_view |= (before == decisive) != (after == decisive);
   }
-  return matters;
+  return may_change_view;
 }
 
 void Ledger::RecordContact(Time now, std::size_t source) { lists_[source].RecordContact(now); }
--- a/src/membership/ledger.h
+++ b/src/membership/ledger.h
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// @file
-/// The current view of the members, decided from what several sources report, with the reason for each
-/// decision. Pure: reports and the time go in, changes come out. docs/etcd.md explains the rules; in short,
-/// for a member of one name and start time:
+/// The current view of the members, merged from the reports of several sources, with the reason for each
+/// decision. Pure: reports and the time are inputs, changes are outputs. docs/etcd.md explains the rules. In
+/// short, for a member of one name and start time:
 ///
-/// - It is ready only if the authority reports it as ready. No other source adds it or brings it back.
-/// - A drain or a departure counts at once, whichever current source reports it.
-/// - What a source reported no longer counts once that source is stale and the authority is current. Silence
-///   removes nothing.
-/// - A newer start time is a new incarnation: what was reported of the older one no longer counts.
+/// - It is ready only if the authority reports it as ready. No other source can add or restore it.
+/// - A drain or a departure takes effect at once if the authority or any source that is not stale reports it.
+/// - The reports of another source are ignored while that source is stale and the authority is current. A
+///   source that stops reporting removes no member.
+/// - A newer start time is a new incarnation: reports of the older one are ignored.
 /// - If the departures that the authority reports within a window exceed a share of the ready members, the
-///   members are retained until another source confirms, they come back, or a person releases them. Drains
-///   are never held back.
+///   members are retained until another source confirms the departure, the authority lists them again, or an
+///   operator releases them. Drains are never delayed.
 #ifndef BADGERBRIDGE_MEMBERSHIP_LEDGER_H_
 #define BADGERBRIDGE_MEMBERSHIP_LEDGER_H_
 
@@ -36,74 +36,75 @@
 
 /// One member of the current view.
 struct ViewEntry {
-  MemberPtr member;           ///< As the authority reports it, in the state decided; never null.
-  std::size_t source = 0;     ///< The index of the source whose report decided.
+  MemberPtr member;           ///< As reported by the authority, with the decided state; never null.
+  std::size_t source = 0;     ///< The index of the source whose report decided the state.
   std::uint64_t version = 0;  ///< The version of that source's list.
-  Time changed_at{0};         ///< When the entry last changed.
-  bool retained = false;      ///< Its departure is held back, as part of a mass departure.
+  Time changed_at{0};         ///< When the member last changed.
+  bool retained = false;      ///< Kept although the authority reports it gone, in a mass departure.
 };
 
-/// The key of a view's entry.
+/// The key of an entry in a MemberTable; views the name in `entry.member`.
 inline std::string_view KeyOf(const ViewEntry& entry) { return entry.member->name; }
 
-/// The settings of a ledger.
+/// The sources of a ledger and its limits.
 struct LedgerSettings {
   std::vector<SourceSettings> sources;   ///< Exactly one of them is the authority.
-  MassDepartureSettings mass_departure;  ///< Of departures that the authority reports.
-  SourceLimits limits;                   ///< Of each source's list.
+  MassDepartureSettings mass_departure;  ///< Applies to departures reported by the authority.
+  SourceLimits limits;                   ///< Apply to each source's list separately.
 };
 
-/// Decides the current view. Not thread-safe. Every function that changes the view returns the members that
-/// changed, those that left included, each of them once.
+/// Maintains the current view. Not thread-safe. Every function that changes the view returns the members that
+/// changed, each once, including those that left (state kGone).
 class Ledger {
  public:
-  /// A ledger of sources that have not reported yet.
+  /// Starts with an empty view; no source has reported yet.
   explicit Ledger(LedgerSettings settings);
 
-  /// Applies a report at `now` and returns the changes of the view. Members that join beyond the bound are
-  /// rejected while the rest is applied: rejection() tells. Errors, with nothing changed: kUnknownHistory,
-  /// kStaleVersion, kPageOutOfOrder.
+  /// Applies a report at `now` and returns the changes of the view. Joins beyond SourceLimits::max_members
+  /// are rejected (see rejection()) and the rest of the report is applied. Errors, with nothing changed:
+  /// kUnknownHistory, kStaleVersion, kPageOutOfOrder.
   Result<std::vector<Member>> ApplyReport(Time now, const Report& report);
 
-  /// The source is alive and has nothing new.
+  /// Records that the source is alive and has no changes. Ignored before its first complete list.
   void RecordContact(Time now, std::size_t source);
 
-  /// Applies what time alone changes and returns the changes of the view; due at NextWake.
+  /// Applies the staleness of the sources at `now` and returns the changes of the view. Due at NextWake.
   std::vector<Member> Tick(Time now);
 
-  /// When Tick is due, after `now`; nothing: never, unless a report comes.
+  /// When Tick is next due, after `now`; nullopt: not before the next report or contact.
   std::optional<Time> NextWake(Time now) const;
 
-  /// A person confirms that the retained members have left. Returns the changes of the view.
+  /// Removes the retained members on an operator's request. Returns the changes of the view.
   std::vector<Member> ReleaseRetained(Time now);
 
-  /// Records why the value under a key cannot be read, while its last good entry stays. An empty reason
-  /// clears it.
+  /// Records why the value of a key cannot be parsed. The member's last valid entry stays. An empty reason
+  /// clears the problem.
   void RecordProblem(std::size_t source, const std::string& key, const std::string& reason);
 
-  /// The members as decided, by name.
+  /// The members that are ready, draining or retained, by name.
   const MemberTable<ViewEntry>& current_view() const { return view_; }
 
-  /// For people: the source whose report decided, and what it reported.
+  /// The source whose report decided the state, and the reported state, as text for the control API.
   std::string DescribeDecision(const ViewEntry& entry) const;
 
-  /// How long a source has been silent at `now`.
+  /// The staleness of a source at `now`.
   Staleness StalenessAt(Time now, std::size_t source) const { return lists_[source].StalenessAt(now); }
-  /// Whether joins need this source's word.
+  /// Whether this source is the authority, which alone can add members.
   bool is_authority(std::size_t source) const { return source == authority_; }
-  /// The version of a source's list.
+  /// The version of the last complete state of a source's list.
   std::uint64_t version(std::size_t source) const { return lists_[source].version(); }
-  /// The history that a source's version counts in.
+  /// The epoch of a source's version; versions of different epochs are not comparable.
   std::uint64_t epoch(std::size_t source) const { return lists_[source].epoch(); }
-  /// When a source was last heard.
+  /// When a source last reported or confirmed its list.
   Time last_contact(std::size_t source) const { return lists_[source].last_contact(); }
-  /// How many members are retained.
+  /// The number of members retained by the mass departure guard.
   std::size_t retained_count() const { return guard_.retained_count(); }
-  /// A source's problems: reasons by key.
+  /// The problems of a source's entries: reasons by key.
   const SourceList::Problems& problems(std::size_t source) const { return lists_[source].problems(); }
-  /// How many members were rejected since the source's last complete list began, and the bound; empty: none.
+  /// Message with the number of members rejected since the source's last complete list began, and the limit;
+  /// empty: none.
   const std::string& rejection(std::size_t source) const { return lists_[source].rejection(); }
-  /// What a source has reported of a member; null: nothing.
+  /// The last report of a source about a member, kGone if it left; null: none is stored.
   const Member* FindReported(std::size_t source, std::string_view name) const {
     return lists_[source].Find(name);
   }
@@ -119,10 +120,10 @@
   bool UpdateStaleness(Time now);
 
   std::size_t authority_ = 0;
-  std::vector<SourceList> lists_;  // one a source
+  std::vector<SourceList> lists_;  // by index of the source
   MassDepartureGuard guard_;
   MemberTable<ViewEntry> view_;
-  std::size_t ready_count_ = 0;  // of view_
+  std::size_t ready_count_ = 0;  // in view_
 };
 
 }  // namespace badgerbridge::membership
--- a/src/membership/mass_departure_guard.cpp
+++ b/src/membership/mass_departure_guard.cpp
@@ -5,19 +5,19 @@
 
 namespace badgerbridge::membership {
 
-void MassDepartureGuard::ForgetOldDepartures(Time now) {
+void MassDepartureGuard::DropOldDepartures(Time now) {
   while (!departures_.empty() && now - departures_.front() > settings_.window) departures_.pop_front();
 }
 
 void MassDepartureGuard::RecordDepartures(Time now, const std::vector<MemberPtr>& leaving,
                                           std::size_t ready_count) {
-  // Those that have left within the window were ready at its beginning.
-  const std::size_t base = ready_count + departures_.size();
+  // The members that departed within the window were ready at its start.
+  const std::size_t ready_at_window_start = ready_count + departures_.size();
   departures_.insert(departures_.end(), leaving.size(), now);
-  const bool are_few = departures_.size() < settings_.min_count;
-  const bool are_within_share =
-      static_cast<double>(departures_.size()) <= settings_.max_share * static_cast<double>(base);
-  if (are_few || are_within_share) return;
+  const bool is_below_min_count = departures_.size() < settings_.min_count;
+  const bool is_within_max_share = static_cast<double>(departures_.size()) <=
+                                   settings_.max_share * static_cast<double>(ready_at_window_start);
+  if (is_below_min_count || is_within_max_share) return;
   for (const MemberPtr& member : leaving) retained_.emplace(member->name, member);
 }
 
--- a/src/membership/mass_departure_guard.h
+++ b/src/membership/mass_departure_guard.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// @file
-/// Keeps members in the list whose departure is part of a mass departure, which is more often a fault of the
-/// control plane than of the backends (as Eureka's self-preservation does). Pure.
+/// Retains members that depart in large numbers at once, as Eureka's self-preservation mode does: a mass
+/// departure is more often a fault of the control plane than of the backends. Pure: no I/O, no clock.
 #ifndef BADGERBRIDGE_MEMBERSHIP_MASS_DEPARTURE_GUARD_H_
 #define BADGERBRIDGE_MEMBERSHIP_MASS_DEPARTURE_GUARD_H_
 
@@ -17,42 +17,43 @@
 
 namespace badgerbridge::membership {
 
-/// When departures count as a mass departure.
+/// The thresholds of a mass departure.
 struct MassDepartureSettings {
-  double max_share = 0.5;     ///< Of the ready members, within the window; 1: nothing is ever retained.
-  Time window{2000};          ///< Over which departures are counted.
-  std::size_t min_count = 3;  ///< Fewer departures than this are never retained.
+  double max_share = 0.5;     ///< Share of the ready members, 0 to 1; 1: never retains.
+  Time window{2000};          ///< The sliding window in which departures are counted.
+  std::size_t min_count = 3;  ///< Fewer departures within the window are never retained.
 };
 
-/// Counts departures and retains those that are too many at once. Not thread-safe.
+/// Counts departures in a sliding window and retains members above the limits. Not thread-safe.
 class MassDepartureGuard {
  public:
-  /// A guard that retains nothing yet.
+  /// Starts with no departures and no retained members.
   explicit MassDepartureGuard(MassDepartureSettings settings) : settings_(settings) {}
 
-  /// Forgets departures that are older than the window.
-  void ForgetOldDepartures(Time now);
+  /// Drops departures that are older than the window.
+  void DropOldDepartures(Time now);
 
-  /// Counts `leaving`, members that were ready and have left; if all within the window are more than the
-  /// share of the ready ones (`ready_count`, with those in `leaving`), retains these.
+  /// Counts `leaving`, members that were ready and have left. Retains them if the departures within the
+  /// window reach `min_count` and exceed `max_share` of the members that were ready at its start.
+  /// `ready_count` includes the members in `leaving`.
   void RecordDepartures(Time now, const std::vector<MemberPtr>& leaving, std::size_t ready_count);
 
-  /// The retained member of this name, as it was before its departure; null: none.
+  /// The retained member of this name, as it was before its departure; null: not retained.
   MemberPtr FindRetained(const std::string& name) const;
 
-  /// Retains this member no longer, if it was.
+  /// Stops retaining this member; no effect if it is not retained.
   void Release(const std::string& name) { retained_.erase(name); }
 
-  /// Retains nothing any longer; returns the names of what was.
+  /// Stops retaining all members and returns their names.
   std::set<std::string> ReleaseAll();
 
-  /// How many members are retained.
+  /// The number of retained members.
   std::size_t retained_count() const { return retained_.size(); }
 
  private:
   MassDepartureSettings settings_;
   std::map<std::string, MemberPtr> retained_;  // by name
-  std::deque<Time> departures_;                // within the window, the oldest first
+  std::deque<Time> departures_;                // times of departures within the window, oldest first
 };
 
 }  // namespace badgerbridge::membership
--- a/src/membership/member_codec.cpp
+++ b/src/membership/member_codec.cpp
@@ -22,20 +22,20 @@
 constexpr char kStatusReady[] = "Ready";
 constexpr char kStatusDraining[] = "Terminating";
 
-constexpr double kMaxNumber = 1e15;            // exclusive; of every numeric field
-constexpr double kMaxGroup = 2e9;              // fits an int
-constexpr std::size_t kMaxNameInMessage = 64;  // bytes of a foreign name that a message shows
+constexpr double kNumberLimit = 1e15;  // exclusive upper bound of every numeric field
+constexpr double kMaxGroup = 2e9;      // fits an int
+constexpr std::size_t kMaxNameBytesInMessage = 64;
 
 std::string TextAt(const json::object& object, const char* key) {
   const json::value* value = object.if_contains(key);
   return value && value->is_string() ? std::string(value->get_string()) : std::string();
 }
 
-Result<double> NumberAt(const json::object& object, const char* key, double absent) {
+Result<double> NumberAt(const json::object& object, const char* key, double default_value) {
   const json::value* value = object.if_contains(key);
-  if (!value) return absent;
+  if (!value) return default_value;
   const double number = value->is_number() ? value->to_number<double>() : -1;
-  const bool is_valid = number >= 0 && number < kMaxNumber;  // false for NaN
+  const bool is_valid = number >= 0 && number < kNumberLimit;  // false for NaN
   if (!is_valid) return MembershipError{ErrorCode::kInvalidNumber, key, json::serialize(*value)};
   return number;
 }
@@ -60,7 +60,7 @@
   Member member;
   member.name = TextAt(*object, kName);
   if (member.name != name)
-    return MembershipError{ErrorCode::kNameMismatch, kName, member.name.substr(0, kMaxNameInMessage)};
+    return MembershipError{ErrorCode::kNameMismatch, kName, member.name.substr(0, kMaxNameBytesInMessage)};
   member.address = TextAt(*object, kAddress);
   member.zone = TextAt(*object, kZone);
   member.kind = TextAt(*object, kKind);
--- a/src/membership/member_codec.h
+++ b/src/membership/member_codec.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// @file
-/// Members as they are written in etcd: one key for each backend under a prefix, its value a JSON object in
-/// discovery's endpoint form. The one place where the wire's words ("converters", "Terminating", "since_ms")
-/// meet the code's. Pure.
+/// Encodes members as etcd key-value pairs: one key for each backend under a prefix, with a JSON object in
+/// the form of a service discovery endpoint as its value. Only this file maps the stored names ("converters",
+/// "Terminating", "since_ms") to the names in the code. Pure: no I/O.
 #ifndef BADGERBRIDGE_MEMBERSHIP_MEMBER_CODEC_H_
 #define BADGERBRIDGE_MEMBERSHIP_MEMBER_CODEC_H_
 
@@ -17,19 +17,19 @@
 
 namespace badgerbridge::membership {
 
-/// What precedes a backend's name in its key, unless the operator's file has another prefix.
+/// The default prefix of the backends' keys; the operator's file can set another.
 constexpr char kBackendsPrefix[] = "/badgerbridge/converters/";
 
-/// Parses the value under the key of the backend `name`. Errors: kNotJsonObject, kNameMismatch,
+/// Parses the value of the key of the backend `name`. Errors: kNotJsonObject, kNameMismatch,
 /// kUnknownStatus, kMissingAddress, kInvalidNumber.
 Result<Member> ParseMember(std::string_view name, std::string_view value);
 
-/// The value that ParseMember reads. A member of state kGone has none: it must not be passed.
+/// The value that ParseMember reads. Precondition: the state is not kGone, which has no stored form.
 std::string SerializeMember(const Member& member);
 
-/// A compare-and-swap of the status alone: the transaction that writes `state` into the value of `kv` if the
-/// key is still as it was read, with the lease and all else of the value as they are. Its other branch reads
-/// the key again. Nothing if the value has that state already. Error: kNotJsonObject.
+/// A compare-and-swap transaction that sets the status in the value of `kv` to `state` if the key has not
+/// been modified since it was read. The lease and all other fields are preserved. The failure branch reads
+/// the key again. nullopt: the value has that state already. Error: kNotJsonObject.
 Result<std::optional<etcdserverpb::TxnRequest>> MakeStateChange(const etcdserverpb::KeyValue& kv,
                                                                 MemberState state);
 
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// @file
-/// Tables of members that are keyed by the members' own names, so that each name is stored once.
+/// Maps of members whose keys view the name inside each member, so that each name is stored only once.
 #ifndef BADGERBRIDGE_MEMBERSHIP_MEMBER_TABLE_H_
 #define BADGERBRIDGE_MEMBERSHIP_MEMBER_TABLE_H_
 
@@ -13,15 +13,15 @@
 
 namespace badgerbridge::membership {
 
-/// Entries by the name that the entry's member holds.
+/// Entries by name. The key points into the entry's member and is valid as long as that member.
 template <typename Entry>
 using MemberTable = std::map<std::string_view, Entry>;
 
-/// The key of an entry that is a member itself.
+/// The key of an entry of a MemberTable<MemberPtr>.
 inline std::string_view KeyOf(const MemberPtr& member) { return member->name; }
 
-/// Inserts an entry or replaces the one of its name. The key then views the name in the new entry's member,
-/// since the former member may be destroyed.
+/// Inserts an entry or replaces the one with the same name. A replacement also resets the key to view the
+/// name in the new member, because the old member may be destroyed.
 template <typename Entry>
 void PutEntry(MemberTable<Entry>* table, Entry entry) {
   const std::string_view key = KeyOf(entry);
--- a/src/membership/pending_changes.cpp
+++ b/src/membership/pending_changes.cpp
@@ -7,13 +7,13 @@
 
 void PendingChanges::Add(const Member& member) {
   const Urgency urgency = member.state == MemberState::kReady ? Urgency::kOther : Urgency::kDrainOrDeparture;
-  const auto known = positions_.find(member.name);
-  if (known != positions_.end()) {
-    if (known->second.urgency == urgency) {
-      changes_[known->second] = member;
+  const auto pending = positions_.find(member.name);
+  if (pending != positions_.end()) {
+    if (pending->second.urgency == urgency) {
+      changes_[pending->second] = member;
       return;
     }
-    changes_.erase(known->second);
+    changes_.erase(pending->second);
   }
   const Position position{urgency, next_sequence_++};
   positions_[member.name] = position;
--- a/src/membership/pending_changes.h
+++ b/src/membership/pending_changes.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// @file
-/// Changes of the members' list that the proxy has not been given yet: the newest of each member, in slices,
-/// drains and departures before all else. Pure.
+/// Queue of member changes that have not been delivered to the proxy yet. Keeps the newest change of each
+/// member and returns drains and departures first. Pure: no I/O, no clock.
 #ifndef BADGERBRIDGE_MEMBERSHIP_PENDING_CHANGES_H_
 #define BADGERBRIDGE_MEMBERSHIP_PENDING_CHANGES_H_
 
@@ -18,18 +18,19 @@
 
 namespace badgerbridge::membership {
 
-/// A queue of changes with two priorities that holds one change of each member. Not thread-safe.
+/// A queue with two priorities and at most one change of each member. Not thread-safe.
 class PendingChanges {
  public:
-  /// Adds a change; replaces an earlier change of the same member, which keeps its place if it is as urgent.
+  /// Adds a change. It replaces a pending change of the same member, and takes its position if both have the
+  /// same priority.
   void Add(const Member& member);
-  /// Removes up to `max_members` and returns them: drains and departures first, each priority in the order in
-  /// which changes were added.
+  /// Removes and returns up to `max_members` changes: drains and departures first, then the others, each
+  /// priority in the order of insertion.
   std::vector<Member> TakeSlice(std::size_t max_members);
 
-  /// Whether nothing is pending.
+  /// Whether no change is pending.
   bool empty() const { return changes_.empty(); }
-  /// How many members have a pending change.
+  /// The number of members with a pending change.
   std::size_t size() const { return changes_.size(); }
   /// Whether a drain or a departure is pending.
   bool HasUrgent() const { return !empty() && changes_.begin()->first.urgency == Urgency::kDrainOrDeparture; }
--- a/src/membership/registrar.cpp
+++ b/src/membership/registrar.cpp
@@ -20,7 +20,8 @@
 constexpr milliseconds kMaxCallTimeout{2000};
 constexpr Time kMinSleep{1};
 
-// Short enough that a lost answer costs no lease, which is renewed at a third of its time to live.
+// A third of the TTL: the lease is renewed when a third of its TTL has passed, so one lost response does not
+// let it expire.
 milliseconds CallTimeout(std::chrono::seconds lease_ttl) {
   return std::clamp(milliseconds(lease_ttl) / 3, kMinCallTimeout, kMaxCallTimeout);
 }
@@ -31,7 +32,7 @@
                      std::uint64_t seed, OnStep on_step)
     : client_(io, std::move(client), seed),
       registration_(settings),
-      timeout_(CallTimeout(settings.lease_ttl)),
+      call_timeout_(CallTimeout(settings.lease_ttl)),
       on_step_(std::move(on_step)),
       timer_(io) {}
 
@@ -40,8 +41,8 @@
                                       void (Registration::*on_answer)(Time, const etcd::Status&,
                                                                       const Response&)) {
   Response response;
-  const etcd::Status status =
-      co_await client_.Call(std::string("/etcdserverpb.") + method, std::move(request), &response, timeout_);
+  const etcd::Status status = co_await client_.Call(std::string("/etcdserverpb.") + method,
+                                                    std::move(request), &response, call_timeout_);
   (registration_.*on_answer)(EtcdSource::Now(), status, response);
 }
 
@@ -60,7 +61,7 @@
   } else if (auto* write = std::get_if<Registration::WriteKey>(&action)) {
     co_await Call("KV/Txn", write->request, &Registration::OnKeyWritten);
   } else if (auto* keep_alive = std::get_if<Registration::KeepLeaseAlive>(&action)) {
-    // The API has a bidirectional stream; one request and the end of the stream make it a single call.
+    // LeaseKeepAlive is a bidirectional stream; one request and the end of the stream make it a unary call.
     co_await Call("Lease/LeaseKeepAlive", keep_alive->request, &Registration::OnLeaseKeptAlive);
   } else if (auto* revoke = std::get_if<Registration::RevokeLease>(&action)) {
     co_await Call("Lease/LeaseRevoke", revoke->request, &Registration::OnLeaseRevoked);
--- a/src/membership/registrar.h
+++ b/src/membership/registrar.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// @file
-/// Makes the calls that a Registration decides on, with etcd::Client.
+/// Executes the calls of a Registration with an etcd::Client.
 #ifndef BADGERBRIDGE_MEMBERSHIP_REGISTRAR_H_
 #define BADGERBRIDGE_MEMBERSHIP_REGISTRAR_H_
 
@@ -17,21 +17,21 @@
 
 namespace badgerbridge::membership {
 
-/// One registration with its client. Runs on its io_context's thread; must outlive Run.
+/// One registration and its client. Runs on the thread of its io_context; must outlive Run.
 class Registrar {
  public:
-  /// Called after each step.
+  /// Called after each call or wait of the registration.
   using OnStep = std::function<void(const Registration&)>;
 
-  /// `on_step` may be empty; it is called from within Run.
+  /// `on_step` may be empty; Run calls it. `seed` is for the client's random choices.
   Registrar(boost::asio::io_context& io, etcd::ClientSettings client, RegistrationSettings settings,
             std::uint64_t seed, OnStep on_step);
 
-  /// Runs until the registration has ended; then its condition() tells why.
+  /// Runs until the registration has ended; its condition() then has the reason.
   boost::asio::awaitable<void> Run();
-  /// Ends the registration; Run completes once the key is removed, or time is up.
+  /// Starts to end the registration. Run returns when the key is removed or the time limit for it has passed.
   void Stop();
-  /// The registration's state.
+  /// The registration, for its state and condition.
   const Registration& registration() const { return registration_; }
 
  private:
@@ -44,7 +44,7 @@
 
   etcd::Client client_;
   Registration registration_;
-  std::chrono::milliseconds timeout_;  // of one call
+  std::chrono::milliseconds call_timeout_;
   OnStep on_step_;
   boost::asio::steady_timer timer_;
 };
--- a/src/membership/registration.cpp
+++ b/src/membership/registration.cpp
@@ -9,7 +9,7 @@
 
 namespace pb = etcdserverpb;
 
-// The lease is renewed at this fraction of its time to live, so that two renewals may fail.
+// The lease is renewed this often within its TTL, so that it survives two failed renewals.
 constexpr int kKeepAlivesPerTtl = 3;
 
 constexpr std::int64_t kAbsentKeyRevision = 0;  // etcd's mod_revision of a key that does not exist
@@ -40,7 +40,7 @@
   wait_until_ = Time(0);
 }
 
-void Registration::ForgetLease() {
+void Registration::DropLease() {
   lease_ = 0;
   is_written_ = false;
   step_ = stopped_at_ ? Step::kEnded : Step::kGrantLease;
@@ -57,15 +57,15 @@
   if (stopped_at_ || has_ended()) return;
   stopped_at_ = now;
   wait_until_ = Time(0);
-  const bool is_ending_already = revoke_at_.has_value();
-  if (is_ending_already) return;
+  const bool is_ending = revoke_at_.has_value();
+  if (is_ending) return;
   condition_ = {ConditionReason::kStopped, "", {}};
   if (lease_ == 0) {
     step_ = Step::kEnded;
     return;
   }
-  // While a call is under way its answer comes first; nothing is skipped, since each step looks at
-  // stopped_at_.
+  // If a call is in flight, its response is processed first. The steps check stopped_at_, so none of them
+  // misses the stop.
   revoke_at_ = now + (is_written_ ? settings_.drain_time : Time(0));
   if (state() == MemberState::kReady && is_written_) settings_.member.state = MemberState::kDraining;
   if (step_ == Step::kRegistered) step_ = is_written_ ? Step::kReadKey : Step::kRevokeLease;
@@ -73,7 +73,7 @@
 
 Registration::Action Registration::Next(Time now) {
   if (has_ended()) return End{};
-  // Not for ever, where etcd can't be reached: the lease runs out by itself.
+  // If etcd cannot be reached, gives up after this time: the lease has expired by then.
   if (stopped_at_ && now >= *stopped_at_ + settings_.drain_time + settings_.lease_ttl) {
     step_ = Step::kEnded;
     return End{};
@@ -91,13 +91,13 @@
   return MakeCall();
 }
 
-// Until then, or until the lease is to be given back.
+// Waits until `until`, or until the lease is due to be revoked if that is earlier.
 Registration::Wait Registration::WaitUntil(Time until) const {
   if (revoke_at_ && step_ != Step::kRevokeLease) return Wait{std::min(until, *revoke_at_)};
   return Wait{until};
 }
 
-// The call of the present step.
+// The call of the current step.
 Registration::Action Registration::MakeCall() const {
   switch (step_) {
     case Step::kGrantLease: {
@@ -145,11 +145,11 @@
 void Registration::OnLeaseGranted(Time now, const etcd::Status& status,
                                   const pb::LeaseGrantResponse& response) {
   if (step_ != Step::kGrantLease) return;
-  if (!status.ok() || response.id() == 0) return RecordFailure(now, "a lease", status);
+  if (!status.ok() || response.id() == 0) return RecordFailure(now, "granting a lease", status);
   ResetBackoff();
   ++grants_;
   lease_ = response.id();
-  // Counted from when it was asked for: etcd's clock began no sooner.
+  // Counted from the request: the TTL in etcd cannot have started earlier.
   next_keep_alive_ = last_call_at_ + KeepAliveInterval(std::max<std::int64_t>(1, response.ttl()));
   is_written_ = false;
   step_ = Step::kReadKey;
@@ -162,7 +162,7 @@
   last_read_key_.reset();
   if (response.kvs_size() > 0) last_read_key_ = response.kvs(0);
   if (!last_read_key_ && is_written_) {
-    // Removed with its lease, or by somebody's hand? Renewing the lease tells.
+    // The key was removed because its lease expired, or by an operator. Renewing the lease tells which.
     is_missing_ = true;
     step_ = Step::kKeepLeaseAlive;
     return;
@@ -170,26 +170,26 @@
   step_ = ReconcileWithKey();
 }
 
-// Takes a drain over from the key as it was read, and returns the step that follows.
+// Adopts the state in the key that was read, and returns the next step.
 Registration::Step Registration::ReconcileWithKey() {
   if (!last_read_key_) return Step::kWriteKey;
-  const Result<Member> found = ParseMember(settings_.member.name, last_read_key_->value());
-  if (!found) return Step::kWriteKey;
-  if (found->start_time_ms > settings_.member.start_time_ms) {
+  const Result<Member> stored = ParseMember(settings_.member.name, last_read_key_->value());
+  if (!stored) return Step::kWriteKey;
+  if (stored->start_time_ms > settings_.member.start_time_ms) {
     Finish({ConditionReason::kNewerIncarnation, settings_.member.name, {}});
     return step_;
   }
-  const bool is_own = found->start_time_ms == settings_.member.start_time_ms;
-  if (is_own && !stopped_at_) settings_.member.state = found->state;
-  if (last_read_key_->lease() != lease_ || *found != settings_.member) return Step::kWriteKey;
+  const bool is_same_incarnation = stored->start_time_ms == settings_.member.start_time_ms;
+  if (is_same_incarnation && !stopped_at_) settings_.member.state = stored->state;
+  if (last_read_key_->lease() != lease_ || *stored != settings_.member) return Step::kWriteKey;
   is_written_ = true;
   return Step::kRegistered;
 }
 
 void Registration::OnKeyWritten(Time now, const etcd::Status& status, const pb::TxnResponse& response) {
   if (step_ != Step::kWriteKey) return;
-  step_ = Step::kReadKey;  // a call that failed may have run: the key is read before it is written again
-  if (IsNotFound(status)) return ForgetLease();  // it has run out meanwhile
+  step_ = Step::kReadKey;  // etcd may have executed a failed call: read the key before the next write
+  if (IsNotFound(status)) return DropLease();  // the lease has expired
   if (!status.ok()) return RecordFailure(now, "writing the key", status);
   ResetBackoff();
   if (!response.succeeded()) return;
@@ -205,18 +205,18 @@
   if (response.ttl() <= 0) {
     condition_ = {ConditionReason::kLeaseLost, "", {}};
     is_missing_ = false;
-    return ForgetLease();
+    return DropLease();
   }
   if (is_missing_) return Finish({ConditionReason::kKeyDeleted, settings_.member.name, {}});
   next_keep_alive_ = last_call_at_ + KeepAliveInterval(response.ttl());
-  step_ = Step::kReadKey;  // somebody may have drained it, or taken it over
+  step_ = Step::kReadKey;  // the backend may have been drained, or replaced by a newer incarnation
 }
 
 void Registration::OnLeaseRevoked(Time now, const etcd::Status& status, const pb::LeaseRevokeResponse&) {
   if (step_ != Step::kRevokeLease) return;
   if (!status.ok() && !IsNotFound(status)) {
-    ScheduleRetry(now);                   // and condition() still tells why the registration ends
-    if (!stopped_at_) stopped_at_ = now;  // so that Next does not try for ever
+    ScheduleRetry(now);                   // keeps condition(), the reason why the registration ends
+    if (!stopped_at_) stopped_at_ = now;  // so that Next gives up after a bounded time
     return;
   }
   lease_ = 0;
--- a/src/membership/registration.h
+++ b/src/membership/registration.h
@@ -1,16 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// @file
-/// Keeps one backend's key in etcd for as long as it is wanted: a lease, the key bound to it, the lease kept
-/// alive. The decisions alone: Next tells which call to make, one at a time, and its answer is reported by
-/// the function for it. Pure: no socket, no clock.
+/// State machine that keeps one backend registered in etcd: it obtains a lease, writes the key with the lease
+/// attached, and keeps the lease alive. Next returns one call at a time, and the On... functions report its
+/// response. Pure: no I/O, no clock.
 ///
-/// - A drain that somebody writes into the value outlives the lease: a backend that was draining when its
-///   lease was lost is written again as draining. Only a newer incarnation takes work again.
-/// - A key of a newer incarnation of the same name is left alone, and the registration ends.
-/// - A key that somebody deletes while its lease lives is a departure that a person wanted; it is not written
-///   again.
-/// - A write is a compare-and-swap, so that a call that is made twice takes effect once.
+/// - A drain that an operator writes into the value outlives the lease: if the backend was draining when its
+///   lease was lost, the key is written again as draining. It stays so until an operator sets it to ready or
+///   a newer incarnation registers.
+/// - A key of a newer incarnation of the same name is not touched, and the registration ends.
+/// - If the key is deleted while its lease is alive, an operator removed the backend. The key is not written
+///   again, and the registration ends.
+/// - Every write is a compare-and-swap, so that a repeated call takes effect only once.
 #ifndef BADGERBRIDGE_MEMBERSHIP_REGISTRATION_H_
 #define BADGERBRIDGE_MEMBERSHIP_REGISTRATION_H_
 
@@ -28,81 +29,81 @@
 
 namespace badgerbridge::membership {
 
-/// The settings of a registration.
+/// The backend to register, and the timing of the calls.
 struct RegistrationSettings {
-  std::string prefix = kBackendsPrefix;  ///< What precedes the member's name in its key.
-  Member member;                         ///< What is written; its state: the initial one.
-  std::chrono::seconds lease_ttl{10};    ///< Asked of etcd; renewed at a third of what etcd grants.
-  Time drain_time{2000};                 ///< How long the key says that it drains before it is removed.
-  Time initial_backoff{50};              ///< The pause after the first call that failed.
-  Time max_backoff{2000};                ///< Bounds the pause, which doubles with each further failure.
+  std::string prefix = kBackendsPrefix;  ///< The key is the prefix and the member's name.
+  Member member;                         ///< The value to write; its state is the initial one.
+  std::chrono::seconds lease_ttl{10};    ///< Requested TTL; renewed at a third of the granted one.
+  Time drain_time{2000};                 ///< How long Stop keeps the key as draining before removal.
+  Time initial_backoff{50};              ///< The delay after the first failed call.
+  Time max_backoff{2000};                ///< Upper bound; the delay doubles with each failure.
 };
 
-/// One registration. Not thread-safe.
+/// One registration of a backend. Not thread-safe.
 class Registration {
  public:
-  /// Ask etcd for a lease; answered by OnLeaseGranted.
+  /// Request a lease; the response goes to OnLeaseGranted.
   struct GrantLease {
     etcdserverpb::LeaseGrantRequest request;  ///< For Lease/LeaseGrant.
   };
-  /// Read the key; answered by OnKeyRead.
+  /// Read the key; the response goes to OnKeyRead.
   struct ReadKey {
     etcdserverpb::RangeRequest request;  ///< For KV/Range.
   };
-  /// Write the key; answered by OnKeyWritten.
+  /// Write the key; the response goes to OnKeyWritten.
   struct WriteKey {
     etcdserverpb::TxnRequest request;  ///< For KV/Txn.
   };
-  /// Renew the lease; answered by OnLeaseKeptAlive.
+  /// Renew the lease; the response goes to OnLeaseKeptAlive.
   struct KeepLeaseAlive {
     etcdserverpb::LeaseKeepAliveRequest request;  ///< For Lease/LeaseKeepAlive.
   };
-  /// Give the lease back, which removes the key; answered by OnLeaseRevoked.
+  /// Revoke the lease, which removes the key; the response goes to OnLeaseRevoked.
   struct RevokeLease {
     etcdserverpb::LeaseRevokeRequest request;  ///< For Lease/LeaseRevoke.
   };
-  /// Make no call until then, unless Stop is called.
+  /// Make no call until this time, unless Stop is called.
   struct Wait {
-    Time until;  ///< On the clock of `now`.
+    Time until;  ///< On the same clock as `now`.
   };
-  /// Make no call ever again; condition() tells why.
+  /// Make no more calls; condition() has the reason.
   struct End {};
-  /// The next call to make.
+  /// The next action to execute.
   using Action = std::variant<GrantLease, ReadKey, WriteKey, KeepLeaseAlive, RevokeLease, Wait, End>;
 
-  /// A registration that has made no call yet.
+  /// Starts without a lease; Next returns the first call.
   explicit Registration(RegistrationSettings settings);
 
-  /// What to do at `now`. A call must be answered before the next one is asked for.
+  /// The next action at `now`. After a call, its response must be reported before Next is called again.
   Action Next(Time now);
 
-  /// The answer to GrantLease. `response` counts only if `status` is ok, here and below.
+  /// The response to GrantLease. Here and below, `response` is ignored unless `status` is ok.
   void OnLeaseGranted(Time now, const etcd::Status& status, const etcdserverpb::LeaseGrantResponse& response);
-  /// The answer to ReadKey.
+  /// The response to ReadKey.
   void OnKeyRead(Time now, const etcd::Status& status, const etcdserverpb::RangeResponse& response);
-  /// The answer to WriteKey.
+  /// The response to WriteKey.
   void OnKeyWritten(Time now, const etcd::Status& status, const etcdserverpb::TxnResponse& response);
-  /// The answer to KeepLeaseAlive.
+  /// The response to KeepLeaseAlive.
   void OnLeaseKeptAlive(Time now, const etcd::Status& status,
                         const etcdserverpb::LeaseKeepAliveResponse& response);
-  /// The answer to RevokeLease.
+  /// The response to RevokeLease.
   void OnLeaseRevoked(Time now, const etcd::Status& status,
                       const etcdserverpb::LeaseRevokeResponse& response);
 
-  /// Ends the registration: the key says that it drains for a while, then the lease is given back.
+  /// Ends the registration: the key is written as draining, and after `drain_time` the lease is revoked.
   void Stop(Time now);
 
-  /// Whether the key is in etcd under a lease of this registration.
+  /// Whether the key is written with the current lease, and no call is pending.
   bool is_registered() const { return step_ == Step::kRegistered; }
-  /// Whether no call will be made any more.
+  /// Whether the registration has ended: no more calls are made.
   bool has_ended() const { return step_ == Step::kEnded; }
-  /// The state that is written, or was last read.
+  /// The state that was last written or read, or will be written next.
   MemberState state() const { return settings_.member.state; }
-  /// The id of the lease; 0: none.
+  /// The id of the current lease; 0: none.
   std::int64_t lease() const { return lease_; }
-  /// How many leases were granted so far.
+  /// The number of leases granted so far.
   std::uint64_t grants() const { return grants_; }
-  /// Why the registration ended, or its newest fault.
+  /// Why the registration ended, or its most recent failure.
   const RegistrationCondition& condition() const { return condition_; }
 
  private:
@@ -116,7 +117,7 @@
   void ScheduleRetry(Time now);
   void RecordFailure(Time now, const char* operation, const etcd::Status& status);
   void ResetBackoff();
-  void ForgetLease();
+  void DropLease();
   void Finish(RegistrationCondition condition);
 
   RegistrationSettings settings_;
@@ -127,9 +128,9 @@
   Time next_keep_alive_{0};
   std::int64_t lease_ = 0;
   std::uint64_t grants_ = 0;
-  bool is_written_ = false;                              // under this lease
-  bool is_missing_ = false;                              // it was written, and is not there
-  std::optional<etcdserverpb::KeyValue> last_read_key_;  // the key as it was last read
+  bool is_written_ = false;  // with the current lease
+  bool is_missing_ = false;  // the last read did not find the key although it was written
+  std::optional<etcdserverpb::KeyValue> last_read_key_;  // nullopt: no key was found
   std::optional<Time> stopped_at_;
   std::optional<Time> revoke_at_;
   RegistrationCondition condition_;
--- a/src/membership/registration_condition.cpp
+++ b/src/membership/registration_condition.cpp
@@ -10,11 +10,11 @@
     case ConditionReason::kCallFailed:
       return condition.subject + ": " + condition.status.ToString();
     case ConditionReason::kLeaseLost:
-      return "the lease was lost";
+      return "the lease expired";
     case ConditionReason::kStopped:
-      return "it was ended";
+      return "the registration was stopped";
     case ConditionReason::kNewerIncarnation:
-      return "a newer start of " + condition.subject + " is registered";
+      return "a newer incarnation of " + condition.subject + " is registered; this registration ends";
     case ConditionReason::kKeyDeleted:
       return "its key was deleted by somebody else: it is not written again";
   }
--- a/src/membership/registration_condition.h
+++ b/src/membership/registration_condition.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// @file
-/// Why a registration ended, or its newest fault. Pure.
+/// Why a registration ended, or its most recent failure. Pure: no I/O.
 #ifndef BADGERBRIDGE_MEMBERSHIP_REGISTRATION_CONDITION_H_
 #define BADGERBRIDGE_MEMBERSHIP_REGISTRATION_CONDITION_H_
 
@@ -11,24 +11,24 @@
 
 namespace badgerbridge::membership {
 
-/// What a condition is about.
+/// The reason of a condition.
 enum class ConditionReason {
-  kNone,              ///< Nothing has gone wrong so far.
-  kCallFailed,        ///< A call to etcd failed; it is made again.
-  kLeaseLost,         ///< The lease ran out; another one is asked for.
-  kStopped,           ///< It was stopped.
-  kNewerIncarnation,  ///< The key is a newer incarnation's; the registration ends.
-  kKeyDeleted,        ///< Somebody deleted the key; the registration ends.
+  kNone,              ///< No failure so far.
+  kCallFailed,        ///< A call to etcd failed and is retried.
+  kLeaseLost,         ///< The lease expired; unless stopped, a new one is requested.
+  kStopped,           ///< Registration::Stop was called.
+  kNewerIncarnation,  ///< A newer incarnation has the key; the registration ends.
+  kKeyDeleted,        ///< An operator deleted the key; the registration ends.
 };
 
-/// A condition of a registration.
+/// The end or the most recent failure of a registration.
 struct RegistrationCondition {
-  ConditionReason reason = ConditionReason::kNone;  ///< What it is about.
-  std::string subject;                              ///< The call that failed, or the backend's name.
-  etcd::Status status;                              ///< Of the call that failed.
+  ConditionReason reason = ConditionReason::kNone;  ///< The reason; kNone: all is well.
+  std::string subject;                              ///< The failed operation, or the backend's name.
+  etcd::Status status;                              ///< The status of the failed call.
 };
 
-/// The condition as one line for people; empty for kNone.
+/// The condition as one human-readable line; empty for kNone.
 std::string Message(const RegistrationCondition& condition);
 
 }  // namespace badgerbridge::membership
--- a/src/membership/source_list.cpp
+++ b/src/membership/source_list.cpp
@@ -37,14 +37,14 @@
   return changed;
 }
 
-// Why a report may not follow what the source has reported; nothing: it may.
+// Why a report is out of order; nullopt: it is in order.
 std::optional<ErrorCode> SourceList::CheckOrder(const Report& report) const {
   if (report.complete && !report.StartsList()) {
     const bool continues =
         paged_list_ && report.epoch == paged_list_->epoch && report.version == paged_list_->version;
     return continues ? std::nullopt : std::make_optional(ErrorCode::kPageOutOfOrder);
   }
-  // The list in progress is newer than the changes, or is about to be.
+  // The list in progress is newer than these changes, or will be when it is complete.
   if (!report.complete && paged_list_) return ErrorCode::kPageOutOfOrder;
   const bool is_same_history = has_reported_ && report.epoch == epoch_;
   if (report.complete) {
@@ -66,7 +66,8 @@
   rejection_.clear();
 }
 
-// Compares what the source had with a page, over the names from the page before up to its last.
+// Collects the known members that a page omits. Compares the range of names from the end of the previous page
+// to the last name of this one.
 void SourceList::CollectUnlisted(const Report& report) {
   PagedList& list = *paged_list_;
   if (list.service != report.service) {
@@ -91,7 +92,8 @@
   }
 }
 
-// Removes what no page named, and returns the members whose turn is now, after those removals.
+// Removes the members that are in none of the pages, and returns the postponed ones, which can be applied
+// now.
 std::vector<Member> SourceList::FinishPagedList(Time now, Names* changed) {
   for (const MemberPtr& member : paged_list_->unlisted) {
     const auto found = members_.find(member->name);
@@ -122,7 +124,7 @@
 }
 
 void SourceList::ApplyMember(Time now, const Member& member, Names* changed) {
-  if (ClashesWithOtherService(member)) {
+  if (ConflictsWithOtherService(member)) {
     if (IsListed(member) && paged_list_ && paged_list_->postponed.size() < limits_.max_members)
       paged_list_->postponed.push_back(member);
     return;
@@ -141,7 +143,7 @@
   }
 }
 
-// False: it is rejected, since the list is full.
+// Returns false if the member is rejected because the list is full.
 bool SourceList::AddOrReplace(const Member& member) {
   const auto found = members_.find(member.name);
   const bool joins = found == members_.end() || !IsListed(*found->second);
@@ -159,19 +161,20 @@
   PutEntry(&members_, WithState(*member, MemberState::kGone));
 }
 
-// Whether the name belongs to another service's member, which stays; that is recorded as a problem.
-bool SourceList::ClashesWithOtherService(const Member& member) {
+// Whether a member of another service has the same name. That member stays, and the conflict is recorded as a
+// problem.
+bool SourceList::ConflictsWithOtherService(const Member& member) {
   if (member.service.empty()) return false;
   const std::string key = member.service + "/" + member.name;
   const auto found = members_.find(member.name);
-  const bool clashes =
+  const bool conflicts =
       found != members_.end() && IsListed(*found->second) && found->second->service != member.service;
-  if (!clashes || !IsListed(member)) {
+  if (!conflicts || !IsListed(member)) {
     problems_.erase(key);
   } else if (problems_.size() < kMaxProblems) {
     problems_[key] = "the service " + found->second->service + " has a member of this name, which stays";
   }
-  return clashes;
+  return conflicts;
 }
 
 void SourceList::RecordContact(Time now) {
@@ -186,8 +189,8 @@
   }
 }
 
-void SourceList::ForgetDepartures(Time now, const SourceList* authority) {
-  // Each tombstone is looked at once, since those that stay go to the end.
+void SourceList::DropTombstones(Time now, const SourceList* authority) {
+  // Visits each tombstone at most once: those that are kept are moved to the end.
   for (std::size_t remaining = tombstones_.size(); remaining > 0; --remaining) {
     const bool is_expired = now - tombstones_.front().departed_at > kTombstoneLifetime;
     if (!is_expired && tombstones_.size() <= limits_.max_tombstones) return;
@@ -195,7 +198,7 @@
     tombstones_.pop_front();
     const auto found = members_.find(name);
     if (found == members_.end() || IsListed(*found->second)) continue;
-    if (authority && authority->Lists(name)) {
+    if (authority && authority->HasListed(name)) {
       tombstones_.push_back({now, name});
     } else {
       members_.erase(found);
@@ -208,7 +211,7 @@
   return found == members_.end() ? nullptr : found->second.get();
 }
 
-bool SourceList::Lists(std::string_view name) const {
+bool SourceList::HasListed(std::string_view name) const {
   const Member* member = Find(name);
   return member && IsListed(*member);
 }
@@ -220,9 +223,9 @@
 
 Staleness SourceList::StalenessAt(Time now) const {
   if (!has_reported_) return Staleness::kNeverReported;
-  const Time silent_for = now - last_contact_;
-  if (silent_for < settings_.current_for) return Staleness::kCurrent;
-  return silent_for < settings_.stale_after ? Staleness::kAging : Staleness::kStale;
+  const Time since_contact = now - last_contact_;
+  if (since_contact < settings_.current_for) return Staleness::kCurrent;
+  return since_contact < settings_.stale_after ? Staleness::kAging : Staleness::kStale;
 }
 
 std::optional<Time> SourceList::NextStalenessChange(Time now) const {
--- a/tests/membership/etcd_settings_test.cpp
+++ b/tests/membership/etcd_settings_test.cpp
@@ -10,7 +10,7 @@
 namespace badgerbridge::membership {
 namespace {
 
-TEST(EtcdSettingsTest, AnUnreadablePasswordFileIsAnErrorAndValueThrowsItsMessage) {
+TEST(EtcdSettingsTest, UnreadablePasswordFileIsAnErrorAndValueThrowsItsMessage) {
   operator_config::EtcdSettings table;
   table.user = "proxy";
   table.password_file = "/absent/password";
@@ -26,7 +26,7 @@
   }
 }
 
-TEST(EtcdSettingsTest, TheTableIsCarriedOver) {
+TEST(EtcdSettingsTest, CopiesTheTableToTheSettings) {
   const std::string password_file = ::testing::TempDir() + "etcd_settings_password";
   std::ofstream(password_file) << "secret\n";
   operator_config::EtcdSettings table;
--- a/tests/membership/feed_random_test.cpp
+++ b/tests/membership/feed_random_test.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The follower, the feed and the ledger alone against the stand-in's store, in virtual time from fixed seeds:
-// links that are cut, fall silent or lose answers, members that lag, compactions, restores, fragments. At
-// every report, the ledger's view is what the store held at exactly that revision; once all is quiet,
-// it is what the store holds.
+// Follower, Feed and Ledger against the store of the fake etcd, in virtual time with fixed seeds: connections
+// that break, hang or lose responses, lagging members, compactions, restores from backups, fragmented watch
+// responses. At every report, the view equals the store at the revision of the report. After the faults end,
+// it equals the current store.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -27,12 +27,12 @@
 using standins::EtcdStore;
 
 const std::string kPrefix = "/badgerbridge/converters/";
-const std::string kEnd = etcd::PrefixRangeEnd(kPrefix);
+const std::string kRangeEnd = etcd::PrefixRangeEnd(kPrefix);
 
-/// A follower with feed and ledger, the etcd store it follows, and the network between, in virtual time.
-class World {
+/// A follower with feed and ledger, the etcd store, and the simulated network between them, in virtual time.
+class FeedSimulation {
  public:
-  explicit World(std::uint64_t seed)
+  explicit FeedSimulation(std::uint64_t seed)
       : random_(seed), follower_(MakeSettings(), seed), feed_(kPrefix), ledger_([] {
           LedgerSettings settings;
           settings.sources = {{"etcd", true, Time(5000), Time(60000)}};
@@ -42,7 +42,7 @@
     RecordStore();
   }
 
-  /// One random step: a write, time that passes, or a fault.
+  /// Makes one random step: a write, an advance of the time, or a fault.
   void Step() {
     const unsigned choice = Draw(100);
     if (choice < 35) {
@@ -54,8 +54,8 @@
     } else if (choice < 88) {
       BreakConnection();
     } else if (choice < 90) {
-      is_silent_ = !is_silent_ && Draw(2);
-      is_connection_dead_ |= is_silent_;  // what hung on the link stays lost, also once new ones speak
+      is_hung_ = !is_hung_ && Draw(2);
+      loses_responses_ |= is_hung_;  // responses lost in a hang stay lost when it ends
     } else if (choice < 92) {
       lagging_revision_ = lagging_revision_ || Draw(3) ? 0 : store_.revision();
     } else if (choice < 93 && store_.revision() > store_.compacted() + 1) {
@@ -67,30 +67,30 @@
     }
   }
 
-  /// Ends all faults and lets time pass until the view equals the store.
+  /// Ends all faults and advances the time until the view equals the store.
   void EndFaultsAndSettle() {
-    has_faults_ = is_silent_ = false;
+    has_faults_ = is_hung_ = false;
     lagging_revision_ = 0;
     for (int i = 0; i < 4000 && !ViewEqualsStore(); ++i) {
       Advance(Time(10));
       DeliverEvents();
     }
   }
-  /// Whether the current view is what the store holds at its revision.
+  /// Whether the follower is at the revision of the store and the current view equals it.
   bool ViewEqualsStore() const {
     return follower_.revision() == store_.revision() &&
            CurrentView() == states_.at({epoch_, store_.revision()});
   }
 
   std::uint64_t reports() const { return reports_; }
-  std::uint64_t breaks() const { return breaks_; }
-  std::uint64_t bad_keys() const { return bad_keys_; }
+  std::uint64_t disconnects() const { return disconnects_; }
+  std::uint64_t invalid_keys() const { return invalid_keys_; }
   std::uint64_t compactions() const { return compactions_; }
   std::uint64_t restores() const { return epoch_ - 1; }
   const Follower& follower() const { return follower_; }
 
  private:
-  using Members = std::map<std::string, std::string>;  // the state, by name
+  using Members = std::map<std::string, std::string>;  // state and start time by name
 
   static etcd::FollowerSettings MakeSettings() {
     etcd::FollowerSettings settings;
@@ -99,12 +99,12 @@
     settings.page_size = 3;
     return settings;
   }
-  /// A random number below n.
+  /// A random number from 0 to n - 1.
   unsigned Draw(unsigned n) { return static_cast<unsigned>(random_() % n); }
-  /// Whether a fault happens, at this rate; never after EndFaultsAndSettle.
-  bool Faulty(unsigned percent) { return has_faults_ && Draw(100) < percent; }
+  /// Draws whether a fault occurs, with this probability. Always false after EndFaultsAndSettle.
+  bool DrawFault(unsigned percent) { return has_faults_ && Draw(100) < percent; }
 
-  /// The ledger's view in the form of `states_`.
+  /// The ledger's view in the format of `states_`.
   Members CurrentView() const {
     Members members;
     for (const auto& [name, entry] : ledger_.current_view())
@@ -112,11 +112,11 @@
           std::string(Name(entry.member->state)) + std::to_string(entry.member->start_time_ms);
     return members;
   }
-  /// Records what the store holds now, under its revision.
+  /// Records the contents of the store under its revision.
   void RecordStore() {
     pb::RangeRequest all;
     all.set_key(kPrefix);
-    all.set_range_end(kEnd);
+    all.set_range_end(kRangeEnd);
     pb::RangeResponse response;
     ASSERT_TRUE(store_.Range(all, &response).ok());
     Members members;
@@ -126,7 +126,7 @@
     }
     states_[{epoch_, store_.revision()}] = std::move(members);
   }
-  /// Writes one key, several in one transaction, deletes some, or writes elsewhere.
+  /// Writes one or several keys in a transaction, deletes keys, or writes outside of the prefix.
   void Write() {
     const auto put = [&](pb::TxnRequest* txn, unsigned i) {
       auto* request = txn->add_success()->mutable_request_put();
@@ -137,7 +137,7 @@
       member.state = Draw(2) ? MemberState::kReady : MemberState::kDraining;
       request->set_key(kPrefix + member.name);
       request->set_value(SerializeMember(member));
-      if (Draw(20) == 0) {  // of a backend that never had a readable value
+      if (Draw(20) == 0) {  // a backend that has never had a valid value
         request->set_key(kPrefix + "bad" + std::to_string(i));
         request->set_value("not JSON");
       }
@@ -148,13 +148,13 @@
       case 0: {
         auto* request = txn.add_success()->mutable_request_delete_range();
         request->set_key(kPrefix + "m" + std::to_string(Draw(15)));
-        if (Draw(4) == 0) request->set_range_end(kPrefix + "m5");  // several at once
+        if (Draw(4) == 0) request->set_range_end(kPrefix + "m5");  // several keys at once
         break;
       }
       case 1:
         for (unsigned i = 0; i < 15; ++i) put(&txn, i);  // all in one revision
         break;
-      case 2:  // elsewhere
+      case 2:  // outside of the prefix
         txn.add_success()->mutable_request_put()->set_key("/other");
         break;
       default:
@@ -163,9 +163,9 @@
     ASSERT_TRUE(store_.Txn(txn, &response).ok());
     RecordStore();
   }
-  /// Replaces the store by a backup.
+  /// Replaces the store with a backup.
   void Restore() {
-    // From some time ago; history goes on from there under another cluster id.
+    // The backup is older than the store; its revisions continue with another cluster id.
     EtcdStore backup;
     const unsigned count = Draw(4);
     for (unsigned i = 0; i < count; ++i) {
@@ -185,94 +185,96 @@
     BreakConnection();
   }
 
-  /// Ends the connection, as the network does.
+  /// Breaks the connection and notifies the follower.
   void BreakConnection() {
     if (!is_open_) return;
-    ++breaks_;
+    ++disconnects_;
     DropConnection();
-    Act([&](Follower::Actions* actions) {
+    RunFollowerStep([&](Follower::Actions* actions) {
       follower_.Closed(now_, {etcd::ConnectionErrorCode::kClosed, "cut"}, actions);
     });
   }
-  /// Forgets the connection and what is under way on it.
+  /// Drops the connection and the responses in flight.
   void DropConnection() {
     is_open_ = is_watching_ = false;
-    pending_answers_.clear();
+    pending_responses_.clear();
     ++connection_number_;
   }
 
-  /// Lets the follower take a step and executes the actions that it returns.
+  /// Runs a step of the follower and executes the returned actions.
   template <typename Step>
-  void Act(Step step) {
+  void RunFollowerStep(Step step) {
     Follower::Actions actions;
     step(&actions);
     for (const Follower::Action& action : actions)
       std::visit([this](const auto& one) { Execute(one); }, action);
   }
-  /// Schedules an answer on this connection, in order; on a silent connection it never comes.
-  void AnswerLater(std::function<void()> answer) {
-    is_connection_dead_ |= Faulty(3);
-    if (!is_connection_dead_) pending_answers_.emplace_back(now_ + Time(Draw(6)), std::move(answer));
+  /// Schedules a response on this connection, in order. On a hung connection it is lost.
+  void ScheduleResponse(std::function<void()> deliver) {
+    loses_responses_ |= DrawFault(3);
+    if (!loses_responses_) pending_responses_.emplace_back(now_ + Time(Draw(6)), std::move(deliver));
   }
-  /// Moves the time on; answers and timers come when they are due.
+  /// Advances the time, and delivers responses and runs timers when they are due.
   void Advance(Time by) {
     const Time until = now_ + by;
     for (;;) {
       std::optional<Time> next = follower_.NextWake();
       if (next && *next < now_) next = now_;
-      const bool answer = !pending_answers_.empty() && (!next || pending_answers_.front().first <= *next);
-      const Time at =
-          answer ? std::max(now_, pending_answers_.front().first) : next.value_or(until + Time(1));
+      const bool is_response_next =
+          !pending_responses_.empty() && (!next || pending_responses_.front().first <= *next);
+      const Time at = is_response_next ? std::max(now_, pending_responses_.front().first)
+                                       : next.value_or(until + Time(1));
       if (at > until) break;
       now_ = at;
-      if (answer) {
-        const auto what = std::move(pending_answers_.front().second);
-        pending_answers_.pop_front();
-        what();
+      if (is_response_next) {
+        const auto deliver = std::move(pending_responses_.front().second);
+        pending_responses_.pop_front();
+        deliver();
       } else {
-        Act([&](Follower::Actions* actions) { follower_.Tick(now_, actions); });
+        RunFollowerStep([&](Follower::Actions* actions) { follower_.Tick(now_, actions); });
       }
     }
     now_ = until;
   }
 
-  /// The header of an answer by the member in use, which may lag.
+  /// Fills the header of a response from the connected member, which may lag.
   void FillHeader(pb::ResponseHeader* header) const {
     header->set_cluster_id(epoch_);
     header->set_revision(lagging_revision_ ? lagging_revision_ : store_.revision());
   }
   void Execute(const Follower::Connect&) {
     DropConnection();
-    is_connection_dead_ = is_silent_;
-    const bool refused = Faulty(15);
+    loses_responses_ = is_hung_;
+    const bool refused = DrawFault(15);
     is_open_ = !refused;
-    AnswerLater([this, refused] {
+    ScheduleResponse([this, refused] {
       if (refused) {
         DropConnection();
-        Act([&](Follower::Actions* actions) {
+        RunFollowerStep([&](Follower::Actions* actions) {
           follower_.Closed(now_, {etcd::ConnectionErrorCode::kClosed, "refused"}, actions);
         });
       } else {
-        Act([&](Follower::Actions* actions) { follower_.Opened(now_, actions); });
+        RunFollowerStep([&](Follower::Actions* actions) { follower_.Opened(now_, actions); });
       }
     });
   }
   void Execute(const Follower::Authenticate&) { FAIL(); }
   void Execute(const Follower::Range& action) {
     EXPECT_FALSE(action.request.serializable());
-    if (lagging_revision_) return;  // a read that must not be behind waits
+    if (lagging_revision_) return;  // a linearizable read waits until the member has caught up
     pb::RangeResponse response;
     Status status = store_.Range(action.request, &response);
     FillHeader(response.mutable_header());
-    if (Faulty(5)) status = {Code::kUnavailable, Ending::kStatus, "no leader"};
-    AnswerLater([this, status, response] {
-      Act([&](Follower::Actions* actions) { follower_.RangeCompleted(now_, status, response, actions); });
+    if (DrawFault(5)) status = {Code::kUnavailable, Ending::kStatus, "no leader"};
+    ScheduleResponse([this, status, response] {
+      RunFollowerStep(
+          [&](Follower::Actions* actions) { follower_.RangeCompleted(now_, status, response, actions); });
     });
   }
   void Execute(const Follower::Watch& action) {
     const auto& create = action.request.create_request();
     EXPECT_EQ(create.key(), kPrefix);
-    EXPECT_EQ(create.range_end(), kEnd);
+    EXPECT_EQ(create.range_end(), kRangeEnd);
     next_revision_ = create.start_revision();
     is_watching_ = true;
     pb::WatchResponse response;
@@ -287,48 +289,49 @@
       SendWatchResponse(response);
     }
   }
-  /// Sends a response on the watch of this connection.
+  /// Schedules a watch response on this connection.
   void SendWatchResponse(const pb::WatchResponse& response) {
-    AnswerLater([this, response, connection_number = connection_number_] {
+    ScheduleResponse([this, response, connection_number = connection_number_] {
       if (connection_number == connection_number_)
-        Act([&](Follower::Actions* actions) { follower_.WatchReceived(now_, response, actions); });
+        RunFollowerStep(
+            [&](Follower::Actions* actions) { follower_.WatchReceived(now_, response, actions); });
     });
   }
   void Execute(const Follower::AddWatch&) { FAIL(); }
   void Execute(const Follower::RequestProgress&) {
     if (!is_watching_ || next_revision_ <= (lagging_revision_ ? lagging_revision_ : store_.revision()))
-      return;  // only when it has all
+      return;  // etcd reports progress only when the watch has caught up
     pb::WatchResponse response;
     FillHeader(response.mutable_header());
     SendWatchResponse(response);
   }
-  /// Sends what is new to the watch, in fragments or in one; a connection that loses a fragment ends.
+  /// Sends the new events to the watch, fragmented or not. A lost fragment breaks the connection.
   void DeliverEvents() {
     const std::int64_t until = lagging_revision_ ? lagging_revision_ : store_.revision();
     if (!is_open_ || !is_watching_ || next_revision_ > until) return;
     if (next_revision_ <= store_.compacted()) return BreakConnection();
-    std::vector<pb::Event> events = store_.Events(kPrefix, kEnd, next_revision_, false);
+    std::vector<pb::Event> events = store_.Events(kPrefix, kRangeEnd, next_revision_, false);
     std::erase_if(events, [&](const pb::Event& event) { return event.kv().mod_revision() > until; });
     next_revision_ = until + 1;
     pb::WatchResponse response;
     FillHeader(response.mutable_header());
-    const unsigned piece = 1 + Draw(8);
-    std::vector<pb::WatchResponse> pieces;
+    const unsigned fragment_size = 1 + Draw(8);
+    std::vector<pb::WatchResponse> fragments;
     for (std::size_t i = 0; i < events.size(); ++i) {
       *response.add_events() = events[i];
-      if (response.events_size() < static_cast<int>(piece) && i + 1 < events.size()) continue;
+      if (response.events_size() < static_cast<int>(fragment_size) && i + 1 < events.size()) continue;
       response.set_fragment(i + 1 < events.size());
-      pieces.push_back(response);
+      fragments.push_back(response);
       response.clear_events();
     }
-    for (const pb::WatchResponse& one : pieces) {
-      if (is_connection_dead_) return;
-      if (Faulty(4)) return BreakConnection();
-      pending_answers_.emplace_back(
-          now_ + Time(Draw(3)), [this, one, connection_number = connection_number_] {
-            if (connection_number == connection_number_)
-              Act([&](Follower::Actions* actions) { follower_.WatchReceived(now_, one, actions); });
-          });
+    for (const pb::WatchResponse& one : fragments) {
+      if (loses_responses_) return;
+      if (DrawFault(4)) return BreakConnection();
+      pending_responses_.emplace_back(now_ + Time(Draw(3)), [this, one,
+                                                             connection_number = connection_number_] {
+        if (connection_number == connection_number_)
+          RunFollowerStep([&](Follower::Actions* actions) { follower_.WatchReceived(now_, one, actions); });
+      });
     }
   }
   void Execute(const Follower::Close&) { DropConnection(); }
@@ -339,7 +342,7 @@
   }
   void Execute(const Follower::Progress&) { ledger_.RecordContact(now_, 0); }
   void Execute(const Follower::Disconnected&) {}
-  /// Applies a report and compares the view with the store at its revision.
+  /// Applies a report and compares the view with the store at the revision of the report.
   void ApplyOutput(const Feed::Output& output) {
     for (const Feed::KeyProblem& key : output.keys) ApplyKey(key);
     const Report& report = output.report;
@@ -350,13 +353,13 @@
     ASSERT_NE(expected, states_.end());
     EXPECT_EQ(CurrentView(), expected->second) << "at revision " << report.version;
   }
-  /// Checks and records whether a key's value can be read.
+  /// Checks and records whether the value of a key is valid.
   void ApplyKey(const Feed::KeyProblem& key) {
-    const bool bad = key.key.rfind(kPrefix + "bad", 0) == 0;
-    if (!bad) {
+    const bool is_invalid = key.key.rfind(kPrefix + "bad", 0) == 0;
+    if (!is_invalid) {
       EXPECT_EQ(key.reason, "") << key.key;
     }
-    bad_keys_ += bad && !key.reason.empty();
+    invalid_keys_ += is_invalid && !key.reason.empty();
     ledger_.RecordProblem(0, key.key, key.reason);
   }
 
@@ -368,35 +371,36 @@
   Feed feed_;
   Ledger ledger_;
   Time now_{1000};
-  std::deque<std::pair<Time, std::function<void()>>> pending_answers_;
-  bool is_open_ = false, is_watching_ = false, is_silent_ = false, is_connection_dead_ = false,
-       has_faults_ = true;
+  std::deque<std::pair<Time, std::function<void()>>> pending_responses_;
+  bool is_open_ = false, is_watching_ = false, is_hung_ = false, loses_responses_ = false, has_faults_ = true;
   std::int64_t next_revision_ = 0, lagging_revision_ = 0;
-  std::uint64_t connection_number_ = 0, reports_ = 0, breaks_ = 0, compactions_ = 0, bad_keys_ = 0;
+  std::uint64_t connection_number_ = 0, reports_ = 0, disconnects_ = 0, compactions_ = 0, invalid_keys_ = 0;
 };
 
-TEST(FeedRandomTest, TheViewEqualsTheStoreAtEveryReportAndOnceFaultsEnd) {
-  std::uint64_t reports = 0, breaks = 0, compactions = 0, restores = 0, lists = 0, resumes = 0, bad_keys = 0;
+TEST(FeedRandomTest, ViewEqualsTheStoreAtEveryReportAndAfterFaultsEnd) {
+  std::uint64_t reports = 0, disconnects = 0, compactions = 0, restores = 0, lists = 0, resumes = 0,
+                invalid_keys = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    World world(seed);
+    FeedSimulation simulation(seed);
     for (int step = 0; step < 3000; ++step) {
-      world.Step();
+      simulation.Step();
       if (step % 500 == 499 || ::testing::Test::HasFailure()) {
         ASSERT_FALSE(::testing::Test::HasFailure()) << "seed " << seed << ", step " << step;
       }
     }
-    world.EndFaultsAndSettle();
-    ASSERT_TRUE(world.ViewEqualsStore()) << "seed " << seed << ": " << world.follower().state() << ", "
-                                         << world.follower().last_error_message();
-    bad_keys += world.bad_keys();
-    reports += world.reports(), breaks += world.breaks(), compactions += world.compactions();
-    restores += world.restores(), lists += world.follower().snapshots(),
-        resumes += world.follower().resumes();
+    simulation.EndFaultsAndSettle();
+    ASSERT_TRUE(simulation.ViewEqualsStore()) << "seed " << seed << ": " << simulation.follower().state()
+                                              << ", " << simulation.follower().last_error_message();
+    invalid_keys += simulation.invalid_keys();
+    reports += simulation.reports(), disconnects += simulation.disconnects(),
+        compactions += simulation.compactions();
+    restores += simulation.restores(), lists += simulation.follower().snapshots(),
+        resumes += simulation.follower().resumes();
   }
-  // It was about something.
+  // The random steps covered enough of each case.
   EXPECT_GT(reports, 1200u);
-  EXPECT_GT(bad_keys, 100u);
-  EXPECT_GT(breaks, 500u);
+  EXPECT_GT(invalid_keys, 100u);
+  EXPECT_GT(disconnects, 500u);
   EXPECT_GT(compactions, 200u);
   EXPECT_GT(restores, 200u);
   EXPECT_GT(lists, 300u);
--- a/tests/membership/mass_departure_guard_test.cpp
+++ b/tests/membership/mass_departure_guard_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Mass departures, through the ledger.
+// MassDepartureGuard, tested through the ledger.
 #include "membership/mass_departure_guard.h"
 
 #include <gtest/gtest.h>
@@ -15,28 +15,29 @@
 
 using namespace testing;
 
-TEST_F(LedgerTest, AMassDepartureIsRetainedAndDrainsAreNot) {
-  std::vector<Member> ten;
-  for (int i = 0; i < 10; ++i) ten.push_back(Make("m" + std::to_string(i)));
-  ApplyList(kEtcd, 10, ten);
-  ApplyList(kDiscovery, 1, ten);
-  ApplyChanges(kEtcd, 11, {Make("m0", MemberState::kGone), Make("m1", MemberState::kGone)});
-  EXPECT_EQ(changes.size(), 2u) << "few are let go";
+TEST_F(LedgerTest, MassDepartureIsRetainedAndDrainsAreNot) {
+  std::vector<Member> ten_members;
+  for (int i = 0; i < 10; ++i) ten_members.push_back(MakeMember("m" + std::to_string(i)));
+  ApplyList(kEtcd, 10, ten_members);
+  ApplyList(kDiscovery, 1, ten_members);
+  ApplyChanges(kEtcd, 11, {MakeMember("m0", MemberState::kGone), MakeMember("m1", MemberState::kGone)});
+  EXPECT_EQ(changes.size(), 2u) << "departures below min_count are not retained";
   now += Time(100);
   std::vector<Member> leaving;
-  for (int i = 2; i < 9; ++i) leaving.push_back(Make("m" + std::to_string(i), MemberState::kGone));
+  for (int i = 2; i < 9; ++i) leaving.push_back(MakeMember("m" + std::to_string(i), MemberState::kGone));
   ApplyChanges(kEtcd, 12, leaving);
   EXPECT_TRUE(changes.empty());
   EXPECT_EQ(ledger.retained_count(), 7u);
   EXPECT_EQ(StateOf("m5"), "ready");
   EXPECT_TRUE(ledger.current_view().at("m5").retained);
   EXPECT_NE(DecisionOn("m5").find("held"), std::string::npos);
-  ApplyChanges(kDiscovery, 2, {Make("m5", MemberState::kGone), Make("m6", MemberState::kDraining)});
-  EXPECT_EQ(StateOf("m5"), "gone") << "another source confirms it";
+  ApplyChanges(kDiscovery, 2,
+               {MakeMember("m5", MemberState::kGone), MakeMember("m6", MemberState::kDraining)});
+  EXPECT_EQ(StateOf("m5"), "gone") << "another source confirms the departure";
   EXPECT_EQ(StateOf("m6"), "draining");
-  ApplyChanges(kEtcd, 13, {Make("m2")});
-  EXPECT_FALSE(ledger.current_view().at("m2").retained) << "it came back";
-  ApplyChanges(kEtcd, 14, {Make("m9", MemberState::kDraining)});
+  ApplyChanges(kEtcd, 13, {MakeMember("m2")});
+  EXPECT_FALSE(ledger.current_view().at("m2").retained) << "the authority lists it again";
+  ApplyChanges(kEtcd, 14, {MakeMember("m9", MemberState::kDraining)});
   EXPECT_EQ(StateOf("m9"), "draining");
   changes = ledger.ReleaseRetained(now);
   EXPECT_EQ(StateOf("m3"), "gone");
--- a/tests/membership/member_codec_test.cpp
+++ b/tests/membership/member_codec_test.cpp
@@ -8,7 +8,7 @@
 namespace badgerbridge::membership {
 namespace {
 
-TEST(MemberCodecTest, AMemberIsReadBackFromItsValue) {
+TEST(MemberCodecTest, ParsesASerializedMember) {
   Member member;
   member.name = "c1";
   member.address = "127.0.0.1:1";
@@ -26,7 +26,7 @@
   EXPECT_EQ(*read, member);
 }
 
-TEST(MemberCodecTest, AnUnreadableValueHasAnErrorThatTellsWhatIsWrong) {
+TEST(MemberCodecTest, InvalidValueHasAnErrorWithItsReason) {
   struct Case {
     std::string value;
     ErrorCode code;
@@ -45,17 +45,17 @@
        "-1", "weight is no number of at least 0"},
       {R"({"name":"a","status":"Ready","address":"x","since_ms":"1"})", ErrorCode::kInvalidNumber, "since_ms",
        "\"1\"", "since_ms is no number of at least 0"}};
-  for (const Case& one : cases) {
-    const Result<Member> member = ParseMember("a", one.value);
-    ASSERT_FALSE(member.has_value()) << one.value;
-    EXPECT_EQ(member.error().code, one.code) << one.value;
-    EXPECT_EQ(member.error().where, one.where) << one.value;
-    EXPECT_EQ(member.error().value, one.wrong_value) << one.value;
-    EXPECT_EQ(Message(member.error()), one.message);
+  for (const Case& test_case : cases) {
+    const Result<Member> member = ParseMember("a", test_case.value);
+    ASSERT_FALSE(member.has_value()) << test_case.value;
+    EXPECT_EQ(member.error().code, test_case.code) << test_case.value;
+    EXPECT_EQ(member.error().where, test_case.where) << test_case.value;
+    EXPECT_EQ(member.error().value, test_case.wrong_value) << test_case.value;
+    EXPECT_EQ(Message(member.error()), test_case.message);
   }
 }
 
-TEST(MemberCodecTest, AStateChangeIsACompareAndSwapOrNothingOrAnError) {
+TEST(MemberCodecTest, StateChangeIsACompareAndSwapOrNothingOrAnError) {
   etcdserverpb::KeyValue kv;
   kv.set_key("/k/a");
   kv.set_mod_revision(7);
--- a/tests/membership/registration_test.cpp
+++ b/tests/membership/registration_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A registration alone against the stand-in's store, in virtual time: lost answers, leases that run out,
-// drains, takeovers, deletions.
+// Registration against the store of the fake etcd, in virtual time: lost responses, expired leases, drains,
+// newer incarnations, deletions.
 #include "membership/registration.h"
 
 #include <gtest/gtest.h>
@@ -22,24 +22,24 @@
 
 const std::string kKey = "/badgerbridge/converters/c1";
 
-/// One registration, the etcd store it writes to, and the network between, in virtual time.
-class World {
+/// A registration, the etcd store it writes to, and the simulated network between them, in virtual time.
+class RegistrationSimulation {
  public:
-  explicit World(std::uint64_t seed = 1, double since = 100)
-      : random_(seed), registration_(MakeSettings(since)) {}
+  explicit RegistrationSimulation(std::uint64_t seed = 1, double start_time_ms = 100)
+      : random_(seed), registration_(MakeSettings(start_time_ms)) {}
 
-  /// What the network does with a call.
+  /// The fate of a call on the network.
   enum class CallFate { kDelivered, kRequestLost, kAnswerLost };
-  /// Asked for each call.
+  /// Decides the fate of each call.
   std::function<CallFate()> next_call_fate = [] { return CallFate::kDelivered; };
 
-  /// Runs until `until`; each call takes a millisecond.
+  /// Runs until `until`. Each call takes 1 ms.
   void RunUntil(Time until) {
     while (now_ < until) {
       const Registration::Action action = registration_.Next(now_);
       if (std::holds_alternative<Registration::End>(action)) break;
       if (const auto* wait = std::get_if<Registration::Wait>(&action)) {
-        ASSERT_GT(wait->until, now_) << "a wait with no end in sight would spin";
+        ASSERT_GT(wait->until, now_) << "a wait that ends now or earlier would loop for ever";
         AdvanceBy(std::min(until, wait->until) - now_);
         continue;
       }
@@ -50,13 +50,13 @@
     }
     if (now_ < until) AdvanceBy(until - now_);
   }
-  /// Moves the time on; leases expire.
+  /// Advances the time and expires leases.
   void AdvanceBy(Time by) {
     now_ += by;
     store.Expire(now_);
   }
 
-  /// The member under the key; nothing: no key, or a value that cannot be read.
+  /// The member stored under the key; nullopt if the key is absent or its value is invalid.
   std::optional<Member> StoredMember() {
     pb::RangeRequest request;
     request.set_key(kKey);
@@ -66,7 +66,7 @@
     const auto member = ParseMember("c1", response.kvs(0).value());
     return member ? std::make_optional(*member) : std::nullopt;
   }
-  /// Writes the state into the value as a person would; whether it was changed.
+  /// Writes the state into the value, as an operator does. Returns whether the value changed.
   bool WriteState(MemberState state) {
     pb::RangeRequest request;
     request.set_key(kKey);
@@ -79,14 +79,14 @@
     EXPECT_TRUE(store.Txn(**change, &answer).ok());
     return answer.succeeded();
   }
-  /// Deletes the key as a person would.
+  /// Deletes the key, as an operator does.
   void Delete() {
     pb::DeleteRangeRequest request;
     request.set_key(kKey);
     pb::DeleteRangeResponse response;
     EXPECT_TRUE(store.DeleteRange(request, &response).ok());
   }
-  /// How many leases live in the store.
+  /// The number of leases in the store.
   std::size_t LeaseCount() const {
     pb::LeaseLeasesResponse all;
     store.Leases(&all);
@@ -96,20 +96,20 @@
   Registration& registration() { return registration_; }
   Time now() const { return now_; }
   std::mt19937_64& random() { return random_; }
-  /// How often the registration wrote a key as ready that it had read as draining.
+  /// The number of writes that set a key to ready although it was last read as draining.
   std::uint64_t undone_drains() const { return undone_drains_; }
 
   EtcdStore store;
 
  private:
-  static RegistrationSettings MakeSettings(double since) {
+  static RegistrationSettings MakeSettings(double start_time_ms) {
     RegistrationSettings settings;
     settings.member.name = "c1";
     settings.member.address = "127.0.0.1:1";
-    settings.member.start_time_ms = since;
+    settings.member.start_time_ms = start_time_ms;
     return settings;
   }
-  /// Runs a call as next_call_fate has it, and reports how it ended.
+  /// Runs a call with the fate from next_call_fate and reports its status.
   template <typename Run, typename Report>
   void Call(Run run, Report report) {
     const CallFate call_fate = next_call_fate();
@@ -143,14 +143,14 @@
   void Execute(const Registration::WriteKey& action) {
     const auto member = ParseMember("c1", action.request.success(0).request_put().value());
     ASSERT_TRUE(member.has_value());
-    // What was last seen as draining may only be seen as ready again by somebody else's hand.
+    // Only an operator, not the registration, may set a draining backend to ready.
     undone_drains_ += was_read_draining_ && member->state == MemberState::kReady;
     const auto stored_before = StoredMember();
     pb::TxnResponse response;
     Call([&] { return store.Txn(action.request, &response); },
          [&](const Status& s) { registration_.OnKeyWritten(now_, s, response); });
     if (stored_before && stored_before->start_time_ms > 100) {
-      EXPECT_EQ(StoredMember(), stored_before) << "a newer start was overwritten";
+      EXPECT_EQ(StoredMember(), stored_before) << "a newer incarnation was overwritten";
     }
   }
   void Execute(const Registration::KeepLeaseAlive& action) {
@@ -176,158 +176,162 @@
   bool was_read_draining_ = false;
 };
 
-using CallFate = World::CallFate;
+using CallFate = RegistrationSimulation::CallFate;
 
 TEST(RegistrationTest, KeepsItsKeyUntilStopped) {
-  World world;
-  world.RunUntil(Time(60000));
-  ASSERT_TRUE(world.StoredMember());
-  EXPECT_EQ(world.StoredMember()->state, MemberState::kReady);
-  EXPECT_EQ(world.registration().grants(), 1u) << "kept alive, not granted again";
-  world.registration().Stop(world.now());
-  world.RunUntil(world.now() + Time(1000));
-  ASSERT_TRUE(world.StoredMember());
-  EXPECT_EQ(world.StoredMember()->state, MemberState::kDraining) << "first it says that it drains";
-  world.RunUntil(world.now() + Time(2000));
-  EXPECT_FALSE(world.StoredMember());
-  EXPECT_EQ(world.LeaseCount(), 0u);
-  EXPECT_TRUE(world.registration().has_ended());
+  RegistrationSimulation simulation;
+  simulation.RunUntil(Time(60000));
+  ASSERT_TRUE(simulation.StoredMember());
+  EXPECT_EQ(simulation.StoredMember()->state, MemberState::kReady);
+  EXPECT_EQ(simulation.registration().grants(), 1u) << "the lease was granted again and not kept alive";
+  simulation.registration().Stop(simulation.now());
+  simulation.RunUntil(simulation.now() + Time(1000));
+  ASSERT_TRUE(simulation.StoredMember());
+  EXPECT_EQ(simulation.StoredMember()->state, MemberState::kDraining)
+      << "the key was not written as draining before its removal";
+  simulation.RunUntil(simulation.now() + Time(2000));
+  EXPECT_FALSE(simulation.StoredMember());
+  EXPECT_EQ(simulation.LeaseCount(), 0u);
+  EXPECT_TRUE(simulation.registration().has_ended());
 }
 
-TEST(RegistrationTest, ADrainOutlivesTheLease) {
-  World world;
-  world.RunUntil(Time(5000));
-  ASSERT_TRUE(world.WriteState(MemberState::kDraining));
-  world.RunUntil(Time(10000));  // it has seen it
-  world.next_call_fate = [] { return CallFate::kRequestLost; };
-  world.RunUntil(Time(40000));
-  EXPECT_FALSE(world.StoredMember()) << "the lease ran out";
-  world.next_call_fate = [] { return CallFate::kDelivered; };
-  world.RunUntil(Time(50000));
-  ASSERT_TRUE(world.StoredMember());
-  EXPECT_EQ(world.StoredMember()->state, MemberState::kDraining);
-  EXPECT_EQ(world.registration().grants(), 2u);
-  ASSERT_TRUE(world.WriteState(MemberState::kReady));
-  world.RunUntil(Time(60000));
-  EXPECT_EQ(world.StoredMember()->state, MemberState::kReady);
+TEST(RegistrationTest, DrainOutlivesTheLease) {
+  RegistrationSimulation simulation;
+  simulation.RunUntil(Time(5000));
+  ASSERT_TRUE(simulation.WriteState(MemberState::kDraining));
+  simulation.RunUntil(Time(10000));  // the registration has read the drain
+  simulation.next_call_fate = [] { return CallFate::kRequestLost; };
+  simulation.RunUntil(Time(40000));
+  EXPECT_FALSE(simulation.StoredMember()) << "the lease did not expire";
+  simulation.next_call_fate = [] { return CallFate::kDelivered; };
+  simulation.RunUntil(Time(50000));
+  ASSERT_TRUE(simulation.StoredMember());
+  EXPECT_EQ(simulation.StoredMember()->state, MemberState::kDraining);
+  EXPECT_EQ(simulation.registration().grants(), 2u);
+  ASSERT_TRUE(simulation.WriteState(MemberState::kReady));
+  simulation.RunUntil(Time(60000));
+  EXPECT_EQ(simulation.StoredMember()->state, MemberState::kReady);
 }
 
-TEST(RegistrationTest, ANewerIncarnationAndADeletionByHandEndTheRegistration) {
-  World world;
-  world.RunUntil(Time(5000));
-  world.Delete();
-  world.RunUntil(Time(30000));
-  EXPECT_TRUE(world.registration().has_ended());
-  EXPECT_EQ(Message(world.registration().condition()),
+TEST(RegistrationTest, NewerIncarnationOrDeletionByAnOperatorEndsTheRegistration) {
+  RegistrationSimulation simulation;
+  simulation.RunUntil(Time(5000));
+  simulation.Delete();
+  simulation.RunUntil(Time(30000));
+  EXPECT_TRUE(simulation.registration().has_ended());
+  EXPECT_EQ(Message(simulation.registration().condition()),
             "its key was deleted by somebody else: it is not written again");
-  EXPECT_FALSE(world.StoredMember());
-  EXPECT_EQ(world.LeaseCount(), 0u);
+  EXPECT_FALSE(simulation.StoredMember());
+  EXPECT_EQ(simulation.LeaseCount(), 0u);
 
-  World other;
-  Member newer;
-  newer.name = "c1";
-  newer.address = "127.0.0.1:2";
-  newer.start_time_ms = 200;
+  RegistrationSimulation with_newer;
+  Member other_incarnation;
+  other_incarnation.name = "c1";
+  other_incarnation.address = "127.0.0.1:2";
+  other_incarnation.start_time_ms = 200;
   pb::PutRequest put;
   put.set_key(kKey);
-  put.set_value(SerializeMember(newer));
+  put.set_value(SerializeMember(other_incarnation));
   pb::PutResponse ignored;
-  ASSERT_TRUE(other.store.Put(put, &ignored).ok());
-  other.RunUntil(Time(30000));
-  EXPECT_EQ(Message(other.registration().condition()), "a newer start of c1 is registered");
-  EXPECT_EQ(other.StoredMember(), newer);
+  ASSERT_TRUE(with_newer.store.Put(put, &ignored).ok());
+  with_newer.RunUntil(Time(30000));
+  EXPECT_EQ(Message(with_newer.registration().condition()),
+            "a newer incarnation of c1 is registered; this registration ends");
+  EXPECT_EQ(with_newer.StoredMember(), other_incarnation);
 
-  // One of an older start is taken over, and its drain does not count.
-  World third;
-  newer.start_time_ms = 50;
-  newer.state = MemberState::kDraining;
-  put.set_value(SerializeMember(newer));
-  ASSERT_TRUE(third.store.Put(put, &ignored).ok());
-  third.RunUntil(Time(30000));
-  ASSERT_TRUE(third.StoredMember());
-  EXPECT_EQ(third.StoredMember()->start_time_ms, 100);
-  EXPECT_EQ(third.StoredMember()->state, MemberState::kReady);
+  // The key of an older incarnation is overwritten, and that one's drain is ignored.
+  RegistrationSimulation with_older;
+  other_incarnation.start_time_ms = 50;
+  other_incarnation.state = MemberState::kDraining;
+  put.set_value(SerializeMember(other_incarnation));
+  ASSERT_TRUE(with_older.store.Put(put, &ignored).ok());
+  with_older.RunUntil(Time(30000));
+  ASSERT_TRUE(with_older.StoredMember());
+  EXPECT_EQ(with_older.StoredMember()->start_time_ms, 100);
+  EXPECT_EQ(with_older.StoredMember()->state, MemberState::kReady);
 }
 
 TEST(RegistrationTest, StopEndsInBoundedTimeWhenEtcdDoesNotAnswer) {
-  World world;
-  world.RunUntil(Time(5000));
-  world.next_call_fate = [] { return CallFate::kRequestLost; };
-  world.registration().Stop(world.now());
-  world.RunUntil(world.now() + Time(13000));
-  EXPECT_TRUE(world.registration().has_ended());
-  EXPECT_FALSE(world.StoredMember()) << "the lease ran out by itself";
-  World never;
-  never.next_call_fate = [] { return CallFate::kRequestLost; };
-  never.RunUntil(Time(3000));
-  never.registration().Stop(never.now());
-  EXPECT_TRUE(never.registration().has_ended());
+  RegistrationSimulation simulation;
+  simulation.RunUntil(Time(5000));
+  simulation.next_call_fate = [] { return CallFate::kRequestLost; };
+  simulation.registration().Stop(simulation.now());
+  simulation.RunUntil(simulation.now() + Time(13000));
+  EXPECT_TRUE(simulation.registration().has_ended());
+  EXPECT_FALSE(simulation.StoredMember()) << "the lease did not expire";
+  RegistrationSimulation unreachable;
+  unreachable.next_call_fate = [] { return CallFate::kRequestLost; };
+  unreachable.RunUntil(Time(3000));
+  unreachable.registration().Stop(unreachable.now());
+  EXPECT_TRUE(unreachable.registration().has_ended());
 }
 
-TEST(RegistrationTest, ADeletedKeyEndsTheRegistrationWhenEtcdDoesNotAnswer) {
-  World world;
-  world.RunUntil(Time(5000));
-  world.Delete();
-  // It learns that its key was deleted, and can't give the lease back.
-  world.next_call_fate = [&] {
-    return Message(world.registration().condition()).find("deleted") == std::string::npos
+TEST(RegistrationTest, DeletedKeyEndsTheRegistrationWhenEtcdDoesNotAnswer) {
+  RegistrationSimulation simulation;
+  simulation.RunUntil(Time(5000));
+  simulation.Delete();
+  // The registration reads that its key was deleted and then cannot revoke the lease.
+  simulation.next_call_fate = [&] {
+    return Message(simulation.registration().condition()).find("deleted") == std::string::npos
                ? CallFate::kDelivered
                : CallFate::kRequestLost;
   };
-  world.RunUntil(Time(60000));
-  EXPECT_TRUE(world.registration().has_ended());
-  EXPECT_EQ(Message(world.registration().condition()),
+  simulation.RunUntil(Time(60000));
+  EXPECT_TRUE(simulation.registration().has_ended());
+  EXPECT_EQ(Message(simulation.registration().condition()),
             "its key was deleted by somebody else: it is not written again");
-  EXPECT_EQ(world.LeaseCount(), 0u) << "run out by itself";
+  EXPECT_EQ(simulation.LeaseCount(), 0u) << "the lease did not expire";
 }
 
-TEST(RegistrationTest, AnUnreadableValueIsOverwritten) {
-  World world;
+TEST(RegistrationTest, InvalidValueIsOverwritten) {
+  RegistrationSimulation simulation;
   pb::PutRequest put;
   put.set_key(kKey);
   put.set_value("not JSON");
   pb::PutResponse ignored;
-  ASSERT_TRUE(world.store.Put(put, &ignored).ok());
-  world.RunUntil(Time(5000));
-  ASSERT_TRUE(world.StoredMember());
-  EXPECT_EQ(world.StoredMember()->state, MemberState::kReady);
+  ASSERT_TRUE(simulation.store.Put(put, &ignored).ok());
+  simulation.RunUntil(Time(5000));
+  ASSERT_TRUE(simulation.StoredMember());
+  EXPECT_EQ(simulation.StoredMember()->state, MemberState::kReady);
 }
 
 TEST(RegistrationTest, RandomFaultsNeverUndoADrainAndLeaveOneLease) {
   std::uint64_t lost_leases = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-    World world(seed);
-    unsigned bad = 0;
-    world.next_call_fate = [&] {
-      const unsigned draw = static_cast<unsigned>(world.random()() % 100);
-      return draw >= bad ? CallFate::kDelivered : draw % 2 ? CallFate::kRequestLost : CallFate::kAnswerLost;
+    RegistrationSimulation simulation(seed);
+    unsigned loss_percent = 0;
+    simulation.next_call_fate = [&] {
+      const unsigned draw = static_cast<unsigned>(simulation.random()() % 100);
+      return draw >= loss_percent ? CallFate::kDelivered
+             : draw % 2           ? CallFate::kRequestLost
+                                  : CallFate::kAnswerLost;
     };
     bool draining = false;
     for (int step = 0; step < 100; ++step) {
-      constexpr unsigned kBad[] = {0, 20, 60, 100};
-      bad = kBad[world.random()() % 4];
-      if (world.random()() % 4 == 0) {
-        const MemberState to = world.random()() % 2 ? MemberState::kReady : MemberState::kDraining;
-        if (world.WriteState(to)) draining = to == MemberState::kDraining;
+      constexpr unsigned kLossPercents[] = {0, 20, 60, 100};
+      loss_percent = kLossPercents[simulation.random()() % 4];
+      if (simulation.random()() % 4 == 0) {
+        const MemberState to = simulation.random()() % 2 ? MemberState::kReady : MemberState::kDraining;
+        if (simulation.WriteState(to)) draining = to == MemberState::kDraining;
       }
-      world.RunUntil(world.now() + Time(static_cast<std::int64_t>(world.random()() % 8000)));
+      simulation.RunUntil(simulation.now() + Time(static_cast<std::int64_t>(simulation.random()() % 8000)));
       ASSERT_FALSE(::testing::Test::HasFailure()) << "seed " << seed << ", step " << step;
     }
-    EXPECT_EQ(world.undone_drains(), 0u) << "seed " << seed;
-    bad = 0;
-    world.RunUntil(world.now() + Time(60000));
-    ASSERT_TRUE(world.StoredMember()) << "seed " << seed;
-    EXPECT_EQ(world.LeaseCount(), 1u) << "what was granted and never heard of has run out";
-    EXPECT_EQ(world.StoredMember()->state, world.registration().state());
-    lost_leases += world.registration().grants() - 1;
-    // While it reaches etcd it takes the state that is written.
-    if (world.WriteState(draining ? MemberState::kReady : MemberState::kDraining)) draining = !draining;
-    world.RunUntil(world.now() + Time(20000));
-    EXPECT_EQ(world.registration().state(), world.StoredMember()->state);
-    world.registration().Stop(world.now());
-    world.RunUntil(world.now() + Time(20000));
-    EXPECT_TRUE(world.registration().has_ended());
-    EXPECT_FALSE(world.StoredMember());
+    EXPECT_EQ(simulation.undone_drains(), 0u) << "seed " << seed;
+    loss_percent = 0;
+    simulation.RunUntil(simulation.now() + Time(60000));
+    ASSERT_TRUE(simulation.StoredMember()) << "seed " << seed;
+    EXPECT_EQ(simulation.LeaseCount(), 1u) << "leases whose grants were lost have not expired";
+    EXPECT_EQ(simulation.StoredMember()->state, simulation.registration().state());
+    lost_leases += simulation.registration().grants() - 1;
+    // With a working connection, the registration adopts the state that an operator writes.
+    if (simulation.WriteState(draining ? MemberState::kReady : MemberState::kDraining)) draining = !draining;
+    simulation.RunUntil(simulation.now() + Time(20000));
+    EXPECT_EQ(simulation.registration().state(), simulation.StoredMember()->state);
+    simulation.registration().Stop(simulation.now());
+    simulation.RunUntil(simulation.now() + Time(20000));
+    EXPECT_TRUE(simulation.registration().has_ended());
+    EXPECT_FALSE(simulation.StoredMember());
   }
   EXPECT_GT(lost_leases, 50u);
 }
