--- a/src/etcd/channel.cpp
+++ b/src/etcd/channel.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-constexpr std::size_t kReadBytes = 16384;  // at a time
+constexpr std::size_t kReadBufferBytes = 16384;
 
 std::optional<asio::ssl::context> MakeTlsContext(const ChannelOptions& options) {
   if (!options.tls) return std::nullopt;
@@ -97,7 +97,7 @@
 asio::awaitable<void> Channel::Read() {
   ErrorCode error;
   auto token = asio::redirect_error(asio::use_awaitable, error);
-  std::array<char, kReadBytes> buffer;
+  std::array<char, kReadBufferBytes> buffer;
   while (!is_closed_) {
     const std::size_t size = co_await transport_.AsyncReadSome(asio::buffer(buffer), token);
     if (is_closed_) co_return;
@@ -107,7 +107,7 @@
     }
     last_received_at_ = Clock::now();
     const ConnectionResult fed = http2_.Feed({buffer.data(), size});
-    Flush();  // after an error too: nghttp2 sends GOAWAY
+    Flush();  // also after an error, so that nghttp2's GOAWAY is sent
     if (!fed) {
       CloseWith(fed.error());
       co_return;
@@ -115,8 +115,8 @@
   }
 }
 
-// For a PING whose time is over: whether bytes have arrived that were not read yet, as in a process that was
-// not scheduled for a while.
+// Called when a PING has timed out: whether received bytes are still unread, for example because this process
+// was not scheduled for a while.
 asio::awaitable<bool> Channel::ReceivesUnreadBytes() {
   ErrorCode error;
   auto token = asio::redirect_error(asio::use_awaitable, error);
@@ -129,19 +129,20 @@
   co_return last_received_at_ != last_received_at;
 }
 
-// Sends a PING after a while without bytes, and closes the connection if nothing comes within ping_timeout of
-// it. That time starts with the PING, so that a delay of this process does not count against the server.
+// Sends a PING after ping_interval without received bytes, and closes the connection if nothing is received
+// within ping_timeout of the PING. The timeout starts when the PING is sent, so that a delay in this process
+// does not count against the server.
 asio::awaitable<void> Channel::MonitorLiveness() {
   const auto self = shared_from_this();
   ErrorCode error;
   auto token = asio::redirect_error(asio::use_awaitable, error);
   std::optional<Clock::time_point> pinged_at;
   while (!is_closed_) {
-    const auto due =
+    const auto deadline =
         pinged_at ? *pinged_at + options_.ping_timeout : last_received_at_ + options_.ping_interval;
-    if (Clock::now() < due) {
+    if (Clock::now() < deadline) {
       const auto last_received_at = last_received_at_;
-      liveness_timer_.expires_at(due);
+      liveness_timer_.expires_at(deadline);
       co_await liveness_timer_.async_wait(token);
       if (last_received_at_ != last_received_at) pinged_at.reset();
       continue;
@@ -180,15 +181,15 @@
 }
 
 std::optional<CallId> Channel::BeginCall(const std::string& path, const HeaderFields& metadata,
-                                         std::string_view message, bool last, CallHandler handler) {
+                                         std::string_view message, bool end_stream, CallHandler handler) {
   if (is_closed_) return std::nullopt;
-  const auto call = http2_.BeginCall(path, metadata, message, last, std::move(handler));
+  const auto call = http2_.BeginCall(path, metadata, message, end_stream, std::move(handler));
   Flush();
   return call;
 }
 
-bool Channel::SendMessage(CallId call, std::string_view message, bool last) {
-  const bool is_sent = http2_.SendMessage(call, message, last);
+bool Channel::SendMessage(CallId call, std::string_view message, bool end_stream) {
+  const bool is_sent = http2_.SendMessage(call, message, end_stream);
   Flush();
   return is_sent;
 }
@@ -216,7 +217,7 @@
   ArmCallTimer(timer, timeout, *call);
 }
 
-// The timer is owned by the call's handler, and ends with the call.
+// The call's handler owns the timer and releases it when the call ends.
 void Channel::ArmCallTimer(const std::shared_ptr<net::OneShotTimer>& timer, std::chrono::milliseconds timeout,
                            CallId call, net::ReadTimeoutGrace grace) {
   const auto on_timeout = [weak_channel = weak_from_this(), weak_timer = std::weak_ptr(timer), call,
--- a/src/etcd/channel.h
+++ b/src/etcd/channel.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One connection to an etcd endpoint, and the gRPC calls on it: Http2Client on a TCP socket, in cleartext or
-/// with TLS. It is used until it ends; to reconnect, open another one.
+/// One connection to an etcd endpoint and the gRPC calls on it: Http2Client over a TCP socket, in cleartext
+/// or with TLS. A channel does not reconnect; open another one instead.
 #ifndef BADGERBRIDGE_ETCD_CHANNEL_H_
 #define BADGERBRIDGE_ETCD_CHANNEL_H_
 
@@ -29,51 +29,54 @@
 
 /// Configuration of a channel.
 struct ChannelOptions {
-  std::chrono::milliseconds connect_timeout{500};  ///< With the TLS handshake.
-  /// After this time without any byte received a PING is sent. With ping_timeout it bounds how long a dead
-  /// connection goes unnoticed.
+  std::chrono::milliseconds connect_timeout{500};  ///< Including the TLS handshake.
+  /// A PING is sent after this time without received bytes. A dead connection is detected after at most
+  /// ping_interval + ping_timeout.
   std::chrono::milliseconds ping_interval{150};
-  std::chrono::milliseconds ping_timeout{100};  ///< For the answer to a PING; then the connection is closed.
-  std::optional<http_api::TlsFiles> tls;        ///< None: cleartext.
-  std::string server_name;  ///< The name in the server's certificate (RFC 9525); empty: the address.
-  Http2Limits limits;       ///< Of the connection.
+  std::chrono::milliseconds ping_timeout{
+      100};  ///< The connection is closed if a PING is not answered in this time.
+  std::optional<http_api::TlsFiles> tls;  ///< Cleartext if empty.
+  std::string server_name;  ///< Expected in the server's certificate (RFC 9525); if empty, the address.
+  Http2Limits limits;       ///< Limits of the connection.
 };
 
-/// One connection. To be used on the io_context's thread only.
+/// One connection. May be used only on the io_context's thread.
 class Channel : public std::enable_shared_from_this<Channel> {
  public:
-  /// Called once the connection takes calls.
+  /// Called once, when the connection is ready for calls.
   using OnOpen = std::function<void()>;
   /// Called exactly once, after all calls have ended.
   using OnClosed = std::function<void(const ConnectionError& error)>;
-  /// Receives the status and, if it is ok, the response message of a call.
+  /// Receives the status of a call and, if the status is ok, the response message.
   using OnUnaryCompleted = std::function<void(Status, std::string)>;
 
-  /// Starts to connect. Throws std::runtime_error for TLS files that cannot be used. Calls neither function
-  /// from within. `io` must outlive the channel; the channel lives at least until it is closed.
+  /// Starts to connect. Throws std::runtime_error if the TLS files cannot be used. Never calls `on_open` or
+  /// `on_closed` before it returns. `io` must outlive the channel; the channel lives at least until it is
+  /// closed.
   static std::shared_ptr<Channel> Open(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
                                        ChannelOptions options, OnOpen on_open, OnClosed on_closed);
   ~Channel();
 
-  /// See Http2Client::BeginCall. Nothing also if the channel is closed.
+  /// See Http2Client::BeginCall. Also returns nullopt if the channel is closed.
   std::optional<CallId> BeginCall(const std::string& path, const HeaderFields& metadata,
-                                  std::string_view message, bool last, CallHandler handler);
+                                  std::string_view message, bool end_stream, CallHandler handler);
   /// See Http2Client::SendMessage.
-  bool SendMessage(CallId call, std::string_view message, bool last);
+  bool SendMessage(CallId call, std::string_view message, bool end_stream);
   /// See Http2Client::CancelCall.
   void CancelCall(CallId call, Ending ending = Ending::kCancelled);
-  /// A call with one message each way. `on_completed` is called exactly once: after `timeout` at the
-  /// latest, with Ending::kTimeout (a little later where what has been received is still unread); from within
-  /// only if the channel takes no more calls.
+  /// A call with one request message and one response message. `on_completed` is called exactly once, after
+  /// `timeout` at the latest (with Ending::kTimeout), or slightly later if received bytes are still unread.
+  /// It is called before CallUnary returns only if the channel accepts no more calls.
   void CallUnary(const std::string& path, const HeaderFields& metadata, std::string_view message,
                  std::chrono::milliseconds timeout, OnUnaryCompleted on_completed);
-  /// Closes the connection. `reason` is for people.
+  /// Closes the connection. `reason` is a human-readable text.
   void Close(const std::string& reason);
 
-  bool is_open() const { return is_open_ && !is_closed_; }        ///< Connected, and not closed.
-  bool going_away() const { return http2_.going_away(); }         ///< The server takes no further calls.
+  bool is_open() const { return is_open_ && !is_closed_; }        ///< Connected and not closed.
+  bool going_away() const { return http2_.going_away(); }         ///< The server accepts no more calls.
   std::size_t open_calls() const { return http2_.open_calls(); }  ///< Calls that have not ended.
-  /// For a timeout of what is awaited on this channel: see net::ReadTimeoutGrace::ShouldPostpone.
+  /// Whether to postpone a timeout for data expected on this channel; see
+  /// net::ReadTimeoutGrace::ShouldPostpone.
   bool ShouldPostpone(net::ReadTimeoutGrace* grace) const {
     return grace->ShouldPostpone(transport_.socket());
   }
--- a/src/etcd/client.cpp
+++ b/src/etcd/client.cpp
@@ -17,7 +17,7 @@
 
 constexpr milliseconds kMinTimeout{1};
 
-// The result of a callback that a coroutine waits for. The callback may come when the coroutine is gone.
+// The result of a callback that a coroutine waits for. The callback may run after the coroutine has ended.
 struct PendingResult {
   explicit PendingResult(asio::io_context& io) : timer(io, Clock::time_point::max()) {}
 
@@ -40,8 +40,8 @@
   while (!pending->is_complete) co_await pending->timer.async_wait(token);
 }
 
-milliseconds TimeUntil(Clock::time_point due) {
-  return std::max(kMinTimeout, std::chrono::duration_cast<milliseconds>(due - Clock::now()));
+milliseconds TimeUntil(Clock::time_point deadline) {
+  return std::max(kMinTimeout, std::chrono::duration_cast<milliseconds>(deadline - Clock::now()));
 }
 
 }  // namespace
@@ -52,12 +52,12 @@
 }
 
 Client::~Client() {
-  if (channel_) channel_->Close("it is not wanted any more");
+  if (channel_) channel_->Close("the client was destroyed");
 }
 
 asio::awaitable<Status> Client::Connect(milliseconds timeout) {
   const auto pending = std::make_shared<PendingResult>(io_);
-  if (channel_) channel_->Close("another connection is tried");
+  if (channel_) channel_->Close("replaced by a new connection");
   channel_.reset();
   token_.clear();
   ++connection_attempts_;
@@ -70,7 +70,7 @@
         [pending](const ConnectionError& error) {
           pending->Complete({Code::kUnavailable, Ending::kLost, Message(error)});
         });
-  } catch (const std::exception& error) {  // unusable TLS files: no other member can help
+  } catch (const std::exception& error) {  // unusable TLS files: other members would fail too
     status = {Code::kFailedPrecondition, Ending::kStatus, error.what()};
   }
   if (!channel_) co_return status;
@@ -105,47 +105,47 @@
   co_return Status{};
 }
 
-// One attempt: a connection and a token, if there is none, and the call; all of it within `timeout`.
+// One attempt: connects and authenticates if necessary, then makes the call, all within `timeout`.
 asio::awaitable<Result<std::string>> Client::CallCurrentEndpoint(std::string path, std::string request,
                                                                  milliseconds timeout) {
-  const auto due = Clock::now() + timeout;
+  const auto deadline = Clock::now() + timeout;
   if (!channel_ || !channel_->is_open() || channel_->going_away()) {
     Status connected = co_await Connect(timeout);
     if (!connected.ok()) co_return connected;
   }
   if (!settings_.user.empty() && token_.empty()) {
-    Status authenticated = co_await Authenticate(TimeUntil(due));
+    Status authenticated = co_await Authenticate(TimeUntil(deadline));
     if (!authenticated.ok()) co_return authenticated;
   }
-  co_return co_await CallOnChannel(std::move(path), std::move(request), TimeUntil(due));
+  co_return co_await CallOnChannel(std::move(path), std::move(request), TimeUntil(deadline));
 }
 
 void Client::SelectNextEndpoint() {
-  if (channel_) channel_->Close("another member is tried");
+  if (channel_) channel_->Close("failing over to another member");
   channel_.reset();
   endpoint_ = (endpoint_ + 1) % settings_.endpoints.size();
 }
 
-milliseconds Client::DrawBackoff(milliseconds* backoff) {
+milliseconds Client::NextRetryDelay(milliseconds* backoff) {
   const auto half = static_cast<std::uint64_t>(backoff->count() / 2);
-  const milliseconds pause(static_cast<std::int64_t>(half + random_() % (half + 1)));
+  const milliseconds delay(static_cast<std::int64_t>(half + random_() % (half + 1)));
   *backoff = std::min(settings_.max_backoff, *backoff * 2);
-  return pause;
+  return delay;
 }
 
 asio::awaitable<Result<std::string>> Client::CallWithFailover(std::string path, std::string request,
                                                               milliseconds timeout) {
-  const auto due = Clock::now() + timeout;
+  const auto deadline = Clock::now() + timeout;
   milliseconds backoff = settings_.first_backoff;
   bool token_was_renewed = false;
   std::size_t failures = 0;
   for (;;) {
     const milliseconds attempt_timeout =
-        std::max(kMinTimeout, std::min(settings_.call_timeout, TimeUntil(due)));
+        std::max(kMinTimeout, std::min(settings_.call_timeout, TimeUntil(deadline)));
     Result<std::string> response = co_await CallCurrentEndpoint(path, request, attempt_timeout);
     if (response) co_return response;
     const bool token_expired = response.error().code == Code::kUnauthenticated && !token_.empty();
-    if (token_expired && !token_was_renewed) {  // by time, or as the member was restarted
+    if (token_expired && !token_was_renewed) {  // after its lifetime, or because the member restarted
       token_was_renewed = true;
       token_.clear();
       continue;
@@ -154,9 +154,9 @@
     SelectNextEndpoint();
     ++failures;
     const bool all_failed = failures % settings_.endpoints.size() == 0;
-    const milliseconds pause = all_failed ? DrawBackoff(&backoff) : milliseconds(0);
-    if (Clock::now() + pause >= due) co_return response;
-    asio::steady_timer timer(io_, pause);
+    const milliseconds delay = all_failed ? NextRetryDelay(&backoff) : milliseconds(0);
+    if (Clock::now() + delay >= deadline) co_return response;
+    asio::steady_timer timer(io_, delay);
     boost::system::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
--- a/src/etcd/error.cpp
+++ b/src/etcd/error.cpp
@@ -13,17 +13,17 @@
     case ConnectionErrorCode::kConnectFailed:
       return "cannot connect: " + error.detail;
     case ConnectionErrorCode::kHandshakeTimeout:
-      return "no handshake within the time for it";
+      return "TLS handshake timed out";
     case ConnectionErrorCode::kHandshakeFailed:
-      return "the handshake failed: " + error.detail;
+      return "TLS handshake failed: " + error.detail;
     case ConnectionErrorCode::kTransportFailed:
       return "the connection ended: " + error.detail;
     case ConnectionErrorCode::kServerUnresponsive:
       return "the link is silent: no answer to a ping";
     case ConnectionErrorCode::kClientUnresponsive:
-      return "the client is silent: no answer to a ping";
+      return "the client did not answer a PING in time";
     case ConnectionErrorCode::kClientNotReading:
-      return "the client does not read its answers";
+      return "the client stopped reading responses";
     case ConnectionErrorCode::kPeerFinished:
       return "the other side ended the connection's work";
     case ConnectionErrorCode::kHttp2:
--- a/src/etcd/error.h
+++ b/src/etcd/error.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The errors of connections to etcd and of gRPC servers. Errors of single calls are `Status` (status.h).
+/// Errors of etcd client connections and gRPC server connections. Errors of single calls are `Status`
+/// (status.h).
 #ifndef BADGERBRIDGE_ETCD_ERROR_H_
 #define BADGERBRIDGE_ETCD_ERROR_H_
 
@@ -11,18 +12,18 @@
 
 namespace badgerbridge::etcd {
 
-/// Why a connection, or an attempt to open one, has ended.
+/// Why a connection ended or could not be opened.
 enum class ConnectionErrorCode {
-  kConnectTimeout,    ///< Not connected, with the TLS handshake, within the connect timeout.
-  kConnectFailed,     ///< Connecting or the client's TLS handshake failed; `detail` is the system's message.
-  kHandshakeTimeout,  ///< The client has not completed the TLS handshake in time.
+  kConnectTimeout,    ///< TCP connect and TLS handshake exceeded the connect timeout.
+  kConnectFailed,     ///< TCP connect or the client's TLS handshake failed; `detail` is the system's message.
+  kHandshakeTimeout,  ///< The client did not complete the TLS handshake in time.
   kHandshakeFailed,   ///< The server's TLS handshake failed; `detail` is the TLS library's message.
   kTransportFailed,   ///< A read or write failed, or the peer closed; `detail` is the system's message.
   kServerUnresponsive,  ///< The server did not answer a PING in time.
   kClientUnresponsive,  ///< The client did not answer a PING in time.
-  kClientNotReading,    ///< The client does not read what it is sent.
-  kHttp2,               ///< HTTP/2 (RFC 9113) was violated; `detail` is nghttp2's message.
-  kPeerFinished,        ///< After GOAWAY and the last call, nothing is left to do on the connection.
+  kClientNotReading,    ///< The client does not read the data sent to it.
+  kHttp2,               ///< Violation of HTTP/2 (RFC 9113); `detail` is nghttp2's message.
+  kPeerFinished,        ///< The peer sent GOAWAY and the last call has ended.
   kClosed,              ///< Closed by this process; `detail` is the reason.
 };
 
@@ -32,7 +33,7 @@
   std::string detail;                                       ///< See ConnectionErrorCode; may be empty.
 };
 
-/// The error as one line for people, without a line end.
+/// A human-readable message in one line, without a newline.
 std::string Message(const ConnectionError& error);
 
 /// Success, or the error that ended the connection.
@@ -44,15 +45,15 @@
 
 /// How a client violated the protocol.
 enum class ProtocolErrorCode {
-  kHeadersTooLarge,  ///< The headers of a call exceed the limit.
-  kMalformedBody,    ///< The body is not framed as gRPC's, or a message exceeds the limit.
-  kHttp2,            ///< HTTP/2 (RFC 9113) itself; the connection is lost.
+  kHeadersTooLarge,  ///< The headers of a call exceed max_header_bytes.
+  kMalformedBody,    ///< The body is not valid gRPC framing, or a message exceeds the limit.
+  kHttp2,            ///< Violation of HTTP/2 (RFC 9113); the connection is lost.
 };
 
 /// A violation of the protocol by a client.
 struct ProtocolError {
-  ProtocolErrorCode code = ProtocolErrorCode::kHttp2;  ///< What is wrong.
-  std::string detail;                                  ///< For people; may be empty.
+  ProtocolErrorCode code = ProtocolErrorCode::kHttp2;  ///< Kind of violation.
+  std::string detail;                                  ///< Human-readable; may be empty.
 };
 
 }  // namespace badgerbridge::etcd
--- a/src/etcd/follower.cpp
+++ b/src/etcd/follower.cpp
@@ -52,15 +52,15 @@
   actions->push_back(Connect{endpoint_order_[endpoint_]});
 }
 
-// The pause before the next endpoint is tried.
-Follower::Time Follower::DrawPause(Code code) {
+// The delay before the next connection attempt.
+Follower::Time Follower::NextRetryDelay(Code code) {
   const bool is_overloaded = code == Code::kResourceExhausted;
   if (is_established_ && !is_overloaded)
-    return Time(DrawUpTo(static_cast<std::uint64_t>(settings_.reconnect_spread.count())));
+    return Time(RandomUpTo(static_cast<std::uint64_t>(settings_.reconnect_spread.count())));
   if (is_overloaded) backoff_ = std::max(backoff_, settings_.overload_backoff);
   const auto half = static_cast<std::uint64_t>(backoff_.count() / 2);
   backoff_ = std::min(settings_.max_backoff, backoff_ * 2);
-  return Time(half + DrawUpTo(half));
+  return Time(half + RandomUpTo(half));
 }
 
 void Follower::Fail(Time now, FollowerError error, Actions* actions) {
@@ -70,16 +70,16 @@
   actions->push_back(Disconnected{std::move(error)});
   state_ = State::kWaiting;
   endpoint_ = (endpoint_ + 1) % settings_.endpoints;
-  wake_at_ = now + DrawPause(code);
+  wake_at_ = now + NextRetryDelay(code);
   is_established_ = false;
   ++failures_;
   const bool all_failed = failures_ % settings_.endpoints == 0;
   if (all_failed) step_timeout_ = std::min(settings_.call_timeout, step_timeout_ * 2);
 }
 
-// Each step towards the watch may take step_timeout_: an endpoint that is up and does not answer must cost
-// little time, since a drain may be waiting. The timeout grows while all endpoints fail, and is never less
-// than twice the longest step of the last success.
+// Each step up to the watch is limited to step_timeout_. An unresponsive endpoint must cost little time,
+// because a drain may be pending. The timeout doubles whenever all endpoints have failed. It is set to twice
+// the longest step, within its bounds, when a watch is established.
 void Follower::EnterStep(Time now, State state) {
   state_ = state;
   wake_at_ = now + step_timeout_;
@@ -98,7 +98,7 @@
     case State::kConnecting:
     case State::kAuthenticating:
     case State::kProbing:
-    case State::kListing:
+    case State::kReadingSnapshot:
       if (state_ == State::kConnecting) actions->push_back(Close{{FollowerErrorCode::kConnectTimeout}});
       return Fail(now, {FollowerErrorCode::kStepTimeout}, actions);
     case State::kWatching:
@@ -130,7 +130,7 @@
 
 void Follower::Closed(Time now, const ConnectionError& error, Actions* actions) {
   if (state_ == State::kWaiting) return;
-  state_ = State::kConnecting;  // nothing is left to close
+  state_ = State::kConnecting;  // the connection is already closed
   Fail(now, MakeFollowerError(FollowerErrorCode::kConnectionLost, Message(error)), actions);
 }
 
@@ -144,7 +144,7 @@
 
 // ---- snapshots
 
-// Reads what is committed, by a linearizable read of a single key.
+// Determines the committed revision by a linearizable read of a single key.
 void Follower::StartProbe(Time now, Actions* actions) {
   EnterStep(now, State::kProbing);
   Range range;
@@ -165,18 +165,18 @@
 }
 
 void Follower::StartSnapshot(Time now, Actions* actions) {
-  state_ = State::kListing;
-  has_snapshot_ = false;  // some pages may be delivered and the rest not: then only another snapshot will do
+  state_ = State::kReadingSnapshot;
+  has_snapshot_ = false;  // an interrupted snapshot must be read again from the start
   pending_ = PendingSnapshot{};
   RequestFirstPage(now, actions);
 }
 
-// Of the section.
+// Requests the first page of the section that is being read.
 void Follower::RequestFirstPage(Time now, Actions* actions) {
   RequestPage(now, sections_[pending_.section].prefix, actions);
 }
 
-// The first page is read at the current revision, and the others at that of the first.
+// The first page is read at the current revision, all later pages at the revision of the first.
 void Follower::RequestPage(Time now, std::string first_key, Actions* actions) {
   wake_at_ = now + settings_.call_timeout;
   Range range;
@@ -188,7 +188,7 @@
 }
 
 void Follower::RangeCompleted(Time now, const Status& status, pb::RangeResponse response, Actions* actions) {
-  if (state_ != State::kProbing && state_ != State::kListing) return;
+  if (state_ != State::kProbing && state_ != State::kReadingSnapshot) return;
   if (!status.ok()) return RangeFailed(now, status, actions);
   if (state_ == State::kProbing) return ProbeCompleted(now, response.header(), actions);
   ApplyPage(now, std::move(response), actions);
@@ -253,7 +253,7 @@
 
 void Follower::StartWatch(Time now, Actions* actions) {
   state_ = State::kWatching;
-  wake_at_ = now + settings_.max_silence;
+  wake_at_ = now + settings_.watch_idle_timeout;
   is_progress_requested_ = false;
   for (Section& section : sections_) {
     section.fragments.clear();
@@ -271,12 +271,12 @@
   create->set_start_revision(sections_[section].revision + 1);
   create->set_progress_notify(true);
   create->set_fragment(true);
-  // For a single watch the server chooses the id.
+  // The server assigns the id of a single watch.
   if (sections_.size() > 1) create->set_watch_id(static_cast<std::int64_t>(section) + 1);
   return request;
 }
 
-// Null: none of the watches that were requested.
+// Returns null if `watch_id` is not the id of a requested watch.
 Follower::Section* Follower::FindWatchedSection(std::int64_t watch_id) {
   if (sections_.size() == 1) return &sections_.front();
   if (watch_id < 1 || watch_id > static_cast<std::int64_t>(sections_.size())) return nullptr;
@@ -287,7 +287,7 @@
   if (state_ != State::kWatching) return;
   if (response.header().cluster_id() != cluster_id_)
     return Fail(now, {FollowerErrorCode::kClusterChangedInWatch}, actions);
-  wake_at_ = now + settings_.max_silence;
+  wake_at_ = now + settings_.watch_idle_timeout;
   is_progress_requested_ = false;
   if (response.canceled()) return WatchCancelled(now, response, actions);
   Section* section = FindWatchedSection(response.watch_id());
@@ -304,7 +304,7 @@
     return Fail(now, MakeFollowerError(FollowerErrorCode::kWatchCancelled, response.cancel_reason()),
                 actions);
   last_error_ = FollowerError{FollowerErrorCode::kCompacted, {}, {}, 0, response.compact_revision()};
-  // On the same connection; the watch's stream stays open and is of no more use.
+  // The snapshot is read on the same connection; the watch stream stays open but is no longer used.
   StartSnapshot(now, actions);
 }
 
@@ -320,12 +320,12 @@
   actions->push_back(Progress{revision()});
 }
 
-// For one watch, or, where the id is none of ours, for all of them.
+// Applies progress to one watch, or to all watches if the id is not that of a requested watch.
 void Follower::ApplyProgress(std::int64_t watch_id, std::int64_t revision, Actions* actions) {
   const Section* only = FindWatchedSection(watch_id);
   for (Section& section : sections_) {
-    const bool is_concerned = !only || only == &section;
-    if (is_concerned && section.is_watched && section.fragments.empty())
+    const bool is_affected = !only || only == &section;
+    if (is_affected && section.is_watched && section.fragments.empty())
       section.revision = std::max(section.revision, revision);
   }
   actions->push_back(Progress{this->revision()});
@@ -341,14 +341,14 @@
   if (!response.fragment()) ApplyEvents(now, section, actions);
 }
 
-// Delivers what is buffered, up to the end of a revision.
+// Delivers the buffered events, which end with a complete revision.
 void Follower::ApplyEvents(Time now, Section& section, Actions* actions) {
   const auto index = static_cast<std::size_t>(&section - sections_.data());
   Events applied{.cluster_id = cluster_id_, .revision = section.revision, .events = {}, .section = index};
   for (pb::Event& event : std::exchange(section.fragments, {})) {
     const std::int64_t revision = event.kv().mod_revision();
     if (revision < applied.revision) return Fail(now, {FollowerErrorCode::kEventsOutOfOrder}, actions);
-    if (revision <= section.revision) continue;  // delivered before
+    if (revision <= section.revision) continue;  // already delivered
     applied.revision = revision;
     if (section.Contains(event.kv().key())) applied.events.push_back(std::move(event));
   }
--- a/src/etcd/follower_link.cpp
+++ b/src/etcd/follower_link.cpp
@@ -46,7 +46,7 @@
 
 FollowerLink::~FollowerLink() {
   *is_alive_ = false;
-  if (channel_) channel_->Close("it is not wanted any more");
+  if (channel_) channel_->Close("the follower was destroyed");
 }
 
 FollowerLink::Time FollowerLink::Now() {
@@ -55,14 +55,14 @@
   return Time(now.tv_sec * 1000 + now.tv_nsec / 1000000);
 }
 
-// An action may cause inputs, whose actions are queued behind it.
+// Performing an action may trigger inputs to the follower; their actions are appended to the queue.
 void FollowerLink::PerformAll(Follower::Actions actions) {
-  std::move(actions.begin(), actions.end(), std::back_inserter(queue_));
+  std::move(actions.begin(), actions.end(), std::back_inserter(pending_actions_));
   if (is_performing_) return;
   is_performing_ = true;
-  while (!queue_.empty()) {
-    Follower::Action next = std::move(queue_.front());
-    queue_.pop_front();
+  while (!pending_actions_.empty()) {
+    Follower::Action next = std::move(pending_actions_.front());
+    pending_actions_.pop_front();
     std::visit([this](auto& action) { Perform(action); }, next);
   }
   is_performing_ = false;
@@ -92,15 +92,15 @@
   channel_->CallUnary(path, metadata_, request, settings_.follower.call_timeout, parse);
 }
 
-void FollowerLink::ForgetChannel() {
+void FollowerLink::DetachChannel() {
   ++channel_number_;
   watch_.reset();
   is_ready_for_calls_ = false;
 }
 
 void FollowerLink::Perform(Follower::Connect& action) {
-  if (channel_) channel_->Close("another connection is tried");
-  ForgetChannel();
+  if (channel_) channel_->Close("replaced by a new connection");
+  DetachChannel();
   metadata_.clear();
   const auto on_open = GuardedCallback([this](Follower::Actions* actions) {
     is_ready_for_calls_ = settings_.user.empty();
@@ -145,7 +145,7 @@
 
 void FollowerLink::Perform(Follower::Watch& action) {
   if (watch_) channel_->CancelCall(*std::exchange(watch_, std::nullopt));
-  const auto is_current = std::make_shared<bool>(true);  // until this watch has ended or was replaced
+  const auto is_current = std::make_shared<bool>(true);  // false once this watch has ended or was replaced
   const auto on_message = GuardedCallback(
       [this](Follower::Actions* actions, std::string_view message) { OnWatchMessage(message, actions); });
   const auto on_end = GuardedCallback([this](Follower::Actions* actions, const Status& status) {
@@ -187,7 +187,7 @@
 }
 
 void FollowerLink::Perform(Follower::Close& action) {
-  ForgetChannel();
+  DetachChannel();
   if (channel_) channel_->Close(Message(action.error));
   channel_.reset();
 }
@@ -215,7 +215,7 @@
   if (callbacks_.on_disconnected) callbacks_.on_disconnected(action.error);
 }
 
-// The result is posted, since a connection that ends within this function ends its calls from within.
+// The result is posted, because a connection that ends within CallUnary completes the call before it returns.
 void FollowerLink::Confirm(OnConfirmed done) {
   auto post_result = [&io = io_, is_alive = is_alive_, done = std::move(done)](Status status,
                                                                                pb::RangeResponse response) {
--- a/src/etcd/grpc.cpp
+++ b/src/etcd/grpc.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kPrefixBytes = 5;           // PROTOCOL-HTTP2, "Length-Prefixed-Message"
-constexpr std::size_t kHeaderOverheadBytes = 32;  // of each field; RFC 9113, section 6.5.2
+constexpr std::size_t kHeaderOverheadBytes = 32;  // per field; RFC 9113, section 6.5.2
 constexpr std::size_t kMaxStatusMessageBytes = 1024;
 constexpr int kHttpOk = 200;
 
@@ -42,7 +42,7 @@
   return -1;
 }
 
-// False if the text is not a number and nothing else.
+// Returns false unless the whole text is a number.
 bool ParseNumber(std::string_view text, int* number) {
   const char* const text_end = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), text_end, *number);
@@ -80,7 +80,7 @@
   return {};
 }
 
-// Moves bytes to the pending message until it has that size; false if there are too few.
+// Moves bytes to the pending message until it has `size` bytes. Returns false if there are too few.
 bool MessageDeframer::FillPendingTo(std::size_t size, std::string_view* bytes) {
   if (pending_.size() >= size) return true;
   const std::size_t taken = std::min(size - pending_.size(), bytes->size());
@@ -125,7 +125,7 @@
   if (is_malformed_) return {Code::kUnknown, Ending::kMalformed, "a status that is no number"};
   if (http_status_ != kHttpOk)
     return {CodeFromHttpStatus(http_status_), Ending::kHttpStatus, "HTTP " + std::to_string(http_status_)};
-  // A status counts also where the content type is missing: Trailers-Only.
+  // In Trailers-Only a status is valid without a content type.
   if (grpc_status_ < 0 && !has_grpc_content_type_)
     return {Code::kUnknown, Ending::kHttpStatus, "the answer is no gRPC"};
   if (grpc_status_ < 0) return {Code::kUnknown, Ending::kNoStatus, "the stream ended without a status"};
--- a/src/etcd/header_field.h
+++ b/src/etcd/header_field.h
@@ -13,10 +13,10 @@
 /// One header field, as HTTP/2 sends it (RFC 9113, section 8.2).
 struct HeaderField {
   std::string name;   ///< In lower case; pseudo-header fields begin with ':'.
-  std::string value;  ///< Without white space at its ends.
+  std::string value;  ///< Without leading or trailing white space.
 };
 
-/// The header fields of a request or response, in order; gRPC's metadata too.
+/// The header fields of a request or response, in order. Also used for gRPC metadata.
 using HeaderFields = std::vector<HeaderField>;
 
 }  // namespace badgerbridge::etcd
--- a/src/etcd/http2_client.cpp
+++ b/src/etcd/http2_client.cpp
@@ -27,12 +27,12 @@
   CallHandler handler;
   ResponseStatus response;
   std::string output;
-  std::size_t sent_bytes = 0;    // of output
-  std::size_t messages = 0;      // received
-  bool last_queued = false;      // no further message of the request follows
-  bool is_deferred = false;      // nghttp2 waits for resume_data
-  bool is_unary = false;         // one message each way
-  std::optional<Status> result;  // known before the stream is closed
+  std::size_t sent_bytes = 0;      // bytes of output already sent
+  std::size_t messages = 0;        // messages received
+  bool end_stream_queued = false;  // the last request message was queued
+  bool is_deferred = false;        // nghttp2 waits for nghttp2_session_resume_data
+  bool is_unary = false;           // one request message, one response message
+  std::optional<Status> result;    // set if the result is known before the stream is closed
 };
 
 // nghttp2's callbacks. Their names and parameters are those of nghttp2's documentation.
@@ -59,8 +59,8 @@
                          const std::uint8_t* data, std::size_t size, void* user_data) {
     Call* call = FindCall(user_data, stream);
     if (!call || call->result) return 0;
-    if (!call->response.IsGrpc()) return 0;  // some other server's page; the HTTP status decides
-    // A handler may cancel this very call, or begin others.
+    if (!call->response.IsGrpc()) return 0;  // not gRPC; the HTTP status determines the result
+    // The handler may cancel this call or begin other calls.
     const auto deliver = [&](std::string_view message) {
       Call* receiver = FindCall(user_data, stream);
       if (!receiver || receiver->result) return;
@@ -83,8 +83,8 @@
     if (!(frame->hd.flags & NGHTTP2_FLAG_END_STREAM)) return 0;
     Call* call = FindCall(user_data, frame->hd.stream_id);
     if (!call) return 0;
-    // The response is complete; the rest of the request is of no use.
-    if (!call->last_queued)
+    // The response is complete; the rest of the request is not needed.
+    if (!call->end_stream_queued)
       nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, frame->hd.stream_id, NGHTTP2_NO_ERROR);
     if (!call->result) call->result = call->StatusAtEndOfStream();
     return 0;
@@ -102,7 +102,7 @@
                              std::uint32_t* flags, nghttp2_data_source* source, void* user_data) {
     auto* call = static_cast<Call*>(source->ptr);
     const std::size_t copied = std::min(size, call->output.size() - call->sent_bytes);
-    if (copied == 0 && !call->last_queued) {
+    if (copied == 0 && !call->end_stream_queued) {
       call->is_deferred = true;
       return NGHTTP2_ERR_DEFERRED;
     }
@@ -112,12 +112,12 @@
     if (call->sent_bytes == call->output.size()) {
       call->output.clear();
       call->sent_bytes = 0;
-      if (call->last_queued) *flags |= NGHTTP2_DATA_FLAG_EOF;
+      if (call->end_stream_queued) *flags |= NGHTTP2_DATA_FLAG_EOF;
     }
     return static_cast<ssize_t>(copied);
   }
 
-  // Resets the stream; the call ends with `status` when nghttp2 has closed it.
+  // Resets the stream. The call ends with `status` once nghttp2 has closed the stream.
   static void Abort(nghttp2_session* session, std::int32_t stream, Call* call, Status status) {
     call->result = std::move(status);
     nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, stream, NGHTTP2_CANCEL);
@@ -143,15 +143,17 @@
   nghttp2_session_set_local_window_size(session_.get(), NGHTTP2_FLAG_NONE, 0, kConnectionWindowBytes);
 }
 
-Http2Client::~Http2Client() { ConnectionLost({ConnectionErrorCode::kClosed, "the connection was let go"}); }
+Http2Client::~Http2Client() {
+  ConnectionLost({ConnectionErrorCode::kClosed, "the connection was destroyed"});
+}
 
 std::optional<CallId> Http2Client::BeginCall(const std::string& path, const HeaderFields& metadata,
-                                             std::string_view message, bool last, CallHandler handler) {
+                                             std::string_view message, bool end_stream, CallHandler handler) {
   if (going_away_ || error_ || calls_.size() >= limits_.max_concurrent_calls) return std::nullopt;
   auto call = std::make_unique<Call>(limits_.max_message_bytes, std::move(handler));
   call->output = FrameMessage(message);
-  call->last_queued = last;
-  call->is_unary = last;
+  call->end_stream_queued = end_stream;
+  call->is_unary = end_stream;
   HeaderFields fields = {
       {":method", "POST"},           {":scheme", scheme_}, {":path", path},
       {":authority", authority_},    {"te", "trailers"},   {"content-type", "application/grpc"},
@@ -169,15 +171,15 @@
   return id;
 }
 
-bool Http2Client::SendMessage(CallId id, std::string_view message, bool last) {
+bool Http2Client::SendMessage(CallId id, std::string_view message, bool end_stream) {
   const auto found = calls_.find(id);
-  if (found == calls_.end() || found->second->last_queued || found->second->result) return false;
+  if (found == calls_.end() || found->second->end_stream_queued || found->second->result) return false;
   if (unsent_bytes_ + message.size() > limits_.max_unsent_bytes) return false;
   Call& call = *found->second;
   const std::string framed = FrameMessage(message);
   call.output += framed;
   unsent_bytes_ += framed.size();
-  call.last_queued = last;
+  call.end_stream_queued = end_stream;
   if (std::exchange(call.is_deferred, false)) nghttp2_session_resume_data(session_.get(), id);
   return true;
 }
@@ -186,7 +188,7 @@
   const auto found = calls_.find(id);
   if (found == calls_.end() || found->second->result) return;
   nghttp2_submit_rst_stream(session_.get(), NGHTTP2_FLAG_NONE, id, NGHTTP2_CANCEL);
-  // The handler is called now, and taken out so that the close of the stream does not call it again.
+  // The handler is removed from the call, so that closing the stream does not call it again.
   const CallHandler handler = std::exchange(found->second->handler, {});
   const Status status{ending == Ending::kTimeout ? Code::kDeadlineExceeded : Code::kCancelled, ending, ""};
   found->second->result = status;
@@ -233,7 +235,7 @@
   if (!error_) error_ = error;
   while (!calls_.empty()) {
     const auto& [id, call] = *calls_.begin();
-    // Beyond the last stream that the server processes: the call never ran.
+    // Above the last stream in GOAWAY: the server never processed the call.
     const Ending ending = id > last_processed_ ? Ending::kRefused : Ending::kLost;
     const Status status = call->result.value_or(Status{Code::kUnavailable, ending, Message(error)});
     EndCall(id, status);
--- a/src/etcd/http2_client.h
+++ b/src/etcd/http2_client.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The client's side of an HTTP/2 connection (RFC 9113) that carries gRPC calls (PROTOCOL-HTTP2 of the gRPC
-/// documentation), without a socket: received bytes go in, bytes to send come out. nghttp2 implements HTTP/2.
+/// The client side of an HTTP/2 connection (RFC 9113) that carries gRPC calls (PROTOCOL-HTTP2 of the gRPC
+/// documentation). Performs no I/O: the owner passes received bytes to Feed and sends the bytes returned by
+/// TakeOutput. nghttp2 implements HTTP/2.
 #ifndef BADGERBRIDGE_ETCD_HTTP2_CLIENT_H_
 #define BADGERBRIDGE_ETCD_HTTP2_CLIENT_H_
 
@@ -22,10 +23,10 @@
 
 namespace badgerbridge::etcd {
 
-/// A call on a connection: its stream identifier (RFC 9113, section 5.1.1).
+/// Identifies a call on a connection by its stream identifier (RFC 9113, section 5.1.1).
 using CallId = std::int32_t;
 
-/// What a call delivers. Both functions may use the client, and may cancel this very call.
+/// Callbacks of a call. Both may use the client and may cancel the call itself.
 struct CallHandler {
   /// Called for each message of the response.
   std::function<void(std::string_view)> on_message;
@@ -35,48 +36,50 @@
 
 /// Limits of a client's connection.
 struct Http2Limits {
-  std::size_t max_message_bytes = 4 << 20;  ///< Of one message of a response.
-  std::size_t max_unsent_bytes = 8 << 20;   ///< Of messages that wait for the server's windows, in all.
-  std::size_t max_concurrent_calls = 64;    ///< Further calls are not begun.
+  std::size_t max_message_bytes = 4 << 20;  ///< Of one response message.
+  std::size_t max_unsent_bytes = 8 << 20;   ///< Of all messages that wait for flow control.
+  std::size_t max_concurrent_calls = 64;    ///< BeginCall fails at this limit.
 };
 
 /// Whether a request's `:scheme` is "http" or "https" (RFC 9113, section 8.3.1).
 enum class Scheme {
   kHttp,   ///< Cleartext.
-  kHttps,  ///< TLS carries the connection.
+  kHttps,  ///< TLS.
 };
 
 /// One connection. Not thread-safe.
 class Http2Client {
  public:
-  /// `authority` is the requests' `:authority`.
+  /// `authority` is sent as `:authority` in each request.
   explicit Http2Client(std::string authority, Http2Limits limits = {}, Scheme scheme = Scheme::kHttp);
-  /// Ends every open call as lost.
+  /// Ends every open call with Ending::kLost.
   ~Http2Client();
   Http2Client(const Http2Client&) = delete;
   Http2Client& operator=(const Http2Client&) = delete;
 
-  /// Begins a call of `path`, "/package.Service/Method", with its first message. With `last` that is the
-  /// only message of the request, and exactly one is due in response. Nothing if the connection takes no more
-  /// calls (after a GOAWAY or an error, or at the limit of open calls); the handler is not used then.
+  /// Begins a call of `path` ("/package.Service/Method") with its first message. With `end_stream` the call
+  /// is unary: this is the only request message, and exactly one response message is expected. Returns
+  /// nullopt and does not use the handler if the connection accepts no more calls (after a GOAWAY or an
+  /// error, or at the limit of open calls).
   std::optional<CallId> BeginCall(const std::string& path, const HeaderFields& metadata,
-                                  std::string_view message, bool last, CallHandler handler);
-  /// Sends a further message of a call begun without `last`. False if the call has ended, its last message
-  /// was sent, or too much is unsent.
-  bool SendMessage(CallId call, std::string_view message, bool last);
-  /// Ends the call at once, as kCancelled or kTimeout, and calls its handler, unless it has ended.
+                                  std::string_view message, bool end_stream, CallHandler handler);
+  /// Sends another message of a call begun without `end_stream`. Returns false if the call has ended, its
+  /// last message was sent, or max_unsent_bytes would be exceeded.
+  bool SendMessage(CallId call, std::string_view message, bool end_stream);
+  /// Ends the call immediately with `ending`, which is kCancelled or kTimeout, and calls its handler. Does
+  /// nothing if the call has ended.
   void CancelCall(CallId call, Ending ending = Ending::kCancelled);
 
-  /// Processes received bytes; handlers run within. After an error the connection cannot be used further.
+  /// Processes received bytes and runs handlers. After an error the connection is unusable.
   ConnectionResult Feed(std::string_view bytes);
-  /// All bytes that can be sent now.
+  /// Returns all bytes that can be sent now.
   std::string TakeOutput();
   /// Sends a PING (RFC 9113, section 6.7).
   void Ping();
-  /// Ends all calls, as the connection has ended.
+  /// Ends all calls because the connection has ended.
   void ConnectionLost(const ConnectionError& error);
 
-  bool going_away() const { return going_away_; }           ///< GOAWAY was received: no further calls.
+  bool going_away() const { return going_away_; }  ///< GOAWAY was received; no more calls are accepted.
   std::size_t open_calls() const { return calls_.size(); }  ///< Calls that have not ended.
 
  private:
@@ -93,7 +96,7 @@
   std::map<CallId, std::unique_ptr<Call>> calls_;
   std::size_t unsent_bytes_ = 0;  // of all calls
   bool going_away_ = false;
-  CallId last_processed_ = INT32_MAX;  // by the server, as its GOAWAY says
+  CallId last_processed_ = INT32_MAX;  // highest stream the server processes, from its GOAWAY
   std::optional<ConnectionError> error_;
 };
 
--- a/src/etcd/http2_server.cpp
+++ b/src/etcd/http2_server.cpp
@@ -18,7 +18,7 @@
 
 HeaderFields ResponseFields() { return {{":status", "200"}, {"content-type", "application/grpc"}}; }
 
-// The member that holds a header field; null if the field does not matter here.
+// Returns the member that stores a header field; null if the field is not used.
 std::string* FindHeader(CallHeaders& headers, std::string_view name) {
   if (name == ":method") return &headers.method;
   if (name == ":path") return &headers.path;
@@ -44,18 +44,18 @@
   std::size_t header_bytes = 0;
   MessageDeframer deframer;
   bool has_begun = false;            // on_call was called
-  bool is_half_closed = false;       // by the client
-  bool has_responded = false;        // the response's headers are submitted
-  bool is_finished = false;          // the response is complete: nothing more is accepted
+  bool is_half_closed = false;       // the client has ended its side
+  bool has_responded = false;        // the response headers were submitted
+  bool is_finished = false;          // the response is complete; no more messages are accepted
   bool is_deferred = false;          // nghttp2 waits for ResumeOutput
   bool ends_without_status = false;  // see FinishWithoutStatus
-  std::optional<Status> status;      // the trailers, once all messages are sent
+  std::optional<Status> status;      // sent as trailers after all messages
   std::deque<std::string> output;    // framed messages
-  std::size_t first_sent_bytes = 0;  // of the first of output
-  std::size_t unsent_bytes = 0;      // of output
+  std::size_t first_sent_bytes = 0;  // bytes of output.front() already sent
+  std::size_t unsent_bytes = 0;      // bytes of output not yet sent
 };
 
-// Moves output to the buffer, and returns how many bytes.
+// Moves output to the buffer and returns the number of bytes.
 std::size_t Http2Server::Call::CopyOutput(std::uint8_t* buffer, std::size_t size) {
   std::size_t copied = 0;
   while (copied < size && !output.empty()) {
@@ -80,7 +80,7 @@
     Http2Server& self = Self(user_data);
     if (frame->headers.cat != NGHTTP2_HCAT_REQUEST || self.error_) return 0;
     const StreamId stream = frame->hd.stream_id;
-    if (stream > self.last_accepted_) {  // it crossed the GOAWAY, which may not have left yet
+    if (stream > self.last_accepted_) {  // sent before the client received the GOAWAY
       self.SubmitReset(stream, Http2Error::kRefusedStream);
       return 0;
     }
@@ -110,7 +110,8 @@
     Http2Server& self = Self(user_data);
     Call* call = self.FindCall(stream);
     if (!call || call->is_finished) return 0;
-    // A handler may end this very call, or the connection, which frees the call: the deframer is taken out.
+    // The handler may end this call or the connection, which frees the call; so the deframer is moved out
+    // first.
     MessageDeframer deframer = std::move(call->deframer);
     const auto deliver = [&](std::string_view message) {
       const Call* receiver = self.FindCall(stream);
@@ -151,7 +152,7 @@
     if (call->has_begun && self.handler_.on_half_closed) self.handler_.on_half_closed(stream);
   }
 
-  // The response is sent; the rest of the request is of no use (RFC 9113, section 8.1).
+  // The response was sent; the rest of the request is not needed (RFC 9113, section 8.1).
   static int OnFrameSent(nghttp2_session*, const nghttp2_frame* frame, void* user_data) {
     if (!(frame->hd.flags & NGHTTP2_FLAG_END_STREAM)) return 0;
     if (frame->hd.type != NGHTTP2_HEADERS && frame->hd.type != NGHTTP2_DATA) return 0;
@@ -313,17 +314,17 @@
   return {};
 }
 
-std::string Http2Server::TakeOutput(std::size_t enough) {
-  Http2Output output = TakeBytes(*session_, enough);
+std::string Http2Server::TakeOutput(std::size_t min_bytes) {
+  Http2Output output = TakeBytes(*session_, min_bytes);
   if (output.error && !error_) error_ = output.error;
   return std::move(output.bytes);
 }
 
 void Http2Server::Ping() { nghttp2_submit_ping(session_.get(), NGHTTP2_FLAG_NONE, nullptr); }
 
-void Http2Server::GoAway(std::optional<StreamId> last) {
+void Http2Server::GoAway(std::optional<StreamId> last_stream) {
   const StreamId last_begun = nghttp2_session_get_last_proc_stream_id(session_.get());
-  last_accepted_ = std::min(last_accepted_, last.value_or(last_begun));
+  last_accepted_ = std::min(last_accepted_, last_stream.value_or(last_begun));
   nghttp2_submit_goaway(session_.get(), NGHTTP2_FLAG_NONE, last_accepted_, NGHTTP2_NO_ERROR, nullptr, 0);
 }
 
--- a/src/etcd/http2_server.h
+++ b/src/etcd/http2_server.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The server's side of an HTTP/2 connection (RFC 9113) that carries gRPC calls (PROTOCOL-HTTP2 of the gRPC
-/// documentation), without a socket: received bytes go in, bytes to send come out. nghttp2 implements HTTP/2.
-/// What a peer can make it hold is bounded: calls, header bytes, the size of a message, and unsent bytes.
+/// The server side of an HTTP/2 connection (RFC 9113) that carries gRPC calls (PROTOCOL-HTTP2 of the gRPC
+/// documentation). Performs no I/O: the owner passes received bytes to Feed and sends the bytes returned by
+/// TakeOutput. nghttp2 implements HTTP/2. The memory that a peer can occupy is bounded by limits for calls,
+/// header bytes, message size and unsent bytes.
 #ifndef BADGERBRIDGE_ETCD_HTTP2_SERVER_H_
 #define BADGERBRIDGE_ETCD_HTTP2_SERVER_H_
 
@@ -23,10 +24,10 @@
 
 namespace badgerbridge::etcd {
 
-/// A call on a connection: its stream identifier (RFC 9113, section 5.1.1).
+/// Identifies a call on a connection by its stream identifier (RFC 9113, section 5.1.1).
 using StreamId = std::int32_t;
 
-/// The headers of a call that matter to servers of etcd's API. Those that were not sent are empty.
+/// The request headers used by servers of etcd's API. Headers that were not sent are empty.
 struct CallHeaders {
   std::string method;        ///< `:method`.
   std::string path;          ///< `:path`, "/package.Service/Method".
@@ -38,32 +39,33 @@
   bool IsGrpc() const;
 };
 
-/// Callbacks for the calls of a connection. Each runs within Feed, TakeOutput or ConnectionLost; it may use
-/// the server, except for these three.
+/// Callbacks for the calls of a connection. Each runs within Feed, TakeOutput or ConnectionLost. Callbacks
+/// may use the server, except for these three functions.
 struct Http2ServerHandler {
   /// A call has begun.
   std::function<void(StreamId, const CallHeaders&)> on_call;
   /// A message of the request is complete.
   std::function<void(StreamId, std::string_view)> on_message;
-  /// The client sends nothing more in this call.
+  /// The client has ended its side of the call.
   std::function<void(StreamId)> on_half_closed;
-  /// The call is over, answered or not. Exactly once for each on_call; nothing is called for it afterwards.
+  /// The call has ended, with or without a response. Called exactly once for each on_call, as the last
+  /// callback of the call.
   std::function<void(StreamId)> on_closed;
-  /// The client has violated the protocol. Its call is reset, or the connection is lost.
+  /// The client violated the protocol. The call is reset or the connection is lost.
   std::function<void(const ProtocolError&)> on_protocol_error;
 };
 
 /// Limits of a server's connection.
 struct Http2ServerLimits {
-  std::size_t max_message_bytes = 4 << 20;  ///< Of one message of a request.
+  std::size_t max_message_bytes = 4 << 20;  ///< Of one request message.
   std::size_t max_header_bytes = 16 << 10;  ///< Of the headers of one call.
-  std::size_t max_concurrent_calls = 100;   ///< Announced as SETTINGS_MAX_CONCURRENT_STREAMS.
-  /// Of messages that wait for the client's windows, in all. At the limit no further message is accepted, so
-  /// that at most one goes beyond it.
+  std::size_t max_concurrent_calls = 100;   ///< Sent as SETTINGS_MAX_CONCURRENT_STREAMS.
+  /// Of all messages that wait for flow control. At the limit no more messages are accepted, so that at most
+  /// one message exceeds it.
   std::size_t max_unsent_bytes = 8 << 20;
 };
 
-/// Error codes of HTTP/2 that are used here (RFC 9113, section 7).
+/// The HTTP/2 error codes used by the server (RFC 9113, section 7).
 enum class Http2Error : std::uint32_t {
   kNone = 0x0,             ///< NO_ERROR.
   kProtocol = 0x1,         ///< PROTOCOL_ERROR.
@@ -76,50 +78,52 @@
 /// One connection. Not thread-safe.
 class Http2Server {
  public:
-  /// Sends its settings with the first output.
+  /// Queues the SETTINGS frame for the first output.
   Http2Server(Http2ServerLimits limits, Http2ServerHandler handler);
-  /// Calls no handler; ConnectionLost does.
+  /// Calls no handler; call ConnectionLost first to end the calls.
   ~Http2Server();
   Http2Server(const Http2Server&) = delete;
   Http2Server& operator=(const Http2Server&) = delete;
 
   // ---- a response: messages, then a status in the trailers
 
-  /// Sends a message. False if the call is over or finished, or too much is unsent.
+  /// Sends a message. Returns false if the call has ended, its response is finished, or max_unsent_bytes is
+  /// reached.
   bool SendMessage(StreamId stream, std::string_view message);
-  /// The same for messages that are already framed (FrameMessage).
+  /// Like SendMessage, for messages already framed by FrameMessage.
   bool SendFramedMessages(StreamId stream, std::string frames);
-  /// Ends the response with a status, after the messages. Without messages it is Trailers-Only.
+  /// Ends the response with a status after its messages. A response without messages is sent as
+  /// Trailers-Only.
   void Finish(StreamId stream, const Status& status);
-  /// A response of headers alone, which is not gRPC's.
+  /// Sends a response that consists of headers only and is not a gRPC response.
   void SendHeadersOnly(StreamId stream, const HeaderFields& fields);
-  /// Ends the body without a status, which gRPC does not allow: a fault for tests of clients.
+  /// Ends the body without a status, which violates gRPC. Injects a fault in tests of clients.
   void FinishWithoutStatus(StreamId stream);
   /// Ends the call with RST_STREAM (RFC 9113, section 6.4).
   void Reset(StreamId stream, Http2Error error);
 
   // ---- the connection
 
-  /// Processes received bytes. After an error the connection cannot be used further.
+  /// Processes received bytes. After an error the connection is unusable.
   ConnectionResult Feed(std::string_view bytes);
-  /// Bytes to send, at least `enough` unless there are fewer; the last frame may go beyond it. Empty if
-  /// nothing can be sent now.
-  std::string TakeOutput(std::size_t enough = kOutputBytes);
+  /// Returns bytes to send: whole frames until there are at least `min_bytes`, or fewer if no more can be
+  /// sent now. Empty if nothing can be sent now.
+  std::string TakeOutput(std::size_t min_bytes = kOutputBytes);
   /// Sends a PING (RFC 9113, section 6.7).
   void Ping();
-  /// Sends GOAWAY (RFC 9113, section 6.8): accepts no further calls. Those up to stream `last`, by default
-  /// all that have begun, continue; the client learns that later ones were never processed.
-  void GoAway(std::optional<StreamId> last = std::nullopt);
-  /// Ends all calls, as the connection has ended.
+  /// Sends GOAWAY (RFC 9113, section 6.8) and accepts no more calls. Calls up to `last_stream` continue, by
+  /// default all calls that have begun. The GOAWAY states that later calls were never processed.
+  void GoAway(std::optional<StreamId> last_stream = std::nullopt);
+  /// Ends all calls because the connection has ended.
   void ConnectionLost(const ConnectionError& error);
 
-  std::size_t unsent_bytes() const { return unsent_bytes_; }  ///< Of messages, in all calls.
-  std::size_t unsent_bytes(StreamId stream) const;            ///< Of messages of one call.
-  std::size_t open_calls() const { return calls_.size(); }    ///< Calls that are not over.
-  /// Whether both sides are done with the connection and everything is sent.
+  std::size_t unsent_bytes() const { return unsent_bytes_; }  ///< Unsent message bytes of all calls.
+  std::size_t unsent_bytes(StreamId stream) const;            ///< Unsent message bytes of one call.
+  std::size_t open_calls() const { return calls_.size(); }    ///< Calls that have not ended.
+  /// Whether both sides have finished and all output was taken.
   bool IsDone() const;
 
-  static constexpr std::size_t kOutputBytes = 64 << 10;  ///< See TakeOutput.
+  static constexpr std::size_t kOutputBytes = 64 << 10;  ///< Default for TakeOutput.
 
  private:
   struct Call;
@@ -137,7 +141,7 @@
   Http2ServerHandler handler_;
   std::map<StreamId, std::unique_ptr<Call>> calls_;
   std::size_t unsent_bytes_ = 0;
-  StreamId last_accepted_ = INT32_MAX;  // by GoAway
+  StreamId last_accepted_ = INT32_MAX;  // highest stream accepted after GoAway
   std::optional<ConnectionError> error_;
 };
 
--- a/src/etcd/http2_session.cpp
+++ b/src/etcd/http2_session.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 nghttp2_nv MakeNameValue(const HeaderField& field) {
-  // nghttp2 takes pointers to non-const, and does not write through them.
+  // nghttp2 requires pointers to non-const but does not write through them.
   return {reinterpret_cast<std::uint8_t*>(const_cast<char*>(field.name.data())),
           reinterpret_cast<std::uint8_t*>(const_cast<char*>(field.value.data())), field.name.size(),
           field.value.size(), NGHTTP2_NV_FLAG_NONE};
@@ -46,9 +46,9 @@
   return std::nullopt;
 }
 
-Http2Output TakeBytes(nghttp2_session& session, std::size_t enough) {
+Http2Output TakeBytes(nghttp2_session& session, std::size_t min_bytes) {
   Http2Output output;
-  while (output.bytes.size() < enough) {
+  while (output.bytes.size() < min_bytes) {
     const std::uint8_t* data = nullptr;
     const ssize_t size = nghttp2_session_mem_send(&session, &data);
     if (size < 0) output.error = MakeError(size);
--- a/src/etcd/http2_session.h
+++ b/src/etcd/http2_session.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What the two sides of an HTTP/2 connection (RFC 9113) share in their use of nghttp2: the ownership of its
-/// session, input, output and header fields.
+/// nghttp2 helpers shared by the client and server side of an HTTP/2 connection (RFC 9113): session
+/// ownership, input, output and header fields.
 #ifndef BADGERBRIDGE_ETCD_HTTP2_SESSION_H_
 #define BADGERBRIDGE_ETCD_HTTP2_SESSION_H_
 
@@ -23,37 +23,39 @@
 
 namespace badgerbridge::etcd {
 
-/// Frees nghttp2's table of callbacks.
+/// Deleter for nghttp2's callback table.
 struct Http2CallbacksDeleter {
-  /// Frees `callbacks`; they are no longer needed once a session was created with them.
+  /// Frees `callbacks`. A session copies them, so they may be freed once the session was created.
   void operator()(nghttp2_session_callbacks* callbacks) const { nghttp2_session_callbacks_del(callbacks); }
 };
-/// Owns nghttp2's table of callbacks.
+/// Owns nghttp2's callback table.
 using Http2CallbacksPtr = std::unique_ptr<nghttp2_session_callbacks, Http2CallbacksDeleter>;
 
-/// An empty table of callbacks. Throws std::bad_alloc.
+/// Creates an empty callback table. Throws std::bad_alloc.
 Http2CallbacksPtr NewHttp2Callbacks();
 
-/// A session of the client's side. Throws std::bad_alloc.
+/// Creates a client session. Throws std::bad_alloc.
 Http2SessionPtr NewHttp2ClientSession(const nghttp2_session_callbacks& callbacks, void* user_data);
-/// A session of the server's side. Throws std::bad_alloc.
+/// Creates a server session. Throws std::bad_alloc.
 Http2SessionPtr NewHttp2ServerSession(const nghttp2_session_callbacks& callbacks, void* user_data);
 
-/// Lets the session process received bytes; its callbacks run within. An error if HTTP/2 was violated.
+/// Passes received bytes to the session and runs its callbacks. Returns an error if the bytes violate HTTP/2.
 std::optional<ConnectionError> ReceiveBytes(nghttp2_session& session, std::string_view bytes);
 
-/// What a session has to send.
+/// Output of a session.
 struct Http2Output {
-  std::string bytes;                     ///< To be sent; on an error those up to it.
-  std::optional<ConnectionError> error;  ///< The session failed.
+  std::string bytes;                     ///< Bytes to send; after an error, those before it.
+  std::optional<ConnectionError> error;  ///< Set if the session failed.
 };
-/// Takes output until there is none, or at least `enough` bytes: the last frame may go beyond it.
-Http2Output TakeBytes(nghttp2_session& session, std::size_t enough = std::numeric_limits<std::size_t>::max());
+/// Takes whole frames until there are at least `min_bytes` bytes or no more output.
+Http2Output TakeBytes(nghttp2_session& session,
+                      std::size_t min_bytes = std::numeric_limits<std::size_t>::max());
 
-/// nghttp2's views of the fields, which must outlive them; nghttp2 copies both when they are submitted.
+/// Returns nghttp2's views of the fields. The fields must outlive the views; nghttp2 copies both on
+/// submission.
 std::vector<nghttp2_nv> MakeNameValues(const HeaderFields& fields);
 
-/// A view of bytes that nghttp2 gives.
+/// Returns a view of bytes owned by nghttp2.
 inline std::string_view MakeStringView(const std::uint8_t* data, std::size_t size) {
   return {reinterpret_cast<const char*>(data), size};
 }
--- a/src/etcd/http2_session_ptr.h
+++ b/src/etcd/http2_session_ptr.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Ownership of nghttp2's session, without its headers.
+/// Owning pointer to an nghttp2 session that does not require nghttp2's headers.
 #ifndef BADGERBRIDGE_ETCD_HTTP2_SESSION_PTR_H_
 #define BADGERBRIDGE_ETCD_HTTP2_SESSION_PTR_H_
 
@@ -11,7 +11,7 @@
 
 namespace badgerbridge::etcd {
 
-/// Frees an nghttp2 session.
+/// Deleter for an nghttp2 session.
 struct Http2SessionDeleter {
   /// Frees `session`; no callback runs.
   void operator()(nghttp2_session* session) const;
--- a/src/etcd/key_range.h
+++ b/src/etcd/key_range.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Ranges of etcd's keys (etcd's v3 API, "Key ranges"). Pure.
+/// Ranges of etcd's keys (etcd's v3 API, "Key ranges").
 #ifndef BADGERBRIDGE_ETCD_KEY_RANGE_H_
 #define BADGERBRIDGE_ETCD_KEY_RANGE_H_
 
@@ -9,8 +9,8 @@
 
 namespace badgerbridge::etcd {
 
-/// The range_end of the range that holds all keys with this prefix: the prefix with its last byte one higher.
-/// "\0", which means "to the last key", for a prefix without such a successor.
+/// Returns the range_end for all keys with this prefix: the prefix with its last byte incremented. If no such
+/// successor exists, returns "\0", which means "to the last key".
 std::string PrefixRangeEnd(std::string prefix);
 
 }  // namespace badgerbridge::etcd
--- a/src/etcd/server.cpp
+++ b/src/etcd/server.cpp
@@ -23,9 +23,9 @@
 using http_api::detail::Acceptor;
 using AcceptedConnection = http_api::detail::Connection;
 
-constexpr int kBacklog = 1024;  // connections that wait to be accepted
+constexpr int kListenBacklog = 1024;
 
-// OpenSSL's callback for ALPN (RFC 7301): accepts HTTP/2 alone.
+// OpenSSL's ALPN callback (RFC 7301): accepts only HTTP/2.
 int SelectHttp2(SSL*, const unsigned char** selected_protocol, unsigned char* selected_size,
                 const unsigned char* offered, unsigned offered_size, void*) {
   unsigned char* selected = nullptr;
@@ -47,14 +47,14 @@
   acceptor.open(address.protocol(), error);
   if (!error) acceptor.set_option(tcp::acceptor::reuse_address(true), error);
   if (!error) acceptor.bind(address, error);
-  if (!error) acceptor.listen(kBacklog, error);
+  if (!error) acceptor.listen(kListenBacklog, error);
   if (error)
     throw std::runtime_error("cannot listen on " + http_api::ToText(address) + ": " + error.message());
 }
 
 }  // namespace
 
-// Shared with the coroutines of the connections, which may outlive the server.
+// Shared with the connections' coroutines, which may outlive the server.
 struct Server::State {
   asio::awaitable<void> Serve(asio::io_context& io, tcp::socket socket,
                               std::shared_ptr<AcceptedConnection> accepted);
@@ -67,14 +67,15 @@
   bool is_accepting = true;
 };
 
-// Serves one connection to its end.
+// Serves one connection until it ends.
 asio::awaitable<void> Server::State::Serve(asio::io_context& io, tcp::socket socket,
                                            std::shared_ptr<AcceptedConnection> accepted) {
   const auto connection =
       std::make_shared<ServerConnection>(io, std::move(socket), options, tls ? &*tls : nullptr);
-  accepted->is_busy = true;  // the acceptor closes none to make room for another
+  accepted->is_busy = true;  // prevents the acceptor from closing it to make room for a new connection
   accepted->close = [weak_connection = std::weak_ptr<ServerConnection>(connection)] {
-    if (const auto open_connection = weak_connection.lock()) open_connection->Close("the server ends");
+    if (const auto open_connection = weak_connection.lock())
+      open_connection->Close("the server is shutting down");
   };
   connection->SetHandler(on_connection(connection));
   connections.insert(connection);
@@ -104,7 +105,7 @@
 Server::~Server() {
   state_->is_accepting = false;
   const auto connections = state_->connections;
-  for (const auto& connection : connections) connection->Close("the server ends");
+  for (const auto& connection : connections) connection->Close("the server is shutting down");
   state_->acceptor->Close();
   state_->on_connection = nullptr;
 }
--- a/src/etcd/server.h
+++ b/src/etcd/server.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A gRPC server on a TCP socket, in cleartext or with TLS: accepts connections, and serves each with a
+/// A gRPC server on a TCP socket, in cleartext or with TLS. Serves each accepted connection with a
 /// ServerConnection.
 #ifndef BADGERBRIDGE_ETCD_SERVER_H_
 #define BADGERBRIDGE_ETCD_SERVER_H_
@@ -16,15 +16,15 @@
 
 namespace badgerbridge::etcd {
 
-/// A running server. To be used on the io_context's thread only.
+/// A running server. May be used only on the io_context's thread.
 class Server {
  public:
-  /// Gives a new connection its handler; the connection's http2() does not exist before it returns. It may
-  /// keep the connection until on_disconnected.
+  /// Returns the handler for a new connection. The connection's http2() must not be used before this callback
+  /// returns. The callback may keep the connection until on_disconnected.
   using OnConnection = std::function<Http2ServerHandler(const std::shared_ptr<ServerConnection>&)>;
 
-  /// Listens at once. Throws std::runtime_error, one line, for TLS files that cannot be used and addresses
-  /// that cannot be bound. `io` must outlive this.
+  /// Listens immediately. Throws std::runtime_error with a one-line message if the TLS files cannot be used
+  /// or the address cannot be bound. `io` must outlive the server.
   Server(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, ServerOptions options,
          OnConnection on_connection);
   /// Closes all connections.
@@ -32,9 +32,9 @@
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  boost::asio::ip::tcp::endpoint address() const;  ///< Where it listens.
-  std::size_t connections() const;                 ///< Those that are open.
-  /// Accepts no further connections, and no further calls on those that are open; calls in progress continue.
+  boost::asio::ip::tcp::endpoint address() const;  ///< Listening address, with the bound port.
+  std::size_t connections() const;                 ///< Number of open connections.
+  /// Accepts no more connections, and no more calls on open connections. Calls in progress continue.
   void StopAccepting();
 
  private:
--- a/src/etcd/server_connection.cpp
+++ b/src/etcd/server_connection.cpp
@@ -18,12 +18,12 @@
 
 namespace {
 
-constexpr std::size_t kReadBytes = 16384;  // at a time
+constexpr std::size_t kReadBufferBytes = 16384;
 constexpr milliseconds kMaxMonitorInterval{5000};
 constexpr milliseconds kMinMonitorInterval{5};
 
-bool IsOver(milliseconds timeout, std::chrono::steady_clock::time_point since,
-            std::chrono::steady_clock::time_point now) {
+bool HasElapsed(milliseconds timeout, std::chrono::steady_clock::time_point since,
+                std::chrono::steady_clock::time_point now) {
   return timeout > milliseconds(0) && now - since >= timeout;
 }
 
@@ -36,9 +36,9 @@
       transport_(std::move(socket), tls),
       handshake_timer_(io),
       monitor_timer_(io),
-      until_closed_(io, Clock::time_point::max()),
+      closed_event_(io, Clock::time_point::max()),
       last_received_at_(Clock::now()),
-      last_busy_at_(last_received_at_),
+      last_active_at_(last_received_at_),
       last_progress_at_(last_received_at_) {
   transport_.DisableNagle();
 }
@@ -65,7 +65,7 @@
   if (!co_await Handshake()) co_return;
   is_open_ = true;
   last_received_at_ = Clock::now();
-  last_busy_at_ = last_received_at_;
+  last_active_at_ = last_received_at_;
   last_progress_at_ = last_received_at_;
   asio::co_spawn(io_, MonitorTimeouts(), [self](std::exception_ptr) {});
   Flush();
@@ -75,10 +75,10 @@
 asio::awaitable<void> ServerConnection::Read() {
   ErrorCode error;
   auto token = asio::redirect_error(asio::use_awaitable, error);
-  std::array<char, kReadBytes> buffer;
+  std::array<char, kReadBufferBytes> buffer;
   while (!is_closed_) {
     if (IsFrozen()) {
-      co_await until_closed_.async_wait(token);
+      co_await closed_event_.async_wait(token);
       continue;
     }
     const std::size_t size = co_await transport_.AsyncReadSome(asio::buffer(buffer), token);
@@ -106,8 +106,8 @@
   return interval;
 }
 
-// A check that is itself late is left out: this process was held up, and what has arrived meanwhile is
-// handled before the next one.
+// A check that runs late is skipped: this process was delayed, and data received meanwhile must be processed
+// before the next check.
 asio::awaitable<void> ServerConnection::MonitorTimeouts() {
   const auto self = shared_from_this();
   const milliseconds interval = MonitorInterval();
@@ -123,18 +123,18 @@
 }
 
 void ServerConnection::CheckTimeouts(Clock::time_point now) {
-  if (http2_->open_calls() > 0) last_busy_at_ = now;
+  if (http2_->open_calls() > 0) last_active_at_ = now;
   if (http2_->unsent_bytes() == 0 && !is_writing_) last_progress_at_ = now;
   if (pinged_at_ && last_received_at_ >= *pinged_at_) pinged_at_.reset();
-  const bool ping_is_over = pinged_at_ && IsOver(options_.ping_timeout, *pinged_at_, now);
-  if (ping_is_over && !ping_grace_.ShouldPostpone(transport_.socket())) {
+  const bool ping_timed_out = pinged_at_ && HasElapsed(options_.ping_timeout, *pinged_at_, now);
+  if (ping_timed_out && !ping_grace_.ShouldPostpone(transport_.socket())) {
     CloseWith({ConnectionErrorCode::kClientUnresponsive, ""});
-  } else if (IsOver(options_.stall_timeout, last_progress_at_, now)) {
+  } else if (HasElapsed(options_.stall_timeout, last_progress_at_, now)) {
     CloseWith({ConnectionErrorCode::kClientNotReading, ""});
-  } else if (IsOver(options_.idle_timeout, last_busy_at_, now)) {
+  } else if (HasElapsed(options_.idle_timeout, last_active_at_, now)) {
     http2_->GoAway();
     CloseWhenFlushed();
-  } else if (!pinged_at_ && IsOver(options_.ping_interval, last_received_at_, now)) {
+  } else if (!pinged_at_ && HasElapsed(options_.ping_interval, last_received_at_, now)) {
     pinged_at_ = now;
     http2_->Ping();
     Flush();
@@ -144,7 +144,7 @@
 void ServerConnection::Flush() {
   if (!is_open_ || is_closed_ || is_feeding_ || is_writing_) return;
   if (IsFrozen()) return;
-  is_writing_ = true;  // handlers run within TakeOutput
+  is_writing_ = true;  // handlers run within TakeOutput and may call Flush
   std::string bytes = http2_->TakeOutput();
   is_writing_ = false;
   if (is_closed_) return;
@@ -153,7 +153,7 @@
   if (!bytes.empty()) {
     Write(std::move(bytes), is_last);
   } else if (is_last || closes_when_flushed_ || http2_->IsDone()) {
-    Close("all is sent");
+    Close("all output was sent");
   }
 }
 
@@ -170,7 +170,7 @@
   is_writing_ = false;
   if (is_closed_) return;
   if (error) return CloseWith({ConnectionErrorCode::kTransportFailed, error.message()});
-  if (is_last) return Close("cut");
+  if (is_last) return Close("closed by an injected fault");
   last_progress_at_ = Clock::now();
   if (on_progress) on_progress();
   Flush();
@@ -189,7 +189,7 @@
   transport_.Close();
   handshake_timer_.Disarm();
   monitor_timer_.cancel();
-  until_closed_.cancel();
+  closed_event_.cancel();
   http2_->ConnectionLost(error);
   if (on_disconnected) on_disconnected(error);
 }
--- a/src/etcd/server_connection.h
+++ b/src/etcd/server_connection.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One connection of a gRPC server: Http2Server on a TCP socket, in cleartext or with TLS, and the timeouts
-/// that end it.
+/// One connection of a gRPC server: Http2Server on a TCP socket, in cleartext or with TLS, with the timeouts
+/// that close it.
 #ifndef BADGERBRIDGE_ETCD_SERVER_CONNECTION_H_
 #define BADGERBRIDGE_ETCD_SERVER_CONNECTION_H_
 
@@ -28,53 +28,55 @@
 
 class ServerConnection;
 
-/// Faults of a server, for tests of clients. Functions that are empty are not called.
+/// Fault injection for tests of clients. Empty functions are not called.
 struct ServerFaults {
   /// While true, connections read and write nothing, but stay open.
   std::function<bool()> is_frozen;
-  /// May change bytes before they are sent. False: the connection is closed after them.
+  /// May modify output before it is sent. If it returns false, the connection is closed after that output.
   std::function<bool(const ServerConnection&, std::string*)> filter_output;
 };
 
-/// Configuration of a server and its connections. A time of 0 sets no limit.
+/// Configuration of a server and its connections. A timeout or interval of 0 disables it.
 struct ServerOptions {
-  Http2ServerLimits limits;                           ///< Of each connection.
-  std::size_t max_connections = 4096;                 ///< At the limit no further connection is accepted.
-  std::optional<http_api::TlsFiles> tls;              ///< None: cleartext.
-  std::chrono::milliseconds handshake_timeout{2000};  ///< Of TLS.
-  std::chrono::milliseconds ping_interval{10000};     ///< After this time without a byte a PING is sent.
-  std::chrono::milliseconds ping_timeout{5000};       ///< For the answer to a PING; then the client is gone.
-  std::chrono::milliseconds idle_timeout{300000};     ///< Without a call; then GOAWAY.
-  std::chrono::milliseconds stall_timeout{30000};     ///< Without progress while something is unsent.
-  ServerFaults faults;                                ///< For tests only.
+  Http2ServerLimits limits;                           ///< Limits of each connection.
+  std::size_t max_connections = 4096;                 ///< At the limit no more connections are accepted.
+  std::optional<http_api::TlsFiles> tls;              ///< Cleartext if empty.
+  std::chrono::milliseconds handshake_timeout{2000};  ///< For the TLS handshake.
+  std::chrono::milliseconds ping_interval{10000};  ///< A PING is sent after this time without received bytes.
+  std::chrono::milliseconds ping_timeout{5000};    ///< Closes the connection if a PING is not answered.
+  std::chrono::milliseconds idle_timeout{300000};  ///< Sends GOAWAY after this time without calls.
+  std::chrono::milliseconds stall_timeout{
+      30000};           ///< Closes the connection if unsent output makes no progress.
+  ServerFaults faults;  ///< For tests only.
 };
 
-/// One connection. To be used on the io_context's thread only.
+/// One connection. May be used only on the io_context's thread.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
-  /// Takes over an accepted socket. `io`, `options` and `tls` must outlive this; `tls` null: cleartext.
+  /// Takes ownership of an accepted socket. `io`, `options` and `tls` must outlive the connection. Cleartext
+  /// if `tls` is null.
   ServerConnection(boost::asio::io_context& io, boost::asio::ip::tcp::socket socket,
                    const ServerOptions& options, boost::asio::ssl::context* tls);
   ServerConnection(const ServerConnection&) = delete;
   ServerConnection& operator=(const ServerConnection&) = delete;
 
-  /// To be called once, before http2() and Run: `handler` receives the calls.
+  /// Sets the handler for calls. Must be called once, before http2() and Run.
   void SetHandler(Http2ServerHandler handler);
-  /// Serves the connection to its end.
+  /// Serves the connection until it ends.
   boost::asio::awaitable<void> Run();
 
-  /// The HTTP/2 connection. Call Flush after using it from outside of its handlers.
+  /// The HTTP/2 connection. Call Flush after using it outside its handlers.
   Http2Server& http2() { return *http2_; }
-  /// Sends what can be sent now.
+  /// Starts to send all output that can be sent now.
   void Flush();
-  /// Closes the connection at once, and ends its calls. `reason` is for people.
+  /// Closes the connection immediately and ends its calls. `reason` is a human-readable text.
   void Close(const std::string& reason);
-  /// Closes the connection once everything is sent.
+  /// Closes the connection once all output is sent.
   void CloseWhenFlushed();
   /// Whether the connection has ended.
   bool is_closed() const { return is_closed_; }
 
-  /// Called whenever bytes were written.
+  /// Called after each completed write.
   std::function<void()> on_progress;
   /// Called once, after the on_closed of every call.
   std::function<void(const ConnectionError& error)> on_disconnected;
@@ -98,13 +100,13 @@
   std::unique_ptr<Http2Server> http2_;
   net::OneShotTimer handshake_timer_;
   boost::asio::steady_timer monitor_timer_;
-  boost::asio::steady_timer until_closed_;  // never expires; cancelled by Close
+  boost::asio::steady_timer closed_event_;  // never expires; cancelled when the connection is closed
   Clock::time_point last_received_at_;
-  Clock::time_point last_busy_at_;      // with a call in progress
-  Clock::time_point last_progress_at_;  // a write ended, or nothing was unsent
+  Clock::time_point last_active_at_;    // last time with a call in progress
+  Clock::time_point last_progress_at_;  // last time a write completed or no output was unsent
   std::optional<Clock::time_point> pinged_at_;
   net::ReadTimeoutGrace ping_grace_;
-  std::string output_;  // being written
+  std::string output_;  // output being written
   bool is_open_ = false;
   bool is_closed_ = false;
   bool is_feeding_ = false;
--- a/tests/etcd/channel_test.cpp
+++ b/tests/etcd/channel_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The client's connection against a stand-in etcd over sockets.
+// Tests of Channel against the stand-in etcd over TCP sockets.
 #include "etcd/channel.h"
 
 #include <gtest/gtest.h>
@@ -22,18 +22,18 @@
 
 class ChannelTest : public ::testing::Test {
  protected:
-  /// Runs the event loop until the condition holds; false after a long time.
+  /// Runs the event loop until the condition holds. Returns false after 20 s.
   template <typename Condition>
-  bool Until(Condition holds) {
-    const auto due = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+  bool RunUntil(Condition holds) {
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     while (!holds()) {
-      if (std::chrono::steady_clock::now() > due) return false;
+      if (std::chrono::steady_clock::now() > deadline) return false;
       io.restart();
       io.run_one_for(milliseconds(20));
     }
     return true;
   }
-  /// Opens a channel to the first member, and waits until it is open or closed.
+  /// Opens a channel to the first member and waits until it is open or closed.
   void Connect(EtcdSettings settings = {}) {
     if (!etcd) etcd = std::make_unique<Etcd>(io, settings);
     closed.clear();
@@ -41,9 +41,9 @@
     channel = Channel::Open(
         io, etcd->address(0), options, [this] { opened = true; },
         [this](const ConnectionError& error) { closed = Message(error); });
-    ASSERT_TRUE(Until([&] { return opened || !closed.empty(); }));
+    ASSERT_TRUE(RunUntil([&] { return opened || !closed.empty(); }));
   }
-  /// One unary call to its end.
+  /// Makes a unary call and waits for its result.
   template <typename Response>
   Status CallUnary(const std::string& path, const google::protobuf::MessageLite& request, Response* response,
                    milliseconds timeout = milliseconds(5000)) {
@@ -56,7 +56,7 @@
                          status = std::move(result);
                          text = std::move(body);
                        });
-    EXPECT_TRUE(Until([&] { return status.has_value(); }));
+    EXPECT_TRUE(RunUntil([&] { return status.has_value(); }));
     io.restart();
     io.poll();
     EXPECT_EQ(ends, 1);
@@ -76,7 +76,7 @@
   std::shared_ptr<Channel> channel;
   HeaderFields metadata;
   bool opened = false;
-  std::string closed;  // the reason; empty: not closed
+  std::string closed;  // reason of the close; empty while not closed
 };
 
 TEST_F(ChannelTest, PutReadAndCompareAndSwap_GiveRevisionsAndValues) {
@@ -104,7 +104,7 @@
   ASSERT_TRUE(CallUnary("/etcdserverpb.KV/Txn", txn, &txn_response).ok());
   EXPECT_TRUE(txn_response.succeeded());
   ASSERT_TRUE(CallUnary("/etcdserverpb.KV/Txn", txn, &txn_response).ok());
-  EXPECT_FALSE(txn_response.succeeded()) << "it has changed since";
+  EXPECT_FALSE(txn_response.succeeded()) << "the first transaction has changed the revision";
   EXPECT_EQ(etcd->protocol_errors(), 0u);
 }
 
@@ -128,7 +128,7 @@
   }
   EXPECT_EQ(pages, 3);
   EXPECT_EQ(keys.size(), 25u);
-  // Compacted between pages: an error, and not an empty page.
+  // Compaction between two pages must give an error, not an empty page.
   etcd->Compact(etcd->store().revision());
   pb::RangeResponse page;
   const Status status = CallUnary("/etcdserverpb.KV/Range", request, &page);
@@ -154,20 +154,21 @@
                         {EtcdFault::kEndlessHeader, Code::kResourceExhausted, Ending::kTooLarge, true},
                         {EtcdFault::kGoaway, Code::kUnavailable, Ending::kRefused, false},
                         {EtcdFault::kGarbage, Code::kUnavailable, Ending::kLost, false}};
-  for (const Case& one : cases) {
+  for (const Case& test_case : cases) {
     Connect();
-    etcd->Next(one.fault);
+    etcd->Next(test_case.fault);
     pb::RangeResponse response;
     const Status status = Range("a", &response);
-    EXPECT_EQ(status.code, one.code) << static_cast<int>(one.fault) << " " << status.ToString();
-    EXPECT_EQ(status.ending, one.ending) << static_cast<int>(one.fault) << " " << status.ToString();
-    if (one.connection_stays) {
-      EXPECT_TRUE(Range("a", &response).ok()) << static_cast<int>(one.fault);
+    EXPECT_EQ(status.code, test_case.code) << static_cast<int>(test_case.fault) << " " << status.ToString();
+    EXPECT_EQ(status.ending, test_case.ending)
+        << static_cast<int>(test_case.fault) << " " << status.ToString();
+    if (test_case.connection_stays) {
+      EXPECT_TRUE(Range("a", &response).ok()) << static_cast<int>(test_case.fault);
     } else {
-      EXPECT_TRUE(Until([&] { return !closed.empty(); })) << static_cast<int>(one.fault);
+      EXPECT_TRUE(RunUntil([&] { return !closed.empty(); })) << static_cast<int>(test_case.fault);
     }
     channel->Close("done");
-    ASSERT_TRUE(Until([&] { return !closed.empty(); }));
+    ASSERT_TRUE(RunUntil([&] { return !closed.empty(); }));
   }
 }
 
@@ -206,7 +207,7 @@
                          status = std::move(result);
                          text = std::move(body);
                        });
-    ASSERT_TRUE(Until([&] { return status.has_value(); })) << bytes;
+    ASSERT_TRUE(RunUntil([&] { return status.has_value(); })) << bytes;
     if (status->ok()) {
       pb::RangeResponse response;
       ASSERT_TRUE(response.ParseFromString(text));
@@ -222,24 +223,24 @@
   EXPECT_GT(complete, 5);
 }
 
-TEST_F(ChannelTest, SilentConnection_IsClosedByPingTimeout) {
+TEST_F(ChannelTest, UnresponsiveConnection_IsClosedByPingTimeout) {
   Connect();
   etcd->Silence(0, true);
   const auto began = std::chrono::steady_clock::now();
-  ASSERT_TRUE(Until([&] { return !closed.empty(); }));
+  ASSERT_TRUE(RunUntil([&] { return !closed.empty(); }));
   EXPECT_EQ(closed, "the link is silent: no answer to a ping");
   EXPECT_LT(std::chrono::steady_clock::now() - began, milliseconds(2000));
-  // So is a connection that is silent from its start.
+  // The same holds for a connection on which the server never sends anything.
   closed.clear();
   Connect();
-  ASSERT_TRUE(Until([&] { return !closed.empty(); }));
+  ASSERT_TRUE(RunUntil([&] { return !closed.empty(); }));
   etcd->Silence(0, false);
   Connect();
   pb::RangeResponse response;
   EXPECT_TRUE(Range("a", &response).ok());
 }
 
-TEST_F(ChannelTest, StallOfThisProcess_KeepsConnection) {
+TEST_F(ChannelTest, StalledClientProcess_KeepsConnection) {
   Connect();
   for (int i = 0; i < 3; ++i) {
     std::this_thread::sleep_for(options.ping_interval + 2 * options.ping_timeout);
@@ -257,7 +258,7 @@
   EXPECT_EQ(closed.rfind("cannot connect: ", 0), 0u) << closed;
 }
 
-/// A watch of five keys from the third on, with small fragments and progress notifications.
+/// Writes five keys and watches from the third write, with small fragments and progress notifications.
 class ChannelWatchTest : public ChannelTest {
  protected:
   void SetUp() override {
@@ -281,9 +282,9 @@
                                std::move(handler));
     ASSERT_TRUE(watch.has_value());
     ASSERT_GT(*watch, 0);
-    ASSERT_TRUE(Until([&] { return received.size() >= 2; }));
+    ASSERT_TRUE(RunUntil([&] { return received.size() >= 2; }));
   }
-  // The handlers of a call that is still open refer to members of this fixture, which end before the channel.
+  // Handlers of open calls refer to members of this fixture, which are destroyed before the channel.
   void TearDown() override { channel->Close("the test ends"); }
 
   int ReceivedEvents() const {
@@ -309,9 +310,9 @@
   for (int i = 0; i < 1000; ++i) pairs.emplace_back("k/" + std::to_string(i), "burst");
   etcd->store().PutAll(pairs);
   etcd->Publish();
-  ASSERT_TRUE(Until([&] { return ReceivedEvents() >= 1000; }));
+  ASSERT_TRUE(RunUntil([&] { return ReceivedEvents() >= 1000; }));
   EXPECT_EQ(ReceivedEvents(), 1000);
-  std::size_t fragments = 0;  // all but the last
+  std::size_t fragments = 0;  // all fragments but the last
   for (const auto& response : received) {
     if (response.events_size() == 0) continue;
     fragments += response.fragment();
@@ -324,7 +325,7 @@
 TEST_F(ChannelWatchTest, NoEvents_ReceivesProgressNotifications) {
   received.clear();
   etcd->Put("other", "x");
-  ASSERT_TRUE(Until([&] { return !received.empty() && received.back().events_size() == 0; }));
+  ASSERT_TRUE(RunUntil([&] { return !received.empty() && received.back().events_size() == 0; }));
   EXPECT_EQ(received.back().header().revision(), etcd->store().revision());
 }
 
@@ -332,7 +333,7 @@
   etcd->Compact(etcd->store().revision());
   received.clear();
   EXPECT_TRUE(channel->SendMessage(*watch, request.SerializeAsString(), false));
-  ASSERT_TRUE(Until([&] { return !received.empty() && received.back().canceled(); }));
+  ASSERT_TRUE(RunUntil([&] { return !received.empty() && received.back().canceled(); }));
   EXPECT_EQ(received.back().compact_revision(), etcd->store().compacted());
 }
 
@@ -340,7 +341,7 @@
   channel->CancelCall(*watch);
   ASSERT_TRUE(ended.has_value());
   EXPECT_EQ(ended->ending, Ending::kCancelled);
-  EXPECT_TRUE(Until([&] { return etcd->watches() == 0; }));
+  EXPECT_TRUE(RunUntil([&] { return etcd->watches() == 0; }));
 }
 
 TEST_F(ChannelTest, ExpiredLease_DeletesItsKeys) {
@@ -354,7 +355,7 @@
   ASSERT_TRUE(Range("k", &response).ok());
   EXPECT_EQ(response.kvs_size(), 1);
   EXPECT_EQ(response.kvs(0).lease(), lease.id());
-  ASSERT_TRUE(Until([&] { return Range("k", &response).ok() && response.kvs_size() == 0; }));
+  ASSERT_TRUE(RunUntil([&] { return Range("k", &response).ok() && response.kvs_size() == 0; }));
   pb::LeaseRevokeRequest revoke;
   revoke.set_id(lease.id());
   pb::LeaseRevokeResponse revoked;
--- a/tests/etcd/follower_link_test.cpp
+++ b/tests/etcd/follower_link_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A follower's connections against the stand-in etcd: complete snapshots, events, confirmation of a revision.
+// Tests of FollowerLink against the stand-in etcd: complete snapshots, events and revision confirmation.
 #include "etcd/follower_link.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
 
 class FollowerLinkTest : public ::testing::Test {
  protected:
-  /// Starts the cluster with three keys, and a link to all members.
+  /// Starts a cluster with three keys and a link to all its members.
   void Start(standins::EtcdSettings settings = {}) {
     etcd = std::make_unique<standins::Etcd>(io, settings);
     for (const char* name : {"a", "b", "c"}) etcd->Put(kPrefix + name, "1");
@@ -55,23 +55,23 @@
     callbacks.on_disconnected = [this](const FollowerError& error) { disconnected = Message(error); };
     link = std::make_unique<FollowerLink>(io, link_settings, 1, std::move(callbacks));
   }
-  /// Runs the event loop until the condition holds; false after a long time.
-  bool Until(const std::function<bool()>& holds) {
-    const auto due = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+  /// Runs the event loop until the condition holds. Returns false after 20 s.
+  bool RunUntil(const std::function<bool()>& holds) {
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     while (!holds()) {
-      if (std::chrono::steady_clock::now() > due) return false;
+      if (std::chrono::steady_clock::now() > deadline) return false;
       io.restart();
       io.run_one_for(milliseconds(20));
     }
     return true;
   }
-  /// Whether everything that was written has arrived.
+  /// Whether the link has received all writes and is watching.
   bool HasCaughtUp() { return revision == etcd->store().revision() && link->follower().watching(); }
   struct Confirmation {
     Status status;
     pb::ResponseHeader header;
   };
-  /// One confirmation to its end.
+  /// Confirms a revision and waits for the result.
   Confirmation Confirm() {
     std::optional<Confirmation> result;
     int calls = 0;
@@ -79,8 +79,8 @@
       ++calls;
       result = {status, header};
     });
-    EXPECT_FALSE(result) << "not from within";
-    EXPECT_TRUE(Until([&] { return result.has_value(); }));
+    EXPECT_FALSE(result) << "called before Confirm returned";
+    EXPECT_TRUE(RunUntil([&] { return result.has_value(); }));
     EXPECT_EQ(calls, 1);
     return result.value_or(Confirmation{});
   }
@@ -97,27 +97,27 @@
 
 TEST_F(FollowerLinkTest, Started_DeliversOneSnapshotOfAllPagesThenEvents) {
   Start();
-  ASSERT_TRUE(Until([&] { return HasCaughtUp(); }));
+  ASSERT_TRUE(RunUntil([&] { return HasCaughtUp(); }));
   EXPECT_EQ(keys.size(), 3u);
   EXPECT_EQ(snapshots, 1);
   etcd->Put(kPrefix + "d", "2");
   etcd->Delete(kPrefix + "a");
-  ASSERT_TRUE(Until([&] { return HasCaughtUp(); }));
+  ASSERT_TRUE(RunUntil([&] { return HasCaughtUp(); }));
   EXPECT_EQ(keys.size(), 3u);
   EXPECT_EQ(keys.count(kPrefix + "a"), 0u);
   etcd->Put("/elsewhere", "2");
-  ASSERT_TRUE(Until([&] { return progress == etcd->store().revision(); }));
+  ASSERT_TRUE(RunUntil([&] { return progress == etcd->store().revision(); }));
   EXPECT_EQ(snapshots, 1);
 }
 
 TEST_F(FollowerLinkTest, LostConnection_IsReportedAndResumedWithoutSnapshot) {
   Start();
-  ASSERT_TRUE(Until([&] { return HasCaughtUp(); }));
+  ASSERT_TRUE(RunUntil([&] { return HasCaughtUp(); }));
   etcd->Down(0);
-  ASSERT_TRUE(Until([&] { return !disconnected.empty(); }));
+  ASSERT_TRUE(RunUntil([&] { return !disconnected.empty(); }));
   etcd->Put(kPrefix + "d", "2");
   etcd->Up(0);
-  ASSERT_TRUE(Until([&] { return HasCaughtUp(); }));
+  ASSERT_TRUE(RunUntil([&] { return HasCaughtUp(); }));
   EXPECT_EQ(keys.size(), 4u);
   EXPECT_EQ(snapshots, 1);
   EXPECT_EQ(link->follower().resumes(), 1u);
@@ -128,8 +128,8 @@
   settings.user = "relay";
   settings.password = "secret";
   Start(settings);
-  ASSERT_TRUE(Until([&] { return HasCaughtUp(); }));
-  etcd->store().PutAll({{kPrefix + "d", "2"}});  // committed, whether or not the watch was notified yet
+  ASSERT_TRUE(RunUntil([&] { return HasCaughtUp(); }));
+  etcd->store().PutAll({{kPrefix + "d", "2"}});  // committed, possibly not yet sent to the watch
   const Confirmation confirmation = Confirm();
   EXPECT_TRUE(confirmation.status.ok()) << confirmation.status.ToString();
   EXPECT_EQ(confirmation.header.revision(), etcd->store().revision());
@@ -139,53 +139,53 @@
 TEST_F(FollowerLinkTest, ConfirmWithoutConnectionOrAnswer_Fails) {
   Start();
   EXPECT_EQ(Confirm().status.code, Code::kUnavailable) << "not connected yet";
-  ASSERT_TRUE(Until([&] { return HasCaughtUp(); }));
-  etcd->Lag(0, true);  // linearizable reads wait
+  ASSERT_TRUE(RunUntil([&] { return HasCaughtUp(); }));
+  etcd->Lag(0, true);  // blocks linearizable reads
   const Confirmation late = Confirm();
   EXPECT_EQ(late.status.ending, Ending::kTimeout) << late.status.ToString();
   etcd->Lag(0, false);
-  std::optional<Status> cut;
+  std::optional<Status> status_after_cut;
   etcd->Lag(0, true);
-  link->Confirm([&](const Status& status, const pb::ResponseHeader&) { cut = status; });
+  link->Confirm([&](const Status& status, const pb::ResponseHeader&) { status_after_cut = status; });
   etcd->Down(0);
-  ASSERT_TRUE(Until([&] { return cut.has_value(); }));
-  EXPECT_FALSE(cut->ok());
-  ASSERT_TRUE(Until([&] { return !link->follower().watching(); }));
+  ASSERT_TRUE(RunUntil([&] { return status_after_cut.has_value(); }));
+  EXPECT_FALSE(status_after_cut->ok());
+  ASSERT_TRUE(RunUntil([&] { return !link->follower().watching(); }));
   EXPECT_EQ(Confirm().status.code, Code::kUnavailable);
 }
 
-TEST_F(FollowerLinkTest, LaggingMember_RevertsNothingAndIsLeftForAnother) {
+TEST_F(FollowerLinkTest, LaggingMember_RevertsNothingAndFailsOver) {
   standins::EtcdSettings settings;
   settings.members = 3;
   Start(settings);
-  ASSERT_TRUE(Until([&] { return HasCaughtUp(); }));
-  std::size_t in_use = 0;
+  ASSERT_TRUE(RunUntil([&] { return HasCaughtUp(); }));
+  std::size_t connected = 0;
   for (std::size_t i = 0; i < 3; ++i) {
-    if (etcd->connections(i) > 0) in_use = i;
+    if (etcd->connections(i) > 0) connected = i;
   }
-  const std::size_t behind = (in_use + 1) % 3;
-  const std::size_t last = (in_use + 2) % 3;
-  etcd->Lag(behind, true);
+  const std::size_t lagging = (connected + 1) % 3;
+  const std::size_t last = (connected + 2) % 3;
+  etcd->Lag(lagging, true);
   etcd->Put(kPrefix + "d", "2");
   etcd->Delete(kPrefix + "a");
-  ASSERT_TRUE(Until([&] { return HasCaughtUp(); }));
+  ASSERT_TRUE(RunUntil([&] { return HasCaughtUp(); }));
   const std::int64_t before = revision;
-  etcd->Down(in_use);
-  etcd->Down(last);  // only the one that is behind is left
-  const auto until = std::chrono::steady_clock::now() + milliseconds(700);
-  ASSERT_TRUE(Until([&] { return std::chrono::steady_clock::now() > until; }));
+  etcd->Down(connected);
+  etcd->Down(last);  // only the lagging member remains
+  const auto wait_end = std::chrono::steady_clock::now() + milliseconds(700);
+  ASSERT_TRUE(RunUntil([&] { return std::chrono::steady_clock::now() > wait_end; }));
   EXPECT_EQ(revision, before);
   EXPECT_EQ(keys.count(kPrefix + "a"), 0u);
   etcd->Up(last);
   etcd->Put(kPrefix + "e", "2");
-  ASSERT_TRUE(Until([&] { return HasCaughtUp(); })) << "the one that lags is left";
+  ASSERT_TRUE(RunUntil([&] { return HasCaughtUp(); })) << "must fail over from the lagging member";
   EXPECT_EQ(keys.size(), 4u);
-  EXPECT_EQ(snapshots, 1) << "history was not replaced";
+  EXPECT_EQ(snapshots, 1) << "history was not replaced, so no new snapshot is needed";
 }
 
-TEST_F(FollowerLinkTest, Destroyed_CallsNothing) {
+TEST_F(FollowerLinkTest, Destroyed_RunsNoCallback) {
   Start();
-  ASSERT_TRUE(Until([&] { return HasCaughtUp(); }));
+  ASSERT_TRUE(RunUntil([&] { return HasCaughtUp(); }));
   bool called = false;
   link->Confirm([&](const Status&, const pb::ResponseHeader&) { called = true; });
   link.reset();
--- a/tests/etcd/follower_reconnect_test.cpp
+++ b/tests/etcd/follower_reconnect_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Many followers that lose their server at the same instant: their next attempts spread over time and
-// servers.
+// Many followers lose their server at the same instant. Their reconnect attempts must spread over time and
+// over the remaining servers.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,15 +21,15 @@
 const std::string kPrefix = "/members/";
 using Time = Follower::Time;
 
-/// One of many followers, driven up to an established watch.
-class Reader {
+/// A follower that the test drives without a connection.
+class DrivenFollower {
  public:
-  explicit Reader(std::uint64_t seed) : follower_(SettingsOfReader(), seed) {
+  explicit DrivenFollower(std::uint64_t seed) : follower_(MakeSettings(), seed) {
     Follower::Actions actions;
     follower_.Tick(Time(0), &actions);
     endpoint_ = std::get<Follower::Connect>(actions.at(0)).endpoint;
   }
-  /// Up to an established watch.
+  /// Drives the follower to an established watch.
   void Establish() {
     Follower::Actions actions;
     follower_.Opened(Time(1), &actions);
@@ -43,13 +43,13 @@
     follower_.WatchReceived(Time(1), created, &actions);
     ASSERT_TRUE(follower_.watching());
   }
-  /// An attempt to connect.
+  /// A connection attempt.
   struct Attempt {
     Time at;
     std::size_t endpoint;
   };
 
-  /// The next attempt to connect.
+  /// Advances to the next connection attempt.
   Attempt NextAttempt() {
     const Time at = follower_.NextWake();
     Follower::Actions actions;
@@ -60,7 +60,7 @@
   Follower& follower() { return follower_; }
 
  private:
-  static FollowerSettings SettingsOfReader() {
+  static FollowerSettings MakeSettings() {
     FollowerSettings settings;
     settings.prefix = kPrefix;
     settings.endpoints = 5;
@@ -70,23 +70,24 @@
   std::size_t endpoint_;
 };
 
-/// The next attempts of followers that lost their watches together.
+/// Reconnect attempts of followers that lost their watches at the same time.
 struct Attempts {
-  std::map<std::int64_t, int> by_time;  ///< Counts, in steps of 10 ms.
+  std::map<std::int64_t, int> by_time;  ///< Counts per 10 ms after the loss.
   std::map<std::size_t, int> by_endpoint;
 };
 
-/// Followers of endpoint 0 all lose their watches at 1000 ms, by `lose`.
-Attempts LoseAll(int readers, const std::function<void(Follower&, Follower::Actions*)>& lose) {
+/// Lets `lose` end the watches of `followers` followers of endpoint 0 at 1000 ms. Returns their next
+/// attempts.
+Attempts DisconnectAll(int followers, const std::function<void(Follower&, Follower::Actions*)>& lose) {
   Attempts attempts;
-  for (std::uint64_t seed = 1; readers > 0; ++seed) {
-    Reader reader(seed);
-    if (reader.endpoint() != 0) continue;
-    --readers;
-    reader.Establish();
+  for (std::uint64_t seed = 1; followers > 0; ++seed) {
+    DrivenFollower driven(seed);
+    if (driven.endpoint() != 0) continue;
+    --followers;
+    driven.Establish();
     Follower::Actions actions;
-    lose(reader.follower(), &actions);
-    const auto [at, endpoint] = reader.NextAttempt();
+    lose(driven.follower(), &actions);
+    const auto [at, endpoint] = driven.NextAttempt();
     ++attempts.by_time[(at - Time(1000)) / Time(10)];
     ++attempts.by_endpoint[endpoint];
   }
@@ -94,43 +95,43 @@
 }
 
 void ExpectSpread(const Attempts& attempts) {
-  EXPECT_GE(attempts.by_time.size(), 8u) << "over 80 ms";
-  EXPECT_LE(attempts.by_time.rbegin()->first, 8) << "and no more: a drain may be waiting";
-  for (const auto& [tens, count] : attempts.by_time)
-    EXPECT_LE(count, 170) << "from " << tens * 10 << " ms on";
-  EXPECT_EQ(attempts.by_endpoint.count(0), 0u) << "another endpoint";
+  EXPECT_GE(attempts.by_time.size(), 8u) << "must spread over 80 ms";
+  EXPECT_LE(attempts.by_time.rbegin()->first, 8) << "must not exceed 80 ms, because a drain may be pending";
+  for (const auto& [bucket, count] : attempts.by_time)
+    EXPECT_LE(count, 170) << "attempts from " << bucket * 10 << " ms";
+  EXPECT_EQ(attempts.by_endpoint.count(0), 0u) << "must use another endpoint";
   EXPECT_EQ(attempts.by_endpoint.size(), 4u);
   for (const auto& [endpoint, count] : attempts.by_endpoint) EXPECT_LE(count, 320) << endpoint;
 }
 
-TEST(FollowerReconnectTest, ServerEnded_ThousandReadersSpreadOverTimeAndServers) {
-  ExpectSpread(LoseAll(1000, [](Follower& follower, Follower::Actions* actions) {
+TEST(FollowerReconnectTest, ServerTerminated_ThousandFollowersSpreadOverTimeAndServers) {
+  ExpectSpread(DisconnectAll(1000, [](Follower& follower, Follower::Actions* actions) {
     follower.Closed(Time(1000), {ConnectionErrorCode::kTransportFailed, "end of file"}, actions);
   }));
 }
 
-TEST(FollowerReconnectTest, ServerDrains_ThousandReadersSpreadOverTimeAndServers) {
-  ExpectSpread(LoseAll(1000, [](Follower& follower, Follower::Actions* actions) {
+TEST(FollowerReconnectTest, ServerDrains_ThousandFollowersSpreadOverTimeAndServers) {
+  ExpectSpread(DisconnectAll(1000, [](Follower& follower, Follower::Actions* actions) {
     follower.WatchEnded(Time(1000), {Code::kUnavailable, Ending::kStatus, "draining"}, actions);
   }));
 }
 
-TEST(FollowerReconnectTest, ServerOverloaded_ReadersBackOff) {
-  const Attempts attempts = LoseAll(200, [](Follower& follower, Follower::Actions* actions) {
+TEST(FollowerReconnectTest, ServerOverloaded_FollowersBackOff) {
+  const Attempts attempts = DisconnectAll(200, [](Follower& follower, Follower::Actions* actions) {
     follower.WatchEnded(Time(1000), {Code::kResourceExhausted, Ending::kStatus, "too many"}, actions);
   });
-  EXPECT_GE(attempts.by_time.begin()->first, 25) << "from 250 ms on";
+  EXPECT_GE(attempts.by_time.begin()->first, 25) << "not before 250 ms";
   EXPECT_LE(attempts.by_time.rbegin()->first, 50);
-  // Also where a snapshot is rejected; the backoff doubles.
-  Reader reader(1);
+  // The same backoff applies to a rejected snapshot, and doubles with each rejection.
+  DrivenFollower driven(1);
   Follower::Actions actions;
   Time now{1000};
   for (const int at_least : {250, 500, 1000, 1000}) {
-    reader.follower().Opened(now, &actions);
-    reader.follower().RangeCompleted(now, {Code::kResourceExhausted, Ending::kStatus, "lists"}, {}, &actions);
-    EXPECT_GE(reader.follower().NextWake() - now, Time(at_least));
-    EXPECT_LE(reader.follower().NextWake() - now, Time(std::min(2000, 2 * at_least)));
-    now = reader.NextAttempt().at;
+    driven.follower().Opened(now, &actions);
+    driven.follower().RangeCompleted(now, {Code::kResourceExhausted, Ending::kStatus, "lists"}, {}, &actions);
+    EXPECT_GE(driven.follower().NextWake() - now, Time(at_least));
+    EXPECT_LE(driven.follower().NextWake() - now, Time(std::min(2000, 2 * at_least)));
+    now = driven.NextAttempt().at;
   }
 }
 
--- a/tests/etcd/follower_test.cpp
+++ b/tests/etcd/follower_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A follower step by step, without a socket: its timeouts, snapshots, watches and sections.
+// Tests of the Follower state machine without sockets: timeouts, snapshots, watches and sections.
 #include "etcd/follower.h"
 
 #include <gtest/gtest.h>
@@ -30,9 +30,9 @@
               return settings;
             }(),
             1) {}
-  /// The first action of this type; null if there is none.
+  /// Returns the first action of this type; null if there is none.
   template <typename Action>
-  const Action* Find() const {
+  const Action* FindAction() const {
     for (const auto& action : actions) {
       if (const auto* found = std::get_if<Action>(&action)) return found;
     }
@@ -44,21 +44,21 @@
     actions.clear();
     follower.Tick(now, &actions);
   }
-  /// From a connection to an established watch, each step answered after `step`.
-  void Follow(Time step) {
-    while (!Find<Follower::Connect>()) Tick();
+  /// Drives the follower from connecting to an established watch. Each step is answered after `step`.
+  void EstablishWatch(Time step) {
+    while (!FindAction<Follower::Connect>()) Tick();
     now += step;
     actions.clear();
     follower.Opened(now, &actions);
     pb::RangeResponse response;
     response.mutable_header()->set_cluster_id(1);
     response.mutable_header()->set_revision(7);
-    while (Find<Follower::Range>()) {
+    while (FindAction<Follower::Range>()) {
       now += step;
       actions.clear();
       follower.RangeCompleted(now, {}, response, &actions);
     }
-    ASSERT_TRUE(Find<Follower::Watch>());
+    ASSERT_TRUE(FindAction<Follower::Watch>());
     pb::WatchResponse created;
     created.mutable_header()->set_cluster_id(1);
     created.set_created(true);
@@ -66,9 +66,9 @@
     actions.clear();
   }
   void LoseConnection() { follower.Closed(now, {ConnectionErrorCode::kTransportFailed, "cut"}, &actions); }
-  /// How long the next connection is given before another is tried.
-  Time GivenUpAfter() {
-    while (!Find<Follower::Connect>()) Tick();
+  /// Returns the time after which the next unanswered connection attempt is abandoned.
+  Time MeasureStepTimeout() {
+    while (!FindAction<Follower::Connect>()) Tick();
     const Time began = now;
     actions.clear();
     Tick();
@@ -81,21 +81,21 @@
   Time now{1000};
 };
 
-TEST_F(FollowerTest, UnresponsiveMember_IsLeftSoonAndTimeoutGrowsWhileAllFail) {
-  EXPECT_EQ(GivenUpAfter(), Time(1000)) << "at the start nothing is known of how long it takes";
-  Follow(Time(5));
-  LoseConnection();  // the one in use: a failure as well
+TEST_F(FollowerTest, UnresponsiveMember_IsAbandonedSoonAndTimeoutGrowsWhileAllFail) {
+  EXPECT_EQ(MeasureStepTimeout(), Time(1000)) << "the step timeout starts at its maximum";
+  EstablishWatch(Time(5));
+  LoseConnection();  // counts as a failure of the endpoint in use
   for (const int expected : {100, 100, 200, 200, 200, 400, 400, 400, 800, 800, 800, 1000, 1000, 1000, 1000})
-    EXPECT_EQ(GivenUpAfter(), Time(expected));
+    EXPECT_EQ(MeasureStepTimeout(), Time(expected));
 }
 
-TEST_F(FollowerTest, SlowSteps_AreGivenTwiceTheirTime) {
-  Follow(Time(180));
+TEST_F(FollowerTest, SlowSteps_SetTimeoutToTwiceTheirDuration) {
+  EstablishWatch(Time(180));
   LoseConnection();
-  EXPECT_EQ(GivenUpAfter(), Time(360));
-  Follow(Time(5));
+  EXPECT_EQ(MeasureStepTimeout(), Time(360));
+  EstablishWatch(Time(5));
   LoseConnection();
-  EXPECT_EQ(GivenUpAfter(), Time(100)) << "and no more once they don't";
+  EXPECT_EQ(MeasureStepTimeout(), Time(100)) << "the timeout shrinks once steps are fast again";
 }
 
 pb::KeyValue KeyAt(const std::string& key, std::int64_t revision) {
@@ -106,7 +106,7 @@
 }
 
 TEST_F(FollowerTest, Snapshot_IsReadInPagesAtOneRevision) {
-  while (!Find<Follower::Connect>()) Tick();
+  while (!FindAction<Follower::Connect>()) Tick();
   follower.Opened(now, &actions);
   pb::RangeResponse page;
   page.mutable_header()->set_cluster_id(1);
@@ -116,28 +116,28 @@
   page.set_more(true);
   actions.clear();
   follower.RangeCompleted(now, {}, page, &actions);
-  const auto* first = Find<Follower::SnapshotPage>();
+  const auto* first = FindAction<Follower::SnapshotPage>();
   ASSERT_TRUE(first);
   EXPECT_TRUE(first->first);
   EXPECT_FALSE(first->last);
   EXPECT_EQ(first->kvs.size(), 1u) << "a key outside the prefix is ignored";
-  ASSERT_TRUE(Find<Follower::Range>());
-  EXPECT_EQ(Find<Follower::Range>()->request.revision(), 7);
-  page.mutable_header()->set_revision(9);  // others have written meanwhile
+  ASSERT_TRUE(FindAction<Follower::Range>());
+  EXPECT_EQ(FindAction<Follower::Range>()->request.revision(), 7);
+  page.mutable_header()->set_revision(9);  // other clients have written since the first page
   page.set_more(false);
   actions.clear();
   follower.RangeCompleted(now, {}, page, &actions);
-  const auto* last = Find<Follower::SnapshotPage>();
+  const auto* last = FindAction<Follower::SnapshotPage>();
   ASSERT_TRUE(last);
   EXPECT_FALSE(last->first);
   EXPECT_TRUE(last->last);
   EXPECT_EQ(last->revision, 7);
-  ASSERT_TRUE(Find<Follower::Watch>());
-  EXPECT_EQ(Find<Follower::Watch>()->request.create_request().start_revision(), 8);
+  ASSERT_TRUE(FindAction<Follower::Watch>());
+  EXPECT_EQ(FindAction<Follower::Watch>()->request.create_request().start_revision(), 8);
 }
 
-TEST_F(FollowerTest, Fragments_AreJoinedAndKnownRevisionsDropped) {
-  Follow(Time(1));
+TEST_F(FollowerTest, Fragments_AreJoinedAndDeliveredRevisionsDropped) {
+  EstablishWatch(Time(1));
   const auto receive = [&](std::vector<std::int64_t> revisions, bool fragment) {
     pb::WatchResponse response;
     response.mutable_header()->set_cluster_id(1);
@@ -151,19 +151,20 @@
   receive({7, 8}, true);
   EXPECT_TRUE(actions.empty()) << "the revision is incomplete";
   receive({8, 9}, false);
-  const auto* events = Find<Follower::Events>();
+  const auto* events = FindAction<Follower::Events>();
   ASSERT_TRUE(events);
   EXPECT_EQ(events->events.size(), 3u);
   EXPECT_EQ(events->revision, 9);
-  EXPECT_EQ(follower.revision(), 9) << "and not the header's: later ones may be under way";
+  EXPECT_EQ(follower.revision(), 9)
+      << "not the revision of the header, because later events may still arrive";
   receive({9}, false);
-  EXPECT_FALSE(Find<Follower::Events>());
-  EXPECT_TRUE(Find<Follower::Progress>());
+  EXPECT_FALSE(FindAction<Follower::Events>());
+  EXPECT_TRUE(FindAction<Follower::Progress>());
   receive({}, false);
-  ASSERT_TRUE(Find<Follower::Progress>());
-  EXPECT_EQ(Find<Follower::Progress>()->revision, 20);
+  ASSERT_TRUE(FindAction<Follower::Progress>());
+  EXPECT_EQ(FindAction<Follower::Progress>()->revision, 20);
   receive({22, 21}, false);
-  EXPECT_TRUE(Find<Follower::Disconnected>()) << "out of order";
+  EXPECT_TRUE(FindAction<Follower::Disconnected>()) << "events out of order";
   EXPECT_EQ(follower.revision(), 20);
 }
 
@@ -184,8 +185,8 @@
   EXPECT_EQ(bounded.state(), "listing");
   actions.clear();
   bounded.RangeCompleted(now, {}, page, &actions);
-  EXPECT_FALSE(Find<Follower::SnapshotPage>());
-  EXPECT_TRUE(Find<Follower::Disconnected>());
+  EXPECT_FALSE(FindAction<Follower::SnapshotPage>());
+  EXPECT_TRUE(FindAction<Follower::Disconnected>());
   ASSERT_TRUE(bounded.last_error().has_value());
   EXPECT_EQ(bounded.last_error()->code, FollowerErrorCode::kSnapshotTooLarge);
   const std::string message = bounded.last_error_message();
@@ -193,17 +194,17 @@
 }
 
 TEST_F(FollowerTest, PageWithoutRevision_Fails) {
-  while (!Find<Follower::Connect>()) Tick();
+  while (!FindAction<Follower::Connect>()) Tick();
   follower.Opened(now, &actions);
   actions.clear();
   follower.RangeCompleted(now, {}, pb::RangeResponse(), &actions);
-  EXPECT_FALSE(Find<Follower::SnapshotPage>());
-  EXPECT_TRUE(Find<Follower::Disconnected>());
+  EXPECT_FALSE(FindAction<Follower::SnapshotPage>());
+  EXPECT_TRUE(FindAction<Follower::Disconnected>());
   EXPECT_NE(follower.last_error_message().find("without a revision"), std::string::npos);
 }
 
 TEST_F(FollowerTest, LaggingServer_RevertsNothing) {
-  Follow(Time(1));
+  EstablishWatch(Time(1));
   pb::WatchResponse ahead;
   ahead.mutable_header()->set_cluster_id(1);
   ahead.mutable_header()->set_revision(30);
@@ -211,43 +212,43 @@
   EXPECT_EQ(follower.revision(), 30);
   LoseConnection();
   actions.clear();
-  while (!Find<Follower::Connect>()) Tick();
+  while (!FindAction<Follower::Connect>()) Tick();
   follower.Opened(now, &actions);
   // The probe is a linearizable read, which a lagging server cannot answer.
-  ASSERT_TRUE(Find<Follower::Range>());
-  EXPECT_FALSE(Find<Follower::Range>()->request.serializable());
-  EXPECT_EQ(Find<Follower::Range>()->request.limit(), 1);
+  ASSERT_TRUE(FindAction<Follower::Range>());
+  EXPECT_FALSE(FindAction<Follower::Range>()->request.serializable());
+  EXPECT_EQ(FindAction<Follower::Range>()->request.limit(), 1);
   pb::RangeResponse committed;
   committed.mutable_header()->set_cluster_id(1);
   committed.mutable_header()->set_revision(33);
   actions.clear();
   follower.RangeCompleted(now, {}, committed, &actions);
-  ASSERT_TRUE(Find<Follower::Watch>());
-  EXPECT_EQ(Find<Follower::Watch>()->request.create_request().start_revision(), 31);
-  // Its watch still lags: messages of older revisions change nothing.
+  ASSERT_TRUE(FindAction<Follower::Watch>());
+  EXPECT_EQ(FindAction<Follower::Watch>()->request.create_request().start_revision(), 31);
+  // The watch still lags; responses with older revisions must change nothing.
   pb::WatchResponse behind = ahead;
   behind.mutable_header()->set_revision(12);
   actions.clear();
   follower.WatchReceived(now, behind, &actions);
   EXPECT_EQ(follower.revision(), 30);
-  EXPECT_FALSE(Find<Follower::Events>());
-  EXPECT_FALSE(Find<Follower::SnapshotPage>());
+  EXPECT_FALSE(FindAction<Follower::Events>());
+  EXPECT_FALSE(FindAction<Follower::SnapshotPage>());
   *behind.add_events()->mutable_kv() = KeyAt(kPrefix + "a", 12);
   actions.clear();
   follower.WatchReceived(now, behind, &actions);
   EXPECT_EQ(follower.revision(), 30);
-  EXPECT_FALSE(Find<Follower::Events>());
+  EXPECT_FALSE(FindAction<Follower::Events>());
 }
 
 TEST_F(FollowerTest, InterruptedSnapshot_IsReadAgain) {
-  Follow(Time(1));
+  EstablishWatch(Time(1));
   pb::WatchResponse compacted;
   compacted.mutable_header()->set_cluster_id(1);
   compacted.set_canceled(true);
   compacted.set_compact_revision(9);
   actions.clear();
   follower.WatchReceived(now, compacted, &actions);
-  ASSERT_TRUE(Find<Follower::Range>());
+  ASSERT_TRUE(FindAction<Follower::Range>());
   pb::RangeResponse page;
   page.mutable_header()->set_cluster_id(1);
   page.mutable_header()->set_revision(12);
@@ -256,12 +257,12 @@
   follower.RangeCompleted(now, {}, page, &actions);
   LoseConnection();
   actions.clear();
-  while (!Find<Follower::Connect>()) Tick();
+  while (!FindAction<Follower::Connect>()) Tick();
   actions.clear();
   follower.Opened(now, &actions);
-  ASSERT_TRUE(Find<Follower::Range>());
-  EXPECT_GT(Find<Follower::Range>()->request.limit(), 1) << "a page, and not a probe";
-  EXPECT_EQ(Find<Follower::Range>()->request.revision(), 0);
+  ASSERT_TRUE(FindAction<Follower::Range>());
+  EXPECT_GT(FindAction<Follower::Range>()->request.limit(), 1) << "must request a page, not a probe";
+  EXPECT_EQ(FindAction<Follower::Range>()->request.revision(), 0);
 }
 
 class SectionsTest : public FollowerTest {
@@ -272,8 +273,8 @@
     settings.sections = {"x/", "y/", "z/"};
     follower = Follower(settings, 1);
   }
-  /// Answers a page.
-  void Answer(const std::vector<std::string>& keys, bool more, std::int64_t revision = 7) {
+  /// Answers the pending range request.
+  void AnswerRange(const std::vector<std::string>& keys, bool more, std::int64_t revision = 7) {
     pb::RangeResponse page;
     page.mutable_header()->set_cluster_id(1);
     page.mutable_header()->set_revision(revision);
@@ -282,9 +283,9 @@
     actions.clear();
     follower.RangeCompleted(now, {}, page, &actions);
   }
-  /// A message of a watch.
-  void Receive(std::int64_t watch_id, std::int64_t header, const std::vector<std::int64_t>& revisions,
-               bool created = false) {
+  /// Delivers a watch response.
+  void ReceiveWatchResponse(std::int64_t watch_id, std::int64_t header,
+                            const std::vector<std::int64_t>& revisions, bool created = false) {
     pb::WatchResponse response;
     response.mutable_header()->set_cluster_id(1);
     response.mutable_header()->set_revision(header);
@@ -298,8 +299,8 @@
     actions.clear();
     follower.WatchReceived(now, response, &actions);
   }
-  /// Where the watch of each section starts, from the actions.
-  std::map<std::string, std::int64_t> Starts() const {
+  /// Returns the start revision of each section's watch, from the actions.
+  std::map<std::string, std::int64_t> StartRevisions() const {
     std::map<std::string, std::int64_t> starts;
     for (const auto& action : actions) {
       const pb::WatchRequest* request = nullptr;
@@ -312,82 +313,82 @@
     }
     return starts;
   }
-  /// Up to an established watch of each section.
-  void FollowAll() {
-    while (!Find<Follower::Connect>()) Tick();
+  /// Drives the follower to an established watch of each section.
+  void EstablishAllWatches() {
+    while (!FindAction<Follower::Connect>()) Tick();
     actions.clear();
     follower.Opened(now, &actions);
-    for (int i = 0; i < 3; ++i) Answer({}, false);
-    for (int i = 1; i <= 3; ++i) Receive(i, 7, {}, true);
+    for (int i = 0; i < 3; ++i) AnswerRange({}, false);
+    for (int i = 1; i <= 3; ++i) ReceiveWatchResponse(i, 7, {}, true);
   }
 };
 
 TEST_F(SectionsTest, Snapshot_ReadsSectionsInOrderAtOneRevision) {
-  while (!Find<Follower::Connect>()) Tick();
+  while (!FindAction<Follower::Connect>()) Tick();
   actions.clear();
   follower.Opened(now, &actions);
-  EXPECT_EQ(Find<Follower::Range>()->request.key(), kPrefix + "x/");
-  EXPECT_EQ(Find<Follower::Range>()->request.range_end(), kPrefix + "x0");
-  Answer({"x/a"}, true);
-  EXPECT_TRUE(Find<Follower::SnapshotPage>()->first);
-  EXPECT_FALSE(Find<Follower::SnapshotPage>()->ends_section);
-  Answer({"x/b", "y/none"}, false, 9);
-  const auto* page = Find<Follower::SnapshotPage>();
-  EXPECT_EQ(page->kvs.size(), 1u) << "of this section alone";
+  EXPECT_EQ(FindAction<Follower::Range>()->request.key(), kPrefix + "x/");
+  EXPECT_EQ(FindAction<Follower::Range>()->request.range_end(), kPrefix + "x0");
+  AnswerRange({"x/a"}, true);
+  EXPECT_TRUE(FindAction<Follower::SnapshotPage>()->first);
+  EXPECT_FALSE(FindAction<Follower::SnapshotPage>()->ends_section);
+  AnswerRange({"x/b", "y/none"}, false, 9);
+  const auto* page = FindAction<Follower::SnapshotPage>();
+  EXPECT_EQ(page->kvs.size(), 1u) << "keys of other sections are ignored";
   EXPECT_TRUE(page->ends_section);
   EXPECT_FALSE(page->first || page->last);
   EXPECT_EQ(page->revision, 7);
-  EXPECT_EQ(Find<Follower::Range>()->request.key(), kPrefix + "y/");
-  EXPECT_EQ(Find<Follower::Range>()->request.revision(), 7);
-  Answer({}, false, 9);
-  EXPECT_EQ(Find<Follower::SnapshotPage>()->section, 1u);
-  Answer({"z/a"}, false, 9);
-  EXPECT_TRUE(Find<Follower::SnapshotPage>()->last);
-  EXPECT_EQ(Find<Follower::SnapshotPage>()->section, 2u);
-  EXPECT_EQ(Starts(), (std::map<std::string, std::int64_t>{{"x/", 8}, {"y/", 8}, {"z/", 8}}));
+  EXPECT_EQ(FindAction<Follower::Range>()->request.key(), kPrefix + "y/");
+  EXPECT_EQ(FindAction<Follower::Range>()->request.revision(), 7);
+  AnswerRange({}, false, 9);
+  EXPECT_EQ(FindAction<Follower::SnapshotPage>()->section, 1u);
+  AnswerRange({"z/a"}, false, 9);
+  EXPECT_TRUE(FindAction<Follower::SnapshotPage>()->last);
+  EXPECT_EQ(FindAction<Follower::SnapshotPage>()->section, 2u);
+  EXPECT_EQ(StartRevisions(), (std::map<std::string, std::int64_t>{{"x/", 8}, {"y/", 8}, {"z/", 8}}));
 }
 
 TEST_F(SectionsTest, RevisionBehindOneSection_ReadsSnapshot) {
-  FollowAll();
-  EXPECT_TRUE(Find<Follower::Progress>()) << "established with the last of them";
-  Receive(2, 30, {20, 30});
-  ASSERT_TRUE(Find<Follower::Events>());
-  EXPECT_EQ(Find<Follower::Events>()->section, 1u);
-  EXPECT_EQ(Find<Follower::Events>()->revision, 30);
-  EXPECT_EQ(follower.revision(), 7) << "of all of them together";
-  Receive(1, 30, {25});
-  EXPECT_TRUE(Find<Follower::Events>()) << "older than what another watch has given";
-  Receive(3, 28, {});  // progress of one
+  EstablishAllWatches();
+  EXPECT_TRUE(FindAction<Follower::Progress>()) << "established once all watches are created";
+  ReceiveWatchResponse(2, 30, {20, 30});
+  ASSERT_TRUE(FindAction<Follower::Events>());
+  EXPECT_EQ(FindAction<Follower::Events>()->section, 1u);
+  EXPECT_EQ(FindAction<Follower::Events>()->revision, 30);
+  EXPECT_EQ(follower.revision(), 7) << "the lowest revision of all sections";
+  ReceiveWatchResponse(1, 30, {25});
+  EXPECT_TRUE(FindAction<Follower::Events>()) << "order between watches is not required";
+  ReceiveWatchResponse(3, 28, {});  // progress of one watch
   LoseConnection();
   actions.clear();
-  while (!Find<Follower::Connect>()) Tick();
+  while (!FindAction<Follower::Connect>()) Tick();
   follower.Opened(now, &actions);
-  Answer({}, false, 29);  // behind one of them: replaced
-  EXPECT_TRUE(Find<Follower::Range>());
-  EXPECT_GT(Find<Follower::Range>()->request.limit(), 1);
+  AnswerRange({}, false, 29);  // below the revision of one section: history was replaced
+  EXPECT_TRUE(FindAction<Follower::Range>());
+  EXPECT_GT(FindAction<Follower::Range>()->request.limit(), 1);
 }
 
 TEST_F(SectionsTest, Reconnect_ResumesEachSectionAfterItsRevision) {
-  FollowAll();
-  Receive(2, 30, {30});
-  Receive(1, 30, {25});
-  Receive(-1, 40, {});  // progress of all
+  EstablishAllWatches();
+  ReceiveWatchResponse(2, 30, {30});
+  ReceiveWatchResponse(1, 30, {25});
+  ReceiveWatchResponse(-1, 40, {});  // progress of all watches
   EXPECT_EQ(follower.revision(), 40);
-  Receive(3, 41, {41});
+  ReceiveWatchResponse(3, 41, {41});
   LoseConnection();
   actions.clear();
-  while (!Find<Follower::Connect>()) Tick();
+  while (!FindAction<Follower::Connect>()) Tick();
   follower.Opened(now, &actions);
-  Answer({}, false, 45);
-  EXPECT_EQ(Starts(), (std::map<std::string, std::int64_t>{{"x/", 41}, {"y/", 41}, {"z/", 42}}));
+  AnswerRange({}, false, 45);
+  EXPECT_EQ(StartRevisions(), (std::map<std::string, std::int64_t>{{"x/", 41}, {"y/", 41}, {"z/", 42}}));
   EXPECT_EQ(follower.snapshots(), 1u);
 }
 
 TEST_F(SectionsTest, EventsOfUnknownWatch_Fail) {
-  FollowAll();
-  Receive(9, 30, {30});
-  EXPECT_FALSE(Find<Follower::Events>());
-  EXPECT_TRUE(Find<Follower::Disconnected>());
+  EstablishAllWatches();
+  ReceiveWatchResponse(9, 30, {30});
+  EXPECT_FALSE(FindAction<Follower::Events>());
+  EXPECT_TRUE(FindAction<Follower::Disconnected>());
 }
 
 }  // namespace
--- a/tests/etcd/grpc_test.cpp
+++ b/tests/etcd/grpc_test.cpp
@@ -12,21 +12,21 @@
 namespace badgerbridge::etcd {
 namespace {
 
-TEST(Grpc, BodyInAnySplit_GivesItsMessages) {
+TEST(Grpc, BodyInAnySplit_YieldsSameMessages) {
   const std::vector<std::string> messages = {"", "a", std::string(300, 'x'), "last"};
   std::string body;
   for (const std::string& message : messages) body += FrameMessage(message);
   std::mt19937 random(1);
   for (int round = 0; round < 300; ++round) {
     MessageDeframer deframer(1000);
-    std::vector<std::string> got;
+    std::vector<std::string> received;
     for (std::size_t at = 0; at < body.size();) {
       const std::size_t n = std::min<std::size_t>(body.size() - at, random() % (round < 5 ? 2 : 40));
       EXPECT_TRUE(deframer.Feed(std::string_view(body).substr(at, n),
-                                [&](std::string_view message) { got.emplace_back(message); }));
+                                [&](std::string_view message) { received.emplace_back(message); }));
       at += n;
     }
-    EXPECT_EQ(got, messages);
+    EXPECT_EQ(received, messages);
     EXPECT_TRUE(deframer.IsAtMessageBoundary());
   }
 }
@@ -46,7 +46,7 @@
   EXPECT_EQ(fed_compressed.error().ending, Ending::kMalformed);
 }
 
-/// The status of a unary call whose response had these headers and that many messages.
+/// Returns the status of a unary call whose response has the given headers and number of messages.
 Status StatusOf(const HeaderFields& headers, std::size_t messages = 1, bool ends_within_message = false) {
   ResponseStatus response;
   for (const HeaderField& header : headers) EXPECT_TRUE(response.AddHeader(header.name, header.value));
@@ -85,16 +85,16 @@
   for (const char* odd : {"%", "%4", "%zz", "a%"}) EXPECT_EQ(DecodeStatusMessage(odd), odd);
 }
 
-TEST(Grpc, CorruptedBodies_GiveNoMoreThanTheirBytes) {
+TEST(Grpc, CorruptedBodies_YieldNoMoreBytesThanReceived) {
   std::mt19937 random(3);
   for (int round = 0; round < 20000; ++round) {
     std::string body = FrameMessage("abc") + FrameMessage(std::string(random() % 50, 'x'));
     for (unsigned n = random() % 4; n > 0; --n) body[random() % body.size()] = static_cast<char>(random());
     MessageDeframer deframer(64);
-    std::size_t got = 0;
+    std::size_t received = 0;
     const Result<void> ignored =
-        deframer.Feed(body, [&](std::string_view message) { got += message.size(); });
-    EXPECT_LE(got, body.size());
+        deframer.Feed(body, [&](std::string_view message) { received += message.size(); });
+    EXPECT_LE(received, body.size());
   }
 }
 
--- a/tests/etcd/independent_client.h
+++ b/tests/etcd/independent_client.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A client of etcd that shares no code with src/etcd: gRPC's C++ library over the published API. Each call
-/// has a deadline, and each wait ends on a condition.
+/// An etcd client that shares no code with src/etcd: gRPC's C++ library with the published API. Every call
+/// has a deadline, and every wait ends on a condition.
 #ifndef BADGERBRIDGE_TESTS_ETCD_INDEPENDENT_CLIENT_H_
 #define BADGERBRIDGE_TESTS_ETCD_INDEPENDENT_CLIENT_H_
 
@@ -22,17 +22,17 @@
 
 namespace pb = etcdserverpb;
 
-inline constexpr auto kCallDeadline = std::chrono::seconds(20);  ///< Far beyond any need.
-inline const std::string kFromFirstKey(1, '\0');                 ///< As a range's start and end: all keys.
+inline constexpr auto kCallDeadline = std::chrono::seconds(20);  ///< Far longer than any call takes.
+inline const std::string kFromFirstKey(1, '\0');  ///< As both start and end of a range it selects all keys.
 
-/// A context whose call ends by kCallDeadline, whatever happens.
+/// Returns a context whose call ends after kCallDeadline at the latest.
 inline std::unique_ptr<grpc::ClientContext> NewContext() {
   auto context = std::make_unique<grpc::ClientContext>();
   context->set_deadline(std::chrono::system_clock::now() + kCallDeadline);
   return context;
 }
 
-/// A client of one member.
+/// A client of one cluster member.
 class Client {
  public:
   /// `address` is "host:port".
@@ -127,27 +127,27 @@
   std::unique_ptr<pb::Auth::Stub> auth_;
 };
 
-/// The end of the range of all keys that begin with `prefix`, whose last byte is below 0xff.
-inline std::string EndOfPrefix(std::string prefix) {
+/// Returns the range end for all keys that begin with `prefix`. Its last byte must be below 0xff.
+inline std::string PrefixRangeEnd(std::string prefix) {
   ++prefix.back();
   return prefix;
 }
 
-/// A read of one key.
+/// Returns a request that reads one key.
 inline pb::RangeRequest KeyRequest(const std::string& key) {
   pb::RangeRequest request;
   request.set_key(key);
   return request;
 }
 
-/// A read of all keys with a prefix.
+/// Returns a request that reads all keys with a prefix.
 inline pb::RangeRequest PrefixRequest(const std::string& prefix) {
   pb::RangeRequest request = KeyRequest(prefix);
-  request.set_range_end(EndOfPrefix(prefix));
+  request.set_range_end(PrefixRangeEnd(prefix));
   return request;
 }
 
-/// A sorted read of all keys.
+/// Returns a request that reads all keys in sorted order.
 inline pb::RangeRequest SortedRequest(pb::RangeRequest::SortTarget target, pb::RangeRequest::SortOrder order,
                                       std::int64_t limit = 0) {
   pb::RangeRequest request = KeyRequest(kFromFirstKey);
@@ -158,17 +158,17 @@
   return request;
 }
 
-/// Keys with their values.
+/// Key-value pairs.
 using KeyValues = std::vector<std::pair<std::string, std::string>>;
 
-/// The keys and values of a response, in its order.
+/// Returns the key-value pairs of a response, in response order.
 inline KeyValues KeyValuesOf(const pb::RangeResponse& response) {
   KeyValues pairs;
   for (const pb::KeyValue& kv : response.kvs()) pairs.emplace_back(kv.key(), kv.value());
   return pairs;
 }
 
-/// The keys of a response, in its order.
+/// Returns the keys of a response, in response order.
 inline std::vector<std::string> KeysOf(const pb::RangeResponse& response) {
   std::vector<std::string> keys;
   for (const pb::KeyValue& kv : response.kvs()) keys.push_back(kv.key());
--- a/tests/etcd/independent_client_fixture.h
+++ b/tests/etcd/independent_client_fixture.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The fixture of the independent client's tests.
+/// Test fixture for the independent client.
 #ifndef BADGERBRIDGE_TESTS_ETCD_INDEPENDENT_CLIENT_FIXTURE_H_
 #define BADGERBRIDGE_TESTS_ETCD_INDEPENDENT_CLIENT_FIXTURE_H_
 
@@ -17,7 +17,7 @@
 
 namespace badgerbridge::independent_client {
 
-/// A running cluster, and a client of each of its members.
+/// A running cluster and a client of each member.
 class IndependentEtcdClient : public ::testing::Test {
  protected:
   void SetUp() override {
@@ -25,10 +25,10 @@
     for (const std::string& address : standin_.addresses())
       clients_.push_back(std::make_unique<Client>(address));
   }
-  /// Of one member.
+  /// Returns the client of one member.
   Client& client(std::size_t member = 0) { return *clients_[member]; }
 
-  /// Three keys whose order by key is not that by value.
+  /// Writes three keys whose order by key differs from their order by value.
   void PutThree() {
     client().MustPut("a", "1");
     client().MustPut("b", "3");
--- a/tests/etcd/independent_client_test.cpp
+++ b/tests/etcd/independent_client_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The stand-in etcd against an independent client: keys, ranges and transactions (service KV), members and
-// errors.
+// Tests of the stand-in etcd with the independent client: keys, ranges and transactions (service KV), members
+// and errors.
 #include "independent_client_fixture.h"
 
 namespace badgerbridge::independent_client {
@@ -69,7 +69,7 @@
   EXPECT_EQ(client().MustRange(KeyRequest("a")).count(), 0);
 }
 
-TEST_F(IndependentEtcdClient, TransactionThatHolds_RunsFirstBranch) {
+TEST_F(IndependentEtcdClient, TransactionWithTrueComparison_RunsSuccessBranch) {
   client().MustPut("b", "3");
   pb::TxnRequest txn;
   pb::Compare* compare = txn.add_compare();
@@ -92,7 +92,7 @@
   EXPECT_EQ(client().MustRange(KeyRequest("z")).count(), 0);
 }
 
-TEST_F(IndependentEtcdClient, TransactionThatFails_RunsSecondBranch) {
+TEST_F(IndependentEtcdClient, TransactionWithFalseComparison_RunsFailureBranch) {
   client().MustPut("b", "9");
   pb::TxnRequest txn;
   pb::Compare* compare = txn.add_compare();
@@ -125,8 +125,8 @@
   }
 }
 
-// Health as etcd's tools check it: a linearizable read of the key "health" at each member.
-TEST_F(IndependentEtcdClient, Status_IsGivenByEachMember) {
+// Checks health like etcdctl: a linearizable read of the key "health" at each member.
+TEST_F(IndependentEtcdClient, Status_IsReturnedByEachMember) {
   const std::int64_t written = client().MustPut("a", "1").header().revision();
   for (std::size_t member = 0; member < kMembers; ++member) {
     pb::RangeResponse health;
--- a/tests/etcd/independent_lease_test.cpp
+++ b/tests/etcd/independent_lease_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The stand-in etcd against an independent client: leases (service Lease), and the published recipes for a
-// lock and an election.
+// Tests of the stand-in etcd with the independent client: leases (service Lease), and the published recipes
+// for a lock and an election.
 #include <cstdint>
 #include <future>
 #include <optional>
@@ -60,7 +60,7 @@
     EXPECT_EQ(response.id(), lease);
     EXPECT_EQ(response.ttl(), kLeaseSeconds);
   }
-  request.set_id(lease + 1);  // one that nobody was granted
+  request.set_id(lease + 1);  // an id that was never granted
   ASSERT_TRUE(stream->Write(request));
   pb::LeaseKeepAliveResponse unknown;
   ASSERT_TRUE(stream->Read(&unknown));
@@ -80,8 +80,9 @@
   EXPECT_EQ(client().MustRange(KeyRequest("short")).count(), 0);
 }
 
-/// A contender for a lock or an election, by the published recipe: a key under the prefix, bound to a lease.
-/// The lowest create revision owns the lock; the next contender waits for the deletion of its predecessor.
+/// A contender for a lock or an election, following the published recipe: a key under the prefix, bound to a
+/// lease. The key with the lowest create revision owns the lock. Each other contender waits for the deletion
+/// of its predecessor.
 class Contender {
  public:
   Contender(Client& client, std::string prefix, const std::string& value)
@@ -103,7 +104,7 @@
     create_revision_ = response.header().revision();
   }
 
-  /// The newest key older than its own, which it waits for. None: it holds the lock.
+  /// Returns the newest key that is older than the contender's own; nullopt if the contender holds the lock.
   std::optional<pb::KeyValue> Predecessor(std::int64_t* revision = nullptr) {
     pb::RangeRequest request = PrefixRequest(prefix_);
     request.set_sort_target(pb::RangeRequest::CREATE);
@@ -115,10 +116,10 @@
     if (response.kvs().empty()) return std::nullopt;
     return response.kvs(0);
   }
-  bool Holds() { return !Predecessor(); }
+  bool HoldsLock() { return !Predecessor(); }
 
-  /// Waits until it holds the lock; false if a watch has ended before. `waiting` is set when the first watch
-  /// is up.
+  /// Waits until the contender holds the lock; returns false if a watch ends first. Sets `waiting` once the
+  /// first watch is created.
   bool WaitUntilHeld(std::promise<void>* waiting) {
     std::int64_t revision = 0;
     while (const auto predecessor = Predecessor(&revision)) {
@@ -156,7 +157,7 @@
   std::int64_t create_revision_ = 0;
 };
 
-/// The value of the key that holds the lock or leads.
+/// Returns the value of the key that holds the lock or the leadership.
 std::string ValueOfHolder(Client& client, const std::string& prefix) {
   pb::RangeRequest request = PrefixRequest(prefix);
   request.set_sort_target(pb::RangeRequest::CREATE);
@@ -168,33 +169,34 @@
 
 class IndependentEtcdLocks : public IndependentEtcdClient {
  protected:
-  /// The second contender waits while the first holds; then the first is released and the second must hold.
-  void PassOn(const std::string& prefix, void (Contender::*release)()) {
+  /// The second contender waits while the first holds the lock. Once the first releases it, the second must
+  /// hold it.
+  void ExpectHandover(const std::string& prefix, void (Contender::*release)()) {
     Contender first(client(0), prefix, "first");
-    EXPECT_TRUE(first.Holds());
+    EXPECT_TRUE(first.HoldsLock());
     EXPECT_EQ(ValueOfHolder(client(2), prefix), "first");
     Contender second(client(1), prefix, "second");
-    EXPECT_FALSE(second.Holds());
+    EXPECT_FALSE(second.HoldsLock());
     std::promise<void> waiting;
-    std::future<void> watch_up = waiting.get_future();
+    std::future<void> watch_created = waiting.get_future();
     std::future<bool> held =
         std::async(std::launch::async, [&second, &waiting] { return second.WaitUntilHeld(&waiting); });
-    ASSERT_EQ(watch_up.wait_for(kCallDeadline), std::future_status::ready);
+    ASSERT_EQ(watch_created.wait_for(kCallDeadline), std::future_status::ready);
     EXPECT_EQ(ValueOfHolder(client(2), prefix), "first");
-    EXPECT_TRUE(first.Holds());
+    EXPECT_TRUE(first.HoldsLock());
     (first.*release)();
     EXPECT_TRUE(held.get());  // bounded by the watch's deadline
-    EXPECT_TRUE(second.Holds());
+    EXPECT_TRUE(second.HoldsLock());
     EXPECT_EQ(ValueOfHolder(client(2), prefix), "second");
   }
 };
 
-TEST_F(IndependentEtcdLocks, Lock_PassesOnWhenLeaseIsRevoked) {
-  PassOn("lock/", &Contender::ReleaseByRevoking);
+TEST_F(IndependentEtcdLocks, Lock_IsHandedOverWhenLeaseIsRevoked) {
+  ExpectHandover("lock/", &Contender::ReleaseByRevoking);
 }
 
-TEST_F(IndependentEtcdLocks, Election_PassesOnWhenLeaderResigns) {
-  PassOn("election/", &Contender::ReleaseByDeletion);
+TEST_F(IndependentEtcdLocks, Election_IsHandedOverWhenLeaderResigns) {
+  ExpectHandover("election/", &Contender::ReleaseByDeletion);
 }
 
 }  // namespace
--- a/tests/etcd/independent_watch_test.cpp
+++ b/tests/etcd/independent_watch_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The stand-in etcd against an independent client: watches and compaction (service Watch).
+// Tests of the stand-in etcd with the independent client: watches (service Watch) and compaction.
 #include <optional>
 
 #include "independent_client_fixture.h"
@@ -21,7 +21,7 @@
   EXPECT_EQ(put->kv().value(), "x");
   pb::DeleteRangeRequest request;
   request.set_key("w");
-  request.set_range_end(EndOfPrefix("w"));
+  request.set_range_end(PrefixRangeEnd("w"));
   EXPECT_EQ(client().MustDelete(request).deleted(), 1);
   const std::optional<pb::Event> deletion = watcher.NextEvent();
   ASSERT_TRUE(deletion);
--- a/tests/etcd/independent_watcher.h
+++ b/tests/etcd/independent_watcher.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A watch of the independent client.
+/// A watch made by the independent client.
 #ifndef BADGERBRIDGE_TESTS_ETCD_INDEPENDENT_WATCHER_H_
 #define BADGERBRIDGE_TESTS_ETCD_INDEPENDENT_WATCHER_H_
 
@@ -14,10 +14,10 @@
 
 namespace badgerbridge::independent_client {
 
-/// One watch on a stream of its own.
+/// One watch on its own stream.
 class Watcher {
  public:
-  /// Creates the watch, and waits for the first answer.
+  /// Creates the watch and waits for the first response.
   Watcher(Client& client, const pb::WatchCreateRequest& create)
       : context_(NewContext()), stream_(client.watch().Watch(context_.get())) {
     pb::WatchRequest request;
@@ -29,15 +29,15 @@
   Watcher(const Watcher&) = delete;
   Watcher& operator=(const Watcher&) = delete;
 
-  /// The first answer. A default one if the stream has ended.
+  /// The first response; empty if the stream ended before it.
   const pb::WatchResponse& created() const { return created_; }
-  /// The next answer.
+  /// Waits for the next response.
   pb::WatchResponse Read() {
     pb::WatchResponse response;
     EXPECT_TRUE(stream_->Read(&response)) << "the watch has ended";
     return response;
   }
-  /// The next event; none if the stream has ended.
+  /// Waits for the next event; nullopt if the stream has ended.
   std::optional<pb::Event> NextEvent() {
     pb::WatchResponse response;
     while (pending_.empty()) {
@@ -48,7 +48,7 @@
     pending_.pop_back();
     return event;
   }
-  /// Requests the end of the watch.
+  /// Requests cancellation of the watch.
   void Cancel() {
     pb::WatchRequest request;
     request.mutable_cancel_request()->set_watch_id(created_.watch_id());
@@ -59,14 +59,14 @@
   std::unique_ptr<grpc::ClientContext> context_;
   std::unique_ptr<grpc::ClientReaderWriter<pb::WatchRequest, pb::WatchResponse>> stream_;
   pb::WatchResponse created_;
-  std::vector<pb::Event> pending_;  // the next one last
+  std::vector<pb::Event> pending_;  // in reverse order: the next event is last
 };
 
-/// A watch of all keys with a prefix.
+/// Returns a request to watch all keys with a prefix.
 inline pb::WatchCreateRequest WatchPrefix(const std::string& prefix) {
   pb::WatchCreateRequest create;
   create.set_key(prefix);
-  create.set_range_end(EndOfPrefix(prefix));
+  create.set_range_end(PrefixRangeEnd(prefix));
   return create;
 }
 
--- a/tests/etcd/standin_process.h
+++ b/tests/etcd/standin_process.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The stand-in etcd as a program.
+/// Runs the stand-in etcd as a separate process.
 #ifndef BADGERBRIDGE_TESTS_ETCD_STANDIN_PROCESS_H_
 #define BADGERBRIDGE_TESTS_ETCD_STANDIN_PROCESS_H_
 
@@ -13,21 +13,21 @@
 
 namespace badgerbridge::independent_client {
 
-/// Members of the cluster.
+/// Number of cluster members.
 inline constexpr std::size_t kMembers = 3;
 
-/// The program `standin_etcd` with three members. It prints their addresses, one a line, and runs until it is
-/// terminated.
+/// A process of the program `standin_etcd` with three members. The program prints their addresses, one per
+/// line, and runs until it is terminated.
 class StandinProcess {
  public:
-  /// Starts it, and reads the addresses. Throws std::runtime_error if it cannot be started.
+  /// Starts the program and reads the addresses. Throws std::runtime_error if the program cannot be started.
   StandinProcess();
-  /// Terminates it.
+  /// Terminates the program.
   ~StandinProcess();
   StandinProcess(const StandinProcess&) = delete;
   StandinProcess& operator=(const StandinProcess&) = delete;
 
-  /// "host:port" of each member.
+  /// The address ("host:port") of each member.
   const std::vector<std::string>& addresses() const { return addresses_; }
 
  private:
--- a/tests/fingerprint/follower_fingerprint_test.cpp
+++ b/tests/fingerprint/follower_fingerprint_test.cpp
@@ -89,7 +89,7 @@
     settings.first_backoff = Time(random_.Integer(5, 50));
     settings.max_backoff = Time(random_.Integer(200, 2500));
     settings.overload_backoff = Time(random_.Integer(200, 800));
-    settings.max_silence = Time(random_.Integer(500, 2000));
+    settings.watch_idle_timeout = Time(random_.Integer(500, 2000));
     settings.call_timeout = Time(random_.Integer(300, 1500));
     settings.min_step_timeout = Time(random_.Integer(30, 200));
     if (random_.Chance(0.2))
