--- a/src/etcd/http2_client.h
+++ b/src/etcd/http2_client.h
@@ -52,7 +52,7 @@
  public:
   /// `authority` is sent as `:authority` in each request.
   explicit Http2Client(std::string authority, Http2Limits limits = {}, Scheme scheme = Scheme::kHttp);
-  /// Ends every open call with Ending::kLost.
+  /// Ends all open calls like ConnectionLost.
   ~Http2Client();
   Http2Client(const Http2Client&) = delete;
   Http2Client& operator=(const Http2Client&) = delete;
--- a/src/etcd/server_connection.h
+++ b/src/etcd/server_connection.h
@@ -45,9 +45,8 @@
   std::chrono::milliseconds ping_interval{10000};  ///< A PING is sent after this time without received bytes.
   std::chrono::milliseconds ping_timeout{5000};    ///< Closes the connection if a PING is not answered.
   std::chrono::milliseconds idle_timeout{300000};  ///< Sends GOAWAY after this time without calls.
-  std::chrono::milliseconds stall_timeout{
-      30000};           ///< Closes the connection if unsent output makes no progress.
-  ServerFaults faults;  ///< For tests only.
+  std::chrono::milliseconds stall_timeout{30000};  ///< Closes the connection if output makes no progress.
+  ServerFaults faults;                             ///< For tests only.
 };
 
 /// One connection. May be used only on the io_context's thread.
