--- a/src/admin_api/admin_api.cpp
+++ b/src/admin_api/admin_api.cpp
@@ -160,7 +160,7 @@
   std::vector<BackendStatus> backends;
   for (const balancer::BackendView& view : dependencies_.proxy.Inspect()) {
     std::string name = dependencies_.endpoint_list.NameOf(view.entry.server);
-    if (name.empty()) continue;  // it has left the list; the balancer forgets it after a while
+    if (name.empty()) continue;  // no longer listed; the balancer still retains its state
     backends.push_back({std::move(name), NameAt(dependencies_.config.zones, view.entry.zone),
                         NameAt(dependencies_.config.kinds, view.entry.kind), view});
   }
--- a/src/admin_api/admin_api.h
+++ b/src/admin_api/admin_api.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A proxy's admin API: HTTP/1.1 with JSON over a Unix domain socket. It only reads the proxy's state, and
-// asks the listener to drain or the program to stop: it decides nothing about a request. request_codec.h and
-// response_codec.h have its wire format.
+// A proxy's admin API: HTTP/1.1 with JSON over a Unix domain socket. It reads the proxy's state and can drain
+// the listener or stop the program, but takes no part in routing requests. request_codec.h and
+// response_codec.h implement the wire format.
 #ifndef BADGERBRIDGE_ADMIN_API_ADMIN_API_H_
 #define BADGERBRIDGE_ADMIN_API_ADMIN_API_H_
 
@@ -27,28 +27,28 @@
 /// Serves the admin API of one proxy. Runs on its io_context's thread.
 class AdminApi {
  public:
-  /// What it reports on and acts upon. All that is referred to must outlive the API.
+  /// The objects that the API reports on and controls. Referenced objects must outlive the API.
   struct Dependencies {
     const proxy::Config& config;                     ///< Names of zones, kinds and classes.
-    const proxy::ProxyClock& clock;                  ///< The proxy's.
-    proxy::Proxy& proxy;                             ///< Counters and backends.
-    proxy::Listener& listener;                       ///< Is drained.
-    const proxy::EndpointListReader& endpoint_list;  ///< The list in use.
-    const ReloadStatus& reloads;                     ///< Of the configuration.
+    const proxy::ProxyClock& clock;                  ///< Shared with the proxy.
+    proxy::Proxy& proxy;                             ///< Source of counters and backend states.
+    proxy::Listener& listener;                       ///< Drained and undrained on request.
+    const proxy::EndpointListReader& endpoint_list;  ///< Reader of the list in use.
+    const ReloadStatus& reloads;                     ///< Results of configuration reloads.
     std::function<void()> stop;                      ///< Begins the graceful shutdown.
-    /// The ledger of membership as JSON; null if membership is not configured.
+    /// Returns the membership ledger as JSON; null if membership is not configured.
     std::function<boost::json::value()> describe_members = nullptr;
     /// Releases the retained members and returns their number; set if `describe_members` is.
     std::function<std::size_t()> release_members = nullptr;
-    /// Zone failover as JSON; null if it is not configured.
+    /// Returns the state of zone failover as JSON; null if zone failover is not configured.
     std::function<boost::json::value()> describe_zones = nullptr;
   };
 
-  /// Listens at once. Throws std::runtime_error if it cannot.
+  /// Starts listening. Throws std::runtime_error if the socket cannot be opened.
   AdminApi(boost::asio::io_context& io, const operator_config::AdminApiSettings& settings,
            Dependencies dependencies);
 
-  /// Carries out a request.
+  /// Executes a request. Errors become 4xx responses with a JSON body.
   http_api::Response Handle(const http_api::Request& request);
 
  private:
--- a/src/admin_api/error.h
+++ b/src/admin_api/error.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The errors that the admin API answers with, and the result type that carries them.
+// Errors of admin API requests, and the result type that carries them.
 #ifndef BADGERBRIDGE_ADMIN_API_ERROR_H_
 #define BADGERBRIDGE_ADMIN_API_ERROR_H_
 
@@ -10,28 +10,28 @@
 
 namespace badgerbridge::admin_api {
 
-/// What is wrong with a request.
+/// Why a request was rejected.
 enum class RequestErrorCode {
   kUnknownPath,      ///< No operation has this path.
-  kWrongMethod,      ///< The path's operation takes the method `detail`.
-  kInvalidBody,      ///< The body is no JSON object; `detail` is the reader's message.
+  kWrongMethod,      ///< The path's operation requires the method `detail`.
+  kInvalidBody,      ///< The body is not a JSON object; `detail` is the parser's message.
   kUnknownField,     ///< The body's field `detail` is not defined.
-  kInvalidDeadline,  ///< The deadline is no number, or out of its range.
-  kStopping,         ///< The proxy is stopping: nothing goes back behind that.
+  kInvalidDeadline,  ///< The deadline is not a number, or is out of range.
+  kStopping,         ///< The proxy is stopping, which cannot be undone.
   kNoMembership,     ///< Membership from etcd is not configured.
   kNoZoneFailover,   ///< Zone failover is not configured.
 };
 
-/// A request that is not carried out; nothing has changed.
+/// The reason that a request was rejected. A rejected request has changed nothing.
 struct RequestError {
-  RequestErrorCode code = RequestErrorCode::kUnknownPath;  ///< What is wrong.
+  RequestErrorCode code = RequestErrorCode::kUnknownPath;  ///< The kind of error.
   std::string detail;                                      ///< See RequestErrorCode; may be empty.
 };
 
-/// The status code of the response (RFC 9110, section 15.5).
+/// The HTTP status code of an error response (RFC 9110, section 15.5).
 unsigned HttpStatus(RequestErrorCode code);
 
-/// The error as one line for people, without a line end.
+/// A one-line description of the error for operators, without a trailing newline.
 std::string Message(const RequestError& error);
 
 /// Either a value or the error that prevented it.
--- a/src/admin_api/name_lookup.h
+++ b/src/admin_api/name_lookup.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Names of zones, kinds and request classes by the balancer's indices.
+// Maps the balancer's indices to the names of zones, kinds and request classes.
 #ifndef BADGERBRIDGE_ADMIN_API_NAME_LOOKUP_H_
 #define BADGERBRIDGE_ADMIN_API_NAME_LOOKUP_H_
 
@@ -10,8 +10,8 @@
 
 namespace badgerbridge::admin_api {
 
-/// The name at an index; empty if there is none, as for an endpoint whose zone the configuration does not
-/// list (an index beyond the last).
+/// The name at an index; empty if the index is out of range, as for an endpoint whose zone is missing from
+/// the configuration.
 inline std::string NameAt(const std::vector<std::string>& names, int index) {
   if (index < 0 || static_cast<std::size_t>(index) >= names.size()) return {};
   return names[static_cast<std::size_t>(index)];
--- a/src/admin_api/request_codec.cpp
+++ b/src/admin_api/request_codec.cpp
@@ -24,7 +24,7 @@
 Result<balancer::Duration> ParseDeadline(const boost::json::value& value) {
   constexpr double kMaxMs = static_cast<double>(kMaxDrainDeadline.count());
   const double deadline_ms = value.is_number() ? value.to_number<double>() : -1;
-  const bool is_in_range = deadline_ms >= 0 && deadline_ms <= kMaxMs;  // false for a NaN
+  const bool is_in_range = deadline_ms >= 0 && deadline_ms <= kMaxMs;  // false for NaN
   if (!is_in_range) return RequestError{RequestErrorCode::kInvalidDeadline, ""};
   return balancer::Duration(deadline_ms);
 }
--- a/src/admin_api/request_codec.h
+++ b/src/admin_api/request_codec.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Reads requests of the admin API: path and method as an operation, and the body of a drain.
+// Parses admin API requests: path and method into an operation, and the body of a drain request.
 // docs/operators/admin_api.md lists them.
 #ifndef BADGERBRIDGE_ADMIN_API_REQUEST_CODEC_H_
 #define BADGERBRIDGE_ADMIN_API_REQUEST_CODEC_H_
@@ -15,31 +15,31 @@
 
 namespace badgerbridge::admin_api {
 
-/// The longest deadline of a drain.
+/// Upper limit of a drain's deadline.
 constexpr std::chrono::milliseconds kMaxDrainDeadline{3600000};
 
-/// What a caller may ask for.
+/// The operations of the admin API.
 enum class Operation {
   kGetStatus,       ///< The proxy's state and counters.
-  kGetBackends,     ///< The backends as this proxy sees them.
-  kGetMembers,      ///< The ledger of membership.
-  kGetZones,        ///< Zone failover as this proxy sees it.
+  kGetBackends,     ///< The backends with their state as observed by this proxy.
+  kGetMembers,      ///< The membership ledger.
+  kGetZones,        ///< The state of zone failover at this proxy.
   kDrain,           ///< Begins a drain, or changes its deadline.
   kUndrain,         ///< Ends a drain.
   kStop,            ///< Stops the proxy gracefully.
   kReleaseMembers,  ///< Confirms that the members retained after a mass departure have left.
 };
 
-/// The operation of a path and a method (RFC 9110, section 9). Errors: kUnknownPath, kWrongMethod.
+/// Maps a path and a method (RFC 9110, section 9) to an operation. Errors: kUnknownPath, kWrongMethod.
 Result<Operation> ParseOperation(std::string_view path, std::string_view method);
 
-/// The body of a drain.
+/// The body of a drain request.
 struct DrainRequest {
-  /// How long the drain should take at the most, from now; nothing: without limit.
+  /// The longest that the drain should take, measured from the request; std::nullopt: no limit.
   std::optional<balancer::Duration> deadline;
 };
 
-/// Reads the body of a drain; an empty body is a drain without a deadline. Errors: kInvalidBody,
+/// Parses the body of a drain request; an empty body means no deadline. Errors: kInvalidBody,
 /// kUnknownField, kInvalidDeadline.
 Result<DrainRequest> ParseDrainRequest(const http_api::Request& request);
 
--- a/src/admin_api/response_codec.cpp
+++ b/src/admin_api/response_codec.cpp
@@ -20,7 +20,7 @@
 
 double RoundToHundredths(double value) { return std::round(value * 100) / 100; }
 
-/// Whole milliseconds that have passed.
+/// Completed milliseconds of a duration, rounded down.
 double WholeMs(Duration duration) { return std::floor(duration.count()); }
 
 std::string_view WireName(ProxyState state) {
@@ -51,7 +51,7 @@
   return "gone";
 }
 
-std::string_view WireNameOfHealth(const BackendView& view) {
+std::string_view HealthWireName(const BackendView& view) {
   if (view.ejected) return "ejected";
   return view.unresponsive ? "silent" : "healthy";
 }
@@ -68,7 +68,7 @@
 
 json::object EncodeClasses(const std::vector<ClassStatus>& classes) {
   json::object encoded;
-  for (const ClassStatus& one : classes) encoded[one.name] = EncodeCounters(one.counters);
+  for (const ClassStatus& status : classes) encoded[status.name] = EncodeCounters(status.counters);
   return encoded;
 }
 
@@ -98,7 +98,7 @@
                        {"kind", backend.kind},
                        {"group", view.entry.cell},
                        {"status", WireName(view.entry.state)},
-                       {"health", WireNameOfHealth(view)},
+                       {"health", HealthWireName(view)},
                        {"in_flight", view.in_flight},
                        {"work_in_flight_ms", RoundToTenths(view.work_in_flight)},
                        {"slowness", RoundToHundredths(view.slowness)},
@@ -115,7 +115,7 @@
 
 json::object EncodeStatus(const ProxyStatus& status) {
   RequestCounters total;
-  for (const ClassStatus& one : status.classes) total += one.counters;
+  for (const ClassStatus& class_status : status.classes) total += class_status.counters;
   json::object encoded{{"name", status.name},
                        {"state", WireName(status.state)},
                        {"version", BADGERBRIDGE_VERSION},
--- a/src/admin_api/response_codec.h
+++ b/src/admin_api/response_codec.h
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Writes the responses of the admin API as JSON (RFC 8259), one function an object. Here the API's field
-// names and words meet the code's terms (docs/terms.md); docs/operators/admin_api.md explains them to
-// operators.
+// Encodes the responses of the admin API as JSON (RFC 8259). The API's field names differ from the terms of
+// the code; the mapping is here and in docs/terms.md. docs/operators/admin_api.md documents the fields.
 #ifndef BADGERBRIDGE_ADMIN_API_RESPONSE_CODEC_H_
 #define BADGERBRIDGE_ADMIN_API_RESPONSE_CODEC_H_
 
@@ -20,63 +19,64 @@
 
 namespace badgerbridge::admin_api {
 
-/// The state of the proxy, for its supervisor.
+/// The lifecycle state of the proxy.
 enum class ProxyState {
-  kStarting,  ///< No backend to serve from yet.
-  kReady,     ///< Serves.
-  kDraining,  ///< Asks to be left out, and still serves.
-  kDrained,   ///< Draining, and idle.
-  kStopping,  ///< Ends when all requests are answered.
+  kStarting,  ///< No usable backend is known yet.
+  kReady,     ///< Accepts and serves requests.
+  kDraining,  ///< Fails its readiness check, but still serves requests.
+  kDrained,   ///< Draining and idle (see proxy::Listener::IsIdle).
+  kStopping,  ///< Exits once all requests are answered.
 };
 
-/// How the reloads of the configuration ended, since the start.
+/// Results of configuration reloads since the start of the process.
 struct ReloadStatus {
-  std::uint64_t applied = 0;   ///< Number of those that were applied.
-  std::uint64_t rejected = 0;  ///< Number of those that changed nothing.
-  std::string last_error;      ///< Of the newest, if that was rejected.
+  std::uint64_t applied = 0;   ///< Number of successful reloads.
+  std::uint64_t rejected = 0;  ///< Number of failed reloads, which changed nothing.
+  std::string last_error;      ///< Error of the latest reload; empty if it succeeded.
 };
 
-/// The requests of one class.
+/// Request counters of one class.
 struct ClassStatus {
-  std::string name;                         ///< Of the class; empty if the configuration has none.
-  request_table::RequestCounters counters;  ///< Since the start.
+  std::string name;                         ///< Name of the class; empty if the configuration has none.
+  request_table::RequestCounters counters;  ///< Counted since the start of the process.
 };
 
 /// The endpoint list in use.
 struct EndpointListStatus {
-  std::uint64_t version = 0;              ///< Of the source's list.
-  std::optional<balancer::Duration> age;  ///< Since the source was last heard; nothing: never.
-  std::size_t backends = 0;               ///< Number of those listed.
+  std::uint64_t version = 0;  ///< The version that the source assigned to the list.
+  std::optional<balancer::Duration>
+      age;                   ///< Time since the last list from the source; std::nullopt: none yet.
+  std::size_t backends = 0;  ///< Number of listed backends.
 };
 
 /// A drain in progress.
 struct DrainStatus {
-  balancer::Duration elapsed{};  ///< Since it began.
+  balancer::Duration elapsed{};  ///< Time since the drain began.
   std::optional<balancer::Duration>
-      remaining;            ///< Until its deadline, below 0 after it; nothing: none is set.
+      remaining;            ///< Time to the deadline, negative after it; std::nullopt: no deadline.
   bool is_overdue = false;  ///< The deadline has passed, and the proxy is not idle.
 };
 
-/// All that the status response shows.
+/// The content of the status response.
 struct ProxyStatus {
-  std::string name;                          ///< The proxy's.
-  ProxyState state = ProxyState::kStarting;  ///< Its state.
-  pid_t process_id = 0;                      ///< Its process.
-  balancer::Duration uptime{};               ///< Since the admin API was started.
-  std::size_t connections = 0;               ///< Clients' connections that are open.
-  std::uint64_t malformed_requests = 0;      ///< Those that were never accepted.
-  std::vector<ClassStatus> classes;          ///< By the classes' indices.
-  EndpointListStatus endpoint_list;          ///< The list in use.
-  std::optional<DrainStatus> drain;          ///< Nothing: it does not drain.
-  ReloadStatus reloads;                      ///< Of the configuration.
+  std::string name;                          ///< Name of the proxy.
+  ProxyState state = ProxyState::kStarting;  ///< Current lifecycle state.
+  pid_t process_id = 0;                      ///< PID of the proxy.
+  balancer::Duration uptime{};               ///< Time since the admin API was started.
+  std::size_t connections = 0;               ///< Number of open client connections.
+  std::uint64_t malformed_requests = 0;      ///< Requests rejected before they were accepted.
+  std::vector<ClassStatus> classes;          ///< Indexed by request class.
+  EndpointListStatus endpoint_list;          ///< Version and age of the list in use.
+  std::optional<DrainStatus> drain;          ///< std::nullopt: not draining.
+  ReloadStatus reloads;                      ///< Results of configuration reloads.
 };
 
-/// One backend as the proxy sees it.
+/// The state of one backend as observed by the proxy.
 struct BackendStatus {
-  std::string name;            ///< The backend's.
-  std::string zone;            ///< Empty: not one of the configuration's.
-  std::string kind;            ///< The same.
-  balancer::BackendView view;  ///< What the balancer has measured.
+  std::string name;            ///< Name of the backend.
+  std::string zone;            ///< Empty if the zone is not in the configuration.
+  std::string kind;            ///< Empty if the kind is not in the configuration.
+  balancer::BackendView view;  ///< The balancer's state and measurements.
 };
 
 /// The response to Operation::kGetStatus.
@@ -85,7 +85,7 @@
 /// The response to Operation::kGetBackends, as of `now`.
 boost::json::object EncodeBackends(balancer::TimePoint now, const std::vector<BackendStatus>& backends);
 
-/// The response to Operation::kReleaseMembers: how many members were released.
+/// The response to Operation::kReleaseMembers. `released` is the number of released members.
 boost::json::object EncodeReleasedMembers(std::size_t released);
 
 }  // namespace badgerbridge::admin_api
--- a/src/proxy_main/change_publisher.cpp
+++ b/src/proxy_main/change_publisher.cpp
@@ -7,13 +7,13 @@
 namespace badgerbridge::proxy_main {
 namespace {
 
-// A turn takes further slices until it has lasted for this long.
-constexpr std::chrono::microseconds kTurnTime{1000};
-// The pause after a turn as a multiple of the turn: it has a tenth of the loop at the most, or half of it
-// while drains or departures wait, or the first list.
+// A turn starts no further slice after this time.
+constexpr std::chrono::microseconds kTurnTimeBudget{1000};
+// The pause after a turn, as a multiple of the turn's duration. Publishing uses at most a tenth of the event
+// loop's time, or half of it while drains, departures or the first list are pending.
 constexpr int kPauseFactor = 9;
 constexpr int kUrgentPauseFactor = 1;
-// A drain waits no longer than this for its turn.
+// Bounds how long a pending drain waits for the next turn.
 constexpr std::chrono::milliseconds kMaxPause{50};
 
 }  // namespace
@@ -23,7 +23,8 @@
 
 void ChangePublisher::Publish(const std::vector<membership::Member>& changes) {
   for (const membership::Member& member : changes) pending_.Add(member);
-  // With more than a slice, this handler has already spent its time on reading a page of a list.
+  // Changes of more than a slice come from a page of a list, whose parsing has already used this handler's
+  // time.
   const bool may_run = Clock::now() >= next_turn_at_ && changes.size() <= kMaxSliceSize;
   if (may_run) return RunTurn();
   if (!timer_.armed()) ArmTimer();
@@ -38,7 +39,7 @@
   const Clock::time_point start = Clock::now();
   do {
     on_slice_(pending_.TakeSlice(kMaxSliceSize));
-  } while (!pending_.empty() && Clock::now() - start < kTurnTime);
+  } while (!pending_.empty() && Clock::now() - start < kTurnTimeBudget);
   const Clock::time_point end = Clock::now();
   longest_turn_ = std::max(longest_turn_, end - start);
   next_turn_at_ = end + PauseAfter(end - start);
--- a/src/proxy_main/change_publisher.h
+++ b/src/proxy_main/change_publisher.h
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Passes changes of the list on in slices, paced so that a list of a hundred thousand members does not hold
-// up the event loop: after each turn the loop is left to other work for a multiple of the time that the turn
-// took.
+// Publishes changes of the member list in slices, paced so that a list of a hundred thousand members does not
+// block the event loop: each turn is followed by a pause of a multiple of the turn's duration.
 #ifndef BADGERBRIDGE_PROXY_MAIN_CHANGE_PUBLISHER_H_
 #define BADGERBRIDGE_PROXY_MAIN_CHANGE_PUBLISHER_H_
 
@@ -18,33 +17,32 @@
 
 namespace badgerbridge::proxy_main {
 
-/// A paced queue of changes. Runs on its io_context's thread; it may be destroyed while changes are pending,
-/// which are then dropped.
+/// A paced queue of changes. Runs on its io_context's thread. Destruction drops pending changes.
 class ChangePublisher {
  public:
-  /// The clock that turns are timed with.
+  /// The clock that measures turns and pauses.
   using Clock = std::chrono::steady_clock;
-  /// Called with each slice, of at most kMaxSliceSize members, and once for a change of the list's version
-  /// alone, with an empty slice. pending() does not count the slice any more.
+  /// Called with each slice, of at most kMaxSliceSize members. The slice is empty if only the list's version
+  /// has changed. pending() no longer includes the slice's members.
   using OnSlice = std::function<void(const std::vector<membership::Member>& slice)>;
-  /// Called at the end of a turn that has left nothing pending.
+  /// Called at the end of a turn after which no changes are pending.
   using OnEmpty = std::function<void()>;
 
-  /// The most that the proxy applies at once; 110,000 members make 3,438 slices.
+  /// Maximum number of members that the proxy applies at once; 110,000 members make 3,438 slices.
   static constexpr std::size_t kMaxSliceSize = 32;
 
-  /// An empty queue.
+  /// Creates an empty queue. The callbacks run on the thread of `io`.
   ChangePublisher(boost::asio::io_context& io, OnSlice on_slice, OnEmpty on_empty);
 
-  /// Adds changes. They are passed on at once, from within this call, unless they are more than a slice or a
-  /// turn has lately had its share of the loop.
+  /// Adds changes. They are published from within this call, unless they exceed a slice or the pause after
+  /// the previous turn has not ended.
   void Publish(const std::vector<membership::Member>& changes);
 
-  /// Whether turns may take half of the loop, as for the first list, in place of a tenth.
+  /// Whether publishing may use half of the event loop's time, as for the first list, instead of a tenth.
   void set_urgent(bool is_urgent) { is_urgent_ = is_urgent; }
-  /// How many members have a change that was not passed on yet.
+  /// Number of members with an unpublished change.
   std::size_t pending() const { return pending_.size(); }
-  /// The longest turn so far.
+  /// Duration of the longest turn so far.
   Clock::duration longest_turn() const { return longest_turn_; }
 
  private:
--- a/src/proxy_main/command_line.h
+++ b/src/proxy_main/command_line.h
@@ -12,35 +12,35 @@
 
 namespace badgerbridge::proxy_main {
 
-/// The text of --help.
+/// The output of --help, with a trailing newline.
 extern const std::string_view kUsage;
 
-/// What the program is to do.
+/// The action selected on the command line.
 enum class Command {
-  kRun,           ///< Serve.
-  kPrintVersion,  ///< Print the version and end.
-  kPrintHelp,     ///< Print the usage and end.
+  kRun,           ///< Serve requests.
+  kPrintVersion,  ///< Print the version and exit.
+  kPrintHelp,     ///< Print the usage and exit.
 };
 
-/// The command line, as given.
+/// The parsed command line.
 struct CommandLine {
-  Command command = Command::kRun;  ///< The first of --version and --help decides, if there is one.
+  Command command = Command::kRun;  ///< The first of --version and --help takes precedence.
   std::string operator_file;        ///< The path of the operator's file; empty: none.
 };
 
-/// An argument that is unknown, or lacks its value.
+/// An argument that is unknown or lacks its value.
 struct ArgumentError {
-  std::string argument;  ///< As given.
+  std::string argument;  ///< The argument as given.
 };
 
-/// The error as one line for people, without a line end.
+/// A one-line description of the error for operators, without a trailing newline.
 std::string Message(const ArgumentError& error);
 
 /// Called by result::value() if there is no value: throws std::runtime_error with the message.
 [[noreturn]] void throw_exception_from_error(const ArgumentError& error,
                                              const boost::source_location& location);
 
-/// Reads the arguments after the program's name. `default_operator_file` holds unless they name another.
+/// Parses the arguments after the program's name. `default_operator_file` applies unless they name another.
 boost::system::result<CommandLine, ArgumentError> ParseCommandLine(
     const std::vector<std::string_view>& arguments, std::string default_operator_file);
 
--- a/src/proxy_main/ledger_settings.cpp
+++ b/src/proxy_main/ledger_settings.cpp
@@ -6,21 +6,21 @@
 
 using membership::Time;
 
-constexpr Time kEtcdCurrentFor{5000};
-constexpr Time kDiscoveryCurrentFor{10000};
+constexpr Time kEtcdMaxCurrentAge{5000};
+constexpr Time kDiscoveryMaxCurrentAge{10000};
 constexpr Time kStaleAfter{60000};
 constexpr double kPercent = 100;
 
 }  // namespace
 
-std::string NameOfSource(std::size_t source) { return source == kEtcdSource ? "etcd" : "discovery"; }
+std::string SourceName(std::size_t source) { return source == kEtcdSource ? "etcd" : "discovery"; }
 
 membership::LedgerSettings MakeLedgerSettings(const operator_config::EtcdSettings& table,
                                               std::size_t max_members) {
   membership::LedgerSettings settings;
   settings.sources = {
-      {NameOfSource(kEtcdSource), table.is_authoritative, kEtcdCurrentFor, kStaleAfter},
-      {NameOfSource(kDiscoverySource), !table.is_authoritative, kDiscoveryCurrentFor, kStaleAfter}};
+      {SourceName(kEtcdSource), table.is_authoritative, kEtcdMaxCurrentAge, kStaleAfter},
+      {SourceName(kDiscoverySource), !table.is_authoritative, kDiscoveryMaxCurrentAge, kStaleAfter}};
   settings.limits.max_members = max_members;
   settings.mass_departure.max_share = table.max_departures_percent / kPercent;
   return settings;
--- a/src/proxy_main/ledger_settings.h
+++ b/src/proxy_main/ledger_settings.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The proxy's sources of membership, and its ledger's settings. No I/O.
+// The proxy's membership sources and the settings of its membership ledger. No I/O.
 #ifndef BADGERBRIDGE_PROXY_MAIN_LEDGER_SETTINGS_H_
 #define BADGERBRIDGE_PROXY_MAIN_LEDGER_SETTINGS_H_
 
@@ -15,8 +15,8 @@
 constexpr std::size_t kEtcdSource = 0;       ///< The index of etcd in the ledger.
 constexpr std::size_t kDiscoverySource = 1;  ///< The index of the platform's discovery in the ledger.
 
-/// A source's name in the admin API and in messages.
-std::string NameOfSource(std::size_t source);
+/// The name of a source in the admin API and in log messages.
+std::string SourceName(std::size_t source);
 
 /// The settings of a ledger with these two sources. `max_members` bounds each source's list.
 membership::LedgerSettings MakeLedgerSettings(const operator_config::EtcdSettings& table,
--- a/src/proxy_main/load_header.cpp
+++ b/src/proxy_main/load_header.cpp
@@ -10,14 +10,14 @@
 
 constexpr std::string_view kUtilizationField = "util=";
 
-std::optional<double> ParseShare(std::string_view text) {
+std::optional<double> ParseFraction(std::string_view text) {
   const char* const end = text.data() + text.size();
-  double share = -1;
-  const auto [parsed_up_to, error] = std::from_chars(text.data(), end, share);
+  double fraction = -1;
+  const auto [parsed_up_to, error] = std::from_chars(text.data(), end, fraction);
   if (error != std::errc() || parsed_up_to != end) return std::nullopt;
-  const bool is_share = share >= 0 && share <= 1;  // false for a NaN
-  if (!is_share) return std::nullopt;
-  return share;
+  const bool is_fraction = fraction >= 0 && fraction <= 1;  // false for NaN
+  if (!is_fraction) return std::nullopt;
+  return fraction;
 }
 
 }  // namespace
@@ -27,7 +27,7 @@
   while (begin < load_header.size()) {
     const std::size_t end = std::min(load_header.find(',', begin), load_header.size());
     const std::string_view field = load_header.substr(begin, end - begin);
-    if (field.starts_with(kUtilizationField)) return ParseShare(field.substr(kUtilizationField.size()));
+    if (field.starts_with(kUtilizationField)) return ParseFraction(field.substr(kUtilizationField.size()));
     begin = end + 1;
   }
   return std::nullopt;
--- a/src/proxy_main/main.cpp
+++ b/src/proxy_main/main.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The proxy's main: arguments, the operator's file, the configuration.
+// Entry point of the proxy: parses arguments and loads the operator's file and the configuration.
 #include <algorithm>
 #include <csignal>
 #include <cstdlib>
@@ -23,7 +23,7 @@
 constexpr int kSuccess = 0;
 constexpr int kFailure = 1;
 
-std::string OperatorFileOfEnvironment() {
+std::string OperatorFileFromEnvironment() {
   const char* const path = std::getenv("BADGERBRIDGE_OPERATOR");
   return path ? path : "";
 }
@@ -36,8 +36,8 @@
 #endif
 }
 
-/// The file at a path, with its warnings printed; nothing if it has problems, which are printed then. An
-/// empty path is a file that switches nothing on.
+/// Loads the operator's file and prints its warnings. If the file is invalid, prints its problems and returns
+/// std::nullopt. An empty path yields a file that enables no feature.
 std::optional<operator_config::OperatorFile> LoadOperatorFile(const std::string& path) {
   if (path.empty()) return operator_config::OperatorFile();
   operator_config::OperatorFile operator_file = operator_config::LoadOperatorFile(path);
@@ -62,7 +62,7 @@
 }
 
 int Main(const std::vector<std::string_view>& arguments) {
-  const auto command_line = ParseCommandLine(arguments, OperatorFileOfEnvironment());
+  const auto command_line = ParseCommandLine(arguments, OperatorFileFromEnvironment());
   if (!command_line) {
     std::cerr << "badgerbridge: unknown or incomplete argument " << command_line.error().argument
               << "; see --help\n";
@@ -86,6 +86,6 @@
 
 int main(int count, char** arguments) {
   std::signal(SIGPIPE, SIG_IGN);
-  // Without the program's name, if it has one: exec(3) can leave that out, too.
+  // Skips the program's name. It is absent if exec(3) was called with an empty argument list.
   return badgerbridge::proxy_main::Main({arguments + std::min(count, 1), arguments + count});
 }
--- a/src/proxy_main/member_conversion.h
+++ b/src/proxy_main/member_conversion.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Converts between the proxy's endpoints, which refer to zones and kinds by index, and the ledger's members,
-// which name them. No I/O.
+// Converts between the proxy's endpoints, which identify zones and kinds by index, and the ledger's members,
+// which identify them by name. No I/O.
 #ifndef BADGERBRIDGE_PROXY_MAIN_MEMBER_CONVERSION_H_
 #define BADGERBRIDGE_PROXY_MAIN_MEMBER_CONVERSION_H_
 
@@ -13,16 +13,16 @@
 
 namespace badgerbridge::proxy_main {
 
-/// The names of the configuration, by index.
+/// Names of zones and kinds in the configuration, by index.
 struct EndpointNames {
-  std::vector<std::string> zones;  ///< Of BackendEntry::zone.
-  std::vector<std::string> kinds;  ///< Of BackendEntry::kind.
+  std::vector<std::string> zones;  ///< Indexed by BackendEntry::zone.
+  std::vector<std::string> kinds;  ///< Indexed by BackendEntry::kind.
 };
 
-/// An endpoint as a member; a zone or kind that the configuration does not name becomes empty.
+/// Converts an endpoint to a member; a zone or kind that is not in the configuration becomes empty.
 membership::Member ToMember(const proxy::Endpoint& endpoint, const EndpointNames& names);
 
-/// A member as an endpoint of a list. It has no address if the member's is no ADDRESS:PORT.
+/// Converts a member to a listed endpoint, without an address if the member's is not a valid ADDRESS:PORT.
 proxy::ListedEndpoint ToListedEndpoint(const membership::Member& member);
 
 }  // namespace badgerbridge::proxy_main
--- a/src/proxy_main/membership_source.cpp
+++ b/src/proxy_main/membership_source.cpp
@@ -18,7 +18,7 @@
 using membership::Time;
 
 constexpr std::size_t kMaxLoggedKeyBytes = 200;
-constexpr Time kTimerMargin{1};  // so that the ledger's time is over when the timer expires
+constexpr Time kTimerMargin{1};  // the timer must not expire before the ledger's deadline
 
 }  // namespace
 
@@ -85,13 +85,13 @@
   const bool is_first_list = !authority_reported_ && ledger_.is_authority(report.source) && report.EndsList();
   const bool was_rejecting = !ledger_.rejection(report.source).empty();
   auto changes = ledger_.ApplyReport(EtcdSource::Now(), report);
-  if (!changes) return;  // outdated, out of order, or changes before the first list
+  if (!changes) return;  // outdated, out of order, or a delta before the first list
   LogRejection(report.source, was_rejecting);
   if (is_first_list) {
     authority_reported_ = true;
     AddDeparturesOfConfigured(&*changes);
   } else if (!authority_reported_) {
-    // Until the authority has reported, drains and departures of configured backends count all the same.
+    // Drains and departures of configured backends take effect even before the authority has reported.
     for (const Member& member : report.members) {
       if (member.state != MemberState::kReady) changes->push_back(member);
     }
@@ -117,12 +117,13 @@
   for (const Member& member : slice) {
     proxy::ListedEndpoint endpoint = ToListedEndpoint(member);
     if (!endpoint.address && endpoint.state != BackendState::kGone) {
-      std::cerr << "etcd: " << member.name << " has no address that can be used: " << member.address << '\n';
+      std::cerr << "etcd: " << member.name << ": invalid address " << member.address
+                << "; ignoring the change\n";
       continue;
     }
     listed.push_back(std::move(endpoint));
   }
-  // The authority's version is reached only once all changes up to it are passed on.
+  // The list gets the authority's version only after all changes up to that version are published.
   const std::size_t authority = ledger_.is_authority(kEtcdSource) ? kEtcdSource : kDiscoverySource;
   const std::uint64_t version =
       publisher_.pending() == 0 ? ledger_.version(authority) : endpoint_list_.version();
@@ -138,15 +139,16 @@
 
 void MembershipSource::LogRejection(std::size_t source, bool was_rejecting) const {
   const std::string& rejection = ledger_.rejection(source);
-  if (!rejection.empty() && !was_rejecting) std::cerr << NameOfSource(source) << ": " << rejection << '\n';
+  if (!rejection.empty() && !was_rejecting) std::cerr << SourceName(source) << ": " << rejection << '\n';
 }
 
 void MembershipSource::LogRetention() {
   const std::size_t retained = ledger_.retained_count();
   if (retained > 0 && !retention_logged_) {
     std::cerr << "etcd: " << retained
-              << " converters left at once; they are HELD in the list until they come "
-              << "back, discovery confirms it, or a person lets them go (badgerbridge-ctl members release)\n";
+              << " converters departed at once; they stay in the list (HELD) until they register again, "
+              << "discovery confirms their departure, or an operator releases them "
+              << "(badgerbridge-ctl members release)\n";
   }
   retention_logged_ = retained > 0;
 }
@@ -164,7 +166,7 @@
   const std::size_t retained = ledger_.retained_count();
   const std::vector<Member> changes = ledger_.ReleaseRetained(EtcdSource::Now());
   if (retained > 0)
-    std::cerr << "etcd: " << retained << " converters that were held are let go, as a person said\n";
+    std::cerr << "etcd: an operator released " << retained << " retained converters; they leave the list\n";
   retention_logged_ = false;
   publisher_.Publish(changes);
   return retained;
--- a/src/proxy_main/membership_source.h
+++ b/src/proxy_main/membership_source.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Puts the ledger of membership between its sources and the proxy: discovery's lists and etcd's watch go in,
-// changes of the current view come out. Only where the operator's file has an [etcd] table. docs/etcd.md
-// explains the rules.
+// Connects the membership ledger to its sources and to the proxy: applies discovery's lists and etcd's watch
+// events to the ledger, and publishes changes of its current view. Used only if the operator's file has an
+// [etcd] table. docs/etcd.md explains the rules.
 #ifndef BADGERBRIDGE_PROXY_MAIN_MEMBERSHIP_SOURCE_H_
 #define BADGERBRIDGE_PROXY_MAIN_MEMBERSHIP_SOURCE_H_
 
@@ -26,36 +26,36 @@
 
 namespace badgerbridge::proxy_main {
 
-/// One proxy's membership. Runs on its io_context's thread.
+/// The source of one proxy's member list. Runs on its io_context's thread.
 class MembershipSource {
  public:
   /// Called with each slice of changes, of at most ChangePublisher::kMaxSliceSize members.
   using OnChange = std::function<void(const proxy::EndpointList&)>;
-  /// Called once, when the authority's first complete list has been passed on.
+  /// Called once, after the authority's first complete list is published.
   using OnComplete = std::function<void()>;
 
-  /// Follows etcd at once; neither function is called from within. `max_members` bounds each source's list.
-  /// Throws std::runtime_error, one line, if a password cannot be read.
+  /// Starts watching etcd. Neither callback runs before the constructor returns. `max_members` bounds each
+  /// source's list. Throws std::runtime_error with a one-line message if a password cannot be read.
   MembershipSource(boost::asio::io_context& io, const proxy::Config& config,
                    const operator_config::EtcdSettings& settings, OnChange on_change,
                    OnComplete on_complete = nullptr, std::size_t max_members = membership::kMaxMembers);
 
-  /// The list that the configuration has: what the proxy works with until the authority has reported.
+  /// Sets the configured list, which the proxy uses until the authority has reported.
   void SetConfiguredEndpoints(const proxy::EndpointList& list);
-  /// A list or changes from the platform's discovery.
+  /// Applies a list or a delta from the platform's discovery.
   void UpdateFromDiscovery(const proxy::EndpointList& list);
 
-  /// The list as passed on so far, with the ids that the proxy knows.
+  /// The list as published so far, with the proxy's backend ids.
   const proxy::EndpointListReader& endpoint_list() const { return endpoint_list_; }
 
-  /// An operator confirms that the retained members have left; returns how many there were.
+  /// Releases the retained members after an operator has confirmed their departure; returns their number.
   std::size_t ReleaseRetained();
 
-  /// How many members have a change that was not passed on yet.
+  /// Number of members with an unpublished change.
   std::size_t pending() const { return publisher_.pending(); }
 
-  /// The ledger, each member with the source that decided, and each source with its staleness, for the admin
-  /// API.
+  /// The ledger as JSON for the admin API: each member with the source that decided its state, and each
+  /// source with its staleness.
   boost::json::value DescribeStatus() const;
 
  private:
@@ -73,15 +73,15 @@
 
   const EndpointNames names_;
   OnChange on_change_;
-  OnComplete on_complete_;                   // empty once it was called
-  proxy::EndpointListReader endpoint_list_;  // with the same ids as discovery's reader gives
+  OnComplete on_complete_;                   // null after its call
+  proxy::EndpointListReader endpoint_list_;  // assigns the same ids as discovery's reader
   membership::Ledger ledger_;
-  std::vector<std::string> configured_;  // names in the configuration, until the authority has reported
-  bool authority_reported_ = false;      // a complete list
+  std::vector<std::string> configured_;  // configured names; cleared at the authority's first list
+  bool authority_reported_ = false;      // the authority has sent a complete list
   std::uint64_t discovery_version_ = 0;
   bool retention_logged_ = false;
   ChangePublisher publisher_;
-  net::OneShotTimer timer_;  // for what time alone changes in the ledger
+  net::OneShotTimer timer_;  // for changes of the ledger that depend on time alone
   std::optional<membership::EtcdSource> etcd_source_;
 };
 
--- a/src/proxy_main/membership_status_codec.cpp
+++ b/src/proxy_main/membership_status_codec.cpp
@@ -32,10 +32,10 @@
   json::object problems;
   for (const auto& [key, reason] : ledger.problems(source)) problems[key] = reason;
   const membership::Staleness staleness = ledger.StalenessAt(now, source);
-  json::value age_ms;  // null: never heard
+  json::value age_ms;  // null: the source has never reported
   if (staleness != membership::Staleness::kNeverReported)
     age_ms = (now - ledger.last_contact(source)).count();
-  return {{"name", NameOfSource(source)},
+  return {{"name", SourceName(source)},
           {"authority", ledger.is_authority(source)},
           {"freshness", membership::Name(staleness)},
           {"age_ms", std::move(age_ms)},
--- a/src/proxy_main/membership_status_codec.h
+++ b/src/proxy_main/membership_status_codec.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The admin API's answer about membership as JSON. Here its field names meet the code's terms
-// (docs/terms.md). No I/O.
+// Encodes the admin API's membership response as JSON. Its field names differ from the terms of the code; the
+// mapping is here and in docs/terms.md. No I/O.
 #ifndef BADGERBRIDGE_PROXY_MAIN_MEMBERSHIP_STATUS_CODEC_H_
 #define BADGERBRIDGE_PROXY_MAIN_MEMBERSHIP_STATUS_CODEC_H_
 
@@ -14,14 +14,14 @@
 
 namespace badgerbridge::proxy_main {
 
-/// How far the proxy has applied the ledger's changes.
+/// Progress of publishing the ledger's changes to the proxy.
 struct PublicationStatus {
-  std::size_t pending_changes = 0;                           ///< Members whose change is not applied yet.
-  std::chrono::duration<double, std::milli> longest_turn{};  ///< The longest that one turn of it took.
+  std::size_t pending_changes = 0;  ///< Number of members with an unpublished change.
+  std::chrono::duration<double, std::milli> longest_turn{};  ///< Duration of the longest turn.
 };
 
-/// Each member with the reason for its state, each source with its staleness, the publication, and the link
-/// to etcd, at `now`.
+/// Encodes each member with the reason for its state, each source with its staleness, the progress of
+/// publication, and the state of the etcd watch, as of `now`.
 boost::json::object EncodeMembership(membership::Time now, const membership::Ledger& ledger,
                                      const PublicationStatus& publication, const etcd::Follower& follower);
 
--- a/src/proxy_main/proxy_process.cpp
+++ b/src/proxy_main/proxy_process.cpp
@@ -15,7 +15,7 @@
 using proxy::EndpointList;
 using proxy::EndpointListKind;
 
-// The admin API's descriptors, one for its listener included, come out of the clients' share.
+// Reduces the limit on client connections by the admin API's file descriptors, including its listener's.
 proxy::Config ReserveAdminApiDescriptors(proxy::Config config, const OperatorFile& operator_file) {
   if (operator_file.admin_api) {
     const std::size_t reserved = operator_file.admin_api->max_connections + 1;
@@ -50,7 +50,7 @@
     try {
       io_.run();
     } catch (const std::exception& error) {
-      // A handler failed. What it was about ends by its own deadline, and all else goes on.
+      // A handler threw. Its request or call ends at its own deadline; the event loop continues.
       std::cerr << "badgerbridge: " << error.what() << '\n';
     }
   }
@@ -153,7 +153,7 @@
   });
 }
 
-// Takes only discovery's address from the file; all else, and all requests in flight, stay as they are. An
+// Applies only discovery's address from the file. Other settings and requests in flight are unaffected. An
 // invalid file changes nothing.
 void ProxyProcess::Reload() {
   try {
--- a/src/proxy_main/proxy_process.h
+++ b/src/proxy_main/proxy_process.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One proxy as a process: its subsystems, wired to one another, and the signals. docs/architecture.md shows
-// who talks to whom.
+// The proxy's process: constructs and connects its subsystems, and handles signals. docs/architecture.md
+// shows how the subsystems interact.
 #ifndef BADGERBRIDGE_PROXY_MAIN_PROXY_PROCESS_H_
 #define BADGERBRIDGE_PROXY_MAIN_PROXY_PROCESS_H_
 
@@ -28,14 +28,14 @@
 /// begin the graceful shutdown.
 class ProxyProcess {
  public:
-  /// Binds its sockets and starts the subsystems that the operator's file names. Throws std::exception, with
-  /// a line for people, if the configuration or an address cannot be used.
+  /// Binds the sockets and starts the subsystems that the operator's file enables. Throws std::exception,
+  /// with a one-line message, if the configuration is invalid or an address cannot be bound.
   ProxyProcess(proxy::Config config, const operator_config::OperatorFile& operator_file,
                proxy::Environment environment);
   ProxyProcess(const ProxyProcess&) = delete;
   ProxyProcess& operator=(const ProxyProcess&) = delete;
 
-  /// Serves until the graceful shutdown has ended.
+  /// Runs the event loop until the graceful shutdown is complete.
   void Run();
 
  private:
@@ -53,11 +53,11 @@
   void Reload();
   void Stop();
 
-  // In the order of construction; they are destroyed in reverse.
+  // The order matters: members are constructed in this order and destroyed in reverse.
   const proxy::Config config_;
   const proxy::Environment environment_;
   boost::asio::io_context io_{1};
-  // Before anything that can be interrupted: from here on no signal ends the process by default.
+  // Installed before the subsystems start, so that no signal can end the process by its default action.
   boost::asio::signal_set hangup_signals_;
   boost::asio::signal_set stop_signals_;
   const proxy::ProxyClock clock_;
--- a/src/proxy_main/zone_failover_calls.cpp
+++ b/src/proxy_main/zone_failover_calls.cpp
@@ -71,8 +71,9 @@
 }
 
 pb::TxnRequest ToEtcd(const Member::Heartbeat& call, const std::string& prefix, const std::string& name) {
-  // Both branches do the same, but for the decision's value, which is read unless its revision is the known
-  // one: equality also detects an older one, as in an etcd that was restored from a backup.
+  // Both branches perform the same operations, except that the decision's value is read only if its revision
+  // differs from the known one. Testing for equality also detects an older revision, as after etcd was
+  // restored from a backup.
   pb::TxnRequest txn;
   *txn.add_compare() = ModRevisionIs(prefix + zone_failover::kDecisionKey, call.known_revision);
   pb::RequestOp decision = Get(prefix + zone_failover::kDecisionKey);
@@ -114,7 +115,7 @@
   return reply;
 }
 
-// For a lease that does not exist, etcd responds with a TTL of 0 and without an error.
+// For a nonexistent lease, etcd responds with a TTL of 0 instead of an error.
 Member::Reply FromEtcd(const etcd::Status& status, const pb::LeaseKeepAliveResponse& response) {
   Member::Reply reply = MakeReply(status);
   reply.lease = response.id();
--- a/src/proxy_main/zone_failover_calls.h
+++ b/src/proxy_main/zone_failover_calls.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Codec between a zone_failover::Member's calls and etcd's v3 API (etcd.io/docs, "API reference": KV.Txn,
+// Converts a zone_failover::Member's calls to etcd's v3 API and back (etcd.io/docs, "API reference": KV.Txn,
 // Lease.LeaseGrant, Lease.LeaseKeepAlive). No I/O.
 #ifndef BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_CALLS_H_
 #define BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_CALLS_H_
@@ -13,32 +13,32 @@
 
 namespace badgerbridge::proxy_main {
 
-/// The request that grants a lease.
+/// The LeaseGrant request, with the TTL in seconds.
 etcdserverpb::LeaseGrantRequest ToEtcd(const zone_failover::Member::GrantLease& call);
 
-/// The request that renews a lease.
+/// The request that renews `call.lease`.
 etcdserverpb::LeaseKeepAliveRequest ToEtcd(const zone_failover::Member::KeepLeaseAlive& call);
 
-/// The transaction of a heartbeat of the member `name`; keys begin with `prefix`.
+/// The heartbeat transaction of the member `name`; `prefix` is prepended to each key.
 etcdserverpb::TxnRequest ToEtcd(const zone_failover::Member::Heartbeat& call, const std::string& prefix,
                                 const std::string& name);
 
-/// The transaction by which the member `name` campaigns; keys begin with `prefix`.
+/// The leader election transaction of the member `name`; `prefix` is prepended to each key.
 etcdserverpb::TxnRequest ToEtcd(const zone_failover::Member::Campaign& call, const std::string& prefix,
                                 const std::string& name);
 
-/// The transaction that writes a decision; keys begin with `prefix`.
+/// The transaction that writes a decision; `prefix` is prepended to each key.
 etcdserverpb::TxnRequest ToEtcd(const zone_failover::Member::Propose& call, const std::string& prefix);
 
-/// The reply to GrantLease. `response` counts only if `status` is OK, here and below.
+/// The reply to GrantLease. Here and below, `response` is meaningful only if `status` is OK.
 zone_failover::Member::Reply FromEtcd(const etcd::Status& status,
                                       const etcdserverpb::LeaseGrantResponse& response);
 
-/// The reply to KeepLeaseAlive.
+/// The reply to KeepLeaseAlive; an expired lease is reported as `lease_gone`.
 zone_failover::Member::Reply FromEtcd(const etcd::Status& status,
                                       const etcdserverpb::LeaseKeepAliveResponse& response);
 
-/// The reply to a transaction, with the keys after `prefix`; keys that do not begin with it are left out.
+/// The reply to a transaction. `prefix` is stripped from keys; keys without it are omitted.
 zone_failover::Member::Reply FromEtcd(const etcd::Status& status, const etcdserverpb::TxnResponse& response,
                                       const std::string& prefix);
 
--- a/src/proxy_main/zone_failover_settings.h
+++ b/src/proxy_main/zone_failover_settings.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A member's settings of zone failover, from the platform's configuration and the operator's [regions] table.
-// No I/O.
+// Builds the zone failover settings of a member from the platform's configuration and the operator's
+// [regions] table. No I/O.
 #ifndef BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_SETTINGS_H_
 #define BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_SETTINGS_H_
 
@@ -16,21 +16,21 @@
 
 namespace badgerbridge::proxy_main {
 
-/// The operator's table lists other zones than the configuration, or in another order. Members exchange zones
-/// by their index, so all must number them alike.
+/// The zones in the operator's table differ from those of the configuration, or are in a different order.
+/// Members refer to zones by index in their messages, so all must use the same order.
 struct ZoneMismatchError {
-  std::vector<std::string> listed;    ///< By the operator's table.
-  std::vector<std::string> expected;  ///< By the configuration.
+  std::vector<std::string> listed;    ///< Zones in the operator's table.
+  std::vector<std::string> expected;  ///< Zones in the configuration.
 };
 
-/// The error as one line for people, without a line end.
+/// A one-line description of the error for operators, without a trailing newline.
 std::string Message(const ZoneMismatchError& error);
 
 /// Called by result::value() if there is no value: throws std::runtime_error with the message.
 [[noreturn]] void throw_exception_from_error(const ZoneMismatchError& error,
                                              const boost::source_location& location);
 
-/// The settings of this proxy's member.
+/// The settings of this proxy's member. Error: the zones differ.
 boost::system::result<zone_failover::MemberSettings, ZoneMismatchError> MakeMemberSettings(
     const proxy::Config& config, const operator_config::ZoneFailoverSettings& table);
 
--- a/src/proxy_main/zone_failover_source.cpp
+++ b/src/proxy_main/zone_failover_source.cpp
@@ -22,14 +22,15 @@
 using std::chrono::milliseconds;
 using zone_failover::Member;
 
-constexpr milliseconds kMaxWait{250};  // between two updates: grants expire without an event
-constexpr Duration kMinWait{1};
+constexpr milliseconds kMaxUpdateInterval{
+    250};  // updates are periodic because grants expire without an event
+constexpr Duration kMinUpdateInterval{1};
 constexpr milliseconds kMinCallTimeout{500};
-constexpr milliseconds kMinAttemptTimeout{150};  // of one attempt of a call, at one member of etcd
-constexpr std::uint64_t kSeedMask = 0x7265676f;  // so that its jitter is not that of the proxy
+constexpr milliseconds kMinAttemptTimeout{150};        // of one attempt, which goes to a single etcd member
+constexpr std::uint64_t kJitterSeedMask = 0x7265676f;  // makes the jitter independent of the proxy's
 
-// Makes a Member's calls. Like all coroutines it has copies of what it needs: the caller may be gone when a
-// call ends. (The client ends its calls when it is destroyed.)
+// Sends a Member's calls to etcd. It holds copies of the settings because its caller may be destroyed before
+// a call completes. The client cancels its calls on destruction.
 class CallSender {
  public:
   CallSender(etcd::Client& client, std::string prefix, std::string name, milliseconds timeout)
@@ -42,7 +43,7 @@
     co_return FromEtcd(status, response);
   }
 
-  // A bidirectional stream in the API; one request and the stream's end make it a single call.
+  // LeaseKeepAlive is a bidirectional stream; one request followed by the end of the stream is a unary call.
   asio::awaitable<Member::Reply> operator()(const Member::KeepLeaseAlive& call) {
     pb::LeaseKeepAliveResponse response;
     const etcd::Status status =
@@ -90,12 +91,12 @@
       is_coordinated_(settings.coordinated),
       call_timeout_(std::max<milliseconds>(settings.heartbeat * 2, kMinCallTimeout)),
       on_quotas_(std::move(on_quotas)),
-      member_(MakeMemberSettings(config, settings).value(), config.seed ^ kSeedMask),
+      member_(MakeMemberSettings(config, settings).value(), config.seed ^ kJitterSeedMask),
       traffic_(config, member_),
       timer_(io) {
   if (is_coordinated_) {
     etcd::ClientSettings client = membership::MakeEtcdClientSettings(settings).value();
-    // A member of etcd that does not answer must leave time for the next.
+    // An unresponsive etcd member must leave time for an attempt at the next one.
     client.call_timeout = std::max(kMinAttemptTimeout, call_timeout_ / 2);
     client_.emplace(io, std::move(client), config.seed);
   }
@@ -129,8 +130,9 @@
 }
 
 void ZoneFailoverSource::ArmTimer(TimePoint now) {
-  Duration wait = kMaxWait;
-  if (!is_calling_) wait = std::clamp<Duration>(member_.wake_at() - now, kMinWait, kMaxWait);
+  Duration wait = kMaxUpdateInterval;
+  if (!is_calling_)
+    wait = std::clamp<Duration>(member_.wake_at() - now, kMinUpdateInterval, kMaxUpdateInterval);
   timer_.ArmAfter(std::chrono::ceil<milliseconds>(wait), [this] { Advance(); });
 }
 
--- a/src/proxy_main/zone_failover_source.h
+++ b/src/proxy_main/zone_failover_source.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Has the proxy take part in zone failover: what the proxy observes goes into a zone_failover::Member, the
-// Member's calls go to etcd, and the quotas that it computes go to the proxy. Only where the operator's file
-// has a [regions] table. docs/zone_failover.md explains the protocol.
+// Connects the proxy to zone failover: reports the proxy's traffic to a zone_failover::Member, sends the
+// Member's calls to etcd, and passes the computed quotas to the proxy. Used only if the operator's file has a
+// [regions] table. docs/zone_failover.md explains the protocol.
 #ifndef BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_SOURCE_H_
 #define BADGERBRIDGE_PROXY_MAIN_ZONE_FAILOVER_SOURCE_H_
 
@@ -28,24 +28,24 @@
 
 namespace badgerbridge::proxy_main {
 
-/// One proxy's zone failover. Runs on its io_context's thread.
+/// The source of one proxy's zone quotas. Runs on its io_context's thread.
 class ZoneFailoverSource {
  public:
-  /// Called with the new quotas whenever they have changed.
+  /// Called with the new quotas after each change.
   using OnQuotas = std::function<void(balancer::ZoneQuotas)>;
 
-  /// Starts at once; `on_quotas` is not called from within the constructor. Throws std::runtime_error, one
-  /// line, if the zones are not those of the configuration, or a password cannot be read.
+  /// Starts immediately; `on_quotas` does not run before the constructor returns. Throws std::runtime_error
+  /// with a one-line message if the zones differ from the configuration's or a password cannot be read.
   ZoneFailoverSource(boost::asio::io_context& io, const proxy::ProxyClock& clock, const proxy::Config& config,
                      const operator_config::ZoneFailoverSettings& settings, OnQuotas on_quotas);
-  ~ZoneFailoverSource();  ///< A call that is in flight no longer has an effect.
+  ~ZoneFailoverSource();  ///< The result of a call in flight is discarded.
   ZoneFailoverSource(const ZoneFailoverSource&) = delete;
   ZoneFailoverSource& operator=(const ZoneFailoverSource&) = delete;
 
-  /// What must observe the proxy's traffic.
+  /// The observer to register with the proxy. Valid as long as this object.
   proxy::TrafficObserver& traffic_observer() { return traffic_; }
 
-  /// This proxy's part and the decision that it acts on, for the admin API.
+  /// This proxy's role and the decision that it applies, as JSON for the admin API.
   boost::json::value DescribeStatus() const;
 
  private:
@@ -57,19 +57,20 @@
 
   boost::asio::io_context& io_;
   const proxy::ProxyClock& clock_;
-  const std::string prefix_;  // of the keys
-  const std::string name_;    // of the member
+  const std::string prefix_;  // prepended to each key
+  const std::string name_;    // identifies the member
   const ZoneNames zones_;
   const bool is_coordinated_;
   const std::chrono::milliseconds call_timeout_;
   OnQuotas on_quotas_;
   zone_failover::Member member_;
   ZoneTrafficRecorder traffic_;
-  std::optional<etcd::Client> client_;  // only if it is coordinated
+  std::optional<etcd::Client> client_;  // empty unless is_coordinated_
   std::vector<double> published_quotas_;
   bool is_calling_ = false;
   net::OneShotTimer timer_;
-  std::shared_ptr<bool> is_alive_ = std::make_shared<bool>(true);  // shared with calls in flight
+  std::shared_ptr<bool> is_alive_ =
+      std::make_shared<bool>(true);  // shared with calls in flight; false after destruction
 };
 
 }  // namespace badgerbridge::proxy_main
--- a/src/proxy_main/zone_status_codec.cpp
+++ b/src/proxy_main/zone_status_codec.cpp
@@ -13,13 +13,13 @@
 
 double RoundToThousandths(double value) { return std::round(value * 1000) / 1000; }
 
-/// A quota, or null if there is no limit.
+/// Encodes a quota; a negative quota means no limit and becomes null.
 json::value EncodeQuota(double work_per_ms) {
   if (work_per_ms < 0) return nullptr;
   return RoundToThousandths(work_per_ms);
 }
 
-/// Adds what a decision holds of a zone. `grant`: how much the proxy's own zone may send there.
+/// Adds a zone's part of a decision. `grant` is the work per ms that the proxy's own zone may send there.
 void AddDecision(const Decision::Zone& zone, double grant, json::object* encoded) {
   (*encoded)["state"] = zone_failover::WireName(zone.state);
   (*encoded)["why"] = zone.reason;
--- a/src/proxy_main/zone_traffic_recorder.cpp
+++ b/src/proxy_main/zone_traffic_recorder.cpp
@@ -12,8 +12,8 @@
 using balancer::TimePoint;
 using zone_failover::AttemptOutcome;
 
-constexpr double kMeanWorkGain = 0.02;  // of the moving average
-constexpr double kDefaultWorkMs = 1;    // of a request without a hint, before there was one with a hint
+constexpr double kMeanWorkGain = 0.02;  // weight of a new sample in the moving average
+constexpr double kDefaultWorkMs = 1;    // used for requests without a hint until one has a hint
 
 AttemptOutcome ToAttemptOutcome(Outcome outcome) {
   switch (outcome) {
@@ -70,10 +70,10 @@
     const double gain = mean_work_ms_ > 0 ? kMeanWorkGain : 1;
     mean_work_ms_ += gain * (submit.work_ms - mean_work_ms_);
   }
-  member_.RequestArrived(now, WorkMsOf(submit));
+  member_.RequestArrived(now, EstimateWorkMs(submit));
 }
 
-double ZoneTrafficRecorder::WorkMsOf(const balancer::Submit& submit) const {
+double ZoneTrafficRecorder::EstimateWorkMs(const balancer::Submit& submit) const {
   if (submit.has_hint) return submit.work_ms;
   return mean_work_ms_ > 0 ? mean_work_ms_ : kDefaultWorkMs;
 }
@@ -81,10 +81,10 @@
 void ZoneTrafficRecorder::OnAttemptSent(TimePoint now, const request_table::Send& send,
                                         const balancer::Submit& submit) {
   const auto backend = ready_backends_.find(send.server);
-  // A draining backend, which may be used as a last resort, is no part of its zone's capacity.
+  // A draining backend may serve as a last resort, but does not count towards its zone's capacity.
   if (backend == ready_backends_.end() || backend->second.zone < 0) return;
   const AttemptInFlight attempt{++last_attempt_number_, static_cast<std::size_t>(submit.request_class),
-                                WorkMsOf(submit)};
+                                EstimateWorkMs(submit)};
   attempts_in_flight_[{send.request, send.attempt}] = attempt;
   member_.AttemptStarted(now, attempt.number, static_cast<std::size_t>(backend->second.zone));
 }
--- a/src/proxy_main/zone_traffic_recorder.h
+++ b/src/proxy_main/zone_traffic_recorder.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Tells zone failover what the proxy observes: requests, attempts by zone, and how many backends each zone
-// has.
+// Reports the proxy's traffic to zone failover: requests, attempts by zone, and the number of backends in
+// each zone.
 #ifndef BADGERBRIDGE_PROXY_MAIN_ZONE_TRAFFIC_RECORDER_H_
 #define BADGERBRIDGE_PROXY_MAIN_ZONE_TRAFFIC_RECORDER_H_
 
@@ -18,31 +18,31 @@
 
 namespace badgerbridge::proxy_main {
 
-/// Records the proxy's traffic at a member of zone failover. Not thread-safe; does no I/O.
+/// Reports the proxy's traffic to a zone failover member. Not thread-safe; performs no I/O.
 class ZoneTrafficRecorder : public proxy::TrafficObserver {
  public:
-  /// Records at `member`, which must outlive it.
+  /// Reports to `member`, which must outlive the recorder.
   ZoneTrafficRecorder(const proxy::Config& config, zone_failover::Member& member);
 
-  /// The backends that are ready are those of the list.
+  /// Updates the set of ready backends from a list or a delta.
   void OnEndpointList(balancer::TimePoint now, const proxy::EndpointList& list) override;
-  /// A client's request was accepted.
+  /// Reports an accepted client request.
   void OnRequest(balancer::TimePoint now, const balancer::Submit& submit) override;
-  /// An attempt of a request was sent to a backend.
+  /// Reports an attempt that was sent to a backend.
   void OnAttemptSent(balancer::TimePoint now, const request_table::Send& send,
                      const balancer::Submit& submit) override;
-  /// The attempt ended; `load_header` is the response's X-Backend-Load, or empty.
+  /// Reports the end of an attempt; `load_header` is the response's X-Backend-Load header, or empty.
   void OnAttemptEnded(balancer::TimePoint now, const request_table::Send& send, balancer::Outcome outcome,
                       std::string_view load_header) override;
 
-  /// By zone: the weights of the ready backends, each scaled by what slow start lets it take.
+  /// The sum of the ready backends' weights by zone, each scaled by the backend's slow start progress.
   std::vector<double> WarmBackends(balancer::TimePoint now) const;
 
  private:
   struct ReadyBackend {
-    int zone = 0;  // beyond the last, or below 0: none of the configuration's
+    int zone = 0;  // out of range if the zone is not in the configuration
     double weight = 1;
-    balancer::TimePoint up_since{};  // TimePoint{}: long ago
+    balancer::TimePoint up_since{};  // TimePoint{}: unknown; treated as past slow start
   };
   struct AttemptKey {
     balancer::RequestId request = 0;
@@ -50,12 +50,12 @@
     auto operator<=>(const AttemptKey&) const = default;
   };
   struct AttemptInFlight {
-    std::uint64_t number = 0;  // by which the member knows it
+    std::uint64_t number = 0;  // identifies the attempt to the member
     std::size_t request_class = 0;
     double work_ms = 0;
   };
 
-  double WorkMsOf(const balancer::Submit& submit) const;
+  double EstimateWorkMs(const balancer::Submit& submit) const;
   double SlowStartProgress(balancer::TimePoint now, const ReadyBackend& backend) const;
 
   zone_failover::Member& member_;
@@ -65,7 +65,7 @@
   std::unordered_map<balancer::BackendId, ReadyBackend> ready_backends_;
   std::map<AttemptKey, AttemptInFlight> attempts_in_flight_;
   std::uint64_t last_attempt_number_ = 0;
-  double mean_work_ms_ = 0;  // of the requests that have a hint; 0: there was none yet
+  double mean_work_ms_ = 0;  // mean of requests with a hint; 0: none yet
 };
 
 }  // namespace badgerbridge::proxy_main
--- a/tests/admin_api/admin_api_test.cpp
+++ b/tests/admin_api/admin_api_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The admin API of a proxy on sockets: its responses, its operations, and that hostile peers of its socket do
-// not hinder requests.
+// The admin API over its socket: responses, operations, and that hostile peers of the socket do not block
+// requests.
 #include "admin_api/admin_api.h"
 
 #include <sys/stat.h>
@@ -23,47 +23,47 @@
 using badgerbridge::proxy::Config;
 using Local = asio::local::stream_protocol;
 
-/// Makes an empty folder and returns its path.
-std::string MakeFolder() {
+/// Creates a temporary directory and returns its path.
+std::string MakeTempDirectory() {
   std::string folder = ::testing::TempDir() + "control_XXXXXX";
   EXPECT_NE(mkdtemp(folder.data()), nullptr);
   return folder;
 }
 
-/// A client's end of a connection to the admin API's socket.
-struct LocalWire : std::enable_shared_from_this<LocalWire> {
-  explicit LocalWire(asio::io_context& io) : socket(io) {}
-  /// Reads until the other side closes.
+/// A client connection to the admin API's socket.
+struct LocalConnection : std::enable_shared_from_this<LocalConnection> {
+  explicit LocalConnection(asio::io_context& io) : socket(io) {}
+  /// Reads until the peer closes the connection.
   void Start() {
-    socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](ErrorCode error, std::size_t n) {
+    socket.async_read_some(asio::buffer(buffer), [self = shared_from_this()](ErrorCode error, std::size_t n) {
       if (error) {
         self->closed = true;
         return;
       }
-      self->in.append(self->piece.data(), n);
+      self->in.append(self->buffer.data(), n);
       self->Start();
     });
   }
-  /// Writes text; a closed connection is ignored.
+  /// Writes text; ignores errors of a closed connection.
   void Send(std::string_view text) {
     ErrorCode ignored;
     asio::write(socket, asio::buffer(text.data(), text.size()), ignored);
   }
   Local::socket socket;
-  std::array<char, 65536> piece;
-  std::string in;       // all that was read
-  bool closed = false;  // by the other side
+  std::array<char, 65536> buffer;
+  std::string in;       // all data received
+  bool closed = false;  // by the peer
 };
 
-/// A proxy with an admin API, a backend that leaves requests waiting until a test answers them, and another
-/// one that drains.
+/// A proxy with an admin API, a backend that holds requests until a test answers them, and a draining
+/// backend.
 struct ProxyWithAdminApi {
   explicit ProxyWithAdminApi(operator_config::AdminApiSettings settings = {})
-      : backend(io, [this](Wire& wire) { waiting.push_back(&wire); }),
+      : backend(io, [this](Wire& connection) { waiting.push_back(&connection); }),
         config(TestConfig(
             {EndpointJson("s-1", backend.address()), EndpointJson("s-2", "127.0.0.1:1", "Terminating")})),
         node(io, config),
-        folder(MakeFolder()) {
+        folder(MakeTempDirectory()) {
     settings.socket = folder + "/c.sock";
     admin_api.emplace(
         io, settings,
@@ -74,20 +74,19 @@
     admin_api.reset();
     rmdir(folder.c_str());
   }
-  /// Opens a connection to the admin API.
-  std::shared_ptr<LocalWire> Open() {
-    auto wire = std::make_shared<LocalWire>(io);
-    wire->socket.connect(Local::endpoint(folder + "/c.sock"));
-    wire->Start();
-    return wire;
+  std::shared_ptr<LocalConnection> Open() {
+    auto connection = std::make_shared<LocalConnection>(io);
+    connection->socket.connect(Local::endpoint(folder + "/c.sock"));
+    connection->Start();
+    return connection;
   }
-  /// The response to a request as text, headers included.
+  /// The raw response to a request, including headers.
   std::string Raw(const std::string& method, const std::string& path, const std::string& body = "") {
-    const auto wire = Open();
-    wire->Send(method + " " + path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: " +
-               std::to_string(body.size()) + "\r\n\r\n" + body);
-    EXPECT_TRUE(RunUntil(io, [&] { return wire->closed; }));
-    return wire->in;
+    const auto connection = Open();
+    connection->Send(method + " " + path + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: " +
+                     std::to_string(body.size()) + "\r\n\r\n" + body);
+    EXPECT_TRUE(RunUntil(io, [&] { return connection->closed; }));
+    return connection->in;
   }
   /// The body of the response to a request.
   json::value Call(const std::string& method, const std::string& path, const std::string& body = "") {
@@ -102,7 +101,7 @@
   std::string State() { return std::string(Status().at("state").as_string()); }
 
   asio::io_context io;
-  std::vector<Wire*> waiting;  // requests at the backend, in the order in which they came
+  std::vector<Wire*> waiting;  // requests at the backend, in order of arrival
   Peer backend;
   Config config;
   Node node;
@@ -112,12 +111,11 @@
   std::optional<AdminApi> admin_api;
 };
 
-/// One of the counters.
 std::int64_t CountOf(const json::value& counts, const char* key) {
   return counts.at(key).to_number<std::int64_t>();
 }
 
-/// Expects that each request is counted once.
+/// Expects that each accepted request has exactly one outcome or is open.
 void ExpectSum(const json::value& counts) {
   EXPECT_EQ(CountOf(counts, "taken"), CountOf(counts, "served") + CountOf(counts, "refused") +
                                           CountOf(counts, "failed") + CountOf(counts, "open"))
@@ -138,9 +136,9 @@
     EXPECT_EQ(CountOf(status.at("requests"), "open"), i + 1);
   }
   fixture.waiting[0]->Send(Reply(200, "done"));
-  fixture.waiting[2]->Send(Reply(500));  // a certified copy may have run: failed
+  fixture.waiting[2]->Send(Reply(500));  // not retried: the backend may have executed it
   fixture.waiting[4]->Reset();
-  clients[1]->Close();  // a client leaves
+  clients[1]->Close();  // the client disconnects
   ASSERT_TRUE(RunUntil(fixture.io, [&] { return fixture.node.proxy.open_requests() == 1; }));
   const json::value status = fixture.Status();
   for (const auto& [name, counts] : status.at("classes").as_object()) ExpectSum(counts);
@@ -152,7 +150,7 @@
   EXPECT_EQ(CountOf(all.at("failed_of_which"), "client_left"), 1);
   EXPECT_EQ(CountOf(status.at("classes").at("certify"), "taken"), 3);
   EXPECT_EQ(CountOf(status.at("classes").at("preview"), "open"), 1);
-  // The rest is failed by the last resort or the module; nothing stays open.
+  // The remaining request is failed by the balancer or at its deadline; none stays open.
   ASSERT_TRUE(RunUntil(fixture.io, [&] { return fixture.node.proxy.open_requests() == 0; }));
   ExpectSum(fixture.Status().at("requests"));
 }
@@ -190,17 +188,17 @@
   const json::value drain = fixture.Call("POST", "/v1/drain", R"({"deadline_ms": 0})");
   EXPECT_EQ(drain.at("state"), "draining");
   EXPECT_TRUE(fixture.Status().at("drain").at("overdue").as_bool());
-  ASSERT_TRUE(RunUntil(fixture.io, [&] { return idle->closed; }));  // between requests
+  ASSERT_TRUE(RunUntil(fixture.io, [&] { return idle->closed; }));  // closed between requests
   EXPECT_NE(fixture.node.Ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").find(" 503 "), std::string::npos);
-  // One that was dealt here all the same is served.
+  // A request on a new connection is still served.
   const auto late = fixture.node.Connect();
   late->Send(Get("late"));
   ASSERT_TRUE(RunUntil(fixture.io, [&] { return fixture.waiting.size() == 3; }));
   for (std::size_t i : {1u, 2u}) fixture.waiting[i]->Send(Reply(200, "last"));
   ASSERT_TRUE(RunUntil(fixture.io, [&] { return busy->closed && late->closed; }));
-  for (const auto& wire : {busy, late}) {
-    EXPECT_NE(wire->in.find("last"), std::string::npos);
-    EXPECT_NE(wire->in.find("Connection: close"), std::string::npos);
+  for (const auto& connection : {busy, late}) {
+    EXPECT_NE(connection->in.find("last"), std::string::npos);
+    EXPECT_NE(connection->in.find("Connection: close"), std::string::npos);
   }
   ASSERT_TRUE(RunUntil(fixture.io, [&] { return fixture.State() == "drained"; }));
   EXPECT_FALSE(
@@ -221,7 +219,7 @@
 TEST(AdminApi, InvalidRequestsGetAnErrorAndChangeNothing) {
   ProxyWithAdminApi fixture;
   EXPECT_NE(fixture.Raw("GET", "/v1/nothing").find(" 404 "), std::string::npos);
-  // What the operator's file does not switch on says so.
+  // The error names the table that is missing from the operator's file.
   EXPECT_NE(fixture.Raw("GET", "/v1/zones").find("no [regions] table"), std::string::npos);
   EXPECT_NE(fixture.Raw("GET", "/v1/members").find("no [etcd] table"), std::string::npos);
   EXPECT_NE(fixture.Raw("POST", "/v1/status").find(" 405 "), std::string::npos);
@@ -230,10 +228,10 @@
     EXPECT_NE(fixture.Raw("POST", "/v1/drain", body).find(" 400 "), std::string::npos) << body;
   EXPECT_FALSE(fixture.node.listener.draining());
   EXPECT_NE(fixture.Raw("POST", "/v1/drain", std::string(5000, ' ')).find(" 413 "), std::string::npos);
-  const auto wire = fixture.Open();
-  wire->Send("GET / HTTP/1.1\r\nX: " + std::string(20000, 'x'));
-  ASSERT_TRUE(RunUntil(fixture.io, [&] { return wire->closed; }));
-  EXPECT_NE(wire->in.find(" 431 "), std::string::npos) << wire->in;
+  const auto connection = fixture.Open();
+  connection->Send("GET / HTTP/1.1\r\nX: " + std::string(20000, 'x'));
+  ASSERT_TRUE(RunUntil(fixture.io, [&] { return connection->closed; }));
+  EXPECT_NE(connection->in.find(" 431 "), std::string::npos) << connection->in;
   const auto garbage = fixture.Open();
   garbage->Send("\x16\x03\x01 nothing\r\n\r\n");
   ASSERT_TRUE(RunUntil(fixture.io, [&] { return garbage->closed; }));
@@ -243,10 +241,10 @@
 TEST(AdminApi, SilentPeersAndPartialRequestsAreEvictedForTheNext) {
   operator_config::AdminApiSettings settings;
   settings.max_connections = 4;
-  settings.request_timeout = std::chrono::milliseconds(60000);  // not this is what frees the places
+  settings.request_timeout = std::chrono::milliseconds(60000);  // too long to free connections in this test
   settings.idle_timeout = std::chrono::milliseconds(60000);
   ProxyWithAdminApi fixture(settings);
-  std::vector<std::shared_ptr<LocalWire>> hostile;
+  std::vector<std::shared_ptr<LocalConnection>> hostile;
   for (int i = 0; i < 40; ++i) {
     hostile.push_back(fixture.Open());
     if (i % 2) hostile.back()->Send("GET /v1/status HT");
@@ -272,9 +270,9 @@
 
 TEST(AdminApi, SocketIsPrivateAndOnlyAnAbandonedOneIsReplaced) {
   ProxyWithAdminApi fixture;
-  struct stat about {};
-  ASSERT_EQ(lstat((fixture.folder + "/c.sock").c_str(), &about), 0);
-  EXPECT_EQ(about.st_mode & 0777, 0600u);
+  struct stat file_status {};
+  ASSERT_EQ(lstat((fixture.folder + "/c.sock").c_str(), &file_status), 0);
+  EXPECT_EQ(file_status.st_mode & 0777, 0600u);
   operator_config::AdminApiSettings same;
   same.socket = fixture.folder + "/c.sock";
   const AdminApi::Dependencies dependencies{fixture.config,
@@ -291,29 +289,29 @@
   EXPECT_EQ(unlink(same.socket.c_str()), 0);
   same.socket = fixture.folder + "/no/such/folder";
   EXPECT_THROW(AdminApi(fixture.io, same, dependencies), std::runtime_error);
-  // What a killed proxy left behind is replaced.
-  same.socket = fixture.folder + "/left.sock";
-  { Local::acceptor left(fixture.io, Local::endpoint(same.socket)); }
+  // A stale socket of a killed proxy is replaced.
+  same.socket = fixture.folder + "/stale.sock";
+  { Local::acceptor stale(fixture.io, Local::endpoint(same.socket)); }
   AdminApi admin_api(fixture.io, same, dependencies);
   EXPECT_EQ(fixture.State(), "ready");
 }
 
-// Needs to be another user, which only root can.
+// Changes the effective user id, which requires root.
 TEST(AdminApi, ConnectionOfAnotherUserIsClosedWithoutAResponse) {
-  if (geteuid() != 0) GTEST_SKIP() << "only root can try as another user";
+  if (geteuid() != 0) GTEST_SKIP() << "requires root to connect as another user";
   ProxyWithAdminApi fixture;
   ASSERT_EQ(chmod(fixture.folder.c_str(), 0755), 0);
   ASSERT_EQ(chmod((fixture.folder + "/c.sock").c_str(), 0666), 0);
-  auto wire = std::make_shared<LocalWire>(fixture.io);
+  auto connection = std::make_shared<LocalConnection>(fixture.io);
   ASSERT_EQ(seteuid(65534), 0);
   ErrorCode error;
-  wire->socket.connect(Local::endpoint(fixture.folder + "/c.sock"), error);
+  connection->socket.connect(Local::endpoint(fixture.folder + "/c.sock"), error);
   ASSERT_EQ(seteuid(0), 0);
   ASSERT_FALSE(error) << error.message();
-  wire->Start();
-  wire->Send("GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n");
-  EXPECT_TRUE(RunUntil(fixture.io, [&] { return wire->closed; }));
-  EXPECT_EQ(wire->in, "");
+  connection->Start();
+  connection->Send("GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n");
+  EXPECT_TRUE(RunUntil(fixture.io, [&] { return connection->closed; }));
+  EXPECT_EQ(connection->in, "");
 }
 
 }  // namespace
--- a/tests/admin_api/request_codec_test.cpp
+++ b/tests/admin_api/request_codec_test.cpp
@@ -12,8 +12,8 @@
   return request;
 }
 
-/// The error that a drain's body is rejected with.
-RequestErrorCode ErrorOfDrain(const std::string& body) {
+/// The error with which the body of a drain request is rejected.
+RequestErrorCode DrainErrorCode(const std::string& body) {
   return ParseDrainRequest(RequestWithBody(body)).error().code;
 }
 
@@ -37,17 +37,17 @@
   EXPECT_FALSE(drain->deadline);
 }
 
-TEST(AdminRequestCodec, DrainsDeadlineIsReadUpToItsBound) {
+TEST(AdminRequestCodec, DrainDeadlineIsAcceptedUpToItsLimit) {
   EXPECT_EQ(ParseDrainRequest(RequestWithBody(R"({"deadline_ms":0})"))->deadline->count(), 0);
   EXPECT_EQ(ParseDrainRequest(RequestWithBody(R"({"deadline_ms":3600000})"))->deadline->count(), 3600000);
-  EXPECT_EQ(ErrorOfDrain(R"({"deadline_ms":3600001})"), RequestErrorCode::kInvalidDeadline);
-  EXPECT_EQ(ErrorOfDrain(R"({"deadline_ms":-1})"), RequestErrorCode::kInvalidDeadline);
-  EXPECT_EQ(ErrorOfDrain(R"({"deadline_ms":"1"})"), RequestErrorCode::kInvalidDeadline);
+  EXPECT_EQ(DrainErrorCode(R"({"deadline_ms":3600001})"), RequestErrorCode::kInvalidDeadline);
+  EXPECT_EQ(DrainErrorCode(R"({"deadline_ms":-1})"), RequestErrorCode::kInvalidDeadline);
+  EXPECT_EQ(DrainErrorCode(R"({"deadline_ms":"1"})"), RequestErrorCode::kInvalidDeadline);
 }
 
 TEST(AdminRequestCodec, InvalidBodyAndUnknownFieldAreRejected) {
-  EXPECT_EQ(ErrorOfDrain("{"), RequestErrorCode::kInvalidBody);
-  EXPECT_EQ(ErrorOfDrain("[]"), RequestErrorCode::kInvalidBody);
+  EXPECT_EQ(DrainErrorCode("{"), RequestErrorCode::kInvalidBody);
+  EXPECT_EQ(DrainErrorCode("[]"), RequestErrorCode::kInvalidBody);
   const Result<DrainRequest> unknown = ParseDrainRequest(RequestWithBody(R"({"deadline":1})"));
   ASSERT_FALSE(unknown);
   EXPECT_EQ(Message(unknown.error()), "unknown member deadline; deadline_ms is known");
--- a/tests/proxy_main/command_line_test.cpp
+++ b/tests/proxy_main/command_line_test.cpp
@@ -6,14 +6,14 @@
 namespace badgerbridge::proxy_main {
 namespace {
 
-TEST(CommandLine, DefaultOperatorFileHoldsUnlessAnArgumentNamesAnother) {
+TEST(CommandLine, DefaultOperatorFileAppliesUnlessAnArgumentOverridesIt) {
   EXPECT_EQ(ParseCommandLine({}, "default")->operator_file, "default");
   EXPECT_EQ(ParseCommandLine({"--operator", "other"}, "default")->operator_file, "other");
   EXPECT_EQ(ParseCommandLine({"--operator=other"}, "default")->operator_file, "other");
   EXPECT_EQ(ParseCommandLine({"--operator="}, "default")->operator_file, "");
 }
 
-TEST(CommandLine, FirstOfVersionAndHelpDecides) {
+TEST(CommandLine, FirstOfVersionAndHelpTakesPrecedence) {
   EXPECT_EQ(ParseCommandLine({}, "")->command, Command::kRun);
   EXPECT_EQ(ParseCommandLine({"--version", "--help", "--bad"}, "")->command, Command::kPrintVersion);
   EXPECT_EQ(ParseCommandLine({"--help", "--version"}, "")->command, Command::kPrintHelp);
--- a/tests/proxy_main/load_header_test.cpp
+++ b/tests/proxy_main/load_header_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Utilization in the X-Backend-Load header.
+// Parsing the utilization in the X-Backend-Load header.
 #include "proxy_main/load_header.h"
 
 #include <gtest/gtest.h>
--- a/tests/proxy_main/proxy_process_test.cpp
+++ b/tests/proxy_main/proxy_process_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A proxy as a process that follows a stand-in etcd beside stand-in discovery, under load.
+// A proxy process under load, with membership from a stand-in etcd and a stand-in discovery service.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -30,7 +30,7 @@
 
 const std::string kPrefix = "/badgerbridge/converters/";
 
-/// A proxy as a process, four backends, stand-in discovery, and a stand-in etcd of three members.
+/// A proxy process, four backends, a stand-in discovery service, and a stand-in etcd with three members.
 class ProxyWithEtcdTest : public ::testing::Test {
  protected:
   ProxyWithEtcdTest() {
@@ -54,7 +54,7 @@
     }
     std::filesystem::remove_all(folder);
   }
-  /// A backend's entry, as discovery and etcd have it.
+  /// A backend's entry in the format of discovery and etcd.
   Entry EntryOf(int i, const std::string& status = "Ready") {
     Entry entry;
     entry.name = "c" + std::to_string(i);
@@ -62,24 +62,25 @@
     entry.status = status;
     return entry;
   }
-  /// Writes a backend's key.
+  /// Writes a backend's entry to etcd.
   void Write(int i, const std::string& status = "Ready") {
     const Entry entry = EntryOf(i, status);
     etcd->Put(kPrefix + entry.name, entry.Json());
   }
-  /// An address that nobody listens on, of a loopback network of this process's own.
+  /// An unused address in a loopback network that depends on the process id, to avoid collisions between
+  /// tests.
   asio::ip::tcp::endpoint FreeAddress() {
-    const auto third = static_cast<unsigned char>(getpid() >> 8 & 127);
-    const auto fourth = static_cast<unsigned char>(getpid() % 250 + 1);
-    asio::ip::tcp::acceptor free(io, {asio::ip::address_v4({127, 79, third, fourth}), 0});
+    const auto third_octet = static_cast<unsigned char>(getpid() >> 8 & 127);
+    const auto fourth_octet = static_cast<unsigned char>(getpid() % 250 + 1);
+    asio::ip::tcp::acceptor free(io, {asio::ip::address_v4({127, 79, third_octet, fourth_octet}), 0});
     return free.local_endpoint();
   }
-  /// A class of the platform's configuration.
+  /// A request class in the platform's configuration.
   static std::string ClassText(const std::string& name, const std::string& effect) {
     return R"({"name":")" + name + R"(","effect":")" + effect +
            R"(","group":"cell","windowMs":10000.0,"goalTimeMs":500.0,"deadlineMs":1500.0,"worth":1.0})";
   }
-  /// The platform's configuration.
+  /// The platform's configuration, with the proxy's and discovery's addresses.
   std::string ConfigText() {
     return R"({"name":"n1","listen":")" + tcp_address.address().to_string() + ":" +
            std::to_string(tcp_address.port()) + R"(","discovery":")" + discovery.address() +
@@ -93,14 +94,13 @@
            R"("retryAfter":true,"maxRetryAfterMs":600.0},"rules":{"coldFrom":0.2,"warmUpMs":24000.0,)"
            R"("fallMultiple":2.5,"overloadForMs":3000.0,"drainGraceMs":500.0}}})";
   }
-  /// The operator's file: the admin API, and membership from all members of etcd.
+  /// The operator's file, which enables the admin API and membership from all etcd members.
   std::string OperatorText() {
     std::string endpoints;
     for (std::size_t i = 0; i < 3; ++i)
       endpoints += (i > 0 ? ", " : "") + ("\"127.0.0.1:" + std::to_string(etcd->address(i).port())) + "\"";
     return "[control]\nsocket = \"" + folder + "/c.sock\"\n[etcd]\nendpoints = [" + endpoints + "]\n";
   }
-  /// Starts the proxy.
   void Start() {
     tcp_address = FreeAddress();
     std::ofstream(folder + "/config.json") << ConfigText();
@@ -108,7 +108,7 @@
     pid = fork();
     if (pid == 0) ExecuteProxy();
   }
-  /// Becomes the proxy, in the child process.
+  /// Replaces the child process by the proxy.
   [[noreturn]] void ExecuteProxy() {
     for (int number = 3; number < 1024; ++number) close(number);
     setenv("ROUTER_CONFIG", (folder + "/config.json").c_str(), 1);
@@ -116,17 +116,17 @@
     execl(NODE_PATH, NODE_PATH, "--operator", (folder + "/op.toml").c_str(), static_cast<char*>(nullptr));
     _exit(127);
   }
-  /// Runs until `holds`, 20 s at most; whether it came to hold.
+  /// Runs the event loop until `holds` returns true; returns false after 20 s.
   bool Until(const std::function<bool()>& holds) {
-    const auto due = Clock::now() + std::chrono::seconds(20);
+    const auto deadline = Clock::now() + std::chrono::seconds(20);
     while (!holds()) {
-      if (Clock::now() > due) return false;
+      if (Clock::now() > deadline) return false;
       io.restart();
       io.run_for(milliseconds(5));
     }
     return true;
   }
-  /// The ledger, as the control socket shows it.
+  /// The membership ledger as reported by the admin API.
   json::value Members() {
     auto reply = std::make_shared<std::optional<http_api::Reply>>();
     asio::co_spawn(io, http_api::CallUnix(folder + "/c.sock", "GET", "/v1/members", "", milliseconds(3000)),
@@ -134,7 +134,7 @@
     EXPECT_TRUE(Until([&] { return reply->has_value(); }));
     return (*reply)->ok() ? (*reply)->body : json::value(json::object{});
   }
-  /// "STATE by DECISION" of a member; "gone": it is not in the list.
+  /// "STATE by DECISION" of a member; "gone" if it is not in the list.
   std::string StateOf(const std::string& name) {
     const json::value answer = Members();
     if (!answer.as_object().contains("members")) return "no answer";
@@ -165,17 +165,17 @@
   clients.Start();
   ASSERT_TRUE(Until([&] { return clients.account().served > 100; }));
   for (int round = 0; round < 6; ++round) {
-    const int which = round % 4;
-    Backend& backend = *backends[static_cast<std::size_t>(which)];
+    const int index = round % 4;
+    Backend& backend = *backends[static_cast<std::size_t>(index)];
     std::size_t in_use = 0;
     for (std::size_t i = 0; i < 3; ++i) {
       if (etcd->connections(i) > 0) in_use = i;
     }
-    // Broken, silent, or compacted while it is broken, at the moment of the write.
+    // The connection is healthy, silent, or closed while etcd compacts, at the time of the write.
     if (round % 3 == 1) etcd->Silence(in_use, true);
     if (round % 3 == 2) etcd->Down(in_use);
     const auto written = Clock::now();
-    Write(which, "Terminating");
+    Write(index, "Terminating");
     if (round % 3 == 2) {
       etcd->Compact(etcd->store().revision());
       etcd->Up(in_use);
@@ -183,11 +183,11 @@
     const auto until = written + milliseconds(1200);
     ASSERT_TRUE(Until([&] { return Clock::now() > until; }));
     EXPECT_LT(backend.last_taken(), written + milliseconds(500)) << "round " << round;
-    EXPECT_EQ(StateOf("c" + std::to_string(which)), "draining by etcd: draining");
+    EXPECT_EQ(StateOf("c" + std::to_string(index)), "draining by etcd: draining");
     if (round % 3 == 1) etcd->Silence(in_use, false);
-    Write(which);
+    Write(index);
     const std::size_t taken = backend.taken();
-    ASSERT_TRUE(Until([&] { return backend.taken() > taken; })) << "it takes work again";
+    ASSERT_TRUE(Until([&] { return backend.taken() > taken; })) << "the backend must receive requests again";
   }
   clients.Stop();
   ASSERT_TRUE(Until([&] { return clients.Done(); }));
@@ -201,8 +201,8 @@
   for (int i = 0; i < 4; ++i) Write(i);
   Start();
   ASSERT_TRUE(Until([&] { return StateOf("c3") == "ready by etcd: ready"; }));
-  // Each of 400 is written three times, the last of which counts; c0 drains in their midst.
-  const auto many = [&](double weight, membership::MemberState state) {
+  // Writes 400 members three times, of which the last counts; c0 drains between the writes.
+  const auto write_members = [&](double weight, membership::MemberState state) {
     for (int i = 0; i < 400; ++i) {
       membership::Member one;
       one.name = "far" + std::to_string(i);
@@ -212,11 +212,11 @@
       etcd->Put(kPrefix + one.name, membership::SerializeMember(one));
     }
   };
-  many(1, membership::MemberState::kReady);
-  many(2, membership::MemberState::kReady);
+  write_members(1, membership::MemberState::kReady);
+  write_members(2, membership::MemberState::kReady);
   Write(0, "Terminating");
-  many(3, membership::MemberState::kDraining);
-  const auto backends_shown = [&] {
+  write_members(3, membership::MemberState::kDraining);
+  const auto backend_states = [&] {
     auto reply = std::make_shared<std::optional<http_api::Reply>>();
     asio::co_spawn(io,
                    http_api::CallUnix(folder + "/c.sock", "GET", "/v1/converters", "", milliseconds(3000)),
@@ -228,12 +228,12 @@
     return states;
   };
   ASSERT_TRUE(
-      Until([&] { return backends_shown().size() == 404 && backends_shown()["far399"] == "draining"; }));
-  const auto states = backends_shown();
+      Until([&] { return backend_states().size() == 404 && backend_states()["far399"] == "draining"; }));
+  const auto states = backend_states();
   EXPECT_EQ(states.at("c0"), "draining");
   for (int i = 0; i < 400; ++i) EXPECT_EQ(states.at("far" + std::to_string(i)), "draining") << i;
   for (int i = 0; i < 400; ++i) etcd->Delete(kPrefix + "far" + std::to_string(i));
-  ASSERT_TRUE(Until([&] { return backends_shown().size() == 4; }));
+  ASSERT_TRUE(Until([&] { return backend_states().size() == 4; }));
 }
 
 TEST_F(ProxyWithEtcdTest, JoinsNeedEtcdAndDeparturesFromDiscoveryCountAtOnce) {
@@ -241,7 +241,7 @@
     Write(i);
     discovery.Set(EntryOf(i));
   }
-  discovery.Set(EntryOf(2));  // discovery alone knows of it
+  discovery.Set(EntryOf(2));  // in discovery, but not in etcd
   Start();
   ASSERT_TRUE(Until([&] { return StateOf("c1") == "ready by etcd: ready" && discovery.watches() == 1; }));
   ASSERT_TRUE(Until([&] { return StateOf("c2") == "gone"; }));
@@ -253,7 +253,7 @@
   clients.Start();
   ASSERT_TRUE(Until([&] { return clients.account().served > 50; }));
   EXPECT_EQ(backends[1]->taken(), before);
-  // The one that only the configuration and discovery knew may have served until etcd spoke; not since.
+  // Only the configuration and discovery listed c2, so it may have served until etcd reported, but not since.
   Write(2);
   const std::size_t taken = backends[2]->taken();
   ASSERT_TRUE(Until([&] { return backends[2]->taken() > taken; }));
--- a/tests/proxy_main/zone_failover_calls_test.cpp
+++ b/tests/proxy_main/zone_failover_calls_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A member's calls as requests of etcd's API, carried out by the stand-in's store.
+// A member's calls converted to etcd requests and executed by the store of the stand-in etcd.
 #include "proxy_main/zone_failover_calls.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 
 const std::string kPrefix = "/badgerbridge/regions/";
 
-/// A store with a lease, and a member that makes its calls there.
+/// An etcd store with a lease, and the calls of a member.
 class EtcdCallsTest : public ::testing::Test {
  protected:
   void SetUp() override {
@@ -27,22 +27,20 @@
     lease = FromEtcd(status, granted);
     ASSERT_TRUE(lease.ok);
   }
-  /// Carries out a transaction.
   Member::Reply Send(const pb::TxnRequest& request) {
     pb::TxnResponse response;
     const auto status = store.Txn(request, &response);
-    response.mutable_header()->set_revision(store.revision());  // as the server does
+    response.mutable_header()->set_revision(store.revision());  // the store leaves this to the server
     return FromEtcd(status, response, kPrefix);
   }
-  /// A heartbeat of the member n1.
+  /// Sends a heartbeat of the member n1.
   Member::Reply SendHeartbeat(bool read_all, std::int64_t known_revision = 0) {
     return Send(ToEtcd(Member::Heartbeat{lease.lease, "word", read_all, known_revision}, kPrefix, "n1"));
   }
-  /// A campaign of a member.
   Member::Reply SendCampaign(const std::string& name) {
     return Send(ToEtcd(Member::Campaign{lease.lease}, kPrefix, name));
   }
-  /// Writes a decision on the given conditions.
+  /// Writes a decision if both revisions match.
   Member::Reply SendProposal(const std::string& decision, std::int64_t leader_create_revision,
                              std::int64_t decision_mod_revision) {
     return Send(
@@ -54,10 +52,10 @@
 };
 
 TEST_F(EtcdCallsTest, HeartbeatPutsTheLoadReportAndReadsTheKeysUnderThePrefix) {
-  pb::PutRequest stray;
-  stray.set_key("/badgerbridge/regionsX");
+  pb::PutRequest outside_prefix;
+  outside_prefix.set_key("/badgerbridge/regionsX");
   pb::PutResponse ignored;
-  store.Put(stray, &ignored);
+  store.Put(outside_prefix, &ignored);
   const Member::Reply reply = SendHeartbeat(true);
   ASSERT_TRUE(reply.ok);
   ASSERT_EQ(reply.kvs.size(), 1u);
@@ -78,7 +76,7 @@
   EXPECT_FALSE(SendCampaign("n2").condition_held);
 }
 
-TEST_F(EtcdCallsTest, DecisionIsWrittenOnlyInTheLeadersTermAndOverTheDecisionThatItRead) {
+TEST_F(EtcdCallsTest, DecisionIsWrittenOnlyByTheCurrentLeaderAndIfTheDecisionIsUnchanged) {
   const Member::Reply campaign = SendCampaign("n1");
   EXPECT_FALSE(SendProposal("d", campaign.revision + 7, 0).condition_held);
   EXPECT_FALSE(SendProposal("d", campaign.revision, 5).condition_held);
@@ -109,7 +107,7 @@
   EXPECT_EQ(value_with(written.revision + 100), "1d");  // etcd was restored from a backup
 }
 
-TEST_F(EtcdCallsTest, LeaseWithoutATimeToLiveIsGone) {
+TEST_F(EtcdCallsTest, LeaseWithZeroTtlIsReportedAsGone) {
   pb::LeaseKeepAliveResponse kept;
   kept.set_id(lease.lease);
   kept.set_ttl(3);
--- a/tests/proxy_main/zone_failover_process_test.cpp
+++ b/tests/proxy_main/zone_failover_process_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Proxies that share decisions on zones, end to end: tool, agent and proxies as processes, a stand-in etcd.
+// End-to-end tests of coordinated zone failover: command-line tool, agent and proxies run as processes, with
+// a stand-in etcd.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -27,22 +28,22 @@
   clients.Start();
   ASSERT_TRUE(site->Until([&] { return clients.account().served > 300; }));
 
-  CommandResult shown = Ctl({});
-  EXPECT_EQ(shown.code, 0) << shown.err;
-  EXPECT_NE(shown.out.find("3 proxies take part"), std::string::npos) << shown.out;
-  shown = Ctl({"-o", "json"});
-  EXPECT_EQ(json::parse(shown.out).at("zones").as_array().size(), 2u) << shown.out;
+  CommandResult status = Ctl({});
+  EXPECT_EQ(status.code, 0) << status.err;
+  EXPECT_NE(status.out.find("3 proxies take part"), std::string::npos) << status.out;
+  status = Ctl({"-o", "json"});
+  EXPECT_EQ(json::parse(status.out).at("zones").as_array().size(), 2u) << status.out;
 
   const CommandResult ordered = Ctl({"evacuate", "a", "--for", "30s", "--force", "--as", "the night shift"});
   ASSERT_EQ(ordered.code, 0) << ordered.err;
   for (int i = 0; i < 3; ++i) ASSERT_TRUE(site->Until([&] { return State("a", i) == "evacuated"; })) << i;
-  site->For(milliseconds(500));  // what is on its way arrives
+  site->For(milliseconds(500));  // lets attempts in flight arrive
   const std::size_t before_a = RequestsReceivedIn("a"), before_b = RequestsReceivedIn("b");
   site->For(milliseconds(1500));
   EXPECT_EQ(RequestsReceivedIn("a"), before_a);
   EXPECT_GT(RequestsReceivedIn("b"), before_b);
   EXPECT_NE(Ctl({}).out.find("ordered by the night shift"), std::string::npos);
-  EXPECT_EQ(Ctl({"evacuate", "a", "--for", "30s", "--force"}).code, 3);  // there is one already
+  EXPECT_EQ(Ctl({"evacuate", "a", "--for", "30s", "--force"}).code, 3);  // a has an order already
 
   EXPECT_EQ(Ctl({"return", "a"}).code, 0);
   ASSERT_TRUE(site->Until([&] { return State("a") == "sound"; }));
@@ -105,11 +106,11 @@
                               "/n1.toml 2>&1";
   FILE* const program = popen(command.c_str(), "r");
   ASSERT_NE(program, nullptr);
-  std::string said(1000, '\0');
-  said.resize(std::fread(said.data(), 1, said.size(), program));
+  std::string output(1000, '\0');
+  output.resize(std::fread(output.data(), 1, output.size(), program));
   const int status = pclose(program);
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 1) << status;
-  EXPECT_EQ(said, "badgerbridge: [regions] zones are not those of the configuration, in its order: a, b\n");
+  EXPECT_EQ(output, "badgerbridge: [regions] zones are not those of the configuration, in its order: a, b\n");
 }
 
 }  // namespace
