--- a/src/http_api/acceptor.h
+++ b/src/http_api/acceptor.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The accept loop of every server here, control API and gRPC alike: bounded in its connections, and paused
-// while the system refuses to accept, as without descriptors.
+// The accept loop of the control API and gRPC servers. It limits the open connections, and retries after a
+// delay if accept() fails, for example when the process is out of file descriptors.
 #ifndef BADGERBRIDGE_HTTP_API_ACCEPTOR_H_
 #define BADGERBRIDGE_HTTP_API_ACCEPTOR_H_
 
@@ -22,19 +22,19 @@
 
 namespace asio = boost::asio;
 
-/// Accepts connections and keeps the table of them; at the limit, an idle one is closed to admit the next.
-/// After Close, connections end in their own time and own what they need. Not thread-safe: used on the
-/// io_context alone. Owned by shared pointers, of which each connection holds one.
+/// Accepts connections and keeps a list of them. At the limit, an idle connection is closed before the next
+/// one is accepted. Connections may outlive Close(): each holds a shared pointer to its Acceptor. Not
+/// thread-safe: use it only on the io_context.
 template <typename Protocol>
 class Acceptor : public std::enable_shared_from_this<Acceptor<Protocol>> {
  public:
   /// The socket of an accepted connection.
   using Socket = typename Protocol::socket;
-  /// Serves one connection to its end. While it runs, `Connection::close` ends it from outside.
+  /// Serves one connection until it ends. It sets `Connection::close`, which ends it early.
   using ConnectionHandler = std::function<asio::awaitable<void>(Socket, std::shared_ptr<Connection>)>;
 
-  /// At most `max_connections` are open; one that was active less than `min_idle` ago is not closed for
-  /// another.
+  /// At most `max_connections` are open at a time. A connection that was active less than `min_idle` ago is
+  /// not evicted for a new one.
   Acceptor(asio::io_context& io, std::size_t max_connections, std::chrono::milliseconds min_idle,
            ConnectionHandler handler)
       : io_(io),
@@ -44,12 +44,12 @@
         acceptor_(io),
         retry_timer_(io) {}
 
-  /// The listening socket, which the server opens and binds before Start.
+  /// The listening socket. The server opens it, binds it and calls listen() before Start().
   typename Protocol::acceptor& listening_socket() { return acceptor_; }
   /// The number of open connections.
   std::size_t connections() const { return connections_.size(); }
 
-  /// Accepts from here on, until Close or StopAccepting.
+  /// Accepts connections until Close() or StopAccepting().
   void Start() {
     if (closed_) return;
     if (connections_.size() >= max_connections_ && !EvictIdleConnection(connections_, min_idle_))
@@ -91,10 +91,10 @@
     try {
       co_await self->handler_(std::move(socket), connection);
     } catch (const std::exception& error) {
-      std::cerr << "a connection failed: " << error.what() << '\n';
+      std::cerr << "connection handler failed: " << error.what() << "; the connection is closed" << '\n';
     }
     connection->close = [] {};
-    connection->has_unread = [] { return false; };
+    connection->has_unread_bytes = [] { return false; };
     self->connections_.remove(connection);
   }
 
--- a/src/http_api/address.h
+++ b/src/http_api/address.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// "address:port" as every file and message here has it: numeric addresses alone, an IPv6 address in brackets
-// (RFC 3986, section 3.2.2).
+// Endpoints as "address:port" text: numeric addresses only, an IPv6 address in brackets (RFC 3986, section
+// 3.2.2).
 #ifndef BADGERBRIDGE_HTTP_API_ADDRESS_H_
 #define BADGERBRIDGE_HTTP_API_ADDRESS_H_
 
@@ -12,11 +12,11 @@
 
 namespace badgerbridge::http_api {
 
-/// The address and port that `text` holds; nothing if it is malformed or holds a host name. Port 0 is
-/// accepted: a listening socket takes any free port then.
+/// The address and port in `text`; std::nullopt if it is malformed or contains a host name. Port 0 is
+/// accepted: a listening socket then binds to any free port.
 std::optional<boost::asio::ip::tcp::endpoint> ParseAddress(std::string_view text);
 
-/// The text from which ParseAddress gives this endpoint.
+/// Formats the endpoint so that ParseAddress() reads it back.
 std::string ToText(const boost::asio::ip::tcp::endpoint& endpoint);
 
 }  // namespace badgerbridge::http_api
--- a/src/http_api/client_messages.cpp
+++ b/src/http_api/client_messages.cpp
@@ -39,7 +39,7 @@
   boost::system::error_code error;
   reply.body = boost::json::parse(message.body(), error);
   if (error) {
-    reply.error = CallError{CallErrorCode::kAnswerNotJson, "", {}};
+    reply.error = CallError{CallErrorCode::kResponseNotJson, "", {}};
   } else {
     reply.status = message.result_int();
   }
--- a/src/http_api/connection.h
+++ b/src/http_api/connection.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The open connections of a server, and which of them is closed to admit another.
+// The open connections of a server, and the choice of an idle one to evict.
 #ifndef BADGERBRIDGE_HTTP_API_CONNECTION_H_
 #define BADGERBRIDGE_HTTP_API_CONNECTION_H_
 
@@ -13,40 +13,40 @@
 
 namespace badgerbridge::http_api::detail {
 
-/// One open connection, as its server sees it. Used on the server's io_context alone.
+/// The server's state of one open connection. Used only on the server's io_context.
 struct Connection {
-  /// Ends the connection from outside.
+  /// Closes the connection, which cancels its pending operations.
   std::function<void()> close;
-  /// Whether bytes have arrived that have not been read.
-  std::function<bool()> has_unread = [] { return false; };
-  /// When it was opened, or its last request or answer ended.
+  /// Whether the socket has received bytes that are not read yet.
+  std::function<bool()> has_unread_bytes = [] { return false; };
+  /// When it was opened, or when it last completed reading a request or writing a response.
   std::chrono::steady_clock::time_point last_activity_at = std::chrono::steady_clock::now();
-  /// Whether a complete request has come on it.
+  /// Whether the client has sent a complete request.
   bool has_sent_request = false;
-  /// Whether a request of it is being handled, or its answer written.
+  /// Whether a request is being handled or its response written.
   bool is_busy = false;
 };
 
-/// Oldest first.
+/// In the order in which they were accepted, oldest first.
 using Connections = std::list<std::shared_ptr<Connection>>;
 
-/// Whether bytes of the socket wait to be read.
+/// Whether the socket has received bytes that are not read yet.
 template <typename Socket>
-bool HasUnread(const Socket& socket) {
+bool HasUnreadBytes(const Socket& socket) {
   boost::system::error_code ignored;
   return socket.available(ignored) > 0;
 }
 
-/// Closes and removes one connection: the oldest that has sent no request, else the oldest. Passes over those
-/// that are busy, have unread bytes, or were active less than `min_idle` ago. False if no connection is left.
+/// Closes and removes one connection: the oldest that has sent no request, else the oldest. Skips those that
+/// are busy, have unread bytes, or were active less than `min_idle` ago. False if no connection qualifies.
 inline bool EvictIdleConnection(Connections& connections, std::chrono::milliseconds min_idle) {
   const auto now = std::chrono::steady_clock::now();
   for (const bool has_sent_request : {false, true}) {
-    const auto is_candidate = [&](const std::shared_ptr<Connection>& connection) {
+    const auto is_evictable = [&](const std::shared_ptr<Connection>& connection) {
       return connection->has_sent_request == has_sent_request && !connection->is_busy &&
-             !connection->has_unread() && now - connection->last_activity_at >= min_idle;
+             !connection->has_unread_bytes() && now - connection->last_activity_at >= min_idle;
     };
-    const auto found = std::find_if(connections.begin(), connections.end(), is_candidate);
+    const auto found = std::find_if(connections.begin(), connections.end(), is_evictable);
     if (found == connections.end()) continue;
     const auto connection = *found;
     connections.erase(found);
--- a/src/http_api/error.cpp
+++ b/src/http_api/error.cpp
@@ -30,7 +30,7 @@
       return "no answer within " + std::to_string(error.timeout.count()) + " ms";
     case CallErrorCode::kConnectionClosed:
       return "it closed the connection without an answer";
-    case CallErrorCode::kAnswerNotJson:
+    case CallErrorCode::kResponseNotJson:
       return "its answer is no JSON";
     case CallErrorCode::kCallFailed:
       return "the call could not be made";
--- a/src/http_api/message.cpp
+++ b/src/http_api/message.cpp
@@ -29,8 +29,8 @@
   const std::string& text = found->second;
   const char* end = text.data() + text.size();
   std::int64_t value = 0;
-  const auto [parsed_to, error] = std::from_chars(text.data(), end, value);
-  const bool is_number = error == std::errc() && parsed_to == end;
+  const auto [parsed_end, error] = std::from_chars(text.data(), end, value);
+  const bool is_number = error == std::errc() && parsed_end == end;
   return is_number && value >= 0 && value <= max_value ? value : default_value;
 }
 
--- a/src/http_api/message.h
+++ b/src/http_api/message.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The messages of the control APIs of a proxy, an agent and a watch cache: HTTP/1.1 (RFC 9112) with JSON
-// bodies (RFC 8259).
+// Requests and responses of the control APIs of the proxy, the agent and the watch cache: HTTP/1.1 (RFC 9112)
+// with JSON bodies (RFC 8259).
 #ifndef BADGERBRIDGE_HTTP_API_MESSAGE_H_
 #define BADGERBRIDGE_HTTP_API_MESSAGE_H_
 
@@ -18,48 +18,48 @@
 
 namespace badgerbridge::http_api {
 
-/// What a peer may do. Each role includes those before it.
+/// The permissions of a peer. Each role includes the permissions of those before it.
 enum class Role {
   kNone,      ///< nothing
   kReader,    ///< read the state
   kOperator,  ///< give orders
-  kAdmin,     ///< everything
+  kAdmin,     ///< all requests
 };
 
-/// The name of a role in files and messages.
+/// The role's name in configuration files and messages.
 std::string_view Name(Role role);
 
-/// The role of this name; nothing for "none" and for names of no role.
+/// The role with this name; std::nullopt for "none" and for unknown names.
 std::optional<Role> ParseRole(std::string_view name);
 
 /// The client of a connection.
 struct Peer {
   std::string name;         ///< "uid 1000", or "cn " and the common name of its certificate
-  Role role = Role::kNone;  ///< what it may do
+  Role role = Role::kNone;  ///< its permissions
 };
 
-/// A request, decoded.
+/// A decoded request.
 struct Request {
   std::string method;                        ///< RFC 9110, section 9
-  std::string path;                          ///< of the target, without its query
-  std::map<std::string, std::string> query;  ///< decoded; of a name given twice the last value
-  std::string body;                          ///< as it was sent
+  std::string path;                          ///< path of the target, without the query
+  std::map<std::string, std::string> query;  ///< decoded; the last value of a repeated name
+  std::string body;                          ///< as received, not parsed
 };
 
-/// An answer.
+/// A response.
 struct Response {
   unsigned status = 200;    ///< RFC 9110, section 15
   boost::json::value body;  ///< sent as JSON
 };
 
-/// An answer with the body {"error": text}.
+/// A response with the body {"error": text}.
 Response Error(unsigned status, std::string_view text);
 
-/// The request's body as a JSON object (RFC 8259), or what is wrong with it and where.
+/// Parses the request's body as a JSON object (RFC 8259).
 BodyResult<boost::json::object> ParseJsonObject(const Request& request);
 
-/// The query's value as a whole number from 0 to `max_value`; `default_value` if it is absent or not such a
-/// number.
+/// The query parameter `name` as an integer from 0 to `max_value`; `default_value` if it is absent or is not
+/// such an integer.
 std::int64_t QueryNumber(const Request& request, const std::string& name, std::int64_t default_value,
                          std::int64_t max_value);
 
--- a/src/http_api/serve_connection.h
+++ b/src/http_api/serve_connection.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The loop of one connection of a server, over a stream of either transport.
+// Reads, handles and answers the requests of one server connection, over a Unix socket or TLS stream.
 #ifndef BADGERBRIDGE_HTTP_API_SERVE_CONNECTION_H_
 #define BADGERBRIDGE_HTTP_API_SERVE_CONNECTION_H_
 
@@ -19,8 +19,8 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-/// Reads the next request into `parser`: waits for its first bytes for at most the idle time-out, and from
-/// then on for at most the request time-out.
+/// Reads the next request into `parser`: waits for its first bytes for at most the idle timeout, and then
+/// for the rest for at most the request timeout.
 template <typename Stream>
 asio::awaitable<beast::error_code> ReadRequest(Stream& stream, beast::flat_buffer& buffer,
                                                http::request_parser<http::string_body>& parser,
@@ -42,7 +42,7 @@
   co_return error;
 }
 
-/// The handler's answer to the message, or the one for a malformed target or an exception of the handler.
+/// The handler's response; status 400 for a malformed target, 500 if the handler throws.
 inline asio::awaitable<Response> HandleMessage(const http::request<http::string_body>& message,
                                                const Handler& handler, const Peer& peer) {
   std::optional<Request> request = ParseRequest(message);
@@ -50,13 +50,13 @@
   try {
     co_return co_await handler(std::move(*request), peer);
   } catch (const std::exception& failure) {
-    std::cerr << "a control request failed: " << failure.what() << '\n';
+    std::cerr << "control API request failed: " << failure.what() << "; answering with status 500" << '\n';
   }
   co_return Error(500, "it could not be carried out; the log says why");
 }
 
-/// Serves the requests of `peer` until the stream ends, fails, is idle for too long, or is closed from
-/// outside.
+/// Serves the requests of `peer` until the stream ends, fails, is idle for too long, or is closed by
+/// Connection::close.
 template <typename Stream>
 asio::awaitable<void> ServeConnection(Stream& stream, std::shared_ptr<Connection> connection,
                                       ServerLimits limits, Handler handler, Peer peer) {
--- a/src/http_api/server_messages.h
+++ b/src/http_api/server_messages.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A server's messages: from an HTTP/1.1 message (RFC 9112) to a Request, and from a Response to a message.
+// Parses the server's HTTP/1.1 requests (RFC 9112) and builds the responses.
 #ifndef BADGERBRIDGE_HTTP_API_SERVER_MESSAGES_H_
 #define BADGERBRIDGE_HTTP_API_SERVER_MESSAGES_H_
 
@@ -13,16 +13,16 @@
 
 namespace badgerbridge::http_api::detail {
 
-/// The request of a message; nothing if its target is not in origin form (RFC 9112, section 3.2.1).
+/// Decodes a request; std::nullopt if its target is not in origin form (RFC 9112, section 3.2.1).
 std::optional<Request> ParseRequest(
     const boost::beast::http::request<boost::beast::http::string_body>& message);
 
-/// The message of a response, with a JSON body that ends with a line feed.
+/// The HTTP response with a JSON body that ends with a line feed.
 boost::beast::http::response<boost::beast::http::string_body> MakeResponseMessage(const Response& response,
                                                                                   bool keep_alive);
 
-/// The answer to a request that could not be read; nothing if the connection has failed or has ended, so that
-/// no answer is due.
+/// The response to a request that could not be read; std::nullopt if the connection has failed or ended, so
+/// that no response can be sent.
 std::optional<Response> ResponseToReadError(const boost::beast::error_code& error,
                                             const ServerLimits& limits);
 
--- a/src/http_api/stream_call.h
+++ b/src/http_api/stream_call.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One request and its answer over a connected stream of either transport.
+// One request and its response over a connected Unix socket or TLS stream.
 #ifndef BADGERBRIDGE_HTTP_API_STREAM_CALL_H_
 #define BADGERBRIDGE_HTTP_API_STREAM_CALL_H_
 
@@ -13,11 +13,11 @@
 
 namespace badgerbridge::http_api::detail {
 
-/// The largest body of an answer, in bytes.
-constexpr std::size_t kMaxAnswerBytes = 16 << 20;
+/// The largest accepted body of a response, in bytes.
+constexpr std::size_t kMaxResponseBytes = 16 << 20;
 
-/// Sends the request over `stream`, whose time-out is set, and reads the answer. `error` is the outcome of
-/// connecting: if it is set, nothing is sent and it becomes the reply's error.
+/// Sends the request over `stream`, whose timeout the caller has set, and reads the response. `error` is the
+/// result of connecting: if it is set, nothing is sent and it becomes the reply's error.
 template <typename Stream>
 boost::asio::awaitable<Reply> CallOverStream(Stream& stream, boost::beast::error_code error,
                                              std::string method, std::string target, std::string body,
@@ -28,7 +28,7 @@
   if (!error) co_await http::async_write(stream, request, token);
   boost::beast::flat_buffer buffer;
   http::response_parser<http::string_body> parser;
-  parser.body_limit(kMaxAnswerBytes);
+  parser.body_limit(kMaxResponseBytes);
   if (!error) co_await http::async_read(stream, buffer, parser, token);
   if (error) co_return MakeFailedReply(error, timeout);
   co_return ParseReply(parser.get());
--- a/src/http_api/tls_context.h
+++ b/src/http_api/tls_context.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The TLS settings that control APIs and etcd's channels share.
+// The TLS context that control APIs and the etcd client share.
 #ifndef BADGERBRIDGE_HTTP_API_TLS_CONTEXT_H_
 #define BADGERBRIDGE_HTTP_API_TLS_CONTEXT_H_
 
@@ -18,8 +18,8 @@
   kServer,  ///< the side that accepts
 };
 
-/// A context for TLS 1.3 alone (RFC 8446) that requires the other side's certificate. Throws
-/// std::runtime_error that names the file that cannot be used.
+/// A context for TLS 1.3 only (RFC 8446) that requires and verifies the other side's certificate. Throws
+/// std::runtime_error, naming the file, if a file cannot be used.
 inline boost::asio::ssl::context MakeTlsContext(const TlsFiles& files, TlsSide side) {
   namespace ssl = boost::asio::ssl;
   ssl::context context(side == TlsSide::kServer ? ssl::context::tls_server : ssl::context::tls_client);
--- a/src/http_api/tls_server.cpp
+++ b/src/http_api/tls_server.cpp
@@ -23,7 +23,7 @@
 constexpr int kBacklog = 128;
 constexpr std::chrono::milliseconds kShutdownTimeout{250};
 
-// What every connection of a server needs.
+// Shared by all connections of a server.
 struct ServerContext {
   asio::ssl::context tls;
   std::map<std::string, Role> roles;  // by common name
@@ -31,7 +31,7 @@
   Handler handler;
 };
 
-// Of the peer's certificate (RFC 5280, section 4.1.2.6); empty if it has none.
+// The subject's common name in the peer's certificate (RFC 5280, section 4.1.2.6); empty if there is none.
 std::string CommonName(Stream& stream) {
   constexpr std::size_t kMaxNameBytes = 256;
   const std::unique_ptr<X509, decltype(&X509_free)> certificate(
@@ -49,12 +49,14 @@
   return {"cn " + name, role == roles.end() ? Role::kNone : role->second};
 }
 
-// One connection, from the handshake to the end of TLS.
+// Serves one connection, from the TLS handshake to the TLS shutdown.
 asio::awaitable<void> ServeClient(tcp::socket socket, std::shared_ptr<detail::Connection> connection,
                                   std::shared_ptr<ServerContext> context) {
   Stream stream(beast::tcp_stream(std::move(socket)), context->tls);
   connection->close = [&stream] { beast::get_lowest_layer(stream).close(); };
-  connection->has_unread = [&stream] { return detail::HasUnread(beast::get_lowest_layer(stream).socket()); };
+  connection->has_unread_bytes = [&stream] {
+    return detail::HasUnreadBytes(beast::get_lowest_layer(stream).socket());
+  };
   beast::error_code error;
   auto token = asio::redirect_error(asio::use_awaitable, error);
   beast::get_lowest_layer(stream).expires_after(context->limits.request_timeout);
@@ -62,7 +64,7 @@
   if (error) co_return;
   Peer peer = MakePeer(stream, context->roles);
   co_await detail::ServeConnection(stream, connection, context->limits, context->handler, std::move(peer));
-  // Not awaited for long: the peer may be gone.
+  // The wait is short because the peer may have gone without a close_notify.
   beast::get_lowest_layer(stream).expires_after(kShutdownTimeout);
   co_await stream.async_shutdown(token);
   connection->close = [] {};
--- a/src/http_api/unix_client.cpp
+++ b/src/http_api/unix_client.cpp
@@ -19,8 +19,9 @@
 constexpr std::size_t kMaxPathBytes = 107;  // sun_path, unix(7), less its terminator
 constexpr std::chrono::milliseconds kBacklogRetryDelay{10};
 
-// Connects the socket. Not by async_connect: EAGAIN here says that the server's backlog is full (unix(7)),
-// not that a connection is under way. It is retried until `deadline`.
+// Connects the socket, and retries until `deadline` while the server's backlog is full. It does not use
+// async_connect, which takes EAGAIN for a connection in progress; on a Unix socket it means a full backlog
+// (unix(7)).
 asio::awaitable<boost::beast::error_code> Connect(Local::socket& socket, const Local::endpoint& endpoint,
                                                   Clock::time_point deadline) {
   boost::beast::error_code error;
--- a/src/http_api/unix_server.cpp
+++ b/src/http_api/unix_server.cpp
@@ -19,10 +19,10 @@
 using ErrorCode = boost::system::error_code;
 
 constexpr int kBacklog = 64;
-constexpr mode_t kMaskOfOthers = 0177;  // leaves mode 0600
+constexpr mode_t kOwnerOnlyUmask = 0177;  // leaves mode 0600
 constexpr std::chrono::milliseconds kMaxMinIdle{20};
 
-// What every connection of a server needs.
+// Shared by all connections of a server.
 struct ServerContext {
   std::vector<uid_t> allowed_uids;
   ServerLimits limits;
@@ -33,15 +33,15 @@
   return std::runtime_error("cannot listen on " + path + ": " + reason);
 }
 
-// Whether a process answers on the socket at this path.
-bool IsAnswered(asio::io_context& io, const std::string& path) {
+// Whether a process accepts connections on the socket at this path.
+bool IsListening(asio::io_context& io, const std::string& path) {
   Local::socket socket(io);
   ErrorCode error;
   socket.connect(Local::endpoint(path), error);
   return !error;
 }
 
-// SO_PEERCRED, unix(7).
+// The peer's uid from SO_PEERCRED (unix(7)).
 std::optional<uid_t> PeerUid(Local::socket& socket) {
   ucred peer{};
   socklen_t size = sizeof peer;
@@ -54,33 +54,33 @@
          std::find(allowed_uids.begin(), allowed_uids.end(), uid) != allowed_uids.end();
 }
 
-// One connection, to its end.
+// Serves one connection until it ends, if the peer's uid is allowed.
 asio::awaitable<void> ServeClient(Local::socket socket, std::shared_ptr<detail::Connection> connection,
                                   std::shared_ptr<const ServerContext> context) {
   const std::optional<uid_t> uid = PeerUid(socket);
   if (!uid || !IsAllowed(*uid, context->allowed_uids)) co_return;
   boost::beast::basic_stream<Local> stream(std::move(socket));
   connection->close = [&stream] { stream.close(); };
-  connection->has_unread = [&stream] { return detail::HasUnread(stream.socket()); };
+  connection->has_unread_bytes = [&stream] { return detail::HasUnreadBytes(stream.socket()); };
   Peer peer{"uid " + std::to_string(*uid), Role::kAdmin};
   co_await detail::ServeConnection(stream, connection, context->limits, context->handler, std::move(peer));
   connection->close = [] {};
 }
 
-// Removes the socket of a server that no longer runs. Throws if anything else is at the path.
+// Removes the socket file that an ended server has left. Throws if the path holds anything else.
 void RemoveStaleSocket(asio::io_context& io, const std::string& path) {
   struct stat status {};
   if (lstat(path.c_str(), &status) != 0) return;
-  if (!S_ISSOCK(status.st_mode)) throw ListenError(path, "something that is no socket is there");
-  if (IsAnswered(io, path)) throw ListenError(path, "another process answers there");
+  if (!S_ISSOCK(status.st_mode)) throw ListenError(path, "the path exists and is not a socket");
+  if (IsListening(io, path)) throw ListenError(path, "another process is listening on it");
   unlink(path.c_str());
 }
 
 void Listen(Local::acceptor& socket, const std::string& path) {
   ErrorCode error;
   socket.open(Local(), error);
-  // Mode 0600 from the first moment on: bind creates the file with what the mask leaves.
-  const mode_t previous_mask = umask(kMaskOfOthers);
+  // The umask gives the file mode 0600 when bind() creates it; a later chmod() would leave a window.
+  const mode_t previous_mask = umask(kOwnerOnlyUmask);
   if (!error) socket.bind(Local::endpoint(path), error);
   umask(previous_mask);
   if (!error) socket.listen(kBacklog, error);
@@ -92,7 +92,7 @@
 struct UnixServer::State {
   std::shared_ptr<detail::Acceptor<Local>> acceptor;
   std::string path;
-  ino_t inode = 0;  // of the file that this server made there
+  ino_t inode = 0;  // of the socket file that this server created
 };
 
 UnixServer::UnixServer(asio::io_context& io, const std::string& path, std::vector<uid_t> allowed_uids,
@@ -117,7 +117,7 @@
   state_->acceptor->Close();
   struct stat status {};
   if (lstat(state_->path.c_str(), &status) != 0) return;
-  // Another server's file that has replaced this one's stays.
+  // Another server may have replaced the socket file; only this server's own is removed.
   if (status.st_ino == state_->inode) unlink(state_->path.c_str());
 }
 
--- a/src/http_api/version.h
+++ b/src/http_api/version.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the programs print for --version.
+// The output of the programs' --version option.
 #ifndef BADGERBRIDGE_HTTP_API_VERSION_H_
 #define BADGERBRIDGE_HTTP_API_VERSION_H_
 
@@ -10,8 +10,8 @@
 
 namespace badgerbridge::http_api {
 
-/// The program with its version, then a line with the optional features of this build (an empty name is
-/// skipped) and the version of Boost.
+/// A line with the program's name and version, then a line with the optional features of this build and the
+/// version of Boost. Empty feature names are skipped.
 std::string VersionText(std::string_view program, std::initializer_list<std::string_view> features);
 
 }  // namespace badgerbridge::http_api
--- a/src/net/boost_sources.cpp
+++ b/src/net/boost_sources.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Boost libraries used as headers have their definitions in one place.
+// The definitions of Boost libraries that are used with separate compilation.
 #include <boost/asio/impl/src.hpp>
 #include <boost/json/src.hpp>
 #include <boost/url/src.hpp>
--- a/src/net/handler_memory.h
+++ b/src/net/handler_memory.h
@@ -11,7 +11,7 @@
 
 namespace badgerbridge::net {
 
-/// Storage for one handler of up to kSize bytes, together with what Asio adds to it. Not thread-safe.
+/// Storage for one handler of up to kSize bytes, including Asio's overhead for it. Not thread-safe.
 class HandlerMemory {
  public:
   /// The size of the storage in bytes.
@@ -38,14 +38,14 @@
 };
 
 /// An allocator for boost::asio::bind_allocator that uses a HandlerMemory if it is available, and otherwise
-/// the heap. An operation that has the memory to itself can be started without std::bad_alloc.
+/// the heap. An operation that is the only user of the memory can be started without std::bad_alloc.
 template <typename T>
 class HandlerAllocator {
  public:
-  /// The type of the allocated objects, as the standard's allocator requirements name it.
+  /// The type of the allocated objects, as required of an allocator.
   using value_type = T;
 
-  /// Shares the ownership of `memory` with its copies; handlers hold one as long as their memory is in use.
+  /// Shares ownership of `memory` with its copies; a handler keeps a copy while its memory is in use.
   explicit HandlerAllocator(std::shared_ptr<HandlerMemory> memory) : memory_(std::move(memory)) {}
 
   /// Rebinds an allocator of another type to the same memory.
@@ -60,7 +60,7 @@
     return std::allocator<T>().allocate(count);
   }
 
-  /// Releases what allocate() returned for the same `count`.
+  /// Releases storage that allocate() returned for the same `count`.
   void deallocate(T* memory, std::size_t count) {
     if (!memory_->Deallocate(memory)) std::allocator<T>().deallocate(memory, count);
   }
--- a/src/net/one_shot_timer.h
+++ b/src/net/one_shot_timer.h
@@ -22,25 +22,26 @@
 /// Runs a handler once, at a point in time or after a delay, unless it is disarmed or re-armed before.
 ///
 /// boost::asio::steady_timer alone does not guarantee that: a wait that has expired puts its handler into the
-/// queue of the io_context, and neither cancel() nor expires_at() removes it from there. In a process that
-/// was descheduled the expiry and other events become ready in the same turn of the loop; the other events'
-/// handlers then run first, and the queued handler would act on a state that they have changed. Here each
+/// queue of the io_context, and neither cancel() nor expires_at() removes it from there. After the
+/// process was descheduled, the expiry and other events can become ready in the same iteration of the loop;
+/// the other events' handlers then run first, and the queued handler would act on a state that they have
+/// changed. Here each
 /// arming has a generation number, and a handler of an earlier generation does nothing.
 ///
-/// If there is no memory for a wait, it is started again from the event loop until it succeeds, so that
-/// arming does not fail with a handler whose copying does not throw. Arming with a handler that cannot be
+/// If there is no memory for a wait, it is retried from the event loop until it succeeds, so that arming with
+/// a handler whose copying does not throw cannot fail. Arming with a handler that cannot be
 /// copied may throw std::bad_alloc; the timer is not armed then.
 ///
 /// Not thread-safe. It may be destroyed while armed, also from its own handler; the handler is not called
 /// then.
 class OneShotTimer {
  public:
-  /// The clock of the points in time.
+  /// The clock of ArmAt().
   using Clock = std::chrono::steady_clock;
 
-  /// A timer that is not armed. `io` runs its handlers and must outlive it.
+  /// Creates an unarmed timer. `io` runs its handlers and must outlive it.
   explicit OneShotTimer(boost::asio::io_context& io) : io_(io), timer_(io) {}
-  /// Disarms it.
+  /// Disarms the timer.
   ~OneShotTimer() { Disarm(); }
   OneShotTimer(const OneShotTimer&) = delete;
   OneShotTimer& operator=(const OneShotTimer&) = delete;
@@ -60,8 +61,7 @@
     Arm(std::move(handler));
   }
 
-  /// Keeps the handler from being called, also if it is queued already. No effect on a timer that is not
-  /// armed.
+  /// Prevents the handler from being called, even if it is queued already. No effect on an unarmed timer.
   void Disarm() {
     if (!armed()) return;
     ++state_->generation;
@@ -74,11 +74,11 @@
 
  private:
   struct State {
-    bool IsArmedWith(std::uint64_t of_generation) const { return armed && generation == of_generation; }
+    bool IsArmedWith(std::uint64_t wait_generation) const { return armed && generation == wait_generation; }
 
     std::uint64_t generation = 0;
     bool armed = false;
-    HandlerMemory retry_memory;  // for the handler that starts a failed wait again
+    HandlerMemory retry_memory;  // for the handler that retries a failed wait
   };
 
   template <typename Handler>
@@ -112,7 +112,7 @@
     }
   }
 
-  boost::asio::io_context& io_;  // posting by a timer's own executor takes memory from the heap
+  boost::asio::io_context& io_;  // posting through the timer's own executor would allocate on the heap
   boost::asio::steady_timer timer_;
   std::shared_ptr<State> state_ = std::make_shared<State>();  // outlives the timer while a handler is queued
 };
--- a/src/net/socket_state.cpp
+++ b/src/net/socket_state.cpp
@@ -37,7 +37,7 @@
   const ssize_t peeked = ::recv(Descriptor(socket), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (peeked == 0) return true;
   if (peeked < 0) return errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR;
-  // Unread data precedes the end of the stream, if it has ended.
+  // recv() returns unread data before the end of the stream, so poll() tells whether the stream has ended.
   pollfd state{Descriptor(socket), POLLRDHUP, 0};
   return ::poll(&state, 1, 0) > 0 && (state.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
@@ -58,7 +58,7 @@
 }
 
 bool StopNewHandshakes(tcp::acceptor& acceptor) {
-  // A socket filter's packet begins with the TCP header (RFC 9293, section 3.1).
+  // The filter of a TCP socket sees a packet from its TCP header on (RFC 9293, section 3.1).
   constexpr std::uint32_t kFlagsOffset = 13;
   constexpr std::uint32_t kSynFlag = 0x02;
   constexpr std::uint32_t kPassPacket = 0xffffffff;
--- a/src/operator_config/duration.cpp
+++ b/src/operator_config/duration.cpp
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::int64_t kMaxMilliseconds = std::int64_t{1} << 40;
+constexpr std::int64_t kMaxDurationMs = std::int64_t{1} << 40;
 
 struct Unit {
   std::string_view name;
@@ -28,18 +28,18 @@
   const std::string_view name(count_end, static_cast<std::size_t>(text_end - count_end));
   for (const Unit& unit : kUnits) {
     if (name != unit.name) continue;
-    if (count > kMaxMilliseconds / unit.milliseconds) return std::nullopt;
+    if (count > kMaxDurationMs / unit.milliseconds) return std::nullopt;
     return milliseconds(count * unit.milliseconds);
   }
   return std::nullopt;
 }
 
 std::string FormatDuration(milliseconds duration) {
-  const Unit* largest = kUnits.data();
+  const Unit* largest_unit = kUnits.data();
   for (const Unit& unit : kUnits) {
-    if (duration.count() != 0 && duration.count() % unit.milliseconds == 0) largest = &unit;
+    if (duration.count() != 0 && duration.count() % unit.milliseconds == 0) largest_unit = &unit;
   }
-  return std::to_string(duration.count() / largest->milliseconds) + std::string(largest->name);
+  return std::to_string(duration.count() / largest_unit->milliseconds) + std::string(largest_unit->name);
 }
 
 }  // namespace badgerbridge::operator_config
--- a/src/operator_config/duration.h
+++ b/src/operator_config/duration.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Durations as configuration files and command lines have them.
+// Durations as text in configuration files and command lines.
 #ifndef BADGERBRIDGE_OPERATOR_CONFIG_DURATION_H_
 #define BADGERBRIDGE_OPERATOR_CONFIG_DURATION_H_
 
@@ -11,11 +11,11 @@
 
 namespace badgerbridge::operator_config {
 
-/// "250ms", "10s", "2m", "1h": a whole number and its unit. Nothing for any other text, and for more than
+/// "250ms", "10s", "2m", "1h": an integer with its unit. std::nullopt for any other text, and for more than
 /// 2^40 milliseconds.
 std::optional<std::chrono::milliseconds> ParseDuration(std::string_view text);
 
-/// The text from which ParseDuration gives this duration, in the largest unit that needs no fraction.
+/// Formats a duration so that ParseDuration() reads it back, in the largest unit that needs no fraction.
 std::string FormatDuration(std::chrono::milliseconds duration);
 
 }  // namespace badgerbridge::operator_config
--- a/src/operator_config/operator_file.cpp
+++ b/src/operator_config/operator_file.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The only place where the file's keys meet the names of the settings.
+// The only file that maps the keys of the operator's file to the names in the code.
 #include "operator_config/operator_file.h"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-// Bounds of what the file may set.
+// Limits of the values in the file.
 constexpr std::size_t kMaxSocketPathBytes = 107;  // sun_path, unix(7), less its terminator
 constexpr std::int64_t kMaxAdminApiConnections = 64;
 constexpr milliseconds kMinTimeout{100};
@@ -26,11 +26,11 @@
 constexpr milliseconds kMaxIdleTimeout = hours(1);
 constexpr std::int64_t kMaxUid = 4294967294;
 constexpr std::size_t kMaxEtcdMembers = 16;
-constexpr milliseconds kMinPing{20};
-constexpr milliseconds kMaxPing = minutes(1);
+constexpr milliseconds kMinPingTime{20};
+constexpr milliseconds kMaxPingTime = minutes(1);
 constexpr std::size_t kMaxPrefixBytes = 512;
 constexpr std::size_t kMaxServices = 256;
-constexpr std::size_t kMaxServiceName = 128;
+constexpr std::size_t kMaxServiceNameBytes = 128;
 constexpr std::size_t kMaxZones = 64;
 constexpr milliseconds kMinLease = seconds(1);
 constexpr milliseconds kMaxLease = minutes(1);
@@ -84,7 +84,7 @@
   return prefix;
 }
 
-// Reports a table of a subsystem that needs etcd, in a build without it.
+// Reports the table of a subsystem that needs etcd if this build has no etcd client.
 void RequireEtcdInBuild([[maybe_unused]] TableReader& table) {
 #ifndef BADGERBRIDGE_HAS_ETCD
   table.Report("", "names a subsystem that this build is without; build with -DBADGERBRIDGE_ETCD=ON");
@@ -99,9 +99,10 @@
                                  std::to_string(kMaxServices) + " would be right");
   std::set<std::string> seen;
   for (const std::string& service : settings->services) {
-    if (service.empty() || service.size() > kMaxServiceName || service.find('/') != std::string::npos)
-      table.Report("services", "names \"" + service.substr(0, kMaxServiceName) + "\"; a name of 1 to " +
-                                   std::to_string(kMaxServiceName) + " characters without / would be right");
+    if (service.empty() || service.size() > kMaxServiceNameBytes || service.find('/') != std::string::npos)
+      table.Report("services", "names \"" + service.substr(0, kMaxServiceNameBytes) + "\"; a name of 1 to " +
+                                   std::to_string(kMaxServiceNameBytes) +
+                                   " characters without / would be right");
     if (!seen.insert(service).second) table.Report("services", "names " + service + " twice");
   }
 }
@@ -130,7 +131,7 @@
   return decide != "alone";
 }
 
-EtcdConnectionSettings ReadOwnEtcdConnection(TableReader& table) {
+EtcdConnectionSettings ReadRegionsEtcdConnection(TableReader& table) {
   EtcdConnectionSettings settings = ReadEtcdConnection(table);
   if (table.Has("endpoints")) return settings;
   for (const char* key : {"user", "password_file", "certificate", "key", "authority_certificate",
@@ -154,8 +155,8 @@
   return zones;
 }
 
-// The lease and the heartbeat that must keep it alive. Returns the warning for a former name, if there is
-// one.
+// Reads the lease and the interval of the heartbeats that keep it alive. Returns the warning if a former key
+// name is used.
 std::optional<Problem> ReadLeaseAndHeartbeat(TableReader& table, ZoneFailoverSettings* settings) {
   settings->lease = table.Duration("lease", settings->lease, kMinLease, kMaxLease);
   if (settings->lease % seconds(1) != milliseconds(0))
@@ -169,9 +170,9 @@
   return std::move(heartbeat.warning);
 }
 
-// Reports the zone at one end of a link if it is none of `zones`.
-void CheckLinkEnd(TableReader& table, const char* key, const std::string& zone,
-                  const std::vector<std::string>& zones) {
+// Reports the zone at one end of a link if it is not in `zones`.
+void CheckLinkZone(TableReader& table, const char* key, const std::string& zone,
+                   const std::vector<std::string>& zones) {
   const bool is_known = std::find(zones.begin(), zones.end(), zone) != zones.end();
   if (table.Has(key) && !is_known) table.Report(key, "is \"" + zone + "\", which zones does not name");
 }
@@ -182,8 +183,8 @@
   table.Require("to", "another zone");
   link.from = table.Text("from");
   link.to = table.Text("to");
-  CheckLinkEnd(table, "from", link.from, settings.zones);
-  CheckLinkEnd(table, "to", link.to, settings.zones);
+  CheckLinkZone(table, "from", link.from, settings.zones);
+  CheckLinkZone(table, "to", link.to, settings.zones);
   if (table.Has("to") && link.from == link.to) table.Report("to", "is the zone itself");
   link.round_trip = table.Duration("round_trip", settings.round_trip, milliseconds(0), kMaxRoundTrip);
   link.transfer_price_percent = static_cast<int>(
@@ -196,7 +197,7 @@
   ZoneFailoverSettings settings;
   RequireEtcdInBuild(table);
   settings.coordinated = ReadCoordinated(table);
-  static_cast<EtcdConnectionSettings&>(settings) = ReadOwnEtcdConnection(table);
+  static_cast<EtcdConnectionSettings&>(settings) = ReadRegionsEtcdConnection(table);
   settings.prefix = ReadPrefix(table, "prefix", settings.prefix);
   settings.zones = ReadZones(table);
   if (auto warning = ReadLeaseAndHeartbeat(table, &settings)) warnings->push_back(std::move(*warning));
@@ -210,8 +211,8 @@
   return settings;
 }
 
-// Gives [regions] the connection of [etcd], unless it has its own or needs none.
-void ShareEtcdConnection(TableReader& root, OperatorFile* file) {
+// Copies the connection settings of [etcd] to [regions], unless it has its own or needs none.
+void CopyEtcdConnection(TableReader& root, OperatorFile* file) {
   ZoneFailoverSettings& zone_failover = *file->zone_failover;
   if (!zone_failover.coordinated || !zone_failover.endpoints.empty()) return;
   if (!file->etcd) {
@@ -247,8 +248,8 @@
   if (settings.certificate.empty() != settings.key.empty() ||
       settings.certificate.empty() != settings.ca_certificate.empty())
     table.Report("certificate", "key and authority_certificate belong together: all three for TLS, or none");
-  settings.ping_interval = table.Duration("ping_every", settings.ping_interval, kMinPing, kMaxPing);
-  settings.ping_timeout = table.Duration("ping_timeout", settings.ping_timeout, kMinPing, kMaxPing);
+  settings.ping_interval = table.Duration("ping_every", settings.ping_interval, kMinPingTime, kMaxPingTime);
+  settings.ping_timeout = table.Duration("ping_timeout", settings.ping_timeout, kMinPingTime, kMaxPingTime);
   return settings;
 }
 
@@ -264,7 +265,7 @@
   if (const auto table = reader.Table("etcd")) parsed.etcd = ReadEtcd(*table);
   if (const auto table = reader.Table("regions"))
     parsed.zone_failover = ReadZoneFailover(*table, &parsed.warnings);
-  if (parsed.zone_failover) ShareEtcdConnection(reader, &parsed);
+  if (parsed.zone_failover) CopyEtcdConnection(reader, &parsed);
   reader.Finish();
   return parsed;
 }
--- a/src/operator_config/problem.h
+++ b/src/operator_config/problem.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The faults of a configuration file, with the place of each.
+// Errors in a configuration file, with their positions.
 #ifndef BADGERBRIDGE_OPERATOR_CONFIG_PROBLEM_H_
 #define BADGERBRIDGE_OPERATOR_CONFIG_PROBLEM_H_
 
@@ -11,18 +11,18 @@
 
 namespace badgerbridge::operator_config {
 
-/// One fault of a file.
+/// One error in a file.
 struct Problem {
   std::string file;     ///< the file's name
   unsigned line = 0;    ///< from 1; 0: the file as a whole
   unsigned column = 0;  ///< from 1; 0: the file as a whole
-  std::string text;     ///< what is wrong, and what would be right
+  std::string text;     ///< what is wrong and which value is expected
 };
 
-/// All faults of a file, in the order in which they were found.
+/// All errors in a file, in the order in which they were found.
 using Problems = std::vector<Problem>;
 
-/// A value, or the one problem that prevented it.
+/// A value, or the problem that prevented it.
 template <typename T>
 using Result = boost::system::result<T, Problem>;
 
@@ -32,7 +32,7 @@
 /// "file:line:column: text", without a line end.
 std::string FormatProblem(const Problem& problem);
 
-/// One line for each problem, each with its line end, in the order of the file.
+/// One line for each problem, with its line end, sorted by position in the file.
 std::string FormatProblems(Problems problems);
 
 }  // namespace badgerbridge::operator_config
--- a/src/operator_config/table_reader.cpp
+++ b/src/operator_config/table_reader.cpp
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-// Levenshtein's distance, by one row of its matrix.
+// The Levenshtein distance, computed with one row of the matrix.
 std::size_t EditDistance(std::string_view left, std::string_view right) {
   std::vector<std::size_t> row(right.size() + 1);
   std::iota(row.begin(), row.end(), std::size_t{0});
@@ -247,16 +247,17 @@
   }
 }
 
-// The known key that a misspelt one is nearest to; null if none is near.
+// The known key with the smallest edit distance to `key`; nullptr if none is within the tolerance, which is a
+// third of the key's length, at least 2.
 const std::string* TableReader::NearestKnownKey(std::string_view key) const {
-  constexpr std::size_t kMinTolerance = 2;
+  constexpr std::size_t kMinEditTolerance = 2;
   const std::string* nearest = nullptr;
-  std::size_t least_distance = std::max(kMinTolerance, key.size() / 3) + 1;
+  std::size_t min_distance = std::max(kMinEditTolerance, key.size() / 3) + 1;
   for (const std::string& known_key : known_keys_) {
     const std::size_t distance = EditDistance(key, known_key);
-    if (distance >= least_distance) continue;
+    if (distance >= min_distance) continue;
     nearest = &known_key;
-    least_distance = distance;
+    min_distance = distance;
   }
   return nearest;
 }
--- a/src/operator_config/toml_file.cpp
+++ b/src/operator_config/toml_file.cpp
@@ -16,12 +16,12 @@
   unsigned column = 1;
 };
 
-// Finds the first character beyond ASCII outside of strings and comments, which TOML has no use for.
-// Version 3.3 of toml++ takes such a character through code that its authors hold to be unreachable; it must
-// never see one.
-class StrayCharacterScanner {
+// Finds the first non-ASCII character outside of strings and comments, where TOML does not allow it. Version
+// 3.3 of toml++ handles such a character in code that is marked unreachable, so that it must be rejected
+// before parsing.
+class NonAsciiScanner {
  public:
-  explicit StrayCharacterScanner(std::string_view text)
+  explicit NonAsciiScanner(std::string_view text)
       : text_(text), offset_(text.starts_with(kByteOrderMark) ? kByteOrderMark.size() : 0) {}
 
   std::optional<Position> Find() {
@@ -41,7 +41,7 @@
  private:
   enum class State { kPlain, kComment, kString };
 
-  // Follows the state over what begins with `character`; the number of bytes to go on by.
+  // Updates the state for the token that begins with `character`, and returns the token's length in bytes.
   std::size_t ReadToken(char character) {
     switch (state_) {
       case State::kPlain:
@@ -60,19 +60,19 @@
     if (character != '"' && character != '\'') return 1;
     state_ = State::kString;
     const bool is_multi_line = text_.substr(offset_, 3) == std::string(3, character);
-    quotes_ = text_.substr(offset_, is_multi_line ? 3 : 1);
-    return quotes_.size();
+    closing_quotes_ = text_.substr(offset_, is_multi_line ? 3 : 1);
+    return closing_quotes_.size();
   }
 
   std::size_t ReadString(char character) {
-    const bool is_escape = character == '\\' && quotes_.front() == '"' && offset_ + 1 < text_.size() &&
-                           text_[offset_ + 1] != '\n';
+    const bool is_escape = character == '\\' && closing_quotes_.front() == '"' &&
+                           offset_ + 1 < text_.size() && text_[offset_ + 1] != '\n';
     if (is_escape) return 2;
-    if (text_.substr(offset_, quotes_.size()) == quotes_) {
+    if (text_.substr(offset_, closing_quotes_.size()) == closing_quotes_) {
       state_ = State::kPlain;
-      return quotes_.size();
+      return closing_quotes_.size();
     }
-    if (character == '\n' && quotes_.size() == 1) state_ = State::kPlain;
+    if (character == '\n' && closing_quotes_.size() == 1) state_ = State::kPlain;
     return 1;
   }
 
@@ -80,7 +80,7 @@
   std::size_t offset_ = 0;
   Position position_;
   State state_ = State::kPlain;
-  std::string_view quotes_;  // that end the string
+  std::string_view closing_quotes_;
 };
 
 std::string WithoutControlCharacters(std::string text) {
@@ -93,8 +93,8 @@
 }  // namespace
 
 Result<toml::table> ParseToml(std::string_view text, const std::string& file) {
-  if (const auto stray = StrayCharacterScanner(text).Find()) {
-    return Problem{file, stray->line, stray->column,
+  if (const auto non_ascii = NonAsciiScanner(text).Find()) {
+    return Problem{file, non_ascii->line, non_ascii->column,
                    "not TOML: a character beyond ASCII outside of quotes and comments"};
   }
   try {
@@ -112,14 +112,14 @@
   std::ifstream file(path, std::ios::binary);
   std::string text(max_bytes + 1, '\0');
   if (file) file.read(text.data(), static_cast<std::streamsize>(text.size()));
-  // A directory opens, and fails only at the read.
+  // Opening a directory succeeds; only reading from it fails.
   if (!file.is_open() || file.bad() || (file.fail() && !file.eof()))
     return Problem{path, 0, 0, "cannot be read; give a file that this user may read"};
   text.resize(static_cast<std::size_t>(file.gcount()));
   if (text.size() > max_bytes)
     return Problem{path, 0, 0,
                    "is too large; at most " + std::to_string(max_bytes) + " bytes would be right"};
-  // Not by conversion: a Problem could be made of a string, too.
+  // In place, because a std::string could also initialize a Problem.
   return {boost::system::in_place_value, std::move(text)};
 }
 
--- a/src/settings/error.cpp
+++ b/src/settings/error.cpp
@@ -15,7 +15,7 @@
       return "setting not a whole number: " + error.key;
     case SettingsErrorCode::kOutOfRange:
       return "setting out of range: " + error.key;
-    case SettingsErrorCode::kUnknownWord:
+    case SettingsErrorCode::kUnknownValue:
       break;
   }
   return "setting of unknown meaning: " + error.key;
--- a/src/settings/error.h
+++ b/src/settings/error.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The errors of the settings' text: what went wrong, at which key, and the value that was wrong.
+// Errors of the settings text, with the key and the invalid value.
 #ifndef BADGERBRIDGE_SETTINGS_ERROR_H_
 #define BADGERBRIDGE_SETTINGS_ERROR_H_
 
@@ -10,23 +10,23 @@
 
 namespace badgerbridge::settings {
 
-/// What is wrong with a setting.
+/// Why a setting is invalid.
 enum class SettingsErrorCode {
   kAbsent,        ///< a required key is absent
   kNotANumber,    ///< the value is not a finite number
   kNotAnInteger,  ///< the value is a number with a fraction
   kOutOfRange,    ///< the value is outside the bounds of the key
-  kUnknownWord,   ///< the value is none of the words that the key takes
+  kUnknownValue,  ///< the value is not one of those that the key accepts
 };
 
 /// The first error of the settings.
 struct SettingsError {
   SettingsErrorCode code = SettingsErrorCode::kAbsent;  ///< what went wrong
   std::string key;                                      ///< the path of the setting
-  std::string value;                                    ///< the value that was wrong; empty for kAbsent
+  std::string value;                                    ///< the invalid value; empty for kAbsent
 };
 
-/// One line for people, without a line end. It names the key and not the value.
+/// A one-line message, without a line end. It contains the key but not the value.
 std::string Message(const SettingsError& error);
 
 /// A value, or the error that prevented it.
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -15,26 +15,26 @@
 using balancer::Settings;
 using balancer::TenantSettings;
 
-constexpr double kMaxListItems = 65536;  // indices of classes and tenants have 16 bits on the wire
+constexpr double kMaxListItems = 65536;  // the wire protocol has 16 bits for indices of classes and tenants
 constexpr double kMaxAttempts = 255;
 
 Idempotency ReadIdempotency(SettingsReader& reader, const std::string& key) {
-  const std::string_view word = reader.Word(key);
-  if (word == "read_like") return Idempotency::kIdempotent;
-  if (word == "idempotency_key") return Idempotency::kIdempotencyKey;
-  if (word != "non_idempotent") reader.Fail(SettingsErrorCode::kUnknownWord, key);
+  const std::string_view text = reader.Text(key);
+  if (text == "read_like") return Idempotency::kIdempotent;
+  if (text == "idempotency_key") return Idempotency::kIdempotencyKey;
+  if (text != "non_idempotent") reader.RecordError(SettingsErrorCode::kUnknownValue, key);
   return Idempotency::kNotIdempotent;
 }
 
 DeduplicationScope ReadDeduplicationScope(SettingsReader& reader, const std::string& key) {
-  const std::string_view word = reader.Word(key);
-  if (word == "all") return DeduplicationScope::kAll;
-  if (word == "zone") return DeduplicationScope::kZone;
-  if (word != "cell") reader.Fail(SettingsErrorCode::kUnknownWord, key);
+  const std::string_view text = reader.Text(key);
+  if (text == "all") return DeduplicationScope::kAll;
+  if (text == "zone") return DeduplicationScope::kZone;
+  if (text != "cell") reader.RecordError(SettingsErrorCode::kUnknownValue, key);
   return DeduplicationScope::kCell;
 }
 
-// `prefix` is the path of the class, with its last dot.
+// `prefix` is the key prefix of the class, with the trailing dot.
 ClassSettings ReadClass(SettingsReader& reader, const std::string& prefix) {
   ClassSettings settings;
   settings.effect = ReadIdempotency(reader, prefix + "effect");
@@ -64,17 +64,17 @@
   }
 }
 
-// The endpoint list is pushed by watch events, or polled.
+// Reads whether watch events push the endpoint list, or the balancer polls it.
 void ReadEndpointListMode(SettingsReader& reader, Settings* settings) {
-  const std::string_view mode = reader.WordOr("registryMode", "push");
-  if (mode != "push" && mode != "ask") reader.Fail(SettingsErrorCode::kUnknownWord, "registryMode");
+  const std::string_view mode = reader.TextOr("registryMode", "push");
+  if (mode != "push" && mode != "ask") reader.RecordError(SettingsErrorCode::kUnknownValue, "registryMode");
   settings->polls_endpoint_list = mode == "ask";
   if (settings->polls_endpoint_list) settings->max_poll_interval = reader.Time("rules.mustAskInMs");
 }
 
 void ReadAttempts(SettingsReader& reader, Settings* settings) {
   settings->max_attempts = reader.Integer("permissions.maxAttempts", 1, kMaxAttempts);
-  if (reader.WordOr("permissions.retryAfter", "false") == "true")
+  if (reader.TextOr("permissions.retryAfter", "false") == "true")
     settings->max_retry_after = Duration(reader.NumberOr("permissions.maxRetryAfterMs", 0));
 }
 
@@ -97,7 +97,7 @@
   ReadTenants(reader, &settings);
   settings.over_quota_weight = reader.NumberOr("overShareWorth", 1, 0, 1);
   settings.cross_zone_cost = reader.NumberOr("deductions.crossZone", 0);
-  settings.key_affinity = reader.WordOr("specifics.warmKeys", "false") == "true";
+  settings.key_affinity = reader.TextOr("specifics.warmKeys", "false") == "true";
   ReadEndpointListMode(reader, &settings);
   ReadAttempts(reader, &settings);
   settings.tick = Duration(reader.NumberOr("periodMs", 1));
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Reads the platform's settings, as lines "path=value", into the balancer's. settings.cpp is the only file
-// that holds both the platform's words and the code's terms.
+// Parses the platform's settings, lines of "path=value", into balancer::Settings. settings.cpp is the only
+// file that maps the platform's key names to the names in the code.
 #ifndef BADGERBRIDGE_SETTINGS_SETTINGS_H_
 #define BADGERBRIDGE_SETTINGS_SETTINGS_H_
 
@@ -12,7 +12,7 @@
 
 namespace badgerbridge::settings {
 
-/// The settings that `text` holds, or the first error in it. Unknown keys and lines without "=" are ignored,
+/// The settings in `text`, or the first error. Unknown keys and lines without "=" are ignored,
 /// the last value of a repeated key is used, and an absent optional key has its documented default.
 Result<balancer::Settings> ParseSettings(std::string_view text);
 
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -20,7 +20,7 @@
 double SettingsReader::Number(const std::string& key, double min, double max) {
   const auto found = values_.find(key);
   if (found == values_.end()) {
-    Fail(SettingsErrorCode::kAbsent, key);
+    RecordError(SettingsErrorCode::kAbsent, key);
     return 0;
   }
   const std::string_view text = found->second;
@@ -28,11 +28,11 @@
   double value = 0;
   const auto [number_end, error] = std::from_chars(text.data(), text_end, value);
   if (error != std::errc() || number_end != text_end || !std::isfinite(value)) {
-    Fail(SettingsErrorCode::kNotANumber, key);
+    RecordError(SettingsErrorCode::kNotANumber, key);
     return 0;
   }
   if (value < min || value > max) {
-    Fail(SettingsErrorCode::kOutOfRange, key);
+    RecordError(SettingsErrorCode::kOutOfRange, key);
     return 0;
   }
   return value;
@@ -44,25 +44,25 @@
 
 int SettingsReader::Integer(const std::string& key, double min, double max) {
   const double value = Number(key, min, max);
-  if (value != std::floor(value)) Fail(SettingsErrorCode::kNotAnInteger, key);
+  if (value != std::floor(value)) RecordError(SettingsErrorCode::kNotAnInteger, key);
   return static_cast<int>(value);
 }
 
 balancer::Duration SettingsReader::Time(const std::string& key) { return balancer::Duration(Number(key)); }
 
-std::string_view SettingsReader::Word(const std::string& key) {
+std::string_view SettingsReader::Text(const std::string& key) {
   const auto found = values_.find(key);
   if (found != values_.end()) return found->second;
-  Fail(SettingsErrorCode::kAbsent, key);
+  RecordError(SettingsErrorCode::kAbsent, key);
   return {};
 }
 
-std::string_view SettingsReader::WordOr(const std::string& key, std::string_view default_value) const {
+std::string_view SettingsReader::TextOr(const std::string& key, std::string_view default_value) const {
   const auto found = values_.find(key);
   return found == values_.end() ? default_value : found->second;
 }
 
-void SettingsReader::Fail(SettingsErrorCode code, const std::string& key) {
+void SettingsReader::RecordError(SettingsErrorCode code, const std::string& key) {
   if (error_) return;
   const auto found = values_.find(key);
   error_ = SettingsError{code, key, found == values_.end() ? std::string() : std::string(found->second)};
--- a/src/settings/settings_reader.h
+++ b/src/settings/settings_reader.h
@@ -15,11 +15,11 @@
 
 namespace badgerbridge::settings {
 
-/// The largest value of a setting: no count, time or rate of a deployment is larger.
+/// The default upper bound of a setting, above every count, time (in ms) and rate of a deployment.
 constexpr double kMaxValue = 1e12;
 
-/// The values of a text by their keys. A function that finds a wrong value, or no value of a required key,
-/// returns 0 or an empty text and sets the error, unless an earlier one is set. Not thread-safe.
+/// Reads typed values from settings text. If a value is invalid or a required key is absent, a function
+/// returns 0 or empty text and records the error, unless an earlier one is recorded. Not thread-safe.
 class SettingsReader {
  public:
   /// `text` must outlive the reader.
@@ -29,18 +29,18 @@
   double Number(const std::string& key, double min = 0, double max = kMaxValue);
   /// The number at an optional key, from `min` to `max`.
   double NumberOr(const std::string& key, double default_value, double min = 0, double max = kMaxValue);
-  /// The whole number at a required key, from `min` to `max`.
+  /// The integer at a required key, from `min` to `max`.
   int Integer(const std::string& key, double min, double max);
   /// The time in milliseconds at a required key.
   balancer::Duration Time(const std::string& key);
   /// The text at a required key.
-  std::string_view Word(const std::string& key);
+  std::string_view Text(const std::string& key);
   /// The text at an optional key.
-  std::string_view WordOr(const std::string& key, std::string_view default_value) const;
+  std::string_view TextOr(const std::string& key, std::string_view default_value) const;
 
-  /// Sets the error of `key` and its value, unless an error is set.
-  void Fail(SettingsErrorCode code, const std::string& key);
-  /// The first error; std::nullopt if all that was read is valid.
+  /// Records an error for `key` and its value, unless an error is recorded already.
+  void RecordError(SettingsErrorCode code, const std::string& key);
+  /// The first error; std::nullopt if every value read so far is valid.
   const std::optional<SettingsError>& error() const { return error_; }
 
  private:
--- a/tests/net/handler_memory_test.cpp
+++ b/tests/net/handler_memory_test.cpp
@@ -17,7 +17,7 @@
   EXPECT_EQ(memory.Allocate(1), storage);
 }
 
-TEST(HandlerMemoryTest, ASizeBeyondTheStorageIsNotAllocated) {
+TEST(HandlerMemoryTest, ASizeAboveTheStorageIsNotAllocated) {
   HandlerMemory memory;
   EXPECT_EQ(memory.Allocate(HandlerMemory::kSize + 1), nullptr);
   EXPECT_NE(memory.Allocate(HandlerMemory::kSize), nullptr);
--- a/tests/net/one_shot_timer_test.cpp
+++ b/tests/net/one_shot_timer_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// OneShotTimer with a virtual clock, so that expiries and other handlers are forced into one turn of the
-// event loop.
+// Tests OneShotTimer with a virtual clock, which makes expiries and other handlers ready in the same
+// iteration of the event loop.
 #include "net/one_shot_timer.h"
 
 #include <gtest/gtest.h>
@@ -33,8 +33,8 @@
     clock_.Advance(by);
     RunReady();
   }
-  // Runs `step` in the turn of the loop in which timers of kWait expire, while their handlers are queued: the
-  // step's own timer expires first, and handlers are queued in the order of the expiries.
+  // Runs `step` in the loop iteration in which timers of kWait expire, while their handlers are queued: the
+  // timer that runs `step` expires first, and handlers are queued in the order of expiry.
   template <typename Step>
   void BeforeQueuedHandlers(Step step) {
     earlier_timer_.expires_after(kWait - milliseconds(1));
@@ -72,20 +72,20 @@
   EXPECT_EQ(calls_, 1);
 }
 
-TEST_F(OneShotTimerTest, APointInTimeThatHasPassedIsDueAtOnceButNotWithinTheCall) {
+TEST_F(OneShotTimerTest, APastPointInTimeIsDueAtOnceButNotWithinTheCall) {
   timer_.ArmAt(OneShotTimer::Clock::now() - kWait, CountCall());
   EXPECT_EQ(calls_, 0);
   RunReady();
   EXPECT_EQ(calls_, 1);
 }
 
-// The reason for OneShotTimer: with a steady_timer the same order of events calls the handler of a cancelled
-// wait.
+// Shows the fault that OneShotTimer avoids: with a steady_timer, the same order of events runs the handler of
+// a cancelled wait without an error.
 TEST_F(OneShotTimerTest, ASteadyTimerAloneRunsAQueuedHandlerDespiteCancel) {
-  boost::asio::steady_timer plain(io_, kWait);
+  boost::asio::steady_timer steady_timer_alone(io_, kWait);
   bool ran_without_error = false;
-  plain.async_wait([&](const boost::system::error_code& error) { ran_without_error = !error; });
-  BeforeQueuedHandlers([&] { EXPECT_EQ(plain.cancel(), 0u); });
+  steady_timer_alone.async_wait([&](const boost::system::error_code& error) { ran_without_error = !error; });
+  BeforeQueuedHandlers([&] { EXPECT_EQ(steady_timer_alone.cancel(), 0u); });
   AdvanceAndRun(kWait);
   EXPECT_TRUE(ran_without_error);
 }
@@ -125,7 +125,7 @@
   timer_.ArmAfter(kWait, [&] { ++old_calls; });
   BeforeQueuedHandlers([&] {
     timer_.Disarm();
-    timer_.ArmAt(OneShotTimer::Clock::now(), CountCall());  // due in the same moment
+    timer_.ArmAt(OneShotTimer::Clock::now(), CountCall());  // due immediately
   });
   AdvanceAndRun(kWait);
   EXPECT_EQ(old_calls, 0);
@@ -157,16 +157,16 @@
 }
 
 TEST_F(OneShotTimerTest, RearmedInItsOwnHandlerItRunsAgain) {
-  std::vector<OneShotTimer::Clock::time_point> at;
+  std::vector<OneShotTimer::Clock::time_point> calls_at;
   const auto began = OneShotTimer::Clock::now();
-  std::function<void()> again = [&] {
-    at.push_back(OneShotTimer::Clock::now());
-    if (at.size() < 3) timer_.ArmAfter(kWait, again);
+  std::function<void()> rearm = [&] {
+    calls_at.push_back(OneShotTimer::Clock::now());
+    if (calls_at.size() < 3) timer_.ArmAfter(kWait, rearm);
   };
-  timer_.ArmAfter(kWait, again);
+  timer_.ArmAfter(kWait, rearm);
   for (int i = 0; i < 5; ++i) AdvanceAndRun(kWait);
-  EXPECT_EQ(at, (std::vector<OneShotTimer::Clock::time_point>{began + kWait, began + 2 * kWait,
-                                                              began + 3 * kWait}));
+  EXPECT_EQ(calls_at, (std::vector<OneShotTimer::Clock::time_point>{began + kWait, began + 2 * kWait,
+                                                                    began + 3 * kWait}));
   EXPECT_FALSE(timer_.armed());
 }
 
@@ -189,15 +189,15 @@
 
 TEST_F(OneShotTimerTest, DestroyedInItsOwnHandlerTheHandlerCompletes) {
   auto timer = std::make_unique<OneShotTimer>(io_);
-  const auto kept = std::make_shared<int>(7);
-  int seen = 0;
-  timer->ArmAfter(kWait, [&timer, &seen, kept] {
+  const auto captured = std::make_shared<int>(7);
+  int value_after_reset = 0;
+  timer->ArmAfter(kWait, [&timer, &value_after_reset, captured] {
     timer.reset();
-    seen = *kept;  // what the handler holds outlives the timer
+    value_after_reset = *captured;  // the handler's captures outlive the timer
   });
   AdvanceAndRun(kWait);
-  EXPECT_EQ(seen, 7);
-  EXPECT_EQ(kept.use_count(), 1);
+  EXPECT_EQ(value_after_reset, 7);
+  EXPECT_EQ(captured.use_count(), 1);
 }
 
 TEST_F(OneShotTimerTest, DisarmOfAnUnarmedTimerDoesNothing) {
@@ -214,13 +214,13 @@
 }
 
 TEST_F(OneShotTimerTest, AMoveOnlyHandlerIsAcceptedAndReleasedWhenDisarmed) {
-  const auto held = std::make_shared<int>(0);
-  timer_.ArmAfter(kWait, [only = std::make_unique<int>(1), held] { *held += *only; });
-  EXPECT_EQ(held.use_count(), 2);
+  const auto captured = std::make_shared<int>(0);
+  timer_.ArmAfter(kWait, [move_only = std::make_unique<int>(1), captured] { *captured += *move_only; });
+  EXPECT_EQ(captured.use_count(), 2);
   timer_.Disarm();
   RunReady();
-  EXPECT_EQ(held.use_count(), 1);
-  EXPECT_EQ(*held, 0);
+  EXPECT_EQ(captured.use_count(), 1);
+  EXPECT_EQ(*captured, 0);
 }
 
 }  // namespace
--- a/tests/net/read_timeout_grace_test.cpp
+++ b/tests/net/read_timeout_grace_test.cpp
@@ -53,11 +53,11 @@
   EXPECT_FALSE(grace_.ShouldPostpone(server_));
 }
 
-TEST_F(ReadTimeoutGraceTest, PostponesOnlySoManyTimesInARowThoughBytesStayUnread) {
+TEST_F(ReadTimeoutGraceTest, StopsPostponingAfterTheLimitWhileBytesAreUnread) {
   SendByte();
   for (int i = 0; i < kExpectedPostponements; ++i) EXPECT_TRUE(grace_.ShouldPostpone(server_)) << i;
   EXPECT_FALSE(grace_.ShouldPostpone(server_));
-  EXPECT_TRUE(grace_.ShouldPostpone(server_));  // the next timeout begins a new row
+  EXPECT_TRUE(grace_.ShouldPostpone(server_));  // the count of postponements starts again
 }
 
 }  // namespace
--- a/tests/net/socket_state_test.cpp
+++ b/tests/net/socket_state_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The state of real connections on loopback, as the operating system reports it. Each test waits for a
-// condition, not for a time.
+// Tests the state that the operating system reports for real loopback connections. Each test waits for a
+// condition instead of a fixed time.
 #include "net/socket_state.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
 using std::chrono::milliseconds;
 using ErrorCode = boost::system::error_code;
 
-constexpr milliseconds kMaxWait{20000};  // far more than any condition needs
+constexpr milliseconds kMaxWait{20000};  // an upper limit that no condition should reach
 
 // Waits until the condition holds; false if it does not within kMaxWait.
 template <typename Condition>
@@ -40,14 +40,13 @@
  protected:
   SocketStateTest() : acceptor_(io_, {asio::ip::address_v4::loopback(), 0}) {}
 
-  // Makes client_ and server_ the two ends of one connection.
+  // Connects client_ and server_ to each other.
   void Connect() {
     client_.connect(acceptor_.local_endpoint());
     acceptor_.accept(server_);
   }
   void Send(std::string_view text) { asio::write(client_, asio::buffer(text.data(), text.size())); }
   std::string Receive(std::size_t size) { return Receive(server_, size); }
-  // Reads exactly `size` bytes.
   static std::string Receive(tcp::socket& socket, std::size_t size) {
     std::string text(size, '\0');
     asio::read(socket, asio::buffer(text));
@@ -59,7 +58,7 @@
     socket.close();
   }
 
-  // `count` connections that are not accepted yet; connection i has sent "r" and i.
+  // Opens `count` connections that are not accepted yet; connection i has sent "r" and its index i.
   std::vector<tcp::socket> ConnectAndSendIndex(int count) {
     std::vector<tcp::socket> clients;
     for (int i = 0; i < count; ++i) {
@@ -126,7 +125,7 @@
   EXPECT_TRUE(WaitUntil([&] { return PeerHasClosed(server_); }));
 }
 
-TEST_F(SocketStateTest, APeerThatHasClosedIsDetectedBehindUnreadBytes) {
+TEST_F(SocketStateTest, APeerThatHasClosedIsDetectedDespiteUnreadBytes) {
   Connect();
   Send("ahead");
   client_.shutdown(tcp::socket::shutdown_send);
@@ -141,7 +140,7 @@
   EXPECT_TRUE(WaitUntil([&] { return PeerHasClosed(server_); }));
 }
 
-TEST_F(SocketStateTest, APeerThatHasResetBehindUnreadBytesHasClosed) {
+TEST_F(SocketStateTest, APeerThatHasResetDespiteUnreadBytesHasClosed) {
   Connect();
   Send("ahead");
   ASSERT_TRUE(WaitUntil([&] { return UnreadBytes(server_) == 5; }));
@@ -149,61 +148,62 @@
   EXPECT_TRUE(WaitUntil([&] { return PeerHasClosed(server_); }));
 }
 
-TEST_F(SocketStateTest, BytesThatThePeersSystemHasReceivedAreAcknowledged) {
+TEST_F(SocketStateTest, BytesThatThePeersTcpHasReceivedAreAcknowledged) {
   Connect();
   EXPECT_EQ(UnacknowledgedBytes(client_), 0u);
-  Send("taken");  // the peer's program need not read it
+  Send("taken");  // acknowledged by the peer's TCP even if the program does not read it
   EXPECT_TRUE(WaitUntil([&] { return UnacknowledgedBytes(client_) == 0; }));
 }
 
-// The peer's system takes no more than its buffer holds.
+// The peer's TCP acknowledges only as many bytes as its receive buffer holds.
 TEST_F(SocketStateTest, BytesBeyondThePeersReceiveBufferAreUnacknowledged) {
   Connect();
   client_.non_blocking(true);
-  const std::string piece(1 << 16, 'x');
+  const std::string chunk(1 << 16, 'x');
   std::size_t written = 0;
   ErrorCode error;
-  while (!error) written += client_.write_some(asio::buffer(piece), error);
+  while (!error) written += client_.write_some(asio::buffer(chunk), error);
   ASSERT_EQ(error, asio::error::would_block);
   EXPECT_GT(UnacknowledgedBytes(client_), 0u);
   EXPECT_LT(UnacknowledgedBytes(client_), written);
-  std::string taken(1 << 16, '\0');
+  std::string received(1 << 16, '\0');
   std::size_t read = 0;
   server_.non_blocking(true);
   EXPECT_TRUE(WaitUntil([&] {
-    for (error.clear(); !error;) read += server_.read_some(asio::buffer(taken), error);
+    for (error.clear(); !error;) read += server_.read_some(asio::buffer(received), error);
     return UnacknowledgedBytes(client_) == 0;
   }));
   EXPECT_LE(read, written);
 }
 
-// The age is that of the data, read or not. A busy machine makes it older, never younger.
+// The time counts from the arrival of the data, whether it is read or not. On a busy machine it is longer,
+// never shorter.
 TEST_F(SocketStateTest, TheTimeSinceTheLastDataIsReported) {
   constexpr milliseconds kPause{60};
-  constexpr milliseconds kRounding{10};
+  constexpr milliseconds kTcpInfoTolerance{10};
   Connect();
   Send("a");
   ASSERT_TRUE(WaitUntil([&] { return UnreadBytes(server_) == 1; }));
   std::this_thread::sleep_for(kPause);
   const auto unread = TimeSinceLastDataReceived(server_);
   ASSERT_TRUE(unread.has_value());
-  EXPECT_GE(*unread, kPause - kRounding);
+  EXPECT_GE(*unread, kPause - kTcpInfoTolerance);
   Receive(1);
   const auto read = TimeSinceLastDataReceived(server_);
   ASSERT_TRUE(read.has_value());
-  EXPECT_GE(*read, kPause - kRounding);
+  EXPECT_GE(*read, kPause - kTcpInfoTolerance);
   const auto before = std::chrono::steady_clock::now();
   Send("b");
   ASSERT_TRUE(WaitUntil([&] { return UnreadBytes(server_) == 1; }));
   const auto newest = TimeSinceLastDataReceived(server_);
   const auto passed = std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - before);
   ASSERT_TRUE(newest.has_value());
-  EXPECT_LE(*newest, passed + kRounding);
+  EXPECT_LE(*newest, passed + kTcpInfoTolerance);
 }
 
 TEST_F(SocketStateTest, TheTimeSinceDataReceivedBeforeTheAcceptIsReported) {
   constexpr milliseconds kPause{60};
-  constexpr milliseconds kRounding{10};
+  constexpr milliseconds kTcpInfoTolerance{10};
   client_.connect(acceptor_.local_endpoint());
   Send("early");
   std::this_thread::sleep_for(kPause);
@@ -211,36 +211,36 @@
   ASSERT_TRUE(WaitUntil([&] { return UnreadBytes(server_) == 5; }));
   const auto age = TimeSinceLastDataReceived(server_);
   ASSERT_TRUE(age.has_value());
-  EXPECT_GE(*age, kPause - kRounding);
+  EXPECT_GE(*age, kPause - kTcpInfoTolerance);
 }
 
-TEST_F(SocketStateTest, OnceHandshakesStopCompletedConnectionsAreAcceptedAndNoLaterConnectCompletes) {
-  constexpr int kEarlier = 3;
-  std::vector<tcp::socket> earlier = ConnectAndSendIndex(kEarlier);
+TEST_F(SocketStateTest, AfterHandshakesStopCompletedConnectionsAreAcceptedAndLaterOnesAreNot) {
+  constexpr int kEarlierConnections = 3;
+  std::vector<tcp::socket> earlier = ConnectAndSendIndex(kEarlierConnections);
   ASSERT_TRUE(StopNewHandshakes(acceptor_));
 
   ErrorCode later_result = asio::error::would_block;
   tcp::socket later(io_);
   later.async_connect(acceptor_.local_endpoint(), [&](const ErrorCode& error) { later_result = error; });
 
-  // Data that an earlier connection sends now is received too: only a SYN is dropped.
+  // Data that an earlier connection sends now is still received: only SYNs are dropped.
   for (auto& client : earlier) asio::write(client, asio::buffer("!", 1));
-  for (int i = 0; i < kEarlier; ++i) {
+  for (int i = 0; i < kEarlierConnections; ++i) {
     tcp::socket accepted(io_);
     acceptor_.accept(accepted);
     EXPECT_EQ(Receive(accepted, 3), "r" + std::to_string(i) + "!");
   }
-  // A loopback connect comes up within its own system call; half a second is far beyond that, and short of
-  // the second after which the SYN is sent again.
+  // A loopback connect normally completes within its system call. The wait is longer than that, and shorter
+  // than the 1 s after which the SYN is retransmitted.
   io_.run_for(milliseconds(500));
   EXPECT_EQ(later_result, asio::error::would_block);
   acceptor_.non_blocking(true);
   ErrorCode error;
-  tcp::socket none(io_);
-  acceptor_.accept(none, error);
+  tcp::socket unexpected(io_);
+  acceptor_.accept(unexpected, error);
   EXPECT_EQ(error, asio::error::would_block);
 
-  // The SYN that is sent again finds the listener closed.
+  // The retransmitted SYN arrives after the listener is closed.
   acceptor_.close();
   EXPECT_TRUE(WaitUntil([&] {
     io_.restart();
--- a/tests/operator_config/toml_file_test.cpp
+++ b/tests/operator_config/toml_file_test.cpp
@@ -6,13 +6,13 @@
 namespace badgerbridge::operator_config {
 namespace {
 
-/// The formatted syntax error of a text, "" if it has none.
+/// The formatted syntax error of a text; "" if there is none.
 std::string SyntaxError(const std::string& text) {
   const Result<toml::table> root = ParseToml(text, "op.toml");
   return root ? "" : FormatProblem(root.error());
 }
 
-TEST(TomlFile, CharacterBeyondAsciiIsAcceptedInQuotesAndCommentsAlone) {
+TEST(TomlFile, NonAsciiCharactersAreAcceptedOnlyInStringsAndComments) {
   EXPECT_EQ(SyntaxError(
                 "\xef\xbb\xbf# caf\xc3\xa9 \"\n[control] # it's \xc3\xa9\nsocket = \"/caf\xc3\xa9\\\"#\"\n"),
             "");
--- a/tests/settings/settings_reader_test.cpp
+++ b/tests/settings/settings_reader_test.cpp
@@ -8,7 +8,7 @@
 namespace badgerbridge::settings {
 namespace {
 
-// The reader holds exactly this error.
+// Expects that the reader has recorded this error.
 void ExpectError(const SettingsReader& reader, SettingsErrorCode code, const std::string& key,
                  const std::string& value) {
   ASSERT_TRUE(reader.error().has_value());
@@ -22,7 +22,7 @@
   EXPECT_EQ(reader.Number("number"), 0.5);
   EXPECT_EQ(reader.Integer("integer", 0, 10), 7);
   EXPECT_EQ(reader.Time("time").count(), 250);
-  EXPECT_EQ(reader.Word("word"), "zone");
+  EXPECT_EQ(reader.Text("word"), "zone");
   EXPECT_FALSE(reader.error().has_value());
 }
 
@@ -30,7 +30,7 @@
   SettingsReader reader("number=3");
   EXPECT_EQ(reader.NumberOr("number", 5), 3);
   EXPECT_EQ(reader.NumberOr("absent", 5), 5);
-  EXPECT_EQ(reader.WordOr("absent", "push"), "push");
+  EXPECT_EQ(reader.TextOr("absent", "push"), "push");
   EXPECT_FALSE(reader.error().has_value());
 }
 
@@ -76,7 +76,7 @@
 
 TEST(SettingsReaderTest, OnlyTheFirstErrorIsKept) {
   SettingsReader reader("second=x");
-  reader.Word("first");
+  reader.Text("first");
   reader.Number("second");
   ExpectError(reader, SettingsErrorCode::kAbsent, "first", "");
 }
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The sample settings, whole, with a line left out and with a wrong value.
+// Parses the sample settings: complete, with a line removed, and with an invalid value.
 #include "settings/settings.h"
 
 #include <gtest/gtest.h>
@@ -16,8 +16,8 @@
 using namespace balancer;
 using balancer::testing::kSampleSettings;
 
-// The sample settings without the line of `key`, which they must have.
-std::string Without(const std::string& key) {
+// The sample settings without the line of `key`, which must exist.
+std::string SampleWithout(const std::string& key) {
   std::string text(kSampleSettings);
   const std::size_t line_begin = text.find("\n" + key + "=");
   EXPECT_NE(line_begin, std::string::npos) << key;
@@ -25,11 +25,11 @@
 }
 
 // The sample settings with another value of `key`.
-std::string With(const std::string& key, const std::string& value) {
-  return Without(key) + key + "=" + value + "\n";
+std::string SampleWith(const std::string& key, const std::string& value) {
+  return SampleWithout(key) + key + "=" + value + "\n";
 }
 
-// The message of the error in `text`; empty if it has none.
+// The message of the first error in `text`; empty if there is none.
 std::string ErrorMessage(const std::string& text) {
   const auto settings = ParseSettings(text);
   return settings ? "" : Message(settings.error());
@@ -59,12 +59,12 @@
 }
 
 TEST(SettingsParser, AbsentOptionalKeysHaveTheirDefaults) {
-  const Settings settings = ParseSettings(Without("tenants.count")).value();
+  const Settings settings = ParseSettings(SampleWithout("tenants.count")).value();
   EXPECT_TRUE(settings.tenants.empty());
-  EXPECT_FALSE(ParseSettings(Without("registryMode")).value().polls_endpoint_list);
-  EXPECT_EQ(ParseSettings(Without("overShareWorth")).value().over_quota_weight, 1);
-  EXPECT_EQ(ParseSettings(Without("permissions.retryAfter")).value().max_retry_after.count(), 0);
-  EXPECT_FALSE(ParseSettings(Without("specifics.warmKeys")).value().key_affinity);
+  EXPECT_FALSE(ParseSettings(SampleWithout("registryMode")).value().polls_endpoint_list);
+  EXPECT_EQ(ParseSettings(SampleWithout("overShareWorth")).value().over_quota_weight, 1);
+  EXPECT_EQ(ParseSettings(SampleWithout("permissions.retryAfter")).value().max_retry_after.count(), 0);
+  EXPECT_FALSE(ParseSettings(SampleWithout("specifics.warmKeys")).value().key_affinity);
 }
 
 TEST(SettingsParser, AbsentRequiredKeysAreNamed) {
@@ -72,7 +72,7 @@
        {"classes.count", "classes.0.effect", "classes.0.goalTimeMs", "classes.0.deadlineMs",
         "classes.1.group", "classes.1.windowMs", "permissions.maxAttempts", "rules.coldFrom",
         "rules.warmUpMs", "rules.fallMultiple", "rules.overloadForMs", "rules.mustAskInMs", "zone"})
-    EXPECT_NE(ErrorMessage(Without(key)).find(key), std::string::npos) << key;
+    EXPECT_NE(ErrorMessage(SampleWithout(key)).find(key), std::string::npos) << key;
 }
 
 TEST(SettingsParser, KeysOfWrongValuesAreNamed) {
@@ -88,7 +88,7 @@
                                          {"registryMode", "pull"},         {"tenants.0.quotaPerS", "-3"},
                                          {"classes.1.lateWorth", "1e9"},   {"overShareWorth", "0.5x"}};
   for (const auto& [key, value] : wrong_settings)
-    EXPECT_NE(ErrorMessage(With(key, value)).find(key), std::string::npos) << key << "=" << value;
+    EXPECT_NE(ErrorMessage(SampleWith(key, value)).find(key), std::string::npos) << key << "=" << value;
 }
 
 TEST(SettingsParser, TheFirstErrorOfSeveralIsReported) {
