--- a/tests/docs/runbook_test.cpp
+++ b/tests/docs/runbook_test.cpp
@@ -30,7 +30,7 @@
 };
 constexpr Composed kComposed[] = {
     {"FormatProblems(", "FILE:LINE:COLUMN: …"},  // faults of a file that an operator wrote
-    {"NameOfSource(source)", "SOURCE: …"},  // why a source of members is not taken whole: etcd or discovery
+    {"SourceName(source)", "SOURCE: …"},  // why a source of members is not taken whole: etcd or discovery
     {"std::perror(", "PATH: …"},            // a system call on a file
     {"action.text", ""},                    // a Log action of the decision module or of the table of requests
     {"Log{std::move(text)}", ""},           // of a function that LogFunctionsIn finds
