--- a/src/watch_cache/actions.h
+++ b/src/watch_cache/actions.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Appends actions to those of the watch cache.
+/// Helper that appends actions to WatchCache::Actions.
 #ifndef BADGERBRIDGE_WATCH_CACHE_ACTIONS_H_
 #define BADGERBRIDGE_WATCH_CACHE_ACTIONS_H_
 
--- a/src/watch_cache/command_line.cpp
+++ b/src/watch_cache/command_line.cpp
@@ -12,9 +12,9 @@
 std::string Message(const ArgumentError& error) {
   switch (error.code) {
     case ArgumentErrorCode::kInvalidAddress:
-      return error.option + ": \"" + error.value + "\" is no address and port, as in 127.0.0.1:2379";
+      return error.option + ": \"" + error.value + "\" is not an address with a port, such as 127.0.0.1:2379";
     case ArgumentErrorCode::kEmptyPrefix:
-      return error.option + ": is empty; /badgerbridge/ would be right";
+      return error.option + ": must not be empty; an example is /badgerbridge/";
   }
   return "";
 }
--- a/src/watch_cache/command_line.h
+++ b/src/watch_cache/command_line.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The program's arguments as settings.
+/// Conversion of the command-line arguments to settings.
 #ifndef BADGERBRIDGE_WATCH_CACHE_COMMAND_LINE_H_
 #define BADGERBRIDGE_WATCH_CACHE_COMMAND_LINE_H_
 
@@ -14,37 +14,37 @@
 
 namespace badgerbridge::watch_cache {
 
-/// The arguments, as given.
+/// The command-line arguments, not yet validated.
 struct Arguments {
   std::string listen;                 ///< --listen: address and port.
-  std::string prefix;                 ///< --prefix: of the keys that are served.
-  std::string config;                 ///< --config: path of the file; empty: none.
+  std::string prefix;                 ///< --prefix: common prefix of the keys that are served.
+  std::string config;                 ///< --config: path of the configuration file; empty: none.
   std::string status_socket;          ///< --status-socket: path; empty: none.
   std::vector<std::string> upstream;  ///< --upstream: addresses and ports.
-  bool check = false;                 ///< --check: only check the arguments and the file.
+  bool check = false;                 ///< --check: validate the arguments and the file, then exit.
 };
 
-/// What is wrong with an argument.
+/// Why an argument is invalid.
 enum class ArgumentErrorCode {
   kInvalidAddress,  ///< Not an IP address with a port.
   kEmptyPrefix,     ///< The prefix is empty.
 };
 
-/// An argument that cannot be used.
+/// An invalid argument.
 struct ArgumentError {
-  ArgumentErrorCode code = ArgumentErrorCode::kInvalidAddress;  ///< What is wrong.
-  std::string option;                                           ///< As in "--listen".
-  std::string value;                                            ///< As given.
+  ArgumentErrorCode code = ArgumentErrorCode::kInvalidAddress;  ///< The reason.
+  std::string option;                                           ///< The option's name with its dashes.
+  std::string value;                                            ///< The value from the command line.
 };
 
-/// One line for people, without a line end.
+/// A one-line description for operators, without a trailing newline.
 std::string Message(const ArgumentError& error);
 
 /// Called by result::value() if there is no value: throws std::runtime_error with the message.
 [[noreturn]] void throw_exception_from_error(const ArgumentError& error,
                                              const boost::source_location& location);
 
-/// Completes the settings of the file with the arguments.
+/// Adds the arguments to the settings from the configuration file. Fails with the first invalid argument.
 boost::system::result<ServiceSettings, ArgumentError> ApplyArguments(const Arguments& arguments,
                                                                      ServiceSettings settings);
 
--- a/src/watch_cache/error.cpp
+++ b/src/watch_cache/error.cpp
@@ -6,7 +6,7 @@
 namespace badgerbridge::watch_cache {
 namespace {
 
-// Begins messages about a key value.
+// The beginning of a message about a key value.
 std::string Location(UpstreamMessage where) {
   switch (where) {
     case UpstreamMessage::kList:
@@ -42,7 +42,7 @@
       return "events before a list";
     case UpstreamErrorCode::kProgressBeforeSnapshot:
       return "progress before a list";
-    case UpstreamErrorCode::kProgressWentBack:
+    case UpstreamErrorCode::kProgressDecreased:
       return "progress at revision " + revision + " after " + expected;
   }
   return "";
--- a/src/watch_cache/error.h
+++ b/src/watch_cache/error.h
@@ -12,7 +12,7 @@
 
 namespace badgerbridge::watch_cache {
 
-/// What is wrong with data from upstream.
+/// Why data from upstream is rejected.
 enum class UpstreamErrorCode {
   kKeyOutsidePrefix,        ///< `key` does not begin with `expected_prefix`.
   kKeyWithoutRevision,      ///< `key` has no mod_revision.
@@ -22,27 +22,27 @@
   kRevisionOutOfOrder,      ///< An event of `revision` where `expected_revision` or later is due.
   kEventsBeforeSnapshot,    ///< Events before the first list.
   kProgressBeforeSnapshot,  ///< A progress notification before the first list.
-  kProgressWentBack,        ///< Progress at `revision`, below the cache's `expected_revision`.
+  kProgressDecreased,       ///< Progress at `revision`, below the cache's revision, `expected_revision`.
 };
 
-/// Where wrong data from upstream was found.
+/// The kind of upstream message that contains invalid data.
 enum class UpstreamMessage {
-  kList,          ///< The answer to a range read.
+  kList,          ///< The response to a range read.
   kEvent,         ///< An event of a watch.
   kNotification,  ///< A progress notification of a watch.
 };
 
 /// Data from upstream that contradicts itself or earlier data.
 struct UpstreamError {
-  UpstreamErrorCode code = UpstreamErrorCode::kKeyOutsidePrefix;  ///< What went wrong.
-  UpstreamMessage where = UpstreamMessage::kList;                 ///< In which message.
+  UpstreamErrorCode code = UpstreamErrorCode::kKeyOutsidePrefix;  ///< The reason.
+  UpstreamMessage where = UpstreamMessage::kList;                 ///< The kind of message.
   std::string key;                                                ///< The key concerned, if any.
-  std::int64_t revision = 0;                                      ///< The wrong revision, if any.
+  std::int64_t revision = 0;                                      ///< The invalid revision, if any.
   std::int64_t expected_revision = 0;                             ///< See UpstreamErrorCode.
   std::string expected_prefix;                                    ///< See UpstreamErrorCode.
 };
 
-/// One line for people, without a line end.
+/// A one-line description for operators, without a trailing newline.
 std::string Message(const UpstreamError& error);
 
 /// Either a value or the error that prevented it.
--- a/src/watch_cache/event.h
+++ b/src/watch_cache/event.h
@@ -20,12 +20,12 @@
 /// An event as the cache holds it.
 struct StoredEvent {
   bool deletion = false;      ///< Otherwise it is a put.
-  bool must_deliver = false;  ///< It must not be merged away by a newer event that need not be delivered.
+  bool must_deliver = false;  ///< Merging may replace it only by a newer event that must be delivered, too.
   KeyValuePtr kv;             ///< The new key value; of a deletion, key and mod_revision only.
-  KeyValuePtr previous;       ///< What this cache held before. Null: nothing.
+  KeyValuePtr previous;       ///< The key value in this cache before the event. Null: none.
   std::size_t bytes = 0;      ///< Approximate size as encoded, without `previous`.
 
-  /// The revision of the event.
+  /// The mod_revision, at which the event took place.
   std::int64_t revision() const { return kv->mod_revision(); }
 };
 
@@ -38,7 +38,7 @@
   std::int64_t from = 0;               ///< The revision before.
   std::int64_t to = 0;                 ///< The revision after.
   std::vector<StoredEventPtr> events;  ///< With mod_revision in (from, to], ascending.
-  std::size_t bytes = 0;               ///< Of the events, with overhead.
+  std::size_t bytes = 0;               ///< Approximate size of the events in memory.
 };
 
 /// A shared, immutable batch.
--- a/src/watch_cache/key_range.h
+++ b/src/watch_cache/key_range.h
@@ -13,7 +13,7 @@
 /// A range of keys.
 struct KeyRange {
   std::string begin;  ///< The first key.
-  std::string end;    ///< After the last key. Empty: `begin` only; "\0": no end.
+  std::string end;    ///< The first key after the range. Empty: `begin` only; "\0": no end.
 
   /// All keys that begin with `prefix`; with an empty one, all keys.
   static KeyRange Prefix(std::string_view prefix);
--- a/src/watch_cache/main.cpp
+++ b/src/watch_cache/main.cpp
@@ -42,12 +42,12 @@
   return {200, service.Describe()};
 }
 
-// The first signal begins a drain; a second one ends the program at once.
+// The first signal starts a drain; a second one exits at once.
 void DrainOnSignal(boost::asio::io_context& io, boost::asio::signal_set& signals,
                    watch_cache::Service& service) {
   signals.async_wait([&](const boost::system::error_code& error, int) {
     if (error) return;
-    std::cerr << "badgerbridge-relay: shuts down\n";
+    std::cerr << "badgerbridge-relay: shutting down; ends all watches over the drain period\n";
     service.Drain([&io] { io.stop(); });
     signals.async_wait([&io](const boost::system::error_code& second_error, int) {
       if (!second_error) io.stop();
@@ -98,7 +98,7 @@
   }
   if (arguments.check) return 0;
   const std::uint64_t seed = DrawSeed();
-  settings->cache.member_id = seed | 1;  // 0 is no valid member id
+  settings->cache.member_id = seed | 1;  // 0 is not a valid member id
   try {
     Serve(arguments, *settings, seed);
   } catch (const std::exception& error) {
@@ -110,11 +110,11 @@
 
 }  // namespace
 
-int main(int count, char** values) {
+int main(int argc, char** argv) {
   CLI::App app("badgerbridge-relay: serves reads and watches of one prefix of etcd's keys from memory");
   watch_cache::Arguments arguments;
   AddOptions(app, &arguments);
-  CLI11_PARSE(app, count, values);
+  CLI11_PARSE(app, argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGHUP, SIG_IGN);
   return Run(arguments);
--- a/src/watch_cache/merged_backlog.cpp
+++ b/src/watch_cache/merged_backlog.cpp
@@ -8,7 +8,7 @@
 namespace badgerbridge::watch_cache {
 
 // Whether one of the events would replace, in the newest segment, an event that must be delivered.
-bool MergedBacklog::WouldHideMustDeliver(const std::vector<StoredEventPtr>& events) const {
+bool MergedBacklog::WouldReplaceMustDeliver(const std::vector<StoredEventPtr>& events) const {
   if (segments_.empty()) return false;
   const auto& held = segments_.rbegin()->second.by_key;
   return std::any_of(events.begin(), events.end(), [&](const StoredEventPtr& event) {
@@ -19,13 +19,14 @@
 
 void MergedBacklog::Add(std::int64_t revision, const std::vector<StoredEventPtr>& events) {
   if (events.empty()) return;
-  if (segments_.empty() || WouldHideMustDeliver(events)) {
+  if (segments_.empty() || WouldReplaceMustDeliver(events)) {
     segments_.emplace(next_id_++, MergedSegment{});
   }
   const auto last = std::prev(segments_.end());
   last->second.revision = revision;
   for (const StoredEventPtr& event : events) AddEvent(last, event);
-  // A second pass, because only a complete segment tells which events of the one before block a join.
+  // A second pass, because only a complete segment determines which events of the preceding segment block a
+  // join.
   for (const StoredEventPtr& event : events) {
     if (event->must_deliver) RecordNewestMustDeliver(last, event->kv->key());
   }
@@ -39,7 +40,7 @@
   const bool is_new = found == held.end();
   if (!is_new) {
     entry.previous = found->second.previous;
-    held.erase(found);  // not assigned: the map's key is a view into the event that is replaced
+    held.erase(found);  // cannot be assigned: the map's key is a view into the replaced event
     --size_;
   }
   held.emplace(key, std::move(entry));
@@ -50,8 +51,8 @@
   }
 }
 
-// The newest event of this key that must be delivered is in the last segment now, so that an older one does
-// not block the join of its segment any more.
+// Records that the last segment holds the newest event of this key that must be delivered. An older such
+// event then no longer blocks the join of its segment.
 void MergedBacklog::RecordNewestMustDeliver(Segments::iterator last, const std::string& key) {
   const auto [newest, is_first] = newest_must_deliver_.try_emplace(key, last->first);
   if (is_first || newest->second == last->first) return;
@@ -80,13 +81,13 @@
   const auto next = std::next(segment);
   if (next == segments_.end() || segment->second.blocking_events > 0) return;
   for (auto& [key, entry] : segment->second.by_key) {
-    const auto [place, moved] = next->second.by_key.try_emplace(key, entry);
+    const auto [entry_in_next, is_moved] = next->second.by_key.try_emplace(key, entry);
     const auto newest = newest_must_deliver_.find(std::string(key));
     const bool was_newest = newest != newest_must_deliver_.end() && newest->second == segment->first;
-    if (moved) {
+    if (is_moved) {
       if (was_newest) newest->second = next->first;
     } else {
-      place->second.previous = entry.previous;
+      entry_in_next->second.previous = entry.previous;
       --size_;
       if (was_newest) newest_must_deliver_.erase(newest);
     }
--- a/src/watch_cache/merged_backlog.h
+++ b/src/watch_cache/merged_backlog.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The events that a slow subscriber has yet to be sent, merged by key.
+/// Unsent events of a slow subscriber, merged by key.
 ///
-/// The backlog is a list of segments. A segment changes the source's state at its beginning into that at its
-/// end, by the newest event of each key. So a subscriber that has applied a complete segment holds the
-/// source's state at exactly the revision that the segment names.
+/// The backlog is a list of segments. A segment holds the newest event of each key and changes the source's
+/// state at its beginning into the state at its end. So a subscriber that has applied a complete segment
+/// holds the source's state at exactly the segment's revision.
 ///
 /// An event that must be delivered (a deletion, a drain) may be replaced only by a newer event of the same
 /// key that must be delivered, too: any other later event of the key begins a new segment, which is sent in a
@@ -31,13 +31,13 @@
   /// The newest event of a key within a segment.
   struct Entry {
     StoredEventPtr event;  ///< The newest event.
-    KeyValuePtr previous;  ///< The key value before the first of the events that were merged into this one.
+    KeyValuePtr previous;  ///< The key value before the first of the merged events. Null: none.
   };
 
-  /// What TakeOldest returns.
+  /// Events that lead to the source's state at `revision`.
   struct Segment {
     std::int64_t revision = 0;   ///< The revision of the state once the segment is applied.
-    std::vector<Entry> entries;  ///< In the order of revisions.
+    std::vector<Entry> entries;  ///< By ascending revision, then by key.
   };
 
   /// Adds the events of one batch that concern the subscriber. `revision` is the batch's end.
@@ -56,14 +56,15 @@
   struct MergedSegment {
     std::int64_t revision = 0;
     std::unordered_map<std::string_view, Entry> by_key;  // the keys are views into the events
-    std::size_t blocking_events = 0;  // those for which BlocksJoin holds and the next segment has the key
+    std::size_t blocking_events = 0;  // events that satisfy BlocksJoin and whose key the next segment has
   };
   using Segments = std::map<SegmentId, MergedSegment>;
 
-  bool WouldHideMustDeliver(const std::vector<StoredEventPtr>& events) const;
+  bool WouldReplaceMustDeliver(const std::vector<StoredEventPtr>& events) const;
   void AddEvent(Segments::iterator last, const StoredEventPtr& event);
   void RecordNewestMustDeliver(Segments::iterator last, const std::string& key);
-  // Whether the segment holds the newest event of this key that must be delivered.
+  // Whether the segment holds the newest event of this key that must be delivered. Such an event must not be
+  // replaced by one of the next segment.
   bool BlocksJoin(Segments::const_iterator segment, std::string_view key) const;
   void RecountBlockingEvents(Segments::iterator segment);
   void JoinWithNextIfUnblocked(Segments::iterator segment);
--- a/src/watch_cache/read_queue.cpp
+++ b/src/watch_cache/read_queue.cpp
@@ -14,10 +14,10 @@
 using etcd::Ending;
 using etcd::Status;
 
-// Between requests for progress while reads wait for the cache.
+// Interval between progress requests while reads wait for the cache to reach their revision.
 constexpr Time kProgressRetryInterval{100};
 
-std::string Text(Time time) { return std::to_string(time.count()) + " ms"; }
+std::string FormatTime(Time time) { return std::to_string(time.count()) + " ms"; }
 
 }  // namespace
 
@@ -47,7 +47,7 @@
   } else if (position.known) {
     MakeReady(arrival);
   } else {
-    without_state_.push_back(arrival);
+    awaiting_snapshot_.push_back(arrival);
   }
 }
 
@@ -72,7 +72,7 @@
 void ReadQueue::RevisionConfirmed(Time now, std::uint64_t confirmation, const Status& status,
                                   const pb::ResponseHeader& header, const CachePosition& position,
                                   Actions* actions) {
-  if (!confirmation_ || confirmation_->id != confirmation) return;  // it was given up
+  if (!confirmation_ || confirmation_->id != confirmation) return;  // it has timed out
   const Confirmation confirmed = *std::exchange(confirmation_, std::nullopt);
   if (!status.ok()) {
     for (const ArrivalNumber arrival : confirmed.reads) {
@@ -86,7 +86,7 @@
   for (const ArrivalNumber arrival : confirmed.reads) {
     ConfirmRead(arrival, target, confirmed.position, position);
   }
-  if (!behind_.empty()) RequestProgress(now, actions);
+  if (!awaiting_target_.empty()) RequestProgress(now, actions);
   IssueConfirmation(now, position, actions);
 }
 
@@ -96,7 +96,8 @@
   const bool is_same_history =
       !position_at_issue.known || (header.cluster_id() == position_at_issue.cluster_id &&
                                    header.revision() >= position_at_issue.revision);
-  // Otherwise what the cache held at the time belongs to a history that was replaced at the source.
+  // Otherwise the source has replaced the history that the cache held at issue, and the read has to wait for
+  // a newer history.
   if (!is_same_history) target.min_history = position_at_issue.history + 1;
   return target;
 }
@@ -118,7 +119,7 @@
   if (HasReached(reads_.at(arrival).target, position)) {
     MakeReady(arrival);
   } else {
-    behind_.push_back(arrival);
+    awaiting_target_.push_back(arrival);
   }
 }
 
@@ -130,20 +131,21 @@
   }
 }
 
-// ---- changes of the cache -------------------------------------------------------------------------------
+// ---- updates of the cache -------------------------------------------------------------------------------
 
 void ReadQueue::CacheChanged(Time now, const CachePosition& position, bool history_replaced,
                              Actions* actions) {
-  for (const ArrivalNumber arrival : std::exchange(without_state_, {})) {
+  for (const ArrivalNumber arrival : std::exchange(awaiting_snapshot_, {})) {
     if (reads_.count(arrival)) MakeReady(arrival);
   }
-  if (history_replaced) UnconfirmReadyLists();
-  RecheckReadsBehind(position, history_replaced);
+  if (history_replaced) InvalidateReadyLists();
+  RecheckReadsAwaitingTarget(position, history_replaced);
   IssueConfirmation(now, position, actions);
 }
 
-// Lists that wait for tokens were confirmed for the history that has been replaced.
-void ReadQueue::UnconfirmReadyLists() {
+// Linearizable lists that wait for tokens were confirmed for the replaced history and need a new
+// confirmation.
+void ReadQueue::InvalidateReadyLists() {
   for (const ArrivalNumber arrival : std::exchange(ready_lists_, {})) {
     const auto read = reads_.find(arrival);
     if (read == reads_.end()) continue;
@@ -155,8 +157,8 @@
   }
 }
 
-void ReadQueue::RecheckReadsBehind(const CachePosition& position, bool history_replaced) {
-  for (const ArrivalNumber arrival : std::exchange(behind_, {})) {
+void ReadQueue::RecheckReadsAwaitingTarget(const CachePosition& position, bool history_replaced) {
+  for (const ArrivalNumber arrival : std::exchange(awaiting_target_, {})) {
     const auto read = reads_.find(arrival);
     if (read == reads_.end()) continue;
     if (history_replaced && !HasReached(read->second.target, position)) {
@@ -186,17 +188,17 @@
 
 void ReadQueue::Tick(Time now, const CachePosition& position, const std::string& upstream_error,
                      Actions* actions) {
-  GiveUpConfirmation(now);
+  AbandonExpiredConfirmation(now);
   FailExpiredReads(now, upstream_error, actions);
-  ForgetAnsweredReads();
-  if (!behind_.empty() && now - progress_requested_at_ >= kProgressRetryInterval) {
+  RemoveAnsweredReads();
+  if (!awaiting_target_.empty() && now - progress_requested_at_ >= kProgressRetryInterval) {
     RequestProgress(now, actions);
   }
   IssueConfirmation(now, position, actions);
 }
 
-// Without a result in time, the reads share the next confirmation.
-void ReadQueue::GiveUpConfirmation(Time now) {
+// After a confirmation has timed out, its reads share the next one.
+void ReadQueue::AbandonExpiredConfirmation(Time now) {
   if (!confirmation_ || now - confirmation_->issued_at < timeout_) return;
   const std::vector<ArrivalNumber> reads = std::exchange(confirmation_, std::nullopt)->reads;
   unconfirmed_.insert(unconfirmed_.begin(), reads.begin(), reads.end());
@@ -204,17 +206,17 @@
 
 void ReadQueue::FailExpiredReads(Time now, const std::string& upstream_error, Actions* actions) {
   while (!reads_.empty() && reads_.begin()->second.deadline <= now) {
-    std::string reason = "not served within " + Text(timeout_);
+    std::string reason = "not served within " + FormatTime(timeout_);
     if (IsList(reads_.begin()->second.request)) reason += " (lists wait their turn)";
     if (!upstream_error.empty()) reason += "; the upstream: " + upstream_error;
     Fail(reads_.begin()->first, Code::kUnavailable, std::move(reason), actions);
   }
 }
 
-void ReadQueue::ForgetAnsweredReads() {
+void ReadQueue::RemoveAnsweredReads() {
   const auto is_answered = [this](ArrivalNumber arrival) { return !reads_.count(arrival); };
-  std::erase_if(behind_, is_answered);
-  std::erase_if(without_state_, is_answered);
+  std::erase_if(awaiting_target_, is_answered);
+  std::erase_if(awaiting_snapshot_, is_answered);
   std::erase_if(ready_lists_, is_answered);
 }
 
@@ -230,7 +232,7 @@
   const auto wake_at = [&wake](Time time) { wake = wake ? std::min(*wake, time) : time; };
   if (!reads_.empty()) wake_at(reads_.begin()->second.deadline);
   if (confirmation_) wake_at(confirmation_->issued_at + timeout_);
-  if (!behind_.empty()) wake_at(progress_requested_at_ + kProgressRetryInterval);
+  if (!awaiting_target_.empty()) wake_at(progress_requested_at_ + kProgressRetryInterval);
   if (!ready_lists_.empty() && list_tokens_ <= 0) {
     const auto missing_ms = static_cast<std::int64_t>(-list_tokens_ / tokens_per_second_ * 1000) + 1;
     wake_at(refilled_at_ + Time(missing_ms));
@@ -238,7 +240,7 @@
   return wake;
 }
 
-// ---- answers --------------------------------------------------------------------------------------------
+// ---- ready reads ----------------------------------------------------------------------------------------
 
 std::optional<ReadQueue::ReadyRead> ReadQueue::NextReady(Time now) {
   if (auto ready = PopReady(&ready_, false)) return ready;
--- a/src/watch_cache/read_queue.h
+++ b/src/watch_cache/read_queue.h
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The reads that wait: for the upstream to confirm a committed revision (the read-index technique), for the
-/// cache to reach that revision and, if they read a range, for tokens of a rate limit.
+/// The queue of waiting reads. A read waits until the upstream has confirmed a committed revision (the
+/// read-index technique), until the cache has reached that revision and, if it reads a range, until the rate
+/// limit has tokens.
 ///
-/// A confirmation serves only the reads that had arrived before it was issued. One is in flight at a time;
-/// reads that arrive meanwhile share the next. Every wait ends: at the read's deadline, or as soon as its
-/// confirmation fails.
+/// A confirmation serves only the reads that had arrived before it was issued. At most one is in flight;
+/// reads that arrive meanwhile share the next. A read fails at its deadline, or as soon as its confirmation
+/// fails.
 #ifndef BADGERBRIDGE_WATCH_CACHE_READ_QUEUE_H_
 #define BADGERBRIDGE_WATCH_CACHE_READ_QUEUE_H_
 
@@ -24,21 +25,21 @@
 
 namespace badgerbridge::watch_cache {
 
-/// What the cache holds.
+/// The history and the revision that the cache holds.
 struct CachePosition {
-  bool known = false;            ///< There was a snapshot.
+  bool known = false;            ///< A snapshot has been applied.
   std::uint64_t cluster_id = 0;  ///< Of the source.
   std::int64_t revision = 0;     ///< The cache holds the state at this revision.
-  std::uint64_t history = 0;     ///< How often history was replaced.
+  std::uint64_t history = 0;     ///< Incremented whenever the history is replaced.
 };
 
-/// The waiting reads.
+/// The queue. Not thread-safe.
 class ReadQueue {
  public:
-  /// As of the watch cache.
+  /// The actions that the caller has to perform.
   using Actions = WatchCache::Actions;
 
-  /// Takes the time-out and the rate limit from the settings.
+  /// Copies the read timeout and the rate limit of lists from the settings.
   explicit ReadQueue(const Settings& settings);
 
   std::size_t waiting() const { return reads_.size(); }                ///< Reads not answered yet.
@@ -51,40 +52,40 @@
   /// Removes a read. Unknown reads are ignored.
   void Cancel(ReadId read);
 
-  /// The result of a confirmation.
+  /// Handles the result of a confirmation. Results of unknown and timed-out confirmations are ignored.
   void RevisionConfirmed(Time now, std::uint64_t confirmation, const etcd::Status& status,
                          const etcdserverpb::ResponseHeader& header, const CachePosition& position,
                          Actions* actions);
 
-  /// The cache reached a higher revision or, if `history_replaced`, holds another history, which voids what
-  /// was confirmed of the old one.
+  /// The cache has reached a higher revision or, if `history_replaced`, holds another history, which
+  /// invalidates confirmations of the old one.
   void CacheChanged(Time now, const CachePosition& position, bool history_replaced, Actions* actions);
 
-  /// Handles deadlines, a confirmation without result, and repeated requests for progress. `upstream_error`
-  /// is added to the error text of reads that time out.
+  /// Fails expired reads, abandons a confirmation that has timed out, and repeats progress requests.
+  /// `upstream_error` is added to the error text of reads that time out.
   void Tick(Time now, const CachePosition& position, const std::string& upstream_error, Actions* actions);
 
-  /// When the earliest timer is due.
+  /// When the earliest timer is due. Empty if there is none.
   std::optional<Time> NextWake() const;
 
   /// A read that can be answered from the cache now.
   struct ReadyRead {
     ReadId read;                         ///< As given to Add.
     etcdserverpb::RangeRequest request;  ///< As given to Add.
-    bool is_list;                        ///< SpendListTokens must be called with the size of its answer.
+    bool is_list;                        ///< ConsumeListTokens must be called with the size of its response.
   };
 
-  /// Removes and returns the next read that can be answered. Empty: none can.
+  /// Removes and returns the next read that can be answered. Empty if there is none.
   std::optional<ReadyRead> NextReady(Time now);
 
-  /// Accounts for the answer of a list.
-  void SpendListTokens(std::size_t bytes) { list_tokens_ -= static_cast<double>(bytes); }
+  /// Takes tokens for the response to a list, which may leave the bucket negative.
+  void ConsumeListTokens(std::size_t bytes) { list_tokens_ -= static_cast<double>(bytes); }
 
  private:
-  // Reads are numbered in the order of arrival, which is that of their deadlines.
+  // Reads are numbered in the order of arrival, which is also the order of their deadlines.
   using ArrivalNumber = std::uint64_t;
 
-  // What the cache must have reached to answer a read.
+  // What the cache must have reached before a read is answered.
   struct Target {
     std::uint64_t cluster_id = 0;
     std::int64_t revision = 0;
@@ -112,19 +113,19 @@
                    const CachePosition& position);
   void AwaitTarget(ArrivalNumber arrival, const CachePosition& position);
   void MakeReady(ArrivalNumber arrival);
-  void UnconfirmReadyLists();
-  void RecheckReadsBehind(const CachePosition& position, bool history_replaced);
+  void InvalidateReadyLists();
+  void RecheckReadsAwaitingTarget(const CachePosition& position, bool history_replaced);
   void IssueConfirmation(Time now, const CachePosition& position, Actions* actions);
-  void GiveUpConfirmation(Time now);
+  void AbandonExpiredConfirmation(Time now);
   void FailExpiredReads(Time now, const std::string& upstream_error, Actions* actions);
-  void ForgetAnsweredReads();
+  void RemoveAnsweredReads();
   void RequestProgress(Time now, Actions* actions);
   void Fail(ArrivalNumber arrival, etcd::Code code, std::string reason, Actions* actions);
   void RefillListTokens(Time now);
   std::optional<ReadyRead> PopReady(std::deque<ArrivalNumber>* queue, bool is_list);
 
   Time timeout_;
-  double tokens_per_second_;  // a token is a byte of a list's answer
+  double tokens_per_second_;  // a token is a byte of the response to a list
   double max_list_tokens_;
   double list_tokens_;
   Time refilled_at_{0};
@@ -132,12 +133,12 @@
   std::map<ArrivalNumber, WaitingRead> reads_;
   std::unordered_map<ReadId, ArrivalNumber> arrivals_;
   ArrivalNumber next_arrival_ = 0;
-  // Each read of reads_ is in exactly one of the following. They may also hold numbers of reads that are not
-  // in reads_ any more, which are skipped.
-  std::vector<ArrivalNumber> without_state_;  // serializable, before the first snapshot
-  std::vector<ArrivalNumber> unconfirmed_;    // wait for the next confirmation
-  std::optional<Confirmation> confirmation_;  // in flight
-  std::vector<ArrivalNumber> behind_;         // wait for the cache to reach their target
+  // Each read of reads_ is in exactly one of the following. They may also hold numbers of reads that are no
+  // longer in reads_; these are skipped.
+  std::vector<ArrivalNumber> awaiting_snapshot_;  // serializable, before the first snapshot
+  std::vector<ArrivalNumber> unconfirmed_;        // wait for the next confirmation to be issued
+  std::optional<Confirmation> confirmation_;      // in flight
+  std::vector<ArrivalNumber> awaiting_target_;    // wait for the cache to reach their target
   std::deque<ArrivalNumber> ready_;
   std::deque<ArrivalNumber> ready_lists_;  // wait for tokens
   std::uint64_t next_confirmation_ = 1;
--- a/src/watch_cache/relay_file.cpp
+++ b/src/watch_cache/relay_file.cpp
@@ -22,15 +22,15 @@
 constexpr std::int64_t kKibibyte = 1 << 10;
 constexpr std::int64_t kGibibyte = 1 << 30;
 
-// Bounds of what the file may set.
+// Bounds of the values in the file.
 constexpr std::int64_t kMaxConnections = 100000;
 constexpr std::int64_t kMaxWatchesPerConnection = 100000;
 constexpr std::int64_t kMaxCount = 10000000;
 constexpr std::int64_t kMinBytes = kKibibyte;
 constexpr std::int64_t kMaxBytes = 16 * kGibibyte;
 constexpr milliseconds kMaxGracePeriod = minutes(10);
-constexpr milliseconds kMinPing = milliseconds(100);
-constexpr milliseconds kMaxPing = hours(1);
+constexpr milliseconds kMinPingTime = milliseconds(100);
+constexpr milliseconds kMaxPingTime = hours(1);
 constexpr milliseconds kMinTimeout = seconds(1);
 constexpr milliseconds kMaxTimeout = hours(24);
 constexpr milliseconds kMinReadTimeout = milliseconds(50);
@@ -38,22 +38,22 @@
 constexpr milliseconds kMinProgressInterval = milliseconds(50);
 constexpr milliseconds kMaxProgressInterval = minutes(10);
 
-std::size_t ReadCount(TableReader& table, std::string_view key, std::size_t otherwise, std::int64_t max) {
-  return static_cast<std::size_t>(table.Integer(key, static_cast<std::int64_t>(otherwise), 1, max));
+std::size_t ReadCount(TableReader& table, std::string_view key, std::size_t default_value, std::int64_t max) {
+  return static_cast<std::size_t>(table.Integer(key, static_cast<std::int64_t>(default_value), 1, max));
 }
 
-std::size_t ReadBytes(TableReader& table, std::string_view key, std::size_t otherwise) {
+std::size_t ReadBytes(TableReader& table, std::string_view key, std::size_t default_value) {
   return static_cast<std::size_t>(
-      table.Integer(key, static_cast<std::int64_t>(otherwise), kMinBytes, kMaxBytes));
+      table.Integer(key, static_cast<std::int64_t>(default_value), kMinBytes, kMaxBytes));
 }
 
 void ReadUpstream(TableReader& table, const std::string& file, RelayFile* parsed) {
-  operator_config::EtcdConnectionSettings link;
-  if (table.Has("endpoints")) table.Report("endpoints", "are --upstream's");
-  link = operator_config::ReadEtcdConnection(table);
+  operator_config::EtcdConnectionSettings connection;
+  if (table.Has("endpoints")) table.Report("endpoints", "are set with --upstream, not in the file");
+  connection = operator_config::ReadEtcdConnection(table);
   table.Finish();
   if (!parsed->ok()) return;
-  const auto client = membership::MakeEtcdClientSettings(link);
+  const auto client = membership::MakeEtcdClientSettings(connection);
   if (!client) {
     parsed->problems.push_back({file, 0, 0, Message(client.error())});
     return;
@@ -68,7 +68,8 @@
   const bool has_any = !files.certificate.empty() || !files.key.empty() || !files.authority.empty();
   const bool has_all = !files.certificate.empty() && !files.key.empty() && !files.authority.empty();
   if (has_any && !has_all) {
-    table.Report("certificate", "key and client_authority belong together: all three for TLS, or none");
+    table.Report("certificate",
+                 "must be set together with key and client_authority: all three for TLS, or none");
   }
   if (has_all) server->tls = std::move(files);
 }
@@ -79,8 +80,8 @@
   server.max_connections = ReadCount(table, "connections", server.max_connections, kMaxConnections);
   settings->max_watches_per_connection = ReadCount(
       table, "watches_per_connection", settings->max_watches_per_connection, kMaxWatchesPerConnection);
-  server.ping_interval = table.Duration("ping_every", server.ping_interval, kMinPing, kMaxPing);
-  server.ping_timeout = table.Duration("ping_timeout", server.ping_timeout, kMinPing, kMaxPing);
+  server.ping_interval = table.Duration("ping_every", server.ping_interval, kMinPingTime, kMaxPingTime);
+  server.ping_timeout = table.Duration("ping_timeout", server.ping_timeout, kMinPingTime, kMaxPingTime);
   server.idle_timeout = table.Duration("idle_timeout", server.idle_timeout, kMinTimeout, kMaxTimeout);
   server.stall_timeout = table.Duration("stall_timeout", server.stall_timeout, kMinTimeout, kMaxTimeout);
   table.Finish();
--- a/src/watch_cache/relay_file.h
+++ b/src/watch_cache/relay_file.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The watch cache's configuration file (TOML): TLS on both sides, a user at etcd, bounds. deploy/relay.toml
-/// lists every key. This is the only place where the file's keys meet the names of the settings.
+/// The watch cache's configuration file (TOML): TLS for readers and upstream, the etcd user, and bounds.
+/// deploy/relay.toml lists every key. Only this module maps the file's keys to the settings.
 #ifndef BADGERBRIDGE_WATCH_CACHE_RELAY_FILE_H_
 #define BADGERBRIDGE_WATCH_CACHE_RELAY_FILE_H_
 
@@ -14,22 +14,22 @@
 
 namespace badgerbridge::watch_cache {
 
-/// A parsed file.
+/// The settings and the problems of a parsed file.
 struct RelayFile {
   ServiceSettings settings;            ///< Defaults for what the file does not set. Valid if ok().
   operator_config::Problems problems;  ///< All errors in the file.
 
-  /// Whether the file has no error.
+  /// Whether the settings may be used: there is no problem.
   bool ok() const { return problems.empty(); }
 };
 
-/// Parses a file's text. `file` is its name for messages.
+/// Parses the text of a configuration file. `file` is its name in messages.
 RelayFile ParseRelayFile(std::string_view text, const std::string& file);
 
-/// Reads and parses a file. A file that cannot be read is a problem, too.
+/// Reads and parses a file. A file that cannot be read is reported as a problem.
 RelayFile LoadRelayFile(const std::string& path);
 
-/// Whether this is the registration of a backend that is draining: a put that no merge may hide.
+/// Whether this is the registration of a draining backend. Merging must not drop such a put.
 bool IsDrainEvent(const etcdserverpb::KeyValue& kv);
 
 }  // namespace badgerbridge::watch_cache
--- a/src/watch_cache/service.cpp
+++ b/src/watch_cache/service.cpp
@@ -15,9 +15,9 @@
 using etcd::Code;
 using etcd::StreamId;
 
-// After the drain period, for the last messages to be sent.
-constexpr Time kDrainGrace{500};
-// Between checks whether a drain is complete.
+// Time after the drain period for sending the last messages.
+constexpr Time kDrainGracePeriod{500};
+// Interval between checks whether a drain is complete.
 constexpr Time kDrainCheckInterval{20};
 
 etcd::FollowerLinkSettings UpstreamSettings(const ServiceSettings& settings) {
@@ -72,7 +72,7 @@
 etcd::Http2ServerHandler Service::AcceptConnection(const std::shared_ptr<etcd::ServerConnection>& link) {
   const auto accepted = std::make_shared<Connection>(link);
   connections_.insert(accepted);
-  // The handlers may use `this`, which outlives the server and so every call of theirs.
+  // The handlers may use `this`, because it outlives the server and its connections.
   const std::weak_ptr<Connection> weak = accepted;
   link->on_progress = [this, weak] {
     if (const auto connection = weak.lock()) SendPending(*connection);
@@ -81,8 +81,8 @@
     if (const auto connection = weak.lock()) connections_.erase(connection);
   };
   etcd::Http2ServerHandler handler;
-  handler.on_call = [this, weak](StreamId stream, const etcd::CallHeaders& head) {
-    if (const auto connection = weak.lock()) OnCall(*connection, stream, head);
+  handler.on_call = [this, weak](StreamId stream, const etcd::CallHeaders& headers) {
+    if (const auto connection = weak.lock()) OnCall(*connection, stream, headers);
   };
   handler.on_message = [this, weak](StreamId stream, std::string_view message) {
     if (const auto connection = weak.lock()) OnMessage(connection, stream, message);
@@ -99,8 +99,8 @@
 
 // ---- the core's actions ---------------------------------------------------------------------------------
 
-// Not re-entrant: an action may lead to another input of the core, whose actions come after those before.
-void Service::CarryOutActions() {
+// Not re-entrant: an action may call the core again, whose new actions are performed after the pending ones.
+void Service::PerformActions() {
   if (is_performing_) return;
   is_performing_ = true;
   while (!actions_.empty()) {
@@ -142,18 +142,18 @@
   if (found == subscribers_.end()) return;
   const auto connection = found->second.connection.lock();
   if (!connection) return;
-  connection->awake.push_back(action.subscriber);
+  connection->ready_subscribers.push_back(action.subscriber);
   connections_to_send_.insert(connection);
 }
 
-// Ends the stream with all its watches, because its reader has to use another cache.
+// Ends the stream with all its watches, because the reader has to use another cache.
 void Service::Perform(WatchCache::EndSubscriber& action) {
   const auto found = subscribers_.find(action.subscriber);
   if (found == subscribers_.end()) return;
   const auto connection = found->second.connection.lock();
   const StreamId stream = found->second.stream;
   if (!connection) return;
-  ForgetWatch(*connection, action.subscriber);
+  RemoveWatch(*connection, action.subscriber);
   const auto call = connection->calls.find(stream);
   if (call == connection->calls.end()) return;
   call->second.finished = true;
@@ -162,7 +162,7 @@
   const auto other_watches = call->second.watches;
   for (const auto& [watch_id, subscriber] : other_watches) {
     cache_.Unsubscribe(subscriber);
-    ForgetWatch(*connection, subscriber);
+    RemoveWatch(*connection, subscriber);
   }
 }
 
@@ -172,15 +172,16 @@
 
 void Service::SendPending(Connection& connection) {
   if (connection.link->is_closed()) return;
-  while (!connection.awake.empty() && connection.http2().unsent_bytes() < settings_.max_unsent_bytes) {
-    const SubscriberId subscriber = connection.awake.front();
-    connection.awake.pop_front();
-    if (SendNextMessage(connection, subscriber)) connection.awake.push_back(subscriber);
+  while (!connection.ready_subscribers.empty() &&
+         connection.http2().unsent_bytes() < settings_.max_unsent_bytes) {
+    const SubscriberId subscriber = connection.ready_subscribers.front();
+    connection.ready_subscribers.pop_front();
+    if (SendNextMessage(connection, subscriber)) connection.ready_subscribers.push_back(subscriber);
   }
   connection.link->Flush();
 }
 
-// Returns whether the watch may have a further message.
+// Returns whether the watch may have another message.
 bool Service::SendNextMessage(Connection& connection, SubscriberId subscriber) {
   const auto found = subscribers_.find(subscriber);
   if (found == subscribers_.end()) return false;
@@ -190,7 +191,7 @@
   response->set_watch_id(found->second.watch_id);
   connection.http2().SendMessage(found->second.stream, response->SerializeAsString());
   if (!response->canceled()) return true;
-  ForgetWatch(connection, subscriber);
+  RemoveWatch(connection, subscriber);
   return false;
 }
 
@@ -211,7 +212,7 @@
 void Service::Drain(std::function<void()> done) {
   if (drain_deadline_) return;
   on_drained_ = std::move(done);
-  drain_deadline_ = Now() + settings_.cache.drain_period + kDrainGrace;
+  drain_deadline_ = Now() + settings_.cache.drain_period + kDrainGracePeriod;
   server_->StopAccepting();
   RunCore([this](auto* actions) { cache_.Drain(Now(), actions); });
 }
--- a/src/watch_cache/service_calls.cpp
+++ b/src/watch_cache/service_calls.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The calls of readers: the part of etcd's v3 API that the watch cache serves.
+/// Handles calls of readers: the part of etcd's v3 API that the watch cache serves.
 #include <algorithm>
 #include <iterator>
 #include <string_view>
@@ -25,7 +25,7 @@
 // The version of etcd's API that is served, as its Status call reports it.
 constexpr char kApiVersion[] = "3.5.0";
 
-// Services of etcd's API whose other methods write, or read what the cache does not hold.
+// Services of etcd's API. Their methods that are not served write, or read data that the cache does not hold.
 constexpr std::string_view kEtcdServices[] = {"/etcdserverpb.KV/", "/etcdserverpb.Lease/",
                                               "/etcdserverpb.Auth/", "/etcdserverpb.Cluster/",
                                               "/etcdserverpb.Maintenance/"};
@@ -37,20 +37,20 @@
 
 }  // namespace
 
-void Service::OnCall(Connection& connection, StreamId stream, const etcd::CallHeaders& head) {
-  if (!head.IsGrpc()) {
+void Service::OnCall(Connection& connection, StreamId stream, const etcd::CallHeaders& headers) {
+  if (!headers.IsGrpc()) {
     connection.http2().SendHeadersOnly(stream, {{":status", "415"}});
     return;
   }
   Call call{};
-  if (head.path == kRangePath) {
+  if (headers.path == kRangePath) {
     call.kind = Call::Kind::kRange;
-  } else if (head.path == kWatchPath) {
+  } else if (headers.path == kWatchPath) {
     call.kind = Call::Kind::kWatch;
-  } else if (head.path == kStatusPath) {
+  } else if (headers.path == kStatusPath) {
     call.kind = Call::Kind::kStatus;
   } else {
-    RejectCall(connection, stream, head.path);
+    RejectCall(connection, stream, headers.path);
     return;
   }
   connection.calls.emplace(stream, std::move(call));
@@ -145,7 +145,7 @@
   response.set_dbsizeinuse(static_cast<std::int64_t>(status.state_bytes));
   response.set_raftindex(static_cast<std::uint64_t>(status.revision));
   response.set_raftappliedindex(static_cast<std::uint64_t>(status.revision));
-  response.set_islearner(true);  // it replicates and does not vote
+  response.set_islearner(true);  // like a learner, it replicates and does not vote
   connection.http2().SendMessage(stream, response.SerializeAsString());
   connection.http2().Finish(stream, {});
 }
@@ -217,7 +217,7 @@
   if (found == call.watches.end()) return;
   const SubscriberId subscriber = found->second;
   cache_.Unsubscribe(subscriber);
-  ForgetWatch(connection, subscriber);
+  RemoveWatch(connection, subscriber);
   pb::WatchResponse response;
   *response.mutable_header() = Header();
   response.set_watch_id(watch_id);
@@ -225,7 +225,7 @@
   connection.http2().SendMessage(stream, response.SerializeAsString());
 }
 
-void Service::ForgetWatch(Connection& connection, SubscriberId subscriber) {
+void Service::RemoveWatch(Connection& connection, SubscriberId subscriber) {
   const auto found = subscribers_.find(subscriber);
   if (found == subscribers_.end()) return;
   const auto call = connection.calls.find(found->second.stream);
--- a/src/watch_cache/service_internal.h
+++ b/src/watch_cache/service_internal.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// What the source files of Service share.
+/// Private types and functions shared by the source files of Service.
 #ifndef BADGERBRIDGE_WATCH_CACHE_SERVICE_INTERNAL_H_
 #define BADGERBRIDGE_WATCH_CACHE_SERVICE_INTERNAL_H_
 
@@ -23,12 +23,12 @@
   enum class Kind { kRange, kWatch, kStatus };
 
   Kind kind;                                     ///< The method.
-  std::string request;                           ///< The first message; not of a watch.
-  std::size_t message_count = 0;                 ///< Messages received; not of a watch.
+  std::string request;                           ///< The first message received; unused for a watch.
+  std::size_t message_count = 0;                 ///< Messages received; unused for a watch.
   ReadId read = 0;                               ///< The read in flight; 0: none.
   std::map<std::int64_t, SubscriberId> watches;  ///< By watch id.
-  std::int64_t next_watch_id = 0;                ///< The next id to try, where the reader chooses none.
-  bool finished = false;                         ///< Its status was sent.
+  std::int64_t next_watch_id = 0;                ///< The next id to try if the reader does not choose one.
+  bool finished = false;                         ///< The status was sent.
 };
 
 /// A connection of a reader.
@@ -39,16 +39,16 @@
   /// The HTTP/2 session.
   etcd::Http2Server& http2() { return link->http2(); }
 
-  std::shared_ptr<etcd::ServerConnection> link;  ///< The socket.
+  std::shared_ptr<etcd::ServerConnection> link;  ///< The transport; its socket and HTTP/2 session.
   std::map<etcd::StreamId, Call> calls;          ///< By stream.
-  std::deque<SubscriberId> awake;                ///< Have a message to be sent, in turn.
-  std::size_t watch_count = 0;                   ///< Of all calls.
+  std::deque<SubscriberId> ready_subscribers;    ///< Those with messages to send, in round-robin order.
+  std::size_t watch_count = 0;                   ///< Watches of all calls.
 };
 
-/// The time that the core is told.
+/// The current time of the core's clock.
 inline Time Now() { return etcd::FollowerLink::Now(); }
 
-/// A status of gRPC with a message.
+/// A gRPC status that this server sends.
 inline etcd::Status Error(etcd::Code code, std::string message) {
   return {code, etcd::Ending::kStatus, std::move(message)};
 }
@@ -58,7 +58,7 @@
   WatchCache::Actions actions;
   input(&actions);
   std::move(actions.begin(), actions.end(), std::back_inserter(actions_));
-  CarryOutActions();
+  PerformActions();
 }
 
 }  // namespace badgerbridge::watch_cache
--- a/src/watch_cache/state.cpp
+++ b/src/watch_cache/state.cpp
@@ -19,7 +19,7 @@
 
 Status Error(Code code, const char* text) { return {code, Ending::kStatus, text}; }
 
-// Key values of a range at an older revision, for the keys that have changed since. Null: the key was absent.
+// The key values at an older revision of the keys that have changed since. Null: the key was absent.
 using Overlay = std::map<std::string_view, KeyValuePtr>;
 
 Overlay RollBack(const Window& window, std::int64_t revision, const KeyRange& range) {
@@ -152,7 +152,7 @@
 namespace {
 
 // The key values that the request selects, in its order. With a limit, possibly one more than the limit,
-// which tells that there are more.
+// which shows that there are more.
 std::vector<const pb::KeyValue*> SelectKeyValues(const pb::RangeRequest& request, Bounds bounds,
                                                  const Overlay& overlay, std::size_t* visited_keys) {
   const bool may_stop_early = request.limit() > 0 && IsInKeyOrder(request);
--- a/src/watch_cache/state.h
+++ b/src/watch_cache/state.h
@@ -28,7 +28,7 @@
 /// Key extractor of State::Keys.
 struct KeyOf {
   using result_type = std::string;  ///< Required by Boost.MultiIndex.
-  /// The key.
+  /// The key of a key value, which must not be null.
   const std::string& operator()(const KeyValuePtr& kv) const { return kv->key(); }
 };
 
@@ -39,10 +39,10 @@
   using Keys = boost::multi_index_container<
       KeyValuePtr, boost::multi_index::indexed_by<boost::multi_index::ranked_unique<KeyOf, std::less<>>>>;
 
-  const Keys& keys() const { return keys_; }    ///< All of them.
-  std::size_t bytes() const { return bytes_; }  ///< Of all key values, as encoded.
+  const Keys& keys() const { return keys_; }    ///< Ordered by key.
+  std::size_t bytes() const { return bytes_; }  ///< Encoded size of all key values.
 
-  /// The key value, or null.
+  /// The key value, or null if the key is absent.
   KeyValuePtr Find(std::string_view key) const;
 
   /// Applies a put or a deletion.
@@ -60,14 +60,16 @@
 struct RangeResult {
   etcd::Status status;                   ///< Not ok: the revision is compacted or in the future.
   etcdserverpb::RangeResponse response;  ///< Valid if status.ok(); its header is not set.
-  std::size_t visited_keys = 0;          ///< The cost: keys that were looked at.
+  std::size_t visited_keys = 0;          ///< Keys visited; a measure of the cost.
 };
 
-/// Checks what no state could answer: a missing key or an unknown sort order.
+/// Validates a request independently of the state. Fails with kInvalidArgument if the key is missing or the
+/// sort order or target is unknown.
 etcd::Status CheckRange(const etcdserverpb::RangeRequest& request);
 
-/// Reads a range at `revision`, the state's own, or at the request's, which the window must hold. Cost: the
-/// keys in the range and, for an older revision, the window's events since.
+/// Reads a range at the request's revision, which the window must hold, or, if the request has none, at
+/// `revision`, which is the state's. The cost grows with the keys in the range and, for an older revision,
+/// with the events in the window since.
 RangeResult ReadRange(const State& state, const Window& window, std::int64_t revision,
                       const etcdserverpb::RangeRequest& request);
 
--- a/src/watch_cache/subscribers.cpp
+++ b/src/watch_cache/subscribers.cpp
@@ -13,7 +13,7 @@
 
 // ---- adding and removing --------------------------------------------------------------------------------
 
-Subscribers::Subscriber Subscribers::FromRequest(const pb::WatchCreateRequest& request) {
+Subscribers::Subscriber Subscribers::MakeSubscriber(const pb::WatchCreateRequest& request) {
   Subscriber subscriber;
   subscriber.range = {request.key(), request.range_end()};
   for (const int filter : request.filters()) {
@@ -29,7 +29,7 @@
 void Subscribers::Add(Time now, SubscriberId id, const pb::WatchCreateRequest& request, std::string rejection,
                       const CachePosition& position, Actions* actions) {
   Subscriber& added = subscribers_[id];
-  added = FromRequest(request);
+  added = MakeSubscriber(request);
   added.rejection = std::move(rejection);
   added.last_message = now;
   by_range_[added.range].insert(id);
@@ -103,7 +103,7 @@
     const SubscriberId id = notifications_.begin()->subscriber;
     notifications_.erase(notifications_.begin());
     Subscriber& subscriber = subscribers_.at(id);
-    // A message meanwhile postpones the notification.
+    // A message sent meanwhile postpones the notification.
     const Time due = subscriber.last_message + settings_.progress_interval;
     if (due > now) {
       ScheduleNotification(id, &subscriber, due);
@@ -136,7 +136,7 @@
 }
 
 void Subscribers::BatchAppended(const CachePosition& position, Actions* actions) {
-  NotifyAll(window_.end() - 1, position, actions);
+  NotifySubscribers(window_.end() - 1, position, actions);
   std::vector<SubscriberId> lagging;
   for (const SubscriberId id : catching_up_) {
     if (IsLagging(subscribers_.at(id))) lagging.push_back(id);
@@ -144,14 +144,14 @@
   for (const SubscriberId id : lagging) SwitchToBacklog(id, &subscribers_.at(id), position);
 }
 
-// Gives the batch with this sequence number to all whose range it touches.
-void Subscribers::NotifyAll(std::uint64_t sequence, const CachePosition& position, Actions* actions) {
+// Notifies the subscribers whose range contains a key of the batch with this sequence number.
+void Subscribers::NotifySubscribers(std::uint64_t sequence, const CachePosition& position, Actions* actions) {
   const Batch& batch = window_.At(sequence);
   for (const auto& [range, ids] : by_range_) {
-    const bool is_touched = std::any_of(
+    const bool is_affected = std::any_of(
         batch.events.begin(), batch.events.end(),
         [&range = range](const StoredEventPtr& event) { return range.Contains(event->kv->key()); });
-    if (!is_touched) continue;
+    if (!is_affected) continue;
     for (const SubscriberId id : ids) {
       Subscriber& subscriber = subscribers_.at(id);
       if (!subscriber.awake) {
@@ -172,7 +172,7 @@
 
 // ---- slow subscribers -----------------------------------------------------------------------------------
 
-// From here on the subscriber needs nothing in the window.
+// Moves the subscriber's pending events to a merged backlog, so that it no longer needs the window.
 void Subscribers::SwitchToBacklog(SubscriberId id, Subscriber* subscriber, const CachePosition& position) {
   catching_up_.erase(id);
   if (subscriber->compacted != 0 || !subscriber->rejection.empty()) return;
@@ -185,7 +185,7 @@
   }
 }
 
-// Turns the rest of the batch that is being sent into merged events.
+// Converts the unsent events of the current batch to merged events.
 void Subscribers::DetachFromBatch(Subscriber* subscriber) {
   std::vector<MergedBacklog::Entry> rest;
   for (;;) {
@@ -278,7 +278,7 @@
   return response;
 }
 
-// The first message. Of a rejected watch it is the last, too.
+// The first message, which is also the last of a rejected watch.
 pb::WatchResponse Subscribers::CreatedMessage(SubscriberId id, Subscriber* subscriber,
                                               const CachePosition& position) {
   pb::WatchResponse response = EmptyMessage(position);
@@ -301,7 +301,7 @@
   return response;
 }
 
-// Finds the next response that has events; false if there is none.
+// Loads the next response that has events. Returns false if there is none.
 bool Subscribers::LoadNextResponse(SubscriberId id, Subscriber* subscriber) {
   if (subscriber->backlog) {
     if (!subscriber->backlog->empty()) {
@@ -310,7 +310,7 @@
       subscriber->sending_revision = segment.revision;
       return true;
     }
-    // It has caught up.
+    // The subscriber has caught up.
     DropBacklog(id, subscriber);
     subscriber->cursor = window_.end();
     catching_up_.insert(id);
@@ -325,7 +325,7 @@
   return false;
 }
 
-// The next event of the response that is being sent. Events that are not wanted count as sent.
+// The next event of the current response. Skips events that the subscriber does not want.
 Subscribers::PendingEvent Subscribers::NextEvent(Subscriber* subscriber) {
   if (!subscriber->batch) {
     if (subscriber->sent_events == subscriber->merged.size()) return {};
@@ -342,7 +342,7 @@
   return {&event, event.previous};
 }
 
-// Appends the rest of the response, or a fragment of it.
+// Appends the unsent events of the current response, or as many as a fragment may hold.
 void Subscribers::AppendEvents(Subscriber* subscriber, std::size_t max_bytes, pb::WatchResponse* response) {
   std::size_t bytes = 0;
   for (;;) {
--- a/src/watch_cache/subscribers.h
+++ b/src/watch_cache/subscribers.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The watches on the cache. A subscriber that keeps up has only a position in the shared window. One that is
-/// too far behind has a backlog merged by key (merged_backlog.h) until it has caught up.
+/// The watches on the cache. A subscriber that keeps up has only a position in the shared window. A
+/// subscriber that lags too far behind has a backlog merged by key (merged_backlog.h) until it has caught up.
 ///
 /// Invariant, for a subscriber that has applied its messages in order: after each complete response (the last
 /// of its fragments) it holds the source's state, of its range and filters, at the header's revision.
@@ -29,32 +29,32 @@
 
 namespace badgerbridge::watch_cache {
 
-/// All subscribers of a watch cache.
+/// All subscribers of a watch cache. Not thread-safe.
 class Subscribers {
  public:
-  /// As of the watch cache.
+  /// The actions that the caller has to perform.
   using Actions = WatchCache::Actions;
 
-  /// Both must outlive this.
+  /// Keeps references to both, which must outlive this.
   Subscribers(const Settings& settings, const Window& window) : settings_(settings), window_(window) {}
 
   std::size_t size() const { return subscribers_.size(); }           ///< Current watches.
   std::size_t slow() const { return slow_.size(); }                  ///< Those with a merged backlog.
   std::size_t merged_events() const { return merged_event_count_; }  ///< In all backlogs.
-  std::uint64_t resumed() const { return resumed_count_; }           ///< Started at a past revision, ever.
-  std::uint64_t compacted() const { return compacted_count_; }       ///< Canceled as compacted, ever.
+  std::uint64_t resumed() const { return resumed_count_; }      ///< Started at a past revision, in total.
+  std::uint64_t compacted() const { return compacted_count_; }  ///< Canceled as compacted, in total.
 
-  /// Adds a watch. `rejection`, if not empty, is why its range cannot be watched.
+  /// Adds a watch. `rejection`, if not empty, is the reason why its range cannot be watched.
   void Add(Time now, SubscriberId id, const etcdserverpb::WatchCreateRequest& request, std::string rejection,
            const CachePosition& position, Actions* actions);
 
-  /// Removes a watch. Unknown ones are ignored.
+  /// Removes a watch. Unknown ids are ignored.
   void Remove(SubscriberId id);
 
-  /// The subscriber is to get a progress notification.
+  /// Requests a progress notification, which is sent after all pending events. Unknown ids are ignored.
   void RequestProgress(SubscriberId id, Actions* actions);
 
-  /// The newest batch was appended to the window, and nothing has been trimmed for it yet.
+  /// To be called after a batch was appended to the window and before the window is trimmed.
   void BatchAppended(const CachePosition& position, Actions* actions);
 
   /// The window was reset: cancels all watches that have not reached `revision`.
@@ -66,16 +66,17 @@
                                                          const CachePosition& position,
                                                          bool may_report_progress);
 
-  /// Wakes those whose progress notification is due.
+  /// Wakes the subscribers whose progress notification is due.
   void Tick(Time now, Actions* actions);
 
-  /// When the next progress notification is due.
+  /// When the next progress notification is due. Empty if there is none.
   std::optional<Time> NextWake() const;
 
-  /// The upstream is followed again: wakes those that requested progress meanwhile.
+  /// To be called once the upstream is followed again: wakes the subscribers whose progress notification is
+  /// due.
   void WakeForProgress(Actions* actions);
 
-  /// Ends the `count` oldest.
+  /// Ends the `count` subscribers with the lowest ids.
   void End(std::size_t count, const etcd::Status& status, Actions* actions);
 
  private:
@@ -87,10 +88,10 @@
     bool accepts_fragments = false;
     bool progress_notify = false;
     std::int64_t next_revision = 0;  // events before it are not wanted
-    bool created = false;            // the first message was given
-    std::string rejection;           // why it is canceled once created; empty: it is not
-    std::int64_t compacted = 0;      // not 0: it is canceled, with this compact_revision
-    bool awake = false;              // has something to send; if not, it has been given everything
+    bool created = false;            // the first message was returned
+    std::string rejection;           // why it is canceled once created; empty: it is not canceled
+    std::int64_t compacted = 0;      // compact_revision of its cancellation; 0: not canceled
+    bool awake = false;              // has been woken and may have messages; if not, all were returned
     bool progress_due = false;
     Time last_message{0};
     std::uint64_t cursor = 0;                // while awake and not slow: the next batch in the window
@@ -100,8 +101,8 @@
     std::vector<MergedBacklog::Entry> merged;
     std::size_t sent_events = 0;  // of either
     std::int64_t sending_revision = 0;
-    std::size_t counted_events = 0;  // its share of merged_event_count_
-    Time notification_due{0};        // its place in notifications_
+    std::size_t counted_events = 0;  // included in merged_event_count_
+    Time notification_due{0};        // its key in notifications_
   };
 
   // When a progress notification is due.
@@ -119,9 +120,9 @@
 
   static bool IsWanted(const Subscriber& subscriber, const StoredEvent& event);
   static std::vector<StoredEventPtr> WantedEvents(const Subscriber& subscriber, const Batch& batch);
-  static Subscriber FromRequest(const etcdserverpb::WatchCreateRequest& request);
+  static Subscriber MakeSubscriber(const etcdserverpb::WatchCreateRequest& request);
   void Wake(SubscriberId id, Subscriber* subscriber, Actions* actions);
-  void NotifyAll(std::uint64_t sequence, const CachePosition& position, Actions* actions);
+  void NotifySubscribers(std::uint64_t sequence, const CachePosition& position, Actions* actions);
   void SwitchToBacklog(SubscriberId id, Subscriber* subscriber, const CachePosition& position);
   static void DetachFromBatch(Subscriber* subscriber);
   void AddToBacklog(SubscriberId id, Subscriber* subscriber, const Batch& batch,
@@ -145,9 +146,9 @@
   const Settings& settings_;
   const Window& window_;
   std::map<SubscriberId, Subscriber> subscribers_;
-  // Many watch the same range.
+  // Many subscribers watch the same range.
   std::map<KeyRange, std::unordered_set<SubscriberId>> by_range_;
-  std::unordered_set<SubscriberId> catching_up_;  // awake and not slow: they need the window
+  std::unordered_set<SubscriberId> catching_up_;  // awake and not slow: they need batches of the window
   std::unordered_set<SubscriberId> slow_;
   std::set<Notification> notifications_;  // the earliest first
   std::size_t merged_event_count_ = 0;
--- a/src/watch_cache/upstream_validation.h
+++ b/src/watch_cache/upstream_validation.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Checks of what comes from upstream, before anything of it is applied.
+/// Validates data from upstream before any of it is applied.
 #ifndef BADGERBRIDGE_WATCH_CACHE_UPSTREAM_VALIDATION_H_
 #define BADGERBRIDGE_WATCH_CACHE_UPSTREAM_VALIDATION_H_
 
@@ -17,7 +17,7 @@
 namespace badgerbridge::watch_cache {
 
 /// The keys of a snapshot at `revision`. Errors: kKeyOutsidePrefix, kKeyWithoutRevision,
-/// kRevisionAfterHeader, kDuplicateKey. `prefix` is the prefix's range.
+/// kRevisionAfterHeader, kDuplicateKey. `prefix` is the key range of the prefix.
 Result<State::Keys> CollectKeys(const KeyRange& prefix, std::int64_t revision,
                                 std::vector<etcdserverpb::KeyValue> kvs);
 
@@ -26,8 +26,8 @@
 Result<void> CheckEvents(const KeyRange& prefix, std::int64_t current_revision, std::int64_t revision,
                          const std::vector<etcdserverpb::Event>& events);
 
-/// Whether a snapshot can be a continuation of the history that the cache holds: key values that are not
-/// newer than the cache's revision must be those in the cache.
+/// Whether a snapshot can continue the history that the cache holds. Key values that are not newer than the
+/// cache's revision must be equal to those in the cache.
 bool ContinuesHistory(const CachePosition& position, const State& state, std::uint64_t cluster_id,
                       std::int64_t revision, const State::Keys& keys);
 
--- a/src/watch_cache/watch_cache.cpp
+++ b/src/watch_cache/watch_cache.cpp
@@ -22,7 +22,7 @@
 using etcd::Code;
 using etcd::Ending;
 
-// Approximate memory beyond the bytes as encoded. It also bounds the number of empty batches and events.
+// Approximate memory in addition to the encoded size. It also bounds the number of empty batches and events.
 constexpr std::size_t kBatchOverheadBytes = 64;
 constexpr std::size_t kEventOverheadBytes = 96;
 
@@ -31,7 +31,7 @@
 
 etcd::Status Error(Code code, std::string text) { return {code, Ending::kStatus, std::move(text)}; }
 
-UpstreamError ErrorOf(UpstreamErrorCode code, UpstreamMessage where) {
+UpstreamError MakeUpstreamError(UpstreamErrorCode code, UpstreamMessage where) {
   UpstreamError error;
   error.code = code;
   error.where = where;
@@ -50,9 +50,9 @@
                      [&](const pb::Event& event) { return !keys.insert(event.kv().key()).second; });
 }
 
-// An upstream cache never names a key twice in a response. So a repeated key means that the response comes
-// from etcd and holds every revision: then each revision becomes a batch, so that no event hides another in a
-// message.
+// A watch cache never sends a key twice in a response. So a repeated key means that the response comes from
+// etcd and contains every revision. Each revision then becomes a batch, so that no event replaces another in
+// a message.
 std::vector<PendingBatch> SplitIntoBatches(std::int64_t revision, std::vector<pb::Event> events) {
   const bool split_by_revision = HasRepeatedKey(events);
   std::vector<PendingBatch> batches;
@@ -73,8 +73,8 @@
 }  // namespace
 
 struct WatchCache::Impl {
-  explicit Impl(Settings from)
-      : settings(std::move(from)),
+  explicit Impl(Settings initial_settings)
+      : settings(std::move(initial_settings)),
         prefix(KeyRange::Prefix(settings.prefix)),
         window(settings.max_window_bytes, settings.max_window_events),
         reads(settings),
@@ -98,7 +98,7 @@
   bool connected = false;
   bool needs_snapshot = false;  // data from upstream was rejected
   Time last_upstream_message{0};
-  std::optional<Time> lost_since;  // while the upstream, once followed, is not
+  std::optional<Time> lost_since;  // empty while the upstream is followed
   std::string last_upstream_error;
   std::optional<Draining> draining;
 
@@ -113,11 +113,11 @@
   void RecordUpstreamLoss(Time now, std::string reason);
   void RejectUpstreamData(Time now, const UpstreamError& error, Actions* actions);
   void ReplaceHistory(std::uint64_t cluster_id, std::int64_t revision, State::Keys keys, Actions* actions);
-  void SkipTo(std::int64_t revision, State::Keys keys, Actions* actions);
+  void ApplyListOfSameHistory(std::int64_t revision, State::Keys keys, Actions* actions);
   StoredEventPtr MakeStoredEvent(pb::Event event) const;
   void ApplyBatch(PendingBatch pending, Actions* actions);
   void CacheChanged(Time now, bool history_replaced, Actions* actions);
-  bool IsUpstreamGraceOver(Time now) const {
+  bool HasUpstreamGraceExpired(Time now) const {
     return lost_since && now - *lost_since >= settings.upstream_grace;
   }
 
@@ -168,10 +168,11 @@
   position = {true, cluster_id, revision, position.history + 1};
 }
 
-// The same history, listed again, so that the events between are unknown. The difference of the two lists
-// cannot stand in for them: it would lack deletions for a watch that resumes in between, and a cache below
-// could not tell it from events. As etcd does after a compaction, all watches are canceled and have to list.
-void WatchCache::Impl::SkipTo(std::int64_t revision, State::Keys keys, Actions* actions) {
+// Applies a new list of the same history. The events between the two lists are unknown. The difference of the
+// lists cannot replace them: a watch that resumes in between would miss deletions, and a downstream cache
+// could not distinguish the difference from events. As etcd does after a compaction, all watches are
+// canceled, and their readers have to list again.
+void WatchCache::Impl::ApplyListOfSameHistory(std::int64_t revision, State::Keys keys, Actions* actions) {
   if (revision == position.revision) return;
   state.Replace(std::move(keys));
   window.Reset(revision);
@@ -222,7 +223,7 @@
   const bool continues =
       was_known && ContinuesHistory(impl_->position, impl_->state, cluster_id, revision, *keys);
   if (continues) {
-    impl_->SkipTo(revision, std::move(*keys), actions);
+    impl_->ApplyListOfSameHistory(revision, std::move(*keys), actions);
   } else {
     impl_->ReplaceHistory(cluster_id, revision, std::move(*keys), actions);
   }
@@ -234,7 +235,8 @@
                                 Actions* actions) {
   if (impl_->needs_snapshot) return;
   if (!impl_->position.known) {
-    const UpstreamError error = ErrorOf(UpstreamErrorCode::kEventsBeforeSnapshot, UpstreamMessage::kEvent);
+    const UpstreamError error =
+        MakeUpstreamError(UpstreamErrorCode::kEventsBeforeSnapshot, UpstreamMessage::kEvent);
     return impl_->RejectUpstreamData(now, error, actions);
   }
   if (events.empty()) return UpstreamProgress(now, revision, actions);
@@ -251,11 +253,12 @@
   if (impl_->needs_snapshot) return;
   if (!impl_->position.known) {
     const UpstreamError error =
-        ErrorOf(UpstreamErrorCode::kProgressBeforeSnapshot, UpstreamMessage::kNotification);
+        MakeUpstreamError(UpstreamErrorCode::kProgressBeforeSnapshot, UpstreamMessage::kNotification);
     return impl_->RejectUpstreamData(now, error, actions);
   }
   if (revision < impl_->position.revision) {
-    UpstreamError error = ErrorOf(UpstreamErrorCode::kProgressWentBack, UpstreamMessage::kNotification);
+    UpstreamError error =
+        MakeUpstreamError(UpstreamErrorCode::kProgressDecreased, UpstreamMessage::kNotification);
     error.revision = revision;
     error.expected_revision = impl_->position.revision;
     return impl_->RejectUpstreamData(now, error, actions);
@@ -285,12 +288,12 @@
     header.set_cluster_id(position.cluster_id);
     header.set_member_id(settings.member_id);
     header.set_revision(position.revision);
-    if (ready->is_list) reads.SpendListTokens(result.response.ByteSizeLong());
+    if (ready->is_list) reads.ConsumeListTokens(result.response.ByteSizeLong());
     Append<AnswerRead>(actions, ready->read, std::move(result.status), std::move(result.response));
   }
 }
 
-// Ok, or why the read is rejected.
+// Returns OK, or the reason why the read is rejected.
 etcd::Status WatchCache::Impl::AdmitRead(const pb::RangeRequest& request) const {
   etcd::Status status = CheckRange(request);
   if (!status.ok()) return status;
@@ -322,10 +325,10 @@
 
 // ---- subscribers ----------------------------------------------------------------------------------------
 
-// Ok, or why the watch is rejected.
+// Returns OK, or the reason why the watch is rejected.
 etcd::Status WatchCache::Impl::AdmitSubscriber(Time now) const {
   if (draining) return Error(Code::kUnavailable, kDrainingText);
-  if (IsUpstreamGraceOver(now)) return Error(Code::kUnavailable, kUpstreamLostText);
+  if (HasUpstreamGraceExpired(now)) return Error(Code::kUnavailable, kUpstreamLostText);
   if (!position.known) return Error(Code::kUnavailable, "the relay has not read its prefix yet");
   if (subscribers.size() >= settings.max_subscribers) {
     return Error(Code::kResourceExhausted,
@@ -376,7 +379,7 @@
   return impl_->draining && impl_->subscribers.size() == 0 && impl_->reads.waiting() == 0;
 }
 
-// Spread evenly over the drain period. Subscribers that leave by themselves only shorten the drain.
+// Ends subscribers evenly over the drain period. Subscribers that leave on their own only shorten the drain.
 void WatchCache::Impl::EndSubscribersDueForDrain(Time now, Actions* actions) {
   const auto elapsed_ms = static_cast<std::size_t>((now - draining->since).count());
   const auto period_ms = static_cast<std::size_t>(std::max<std::int64_t>(1, settings.drain_period.count()));
@@ -387,7 +390,7 @@
   subscribers.End(count, Error(Code::kUnavailable, kDrainingText), actions);
 }
 
-// When the next subscriber is due, rounded up so that it is due then.
+// When the next subscriber has to be ended, rounded up so that a tick at that time ends it.
 Time WatchCache::Impl::NextDrainWake() const {
   const std::size_t next_ended = draining->ended_subscribers + 1;
   const auto next = static_cast<std::int64_t>(std::min(next_ended, draining->total_subscribers));
@@ -397,7 +400,7 @@
 
 void WatchCache::Tick(Time now, Actions* actions) {
   if (impl_->draining) impl_->EndSubscribersDueForDrain(now, actions);
-  if (impl_->IsUpstreamGraceOver(now)) {
+  if (impl_->HasUpstreamGraceExpired(now)) {
     impl_->subscribers.End(impl_->subscribers.size(), Error(Code::kUnavailable, kUpstreamLostText), actions);
   }
   impl_->subscribers.Tick(now, actions);
--- a/src/watch_cache/window.h
+++ b/src/watch_cache/window.h
@@ -16,7 +16,7 @@
 /// A bounded queue of batches.
 class Window {
  public:
-  /// Trim enforces both bounds.
+  /// The bounds are enforced by Trim only.
   Window(std::size_t max_bytes, std::size_t max_events) : max_bytes_(max_bytes), max_events_(max_events) {}
 
   /// Drops all batches; history begins at revision `floor`.
@@ -25,7 +25,7 @@
   /// Adds the newest batch, without enforcing the bounds.
   void Append(BatchPtr batch);
 
-  /// The value that first() would have after Trim: batches before it are about to be dropped.
+  /// The value that first() would have after Trim, which drops the batches before it.
   std::uint64_t FirstToKeep() const;
 
   /// Drops the oldest batches until both bounds hold.
@@ -40,13 +40,13 @@
   /// The batch with this sequence number, which must be in [first(), end()).
   const BatchPtr& Share(std::uint64_t sequence) const { return entries_[sequence - first_].batch; }
 
-  /// Likewise, without ownership.
+  /// Like Share, without ownership.
   const Batch& At(std::uint64_t sequence) const { return *Share(sequence); }
 
   /// The first batch that ends after `revision`, or end().
   std::uint64_t FirstAfter(std::int64_t revision) const;
 
-  /// Bytes of the batches from this sequence number on.
+  /// Total size of the batches from this sequence number to the newest.
   std::size_t BytesFrom(std::uint64_t sequence) const;
 
   /// The oldest revision to which the state can be rolled back. A watch must start after it.
@@ -61,7 +61,7 @@
  private:
   struct Entry {
     BatchPtr batch;
-    std::uint64_t offset;  // all bytes that were ever appended before it
+    std::uint64_t offset;  // total size of all batches ever appended before this one
   };
 
   std::size_t max_bytes_;
--- a/tests/watch_cache/harness.h
+++ b/tests/watch_cache/harness.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The watch cache's core under test: the harness gives it events and sorts its actions.
+/// Test harness of the watch cache's core: calls it in virtual time and records its actions by kind.
 #ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_HARNESS_H_
 #define BADGERBRIDGE_TESTS_WATCH_CACHE_HARNESS_H_
 
@@ -104,7 +104,7 @@
   return text;
 }
 
-/// Gives events to a watch cache in virtual time and keeps its actions.
+/// Calls a watch cache in virtual time and records its actions.
 class Harness {
  public:
   explicit Harness(Settings settings = TestSettings()) : cache_(std::move(settings)) {}
@@ -119,24 +119,25 @@
   int progress_requests = 0;
 
   void Snapshot(std::int64_t revision, std::vector<pb::KeyValue> kvs, std::uint64_t cluster = kCluster) {
-    Act([&](auto* actions) { cache_.UpstreamSnapshot(now_, cluster, revision, std::move(kvs), actions); });
+    CallCore(
+        [&](auto* actions) { cache_.UpstreamSnapshot(now_, cluster, revision, std::move(kvs), actions); });
   }
   void Events(std::int64_t revision, std::vector<pb::Event> events) {
-    Act([&](auto* actions) { cache_.UpstreamEvents(now_, revision, std::move(events), actions); });
+    CallCore([&](auto* actions) { cache_.UpstreamEvents(now_, revision, std::move(events), actions); });
   }
-  /// One event, as the source sends it.
+  /// One event, in a response at the event's revision.
   void Event(const pb::Event& event) { Events(event.kv().mod_revision(), {event}); }
   void Progress(std::int64_t revision) {
-    Act([&](auto* actions) { cache_.UpstreamProgress(now_, revision, actions); });
+    CallCore([&](auto* actions) { cache_.UpstreamProgress(now_, revision, actions); });
   }
   void Lost() {
-    Act([&](auto* actions) { cache_.UpstreamLost(now_, "connection refused", actions); });
+    CallCore([&](auto* actions) { cache_.UpstreamLost(now_, "connection refused", actions); });
   }
   void Confirm(std::uint64_t confirmation, const pb::ResponseHeader& header, etcd::Status status = {}) {
-    Act([&](auto* actions) { cache_.RevisionConfirmed(now_, confirmation, status, header, actions); });
+    CallCore([&](auto* actions) { cache_.RevisionConfirmed(now_, confirmation, status, header, actions); });
   }
   void Read(ReadId read, const pb::RangeRequest& request) {
-    Act([&](auto* actions) { cache_.Read(now_, read, request, actions); });
+    CallCore([&](auto* actions) { cache_.Read(now_, read, request, actions); });
   }
   /// A serializable read, which is answered at once.
   WatchCache::AnswerRead ReadNow(const pb::RangeRequest& request) {
@@ -148,10 +149,10 @@
   }
   std::string StateNow() { return Text(ReadNow(ListAll()).response); }
   void Subscribe(SubscriberId subscriber, const pb::WatchCreateRequest& request) {
-    Act([&](auto* actions) { cache_.Subscribe(now_, subscriber, request, actions); });
+    CallCore([&](auto* actions) { cache_.Subscribe(now_, subscriber, request, actions); });
   }
   void RequestProgress(SubscriberId subscriber) {
-    Act([&](auto* actions) { cache_.RequestProgress(now_, subscriber, actions); });
+    CallCore([&](auto* actions) { cache_.RequestProgress(now_, subscriber, actions); });
   }
   std::optional<pb::WatchResponse> NextMessage(SubscriberId subscriber, std::size_t max_bytes = 1 << 20) {
     return cache_.NextMessage(now_, subscriber, max_bytes);
@@ -161,7 +162,7 @@
     while (auto response = NextMessage(subscriber, max_bytes)) all.push_back(std::move(*response));
     return all;
   }
-  /// Subscribes, and takes the message that confirms it.
+  /// Subscribes, and expects the message that confirms the watch.
   void Watch(SubscriberId subscriber, const pb::WatchCreateRequest& request) {
     Subscribe(subscriber, request);
     const auto created = NextMessage(subscriber);
@@ -176,7 +177,7 @@
   void Advance(Time by) {
     const Time until = now_ + by;
     for (auto wake = cache_.NextWake(); wake && *wake <= until; wake = cache_.NextWake()) {
-      ASSERT_LT(++ticks_, 1'000'000) << "the cache wakes without end";
+      ASSERT_LT(++ticks_, 1'000'000) << "NextWake never moves past now";
       now_ = std::max(now_, *wake);
       Tick();
     }
@@ -184,15 +185,15 @@
     Tick();
   }
   void Tick() {
-    Act([&](auto* actions) { cache_.Tick(now_, actions); });
+    CallCore([&](auto* actions) { cache_.Tick(now_, actions); });
   }
   void Drain() {
-    Act([&](auto* actions) { cache_.Drain(now_, actions); });
+    CallCore([&](auto* actions) { cache_.Drain(now_, actions); });
   }
 
  private:
   template <typename Step>
-  void Act(Step step) {
+  void CallCore(Step step) {
     WatchCache::Actions actions;
     step(&actions);
     for (WatchCache::Action& action : actions) std::visit([this](auto& one) { Perform(one); }, action);
--- a/tests/watch_cache/program_test.cpp
+++ b/tests/watch_cache/program_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The program: arguments, its file, signals and its status socket.
+/// The badgerbridge-relay program: arguments, configuration file, signals and status socket.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -20,7 +20,7 @@
 namespace badgerbridge::watch_cache {
 namespace {
 
-/// A child process with its standard error in a file.
+/// A relay process whose standard error is written to a file.
 class Program {
  public:
   Program(std::vector<std::string> arguments, std::string log) : log_(std::move(log)) {
@@ -55,13 +55,13 @@
     std::ifstream file(log_);
     return {std::istreambuf_iterator<char>(file), {}};
   }
-  /// From the line that it writes once it serves.
+  /// The listen address, from the log line that is written once the relay serves. Empty before.
   std::optional<tcp::endpoint> Address() const {
     const std::string log = Log();
-    const std::size_t at = log.find(" on ");
-    const std::size_t end = log.find('\n', at);
-    if (at == std::string::npos || end == std::string::npos) return std::nullopt;
-    return http_api::ParseAddress(log.substr(at + 4, end - at - 4));
+    const std::size_t begin = log.find(" on ");
+    const std::size_t end = log.find('\n', begin);
+    if (begin == std::string::npos || end == std::string::npos) return std::nullopt;
+    return http_api::ParseAddress(log.substr(begin + 4, end - begin - 4));
   }
 
  private:
@@ -89,13 +89,13 @@
     arguments.insert(arguments.end(), more.begin(), more.end());
     return std::make_unique<Program>(arguments, directory + "/log");
   }
-  /// What a command wrote, and its exit code; -1: ended by a signal.
+  /// The output of a command, and its exit code; -1: ended by a signal.
   struct CommandResult {
     std::string output;
     int exit_code = -1;
   };
 
-  /// Runs the command line tool's `relays`, while the event loop runs.
+  /// Runs `badgerbridge-ctl relays` while the event loop runs.
   CommandResult RunRelaysCommand(const std::string& arguments) {
     const std::string result_file = directory + "/log2";
     const pid_t pid = fork();
@@ -133,7 +133,7 @@
   ASSERT_TRUE(Until([&] { return program->ended(); }));
   EXPECT_EQ(program->exit_code(), 0) << program->Log();
   EXPECT_GT(reader->disconnects, 0);
-  EXPECT_EQ(reader->keys, SourceState());  // what it had, it has
+  EXPECT_EQ(reader->keys, SourceState());  // the reader keeps its state
 }
 
 TEST_F(ProgramTest, SecondSignalExitsAtOnce) {
@@ -144,7 +144,7 @@
   const auto reader = MakeReader({*program->Address()});
   ASSERT_TRUE(Until([&] { return Holds(*reader); })) << reader->last_error;
   program->Signal(SIGTERM);
-  ASSERT_TRUE(Until([&] { return program->Log().find("shuts down") != std::string::npos; }));
+  ASSERT_TRUE(Until([&] { return program->Log().find("shutting down") != std::string::npos; }));
   EXPECT_FALSE(program->ended());
   program->Signal(SIGTERM);
   ASSERT_TRUE(Until([&] { return program->ended(); }));
@@ -159,7 +159,7 @@
   const auto reader = MakeReader({address});
   ASSERT_TRUE(Until([&] { return Holds(*reader); })) << reader->last_error;
   const auto held = reader->keys;
-  Put("m1", "Terminating");  // it may be on its way
+  Put("m1", "Terminating");  // its event may be in flight when the process is killed
   program->Signal(SIGKILL);
   ASSERT_TRUE(Until([&] { return program->ended() && reader->disconnects > 0; }));
   EXPECT_EQ(reader->keys.size(), held.size());
@@ -170,7 +170,7 @@
       directory + "/log");
   ASSERT_TRUE(Until([&] { return Holds(*reader); })) << reader->last_error << program->Log();
   EXPECT_GE(reader->drains[kPrefix + "m1"], 1);
-  EXPECT_EQ(reader->went_back, 0);
+  EXPECT_EQ(reader->revision_decreases, 0);
 }
 
 TEST_F(ProgramTest, ExampleFileHasEveryKeyWithItsDefault) {
@@ -178,7 +178,7 @@
   const auto program = Run({"--check", "--config", SOURCE_DIR "/deploy/relay.toml"});
   ASSERT_TRUE(Until([&] { return program->ended(); }));
   EXPECT_EQ(program->exit_code(), 0) << program->Log();
-  // Each key of it stands there with its default.
+  // The file sets each key to its default.
   const ServiceSettings defaults;
   const RelayFile file = LoadRelayFile(SOURCE_DIR "/deploy/relay.toml");
   EXPECT_TRUE(file.ok()) << operator_config::FormatProblems(file.problems);
@@ -225,7 +225,7 @@
   expect(with_file, "relay.toml:3");
   expect(with_file, "relay.toml:5");
   WriteFile("[upstream]\nuser = \"u\"\npassword_file = \"/nowhere\"\nendpoints = [\"127.0.0.1:1\"]\n");
-  expect(with_file, "--upstream's");
+  expect(with_file, "are set with --upstream");
   WriteFile("[upstream]\nuser = \"u\"\npassword_file = \"/nowhere\"\n");
   expect(with_file, "/nowhere");
   expect({"--listen", "127.0.0.1:0", "--upstream", "127.0.0.1:1", "--prefix", "/a/", "--config", "/nowhere"},
@@ -248,11 +248,11 @@
   boost::asio::read(socket, boost::asio::dynamic_buffer(text), error);
   const std::size_t body = text.find("\r\n\r\n");
   ASSERT_NE(body, std::string::npos) << text;
-  const boost::json::value about = boost::json::parse(text.substr(body + 4));
-  EXPECT_EQ(about.at("revision").as_int64(), etcd->store().revision());
-  EXPECT_TRUE(about.at("upstream").at("connected").as_bool());
-  EXPECT_LT(about.at("upstream").at("heard_ms_ago").as_int64(), 60000);
-  EXPECT_EQ(about.at("readers").at("watches").as_int64(), 1);
+  const boost::json::value status = boost::json::parse(text.substr(body + 4));
+  EXPECT_EQ(status.at("revision").as_int64(), etcd->store().revision());
+  EXPECT_TRUE(status.at("upstream").at("connected").as_bool());
+  EXPECT_LT(status.at("upstream").at("heard_ms_ago").as_int64(), 60000);
+  EXPECT_EQ(status.at("readers").at("watches").as_int64(), 1);
 }
 
 TEST_F(ProgramTest, RelaysCommandShowsHowFarBehindEachCacheIs) {
@@ -281,7 +281,7 @@
   EXPECT_EQ(all.at(0).at("behind").as_int64(), 0);
   EXPECT_EQ(all.at(1).at("behind").as_int64(), 2);
   const CommandResult table = RunRelaysCommand(sockets + " " + directory + "/nothing");
-  EXPECT_EQ(table.exit_code, 5) << table.output;  // one is out of reach
+  EXPECT_EQ(table.exit_code, 5) << table.output;  // one socket cannot be reached
   EXPECT_NE(table.output.find("BEHIND"), std::string::npos) << table.output;
   EXPECT_NE(table.output.find("connected"), std::string::npos) << table.output;
   etcd->Down(1);
@@ -313,7 +313,7 @@
   };
   const etcd::FollowerLink link(io, settings, 1, callbacks);
   ASSERT_TRUE(Until([&] { return keys == 4; })) << link.follower().last_error_message() << program->Log();
-  // In cleartext, nothing.
+  // A reader without TLS is not served.
   const auto plain = MakeReader({*program->Address()});
   ASSERT_TRUE(Until([&] { return plain->disconnects >= 2; }));
   EXPECT_TRUE(plain->keys.empty());
--- a/tests/watch_cache/random_test.cpp
+++ b/tests/watch_cache/random_test.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The simulation (world.h) from fixed seeds. At each step a reader's state is the source's state at the
-/// reader's revision, revisions never go back (except for a replaced history), drains are seen, and memory is
-/// bounded. Once faults end, all readers reach the source's state. The same checks detect each of several
-/// mutations.
+/// Runs the simulation (world.h) with fixed seeds. At each step a reader's state is the source's state at the
+/// reader's revision, revisions do not decrease (except when the history is replaced), drains are delivered,
+/// and memory is bounded. Once faults end, all readers reach the source's state. The mutation tests verify
+/// that the same checks detect each of several faults in the cache.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -52,7 +52,7 @@
   }
   ASSERT_TRUE(world.Converge()) << "seed " << GetParam();
   ASSERT_TRUE(world.violations().empty()) << "seed " << GetParam() << ": " << world.violations()[0];
-  // The run met what it must meet.
+  // The run contains enough of each kind of fault and event.
   const Counts counts = world.counts();
   RecordProperty("counts", Text(counts));
   std::cout << Text(counts) << "\n";
@@ -80,11 +80,12 @@
       world.Step();
       ++step;
     }
-    ASSERT_FALSE(world.violations().empty()) << "seed " << seed << " finds nothing in " << step << " steps, "
-                                             << world.counts().tampered_messages << " messages spoilt";
-    EXPECT_GT(world.counts().tampered_messages, 0u) << "found something else: " << world.violations()[0];
+    ASSERT_FALSE(world.violations().empty()) << "seed " << seed << ": no violation in " << step << " steps, "
+                                             << world.counts().tampered_messages << " messages tampered with";
+    EXPECT_GT(world.counts().tampered_messages, 0u)
+        << "a violation without a tampered message: " << world.violations()[0];
     std::cout << "seed " << seed << ", " << world.counts().tampered_messages
-              << " spoilt: " << world.violations()[0] << "\n";
+              << " messages tampered with: " << world.violations()[0] << "\n";
   }
 }
 
--- a/tests/watch_cache/reads_test.cpp
+++ b/tests/watch_cache/reads_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Reads: what is served, what is rejected, and what a linearizable read waits for.
+/// Reads: served and rejected ranges and revisions, and the waits of linearizable reads.
 #include "standins/etcd_store.h"
 #include "watch_cache/harness.h"
 #include "watch_cache/state.h"
@@ -78,10 +78,11 @@
   }
   EXPECT_EQ(harness_.ReadNow(Get("")).status.code, Code::kInvalidArgument);
   EXPECT_EQ(harness_.cache().status().rejected, 6u);
-  EXPECT_TRUE(harness_.ReadNow(Get("/p/")).status.ok()) << "the key that probes read";
+  EXPECT_TRUE(harness_.ReadNow(Get("/p/")).status.ok())
+      << "a single key that is equal to the prefix, as health checks read it";
 }
 
-/// The stand-in's store, which is as strict as etcd, and a cache that follows it.
+/// The store of the etcd stand-in, which validates requests as etcd does, and a cache that follows it.
 class StoreComparison {
  public:
   explicit StoreComparison(Harness* harness) : harness_(harness) {
@@ -92,7 +93,7 @@
     first_revision_ = store_.revision();
   }
 
-  /// Puts, or each third time deletes, a key, and gives the events to the cache.
+  /// Puts a key, or deletes it in every third round, and passes the events to the cache.
   void Write(int round) {
     const std::int64_t before = store_.revision();
     const std::string key = "/p/k" + std::to_string(round * 5 % 11);
@@ -172,13 +173,12 @@
     }
   }
   EXPECT_GT(compared, 500);
-  pb::RangeRequest odd = ListAll();
-  odd.set_sort_order(static_cast<pb::RangeRequest::SortOrder>(9));
-  EXPECT_EQ(harness_.ReadNow(odd).status.code, Code::kInvalidArgument);
+  pb::RangeRequest invalid = ListAll();
+  invalid.set_sort_order(static_cast<pb::RangeRequest::SortOrder>(9));
+  EXPECT_EQ(harness_.ReadNow(invalid).status.code, Code::kInvalidArgument);
 }
 
-// A list in pages visits each key once, and one more for each page, instead of all remaining keys at each
-// page.
+// A paged list must visit each key once and one more key for each page, not all remaining keys for each page.
 TEST(WatchCacheRangeTest, PagedListVisitsOnlyKeysOfEachPage) {
   constexpr int kKeys = 10'000, kPage = 100;
   State::Keys keys;
@@ -195,7 +195,8 @@
     const RangeResult result = ReadRange(state, window, 5, request);
     ASSERT_TRUE(result.status.ok());
     const pb::RangeResponse& response = result.response;
-    EXPECT_EQ(response.count(), static_cast<std::int64_t>(kKeys - listed)) << "of the whole range";
+    EXPECT_EQ(response.count(), static_cast<std::int64_t>(kKeys - listed))
+        << "the count includes the remaining range";
     visited += result.visited_keys;
     listed += static_cast<std::size_t>(response.kvs_size());
     more = response.more();
@@ -224,7 +225,7 @@
   EXPECT_EQ(Text(at(15).response), "a=new c=3");
   EXPECT_EQ(Text(at(12).response), "a=new b=2 c=3");
   EXPECT_EQ(Text(at(10).response), "a=1 b=2 c=3");
-  EXPECT_EQ(at(12).response.header().revision(), 15) << "the header's is the cache's, as etcd has it";
+  EXPECT_EQ(at(12).response.header().revision(), 15) << "as in etcd, the header has the current revision";
   EXPECT_EQ(at(9).status.code, Code::kOutOfRange);
   EXPECT_EQ(at(9).status.message, "etcdserver: mvcc: required revision has been compacted");
   EXPECT_EQ(at(16).status.code, Code::kOutOfRange);
@@ -258,8 +259,8 @@
   EXPECT_EQ(Text(AnswerTo(1).response), "a=12");
 }
 
-// Writes outside the prefix move the source's revision without an event; a progress notification reports
-// them.
+// Writes outside the prefix raise the source's revision without an event; only a progress notification
+// reports the new revision.
 TEST_F(WatchCacheReadsTest, ProgressIsRequestedUntilConfirmedRevisionIsReached) {
   LoadSnapshot();
   harness_.Read(1, Get("/p/a"));
@@ -282,13 +283,13 @@
   ASSERT_EQ(harness_.confirmations.size(), 1u) << "one at a time";
   harness_.Confirm(harness_.confirmations[0], Header(10));
   EXPECT_TRUE(IsAnswered(1));
-  EXPECT_FALSE(IsAnswered(2) || IsAnswered(3)) << "what was confirmed may be older than these reads";
+  EXPECT_FALSE(IsAnswered(2) || IsAnswered(3)) << "the confirmed revision may be older than these reads";
   ASSERT_EQ(harness_.confirmations.size(), 2u);
   harness_.Confirm(harness_.confirmations[1], Header(11));
   EXPECT_FALSE(IsAnswered(2));
   harness_.Event(Put("/p/a", "written between", 11));
   EXPECT_EQ(Text(AnswerTo(2).response), "a=written between");
-  EXPECT_TRUE(IsAnswered(3)) << "one confirmation serves all that wait";
+  EXPECT_TRUE(IsAnswered(3)) << "one confirmation serves all waiting reads";
   EXPECT_EQ(harness_.cache().status().confirmations, 2u);
 }
 
@@ -312,7 +313,7 @@
   EXPECT_TRUE(AnswerTo(2).status.ok());
 }
 
-TEST_F(WatchCacheReadsTest, ConfirmationWithoutResultIsGivenUpAtTimeout) {
+TEST_F(WatchCacheReadsTest, ConfirmationWithoutResultIsAbandonedAtTimeout) {
   LoadSnapshot();
   harness_.Read(1, Get("/p/a"));
   harness_.Lost();
@@ -322,7 +323,7 @@
   harness_.Read(2, Get("/p/a"));
   ASSERT_EQ(harness_.confirmations.size(), 2u);
   harness_.Confirm(harness_.confirmations[0], Header(10));
-  EXPECT_FALSE(IsAnswered(2)) << "the late answer to the first says nothing about the second";
+  EXPECT_FALSE(IsAnswered(2)) << "the late result of the first confirmation does not serve the second read";
   harness_.Confirm(harness_.confirmations[1], Header(10));
   EXPECT_TRUE(AnswerTo(2).status.ok());
 }
@@ -392,7 +393,7 @@
   for (ReadId read = 1; read <= 30; ++read) harness.Read(read, Serializable(ListAll()));
   EXPECT_EQ(harness.answers.size(), 1u);
   harness.Read(100, Serializable(Get("/p/a")));
-  EXPECT_TRUE(harness.answers.count(100)) << "a read of one key has no turn to wait for";
+  EXPECT_TRUE(harness.answers.count(100)) << "a read of one key is not rate limited";
   std::size_t bytes = 0;
   ReadId last = 0;
   for (int step = 0; step < 1000; ++step) {
@@ -402,12 +403,12 @@
       if (read == 100 || !answer.status.ok()) continue;
       bytes += answer.response.ByteSizeLong();
       last = std::max(last, read);
-      EXPECT_TRUE(harness.answers.count(read - 1) || read == 1) << "out of its order: " << read;
+      EXPECT_TRUE(harness.answers.count(read - 1) || read == 1) << "answered out of order: " << read;
     }
     EXPECT_LE(bytes, 1000 + 10 * static_cast<std::size_t>(step + 1) + 1100) << "after ms " << step + 1;
   }
-  EXPECT_GE(last, 9u) << "and the rate is used";
-  EXPECT_EQ(harness.answers.size(), 31u) << "each wait ends";
+  EXPECT_GE(last, 9u) << "the configured rate is used";
+  EXPECT_EQ(harness.answers.size(), 31u) << "each read is answered or fails";
   EXPECT_EQ(harness.answers[30].status.code, Code::kUnavailable);
   EXPECT_NE(harness.answers[30].status.message.find("lists wait their turn"), std::string::npos);
 }
--- a/tests/watch_cache/service_harness.h
+++ b/tests/watch_cache/service_harness.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A stand-in etcd, watch caches below it and readers below them, all on one event loop and real sockets.
+/// A stand-in for etcd, tiers of watch caches and readers on one event loop, connected by real sockets.
 #ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SERVICE_HARNESS_H_
 #define BADGERBRIDGE_TESTS_WATCH_CACHE_SERVICE_HARNESS_H_
 
@@ -40,7 +40,7 @@
   bool operator==(const HeldValue&) const = default;
 };
 
-/// A reader: the state that it holds, and counts of what it has seen.
+/// A reader: its state, and counts of the events that it has received.
 class Reader {
  public:
   Reader(boost::asio::io_context& io, std::vector<tcp::endpoint> endpoints, std::uint64_t seed,
@@ -55,8 +55,8 @@
     etcd::FollowerLinkCallbacks callbacks;
     callbacks.on_snapshot = [this](std::uint64_t cluster, std::int64_t at, std::vector<pb::KeyValue> kvs) {
       keys.clear();
-      for (const pb::KeyValue& kv : kvs) Take(kv);
-      Reached(cluster, at);
+      for (const pb::KeyValue& kv : kvs) ApplyPut(kv);
+      RecordRevision(cluster, at);
     };
     callbacks.on_events = [this](std::uint64_t cluster, std::int64_t at, std::vector<pb::Event> events) {
       for (const pb::Event& event : events) {
@@ -64,10 +64,10 @@
           ++deletions[event.kv().key()];
           keys.erase(event.kv().key());
         } else {
-          Take(event.kv());
+          ApplyPut(event.kv());
         }
       }
-      Reached(cluster, at);
+      RecordRevision(cluster, at);
     };
     callbacks.on_progress = [this](std::int64_t) { ++progress; };
     callbacks.on_disconnected = [this](const etcd::FollowerError& error) {
@@ -77,30 +77,30 @@
     link = std::make_unique<etcd::FollowerLink>(io, settings, seed, std::move(callbacks));
   }
 
-  void Take(const pb::KeyValue& kv) {
+  void ApplyPut(const pb::KeyValue& kv) {
     keys[kv.key()] = {kv.value(), kv.mod_revision()};
     drains[kv.key()] += IsDrainEvent(kv);
   }
-  void Reached(std::uint64_t cluster, std::int64_t at) {
-    went_back += cluster == cluster_id && at < revision;
+  void RecordRevision(std::uint64_t cluster, std::int64_t at) {
+    revision_decreases += cluster == cluster_id && at < revision;
     cluster_id = cluster;
     revision = at;
   }
   bool watching() const { return link->follower().watching(); }
 
   std::map<std::string, HeldValue> keys;
-  std::map<std::string, int> drains;     // seen, by key
-  std::map<std::string, int> deletions;  // seen, by key
+  std::map<std::string, int> drains;     // received, by key
+  std::map<std::string, int> deletions;  // received, by key
   std::uint64_t cluster_id = 0;
   std::int64_t revision = 0;
-  int went_back = 0;  // times that its revision decreased
+  int revision_decreases = 0;  // times that the revision decreased within a cluster id
   int disconnects = 0;
   int progress = 0;
   std::string last_error;
   std::unique_ptr<etcd::FollowerLink> link;
 };
 
-/// Fixture with etcd and an event loop; the caches and readers belong to the tests.
+/// Fixture with the etcd stand-in and the event loop; the tests own the caches and readers.
 class ServiceTest : public ::testing::Test {
  protected:
   void StartEtcd(standins::EtcdSettings settings = {}, int members = 4) {
@@ -148,7 +148,7 @@
     Until([&] { return std::chrono::steady_clock::now() >= due; });
   }
 
-  /// The source's state, as a reader of all keys would hold it.
+  /// The source's state, as a reader of all keys holds it.
   std::map<std::string, HeldValue> SourceState() const {
     pb::RangeRequest request;
     request.set_key(kPrefix);
@@ -164,7 +164,7 @@
     return cache.status().connected && cache.status().revision == etcd->store().revision();
   }
 
-  /// One call on its own connection.
+  /// One unary call on a new connection.
   etcd::Status Call(const tcp::endpoint& address, const std::string& path, const std::string& message,
                     std::string* answer = nullptr) {
     std::optional<etcd::Status> ended;
@@ -175,7 +175,7 @@
     });
     EXPECT_TRUE(Until([&] { return ended.has_value(); }));
     channel->Close("done");
-    return ended.value_or(etcd::Status{etcd::Code::kUnknown, etcd::Ending::kLost, "never answered"});
+    return ended.value_or(etcd::Status{etcd::Code::kUnknown, etcd::Ending::kLost, "no answer"});
   }
   std::shared_ptr<etcd::Channel> OpenChannel(const tcp::endpoint& address) {
     etcd::ChannelOptions options;
--- a/tests/watch_cache/service_limits_test.cpp
+++ b/tests/watch_cache/service_limits_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Readers that are slow, silent or too many, and the drain.
+/// Limits: slow and unresponsive readers, too many connections and watches, and the drain.
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 
@@ -29,14 +29,14 @@
   settings.max_unsent_bytes = 32 << 10;
   const auto cache = MakeCacheWith(settings);
   ASSERT_TRUE(Until([&] { return Follows(*cache); }));
-  // A connection that asks for a watch and then reads nothing more.
-  tcp::socket mute(io);
-  mute.connect(cache->address());
-  mute.set_option(tcp::socket::receive_buffer_size(4096));
-  etcd::Http2Client client("mute");
+  // A connection that creates a watch and then reads nothing.
+  tcp::socket unresponsive(io);
+  unresponsive.connect(cache->address());
+  unresponsive.set_option(tcp::socket::receive_buffer_size(4096));
+  etcd::Http2Client client("unresponsive");
   client.BeginCall(kWatchPath, {}, CreateRequest(etcd->store().revision() + 1), false, {});
   const std::string opening = client.TakeOutput();
-  boost::asio::write(mute, boost::asio::buffer(opening));
+  boost::asio::write(unresponsive, boost::asio::buffer(opening));
   ASSERT_TRUE(Until([&] { return cache->status().subscribers == 1; }));
   const auto reader = MakeReader({cache->address()});
   ASSERT_TRUE(Until([&] { return Holds(*reader); }));
@@ -59,12 +59,12 @@
   settings.server.stall_timeout = milliseconds(300);
   const auto cache = MakeCacheWith(settings);
   ASSERT_TRUE(Until([&] { return Follows(*cache); }));
-  tcp::socket mute(io);
-  mute.connect(cache->address());
-  etcd::Http2Client client("mute");
+  tcp::socket unresponsive(io);
+  unresponsive.connect(cache->address());
+  etcd::Http2Client client("unresponsive");
   client.BeginCall(kRangePath, {}, ListRequest().SerializeAsString(), true, {});
   const std::string opening = client.TakeOutput();
-  boost::asio::write(mute, boost::asio::buffer(opening));
+  boost::asio::write(unresponsive, boost::asio::buffer(opening));
   ASSERT_TRUE(Until([&] { return cache->status().lists == 1 && cache->connections() == 1; }));
   ASSERT_TRUE(Until([&] { return cache->connections() == 0; }));
 }
@@ -90,17 +90,17 @@
   }
   boost::asio::write(socket, boost::asio::buffer(client.TakeOutput()));
   ASSERT_TRUE(Until([&] { return cache->status().lists == 2 && cache->status().waiting_reads == 0; }));
-  // Only now it reads.
-  std::array<char, 65536> piece;
+  // The client reads only now.
+  std::array<char, 65536> buffer_storage;
   ASSERT_TRUE(Until([&] {
     if (socket.available() == 0) return ends.size() == 2;
-    client.Feed({piece.data(), socket.read_some(boost::asio::buffer(piece))});
+    client.Feed({buffer_storage.data(), socket.read_some(boost::asio::buffer(buffer_storage))});
     boost::asio::write(socket, boost::asio::buffer(client.TakeOutput()));
     return ends.size() == 2;
   }));
   EXPECT_EQ(ends[0].ok() + ends[1].ok(), 1);
-  const etcd::Status& refused = ends[0].ok() ? ends[1] : ends[0];
-  EXPECT_EQ(refused.code, Code::kResourceExhausted) << refused.ToString();
+  const etcd::Status& rejected = ends[0].ok() ? ends[1] : ends[0];
+  EXPECT_EQ(rejected.code, Code::kResourceExhausted) << rejected.ToString();
   EXPECT_GT(received, 40 * large.size());
 }
 
@@ -143,8 +143,8 @@
   ServiceSettings settings = CacheSettings({etcd->address(0)});
   settings.server.ping_interval = settings.server.ping_timeout = milliseconds(100);
   const auto cache = MakeCacheWith(settings);
-  tcp::socket mute(io);
-  mute.connect(cache->address());
+  tcp::socket unresponsive(io);
+  unresponsive.connect(cache->address());
   ASSERT_TRUE(Until([&] { return cache->connections() == 1; }));
   ASSERT_TRUE(Until([&] { return cache->connections() == 0; }));
 }
@@ -155,17 +155,17 @@
   const auto reader = MakeReader({cache->address()});
   ASSERT_TRUE(Until([&] { return Holds(*reader); }));
   tcp::socket waiting(io, tcp::v4());
-  rlimit usual{};
-  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &usual), 0);
-  rlimit none = usual;
-  none.rlim_cur = 3;
-  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &none), 0);
+  rlimit original_limit{};
+  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &original_limit), 0);
+  rlimit no_descriptors = original_limit;
+  no_descriptors.rlim_cur = 3;
+  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &no_descriptors), 0);
   waiting.connect(cache->address());
   Put("m1", "Terminating");
   EXPECT_TRUE(Until([&] { return reader->drains[kPrefix + "m1"] == 1; }));
-  RunFor(milliseconds(120));  // more than one pause of the accept loop
+  RunFor(milliseconds(120));  // longer than one pause of the accept loop
   EXPECT_EQ(cache->connections(), 1u);
-  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &usual), 0);
+  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &original_limit), 0);
   EXPECT_TRUE(Until([&] { return cache->connections() == 2; }));
   EXPECT_EQ(reader->disconnects, 0);
 }
@@ -189,26 +189,26 @@
   StartEtcd();
   ServiceSettings settings = CacheSettings({etcd->address(0)});
   settings.cache.drain_period = Time(400);
-  auto leaving = MakeCacheWith(settings);
-  const auto staying = MakeCache({etcd->address(0)});
-  ASSERT_TRUE(Until([&] { return Follows(*leaving) && Follows(*staying); }));
+  auto draining = MakeCacheWith(settings);
+  const auto other = MakeCache({etcd->address(0)});
+  ASSERT_TRUE(Until([&] { return Follows(*draining) && Follows(*other); }));
   std::vector<std::unique_ptr<Reader>> readers;
   for (int i = 0; i < 8; ++i) {
-    readers.push_back(MakeReader({leaving->address()}));
+    readers.push_back(MakeReader({draining->address()}));
   }
   WatchStream stream;
-  stream.Open(OpenChannel(leaving->address()), CreateRequest(etcd->store().revision() + 1));
-  ASSERT_TRUE(Until([&] { return leaving->status().subscribers == 9; }));
+  stream.Open(OpenChannel(draining->address()), CreateRequest(etcd->store().revision() + 1));
+  ASSERT_TRUE(Until([&] { return draining->status().subscribers == 9; }));
   bool drained = false;
   const auto began = std::chrono::steady_clock::now();
-  leaving->Drain([&] { drained = true; });
+  draining->Drain([&] { drained = true; });
   EXPECT_FALSE(drained);
-  EXPECT_GT(leaving->status().subscribers, 0u);  // not dropped at once
-  Put("m1", "Terminating");                      // still delivered to those who are there
+  EXPECT_GT(draining->status().subscribers, 0u);  // not ended at once
+  Put("m1", "Terminating");                       // still delivered to remaining watches
   ASSERT_TRUE(Until([&] { return stream.EventsOf(0) == 1 || stream.ended; }));
   ASSERT_TRUE(Until([&] { return drained; }));
   EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::seconds(20));
-  EXPECT_EQ(leaving->status().subscribers, 0u);
+  EXPECT_EQ(draining->status().subscribers, 0u);
   ASSERT_TRUE(Until([&] { return stream.ended.has_value(); }));
   EXPECT_EQ(stream.ended->code, Code::kUnavailable) << stream.ended->ToString();
   EXPECT_TRUE(stream.ended->IsRetriable());
--- a/tests/watch_cache/service_requests.h
+++ b/tests/watch_cache/service_requests.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Requests to a watch cache, and a watch stream to send them on.
+/// Requests to a watch cache, and a client's watch stream.
 #ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SERVICE_REQUESTS_H_
 #define BADGERBRIDGE_TESTS_WATCH_CACHE_SERVICE_REQUESTS_H_
 
@@ -41,7 +41,7 @@
   return request.SerializeAsString();
 }
 
-/// A watch stream, message by message.
+/// A watch stream of a client, which records all responses.
 struct WatchStream {
   std::vector<pb::WatchResponse> responses;
   std::optional<etcd::Status> ended;
--- a/tests/watch_cache/service_test.cpp
+++ b/tests/watch_cache/service_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Watch caches on real sockets between a stand-in etcd and readers: reads and watches through one and two
-/// tiers.
+/// Watch caches on real sockets between a stand-in for etcd and readers: reads and watches through one and
+/// two tiers.
 #include "watch_cache/service.h"
 
 #include <gtest/gtest.h>
@@ -33,7 +33,7 @@
   ASSERT_TRUE(Until([&] { return Holds(*reader); })) << reader->last_error;
   EXPECT_EQ(reader->revision, etcd->store().revision());
   EXPECT_EQ(reader->deletions[kPrefix + "m1"], 1);
-  EXPECT_EQ(reader->went_back, 0);
+  EXPECT_EQ(reader->revision_decreases, 0);
   EXPECT_EQ(etcd->watches(), 1u);
 }
 
@@ -43,14 +43,13 @@
   const auto zone = MakeCache({region->address()});
   const auto reader = MakeReader({zone->address()});
   ASSERT_TRUE(Until([&] { return Holds(*reader); })) << reader->last_error;
-  EXPECT_EQ(reader->cluster_id, 0x1234u);  // the source's, whatever lies between
+  EXPECT_EQ(reader->cluster_id, 0x1234u);  // the source's, through both tiers
   const auto began = std::chrono::steady_clock::now();
   Put("m2", "Terminating");
   ASSERT_TRUE(Until([&] { return reader->drains[kPrefix + "m2"] == 1; }));
   const auto took = std::chrono::steady_clock::now() - began;
-  // The rule is 500 ms; the path has no timer, so that it takes a few. The bound here leaves a machine that
-  // is busy with other things what it needs, and a timer of the rule's size would still be seen in the median
-  // of the runs that the bench makes.
+  // A drain must arrive within 500 ms. The path has no timer, so that it takes a few milliseconds; the bound
+  // leaves room for a busy machine. The benchmark's median would show a timer of that size.
   EXPECT_LT(took, milliseconds(500));
   RecordProperty("microseconds",
                  static_cast<int>(std::chrono::duration_cast<std::chrono::microseconds>(took).count()));
@@ -78,7 +77,7 @@
   const auto region = MakeCache({etcd->address(0)});
   const auto zone = MakeCache({region->address()});
   ASSERT_TRUE(Until([&] { return Follows(*zone); }));
-  etcd->Put("/elsewhere", "x");  // the watches of the prefix are told nothing of it
+  etcd->Put("/elsewhere", "x");  // watches of the prefix get no event for it
   std::string text;
   const auto status = Call(zone->address(), kRangePath, ListRequest().SerializeAsString(), &text);
   ASSERT_TRUE(status.ok()) << status.ToString();
@@ -108,7 +107,7 @@
   const auto status = Call(cache->address(), kRangePath, elsewhere.SerializeAsString());
   EXPECT_EQ(status.code, Code::kPermissionDenied) << status.ToString();
   EXPECT_EQ(Call(cache->address(), kRangePath, "\xff\xff").code, Code::kInternal);
-  EXPECT_EQ(etcd->calls(), before);  // nothing of it went up
+  EXPECT_EQ(etcd->calls(), before);  // none of the calls is forwarded to etcd
 }
 
 TEST_F(ServiceTest, StatusCallReportsRevision) {
@@ -121,10 +120,10 @@
   ASSERT_TRUE(response.ParseFromString(text));
   EXPECT_EQ(response.header().revision(), etcd->store().revision());
   EXPECT_EQ(response.header().cluster_id(), 0x1234u);
-  const boost::json::object about = cache->Describe();
-  EXPECT_EQ(about.at("revision").as_int64(), etcd->store().revision());
-  EXPECT_TRUE(about.at("upstream").at("connected").as_bool());
-  EXPECT_GE(about.at("upstream").at("heard_ms_ago").as_int64(), 0);
+  const boost::json::object status = cache->Describe();
+  EXPECT_EQ(status.at("revision").as_int64(), etcd->store().revision());
+  EXPECT_TRUE(status.at("upstream").at("connected").as_bool());
+  EXPECT_GE(status.at("upstream").at("heard_ms_ago").as_int64(), 0);
 }
 
 TEST_F(ServiceTest, StreamServesSeveralWatches) {
@@ -135,7 +134,7 @@
   const std::int64_t from = etcd->store().revision() + 1;
   stream.Open(OpenChannel(cache->address()), CreateRequest(from));
   stream.Send(CreateRequest(from, 7, kPrefix + "m1", ""));
-  stream.Send(CreateRequest(from, 7));  // the id is taken
+  stream.Send(CreateRequest(from, 7));  // the id is in use
   stream.Send(CreateRequest(from, 9, "/elsewhere/", ""));
   ASSERT_TRUE(Until([&] { return stream.responses.size() >= 4; }));
   EXPECT_EQ(stream.CountCreated(), 2);
@@ -180,10 +179,10 @@
   EXPECT_EQ(etcd->watches(), 1u);
   EXPECT_GE(cache->status().lists, static_cast<std::uint64_t>(kReaders));
   const std::size_t reads = etcd->calls(kRangePath) - reads_before;
-  // Reads of one key that confirm a revision, each for all readers that waited. How many depends on how the
-  // readers' starts fall in time: at the worst, one for the first page of each.
+  // These are reads of one key that confirm a revision, each for all waiting readers. Their number depends on
+  // when the readers start: at most one for the first page of each reader.
   EXPECT_EQ(reads, cache->status().confirmations);
-  EXPECT_LT(reads, static_cast<std::size_t>(kReaders)) << "one a reader, or more";
+  EXPECT_LT(reads, static_cast<std::size_t>(kReaders)) << "at least one confirmation per reader";
   RecordProperty("confirmations", static_cast<int>(reads));
   std::cout << "confirmations for " << kReaders << " readers: " << reads << std::endl;
   Put("m1", "Terminating");
@@ -198,7 +197,7 @@
  protected:
   ServiceSettings SettingsWithCut() {
     ServiceSettings settings = CacheSettings({etcd->address(0)});
-    settings.max_message_bytes = 300;  // so that two events do not fit, and come in fragments
+    settings.max_message_bytes = 300;  // two events do not fit, so that they are sent in fragments
     settings.server.faults.filter_output = [this](const etcd::ServerConnection&, std::string* bytes) {
       if (!bytes_until_cut) return true;
       if (bytes->size() < *bytes_until_cut) {
@@ -213,7 +212,7 @@
     return settings;
   }
 
-  /// Four keys in one transaction, so one revision in fragments.
+  /// Puts four keys in one transaction, whose revision is sent in fragments.
   void PutFour(const std::string& status) {
     std::vector<std::pair<std::string, std::string>> pairs;
     for (int k = 0; k < 4; ++k) {
@@ -233,7 +232,7 @@
   const auto cache = MakeCacheWith(SettingsWithCut());
   const auto reader = MakeReader({cache->address()}, 2);
   ASSERT_TRUE(Until([&] { return Holds(*reader); }));
-  // During events.
+  // Cuts while events are sent.
   int earlier_cuts = 0;
   for (std::size_t bytes = 0; bytes < 1200; bytes += 37) {
     bytes_until_cut = bytes;
@@ -244,14 +243,14 @@
     EXPECT_EQ(reader->revision, etcd->store().revision()) << bytes;
   }
   EXPECT_GE(cuts, 30);
-  EXPECT_EQ(reader->went_back, 0);
-  // During a list, by readers that start anew.
+  EXPECT_EQ(reader->revision_decreases, 0);
+  // Cuts while a new reader lists.
   for (std::size_t bytes = 1; bytes < 1600; bytes += 61) {
     bytes_until_cut = bytes;
     const auto fresh = MakeReader({cache->address()}, 2);
     ASSERT_TRUE(Until([&] { return Holds(*fresh) && !bytes_until_cut; }))
         << bytes << " " << fresh->last_error;
-    EXPECT_EQ(fresh->went_back, 0);
+    EXPECT_EQ(fresh->revision_decreases, 0);
   }
 }
 
@@ -290,7 +289,7 @@
   stream.Open(OpenChannel(cache->address()), CreateRequest(old));
   ASSERT_TRUE(Until([&] { return !stream.responses.empty() && stream.responses.back().canceled(); }));
   EXPECT_GT(stream.responses.back().compact_revision(), old);
-  EXPECT_FALSE(stream.ended);  // the stream is there for other watches
+  EXPECT_FALSE(stream.ended);  // the stream stays open for other watches
 }
 
 }  // namespace
--- a/tests/watch_cache/service_upstream_test.cpp
+++ b/tests/watch_cache/service_upstream_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Faults of the upstream: connections lost, caches that die or lag, contradictory data, and replaced
+/// Faults of the upstream: lost connections, caches that stop or lag, contradictory data, and replaced
 /// history.
 #include <gtest/gtest.h>
 
@@ -29,7 +29,7 @@
   StartEtcd(two);
   const auto make_cache = [this](std::vector<tcp::endpoint> upstream) {
     ServiceSettings settings = CacheSettings(std::move(upstream));
-    settings.upstream.channel = etcd::ChannelOptions();  // with the pings that are used in earnest
+    settings.upstream.channel = etcd::ChannelOptions();  // with the default ping settings
     return MakeCacheWith(settings);
   };
   const auto first = make_cache({etcd->address(0)});
@@ -44,11 +44,12 @@
   etcd->Silence(used, true);
   Put("m2", "Terminating");
   ASSERT_TRUE(Until([&] { return reader->drains[kPrefix + "m2"] == 1; }));
-  // The link's silence is found after 250 ms, the cache's readers are sent elsewhere 100 ms later, and they
-  // are there within 80 ms. By their own watch's silence alone they would notice after 1.5 s at the earliest.
+  // The cache detects the silent connection after 250 ms and ends its readers' watches 100 ms later; the
+  // readers reach another cache within 80 ms. By a timeout of their own watch they would notice after 1.5 s
+  // at the earliest.
   EXPECT_LT(std::chrono::steady_clock::now() - began, milliseconds(1200));
   EXPECT_TRUE(Until([&] { return Holds(*reader); }));
-  EXPECT_EQ(reader->went_back, 0);
+  EXPECT_EQ(reader->revision_decreases, 0);
 }
 
 TEST_F(ServiceUpstreamTest, UpstreamReconnectResumesAndReadersKeepState) {
@@ -64,15 +65,15 @@
   RunFor(milliseconds(300));
   EXPECT_EQ(reader->keys, held);
   EXPECT_FALSE(cache->Describe().at("upstream").at("connected").as_bool());
-  // A read that can't be confirmed fails in words; one that may be behind is answered.
+  // A linearizable read cannot be confirmed and fails; a serializable read is answered.
   pb::RangeRequest list = ListRequest();
   EXPECT_EQ(Call(cache->address(), kRangePath, list.SerializeAsString()).code, Code::kUnavailable);
   list.set_serializable(true);
   EXPECT_TRUE(Call(cache->address(), kRangePath, list.SerializeAsString()).ok());
   etcd->Up(0);
   ASSERT_TRUE(Until([&] { return Holds(*reader); })) << reader->last_error;
-  EXPECT_EQ(cache->status().snapshots, 1u);  // the difference alone came
-  EXPECT_EQ(reader->went_back, 0);
+  EXPECT_EQ(cache->status().snapshots, 1u);  // the watch was resumed without a new list
+  EXPECT_EQ(reader->revision_decreases, 0);
 }
 
 TEST_F(ServiceUpstreamTest, CompactionWhileUpstreamIsCutLeadsToNewState) {
@@ -90,32 +91,32 @@
   ASSERT_TRUE(Until([&] { return Holds(*reader); })) << reader->last_error;
   EXPECT_EQ(cache->status().snapshots, 2u);
   EXPECT_EQ(reader->drains[kPrefix + "m2"], 1);
-  EXPECT_EQ(reader->went_back, 0);
+  EXPECT_EQ(reader->revision_decreases, 0);
 }
 
-TEST_F(ServiceUpstreamTest, DeletionIsNotLostWhenUpstreamDiesWithIt) {
+TEST_F(ServiceUpstreamTest, DeletionIsNotLostWhenUpstreamStopsBeforeSendingIt) {
   StartEtcd();
   const auto first = MakeCache({etcd->address(0)});
   const auto second = MakeCache({etcd->address(0)});
-  // The reader's cache of the moment dies as the delete reaches it, before it has passed a byte of it on.
+  // The reader's cache stops when it has received the deletion, before it has sent any of it.
   for (int round = 0; round < 6; ++round) {
-    std::unique_ptr<Service> dying = MakeCache({etcd->address(0)});
-    ASSERT_TRUE(Until([&] { return Follows(*dying) && Follows(*first) && Follows(*second); }));
+    std::unique_ptr<Service> stopping = MakeCache({etcd->address(0)});
+    ASSERT_TRUE(Until([&] { return Follows(*stopping) && Follows(*first) && Follows(*second); }));
     const std::string name = "gone" + std::to_string(round);
     Put(name);
-    const auto reader = MakeReader({dying->address(), first->address(), second->address()});
+    const auto reader = MakeReader({stopping->address(), first->address(), second->address()});
     ASSERT_TRUE(Until([&] { return Holds(*reader); }));
     Delete(name);
     const std::int64_t deleted = etcd->store().revision();
-    ASSERT_TRUE(Until([&] { return dying->status().revision >= deleted; }));
-    dying.reset();
+    ASSERT_TRUE(Until([&] { return stopping->status().revision >= deleted; }));
+    stopping.reset();
     ASSERT_TRUE(Until([&] { return Holds(*reader) && reader->revision >= deleted; })) << reader->last_error;
     EXPECT_FALSE(reader->keys.count(kPrefix + name));
-    EXPECT_EQ(reader->went_back, 0);
+    EXPECT_EQ(reader->revision_decreases, 0);
   }
 }
 
-TEST_F(ServiceUpstreamTest, UpstreamThatLagsTakesNoReaderBack) {
+TEST_F(ServiceUpstreamTest, LaggingUpstreamDoesNotDecreaseReaderRevision) {
   EtcdSettings two;
   two.members = 2;
   StartEtcd(two);
@@ -129,10 +130,10 @@
   const auto reader = MakeReader({ahead->address()});
   ASSERT_TRUE(Until([&] { return Holds(*reader); }));
   const auto child = MakeCache({ahead->address(), behind->address()});
-  const auto below = MakeReader({child->address()});
-  ASSERT_TRUE(Until([&] { return Holds(*below); })) << below->last_error;
+  const auto child_reader = MakeReader({child->address()});
+  ASSERT_TRUE(Until([&] { return Holds(*child_reader); })) << child_reader->last_error;
   EXPECT_LT(behind->status().revision, ahead->status().revision);
-  EXPECT_EQ(below->went_back, 0);
+  EXPECT_EQ(child_reader->revision_decreases, 0);
   etcd->Lag(1, false);
   ASSERT_TRUE(Until([&] { return Follows(*behind); }));
 }
@@ -142,7 +143,7 @@
   two.members = 2;
   StartEtcd(two);
   ServiceSettings settings = CacheSettings({etcd->address(0), etcd->address(1)});
-  settings.cache.upstream_grace = Time(60000);  // no fault here lasts so long: readers stay where they are
+  settings.cache.upstream_grace = Time(60000);  // longer than any fault here, so that no watch is ended
   const auto cache = MakeCacheWith(settings);
   const auto reader = MakeReader({cache->address()});
   ASSERT_TRUE(Until([&] { return Holds(*reader); }));
@@ -151,7 +152,7 @@
        {EtcdFault::kTrailersOnly, EtcdFault::kNoStatus, EtcdFault::kStatusAlone, EtcdFault::kReset,
         EtcdFault::kRefused, EtcdFault::kHttp503, EtcdFault::kHugeMessage, EtcdFault::kEndlessHeader,
         EtcdFault::kGarbage, EtcdFault::kGoaway, EtcdFault::kTwoMessages, EtcdFault::kNever}) {
-    etcd->Next(fault);  // met by the next call: a confirmation, or a step towards the watch
+    etcd->Next(fault);  // affects the next call: a confirmation, a list or a watch
     for (std::size_t member : {0u, 1u}) {
       etcd->Down(member);
       etcd->Up(member);
@@ -161,11 +162,11 @@
     ASSERT_TRUE(Until([&] { return Follows(*cache) && Holds(*reader); }))
         << static_cast<int>(fault) << " " << cache->status().last_upstream_error;
   }
-  EXPECT_EQ(reader->went_back, 0);
-  EXPECT_EQ(reader->disconnects, 0);  // nothing of it went further than the cache
+  EXPECT_EQ(reader->revision_decreases, 0);
+  EXPECT_EQ(reader->disconnects, 0);  // the cache forwards none of the faults
 }
 
-// A upstream whose lists hold a key of a revision after the list's own.
+// An upstream whose lists contain a key with a higher revision than the list's header.
 class ContradictoryUpstream {
  public:
   explicit ContradictoryUpstream(boost::asio::io_context& io) {
@@ -174,7 +175,7 @@
         [this](const std::shared_ptr<etcd::ServerConnection>& link) { return Handlers(link); });
   }
   tcp::endpoint address() const { return server_->address(); }
-  int lies() const { return lies_; }
+  int contradictory_lists() const { return contradictory_lists_; }
 
  private:
   etcd::Http2ServerHandler Handlers(const std::weak_ptr<etcd::ServerConnection>& link) {
@@ -190,31 +191,31 @@
       etcd::Http2Server& http2 = link.lock()->http2();
       http2.SendMessage(stream, list.SerializeAsString());
       http2.Finish(stream, {});
-      ++lies_;
+      ++contradictory_lists_;
     };
     return handler;
   }
 
-  int lies_ = 0;
+  int contradictory_lists_ = 0;
   std::unique_ptr<etcd::Server> server_;
 };
 
 TEST_F(ServiceUpstreamTest, UpstreamWithContradictoryListIsReplaced) {
   StartEtcd();
   ContradictoryUpstream upstream(io);
-  // Which of the two is met first is drawn: until the lie was told.
+  // The first endpoint is chosen at random: repeats until the contradictory upstream was chosen.
   std::unique_ptr<Service> cache;
-  for (int i = 0; i < 50 && upstream.lies() == 0; ++i) {
+  for (int i = 0; i < 50 && upstream.contradictory_lists() == 0; ++i) {
     cache = MakeCache({upstream.address(), etcd->address(0)});
-    ASSERT_TRUE(Until([&] { return upstream.lies() > 0 || Follows(*cache); }));
+    ASSERT_TRUE(Until([&] { return upstream.contradictory_lists() > 0 || Follows(*cache); }));
   }
-  ASSERT_GT(upstream.lies(), 0);
+  ASSERT_GT(upstream.contradictory_lists(), 0);
   const auto reader = MakeReader({cache->address()});
   ASSERT_TRUE(Until([&] { return Follows(*cache) && Holds(*reader); }))
       << cache->status().last_upstream_error;
   EXPECT_EQ(cache->status().upstream_rejections, 1u);
   EXPECT_FALSE(reader->keys.count(kPrefix + "lie"));
-  EXPECT_EQ(reader->went_back, 0);
+  EXPECT_EQ(reader->revision_decreases, 0);
 }
 
 TEST_F(ServiceUpstreamTest, RestoredSourceLeadsReadersToItsState) {
@@ -242,39 +243,39 @@
   const standins::EtcdStore backup = etcd->store();
   for (int i = 0; i < 5; ++i) Put("later" + std::to_string(i));
   ASSERT_TRUE(Until([&] { return Holds(*reader); }));
-  etcd->Restore(backup, 0x1234);  // the cluster's id is the same
+  etcd->Restore(backup, 0x1234);  // the cluster id is unchanged
   ASSERT_TRUE(Until([&] { return Holds(*reader) && reader->revision == etcd->store().revision(); }))
       << reader->last_error;
   EXPECT_FALSE(reader->keys.count(kPrefix + "later1"));
 }
 
-TEST_F(ServiceUpstreamTest, RestartedCacheTakesReadersBackWithOneListAtSource) {
+TEST_F(ServiceUpstreamTest, ReadersOfRestartedCacheCauseOneListAtSource) {
   StartEtcd({}, 30);
   auto cache = MakeCache({etcd->address(0)});
   ASSERT_TRUE(Until([&] { return Follows(*cache); }));
-  ServiceSettings again = CacheSettings({etcd->address(0)});
-  again.listen = cache->address();
+  ServiceSettings restarted_settings = CacheSettings({etcd->address(0)});
+  restarted_settings.listen = cache->address();
   std::vector<std::unique_ptr<Reader>> readers;
   for (int i = 0; i < 150; ++i) readers.push_back(MakeReader({cache->address()}));
   const auto all_hold = [&] {
-    const auto truth = SourceState();
+    const auto source_state = SourceState();
     return std::all_of(readers.begin(), readers.end(),
-                       [&](const auto& one) { return one->watching() && one->keys == truth; });
+                       [&](const auto& one) { return one->watching() && one->keys == source_state; });
   };
   ASSERT_TRUE(Until(all_hold));
   const std::size_t reads = etcd->calls(kRangePath), watches = etcd->calls(kWatchPath);
   cache.reset();
   Put("m1", "Terminating");
   Delete("m2");
-  cache = MakeCacheWith(again);
+  cache = MakeCacheWith(restarted_settings);
   ASSERT_TRUE(Until(all_hold));
   EXPECT_EQ(etcd->watches(), 1u);
   EXPECT_EQ(cache->status().snapshots, 1u);
   EXPECT_EQ(etcd->calls(kWatchPath), watches + 1);
-  // The cache's own list is one page; all else are reads of one key that confirm a revision.
+  // The cache's own list is one page; all other reads are of one key and confirm a revision.
   EXPECT_EQ(etcd->calls(kRangePath) - reads, cache->status().confirmations + 1);
   for (const auto& reader : readers) {
-    EXPECT_EQ(reader->went_back, 0);
+    EXPECT_EQ(reader->revision_decreases, 0);
     EXPECT_GE(reader->drains[kPrefix + "m1"], 1);
   }
 }
--- a/tests/watch_cache/simulation_cache_node.h
+++ b/tests/watch_cache/simulation_cache_node.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A watch cache of the simulation.
+/// A simulated server that runs the core of a watch cache.
 #ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_CACHE_NODE_H_
 #define BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_CACHE_NODE_H_
 
@@ -25,7 +25,7 @@
 using etcd::Ending;
 using etcd::Status;
 
-/// Bound of a message to a watch that accepts fragments.
+/// Maximum size of a message to a watch that accepts fragments.
 constexpr std::size_t kMaxFragmentBytes = 400;
 
 /// A watch cache as a server, with its own connection upstream.
@@ -48,21 +48,21 @@
       Snapshot(cluster_id, revision, std::move(kvs));
     };
     events.events = [this](const etcd::Follower::Events& batch) {
-      Act([&](auto* actions) {
+      CallCore([&](auto* actions) {
         cache_->UpstreamEvents(world_.now(), batch.revision, batch.events, actions);
       });
     };
     events.progress = [this](std::int64_t revision) {
-      Act([&](auto* actions) { cache_->UpstreamProgress(world_.now(), revision, actions); });
+      CallCore([&](auto* actions) { cache_->UpstreamProgress(world_.now(), revision, actions); });
     };
     events.lost = [this](const std::string& why) {
-      Act([&](auto* actions) { cache_->UpstreamLost(world_.now(), why, actions); });
+      CallCore([&](auto* actions) { cache_->UpstreamLost(world_.now(), why, actions); });
     };
     events.message = [](const pb::WatchResponse&) {};
     client_ = std::make_unique<Client>(world_, upstreams_, world_.NextId(), std::move(events));
   }
 
-  /// Kills it: its connections end, its state is lost.
+  /// Kills the server: its connections end, and its state is lost.
   void Stop() {
     compacted_watches_ += cache_->status().compacted;
     snapshots_ += client_->follower().snapshots();
@@ -78,7 +78,7 @@
     if (!up()) return;
     client_->Tick();
     const auto wake = cache_->NextWake();
-    if (wake && *wake <= world_.now()) Act([&](auto* actions) { cache_->Tick(world_.now(), actions); });
+    if (wake && *wake <= world_.now()) CallCore([&](auto* actions) { cache_->Tick(world_.now(), actions); });
   }
   std::optional<Time> NextWake() const {
     if (!up()) return std::nullopt;
@@ -90,18 +90,18 @@
   void Range(const pb::RangeRequest& request, Reply reply) override {
     const std::uint64_t id = world_.NextId();
     replies_[id] = std::move(reply);
-    Act([&](auto* actions) { cache_->Read(world_.now(), id, request, actions); });
+    CallCore([&](auto* actions) { cache_->Read(world_.now(), id, request, actions); });
   }
 
   void Watch(Stream stream, const pb::WatchCreateRequest& request) override {
     const std::uint64_t id = stream.id;
     streams_[id] = std::move(stream);
-    pb::WatchCreateRequest asked = request;
-    if (mutation_ == Mutation::kWrongResume && asked.start_revision() > 0 && world_.Chance(30)) {
-      asked.set_start_revision(asked.start_revision() + 1);
+    pb::WatchCreateRequest effective_request = request;
+    if (mutation_ == Mutation::kWrongResume && effective_request.start_revision() > 0 && world_.Chance(30)) {
+      effective_request.set_start_revision(effective_request.start_revision() + 1);
       ++world_.count().tampered_messages;
     }
-    Act([&](auto* actions) { cache_->Subscribe(world_.now(), id, asked, actions); });
+    CallCore([&](auto* actions) { cache_->Subscribe(world_.now(), id, effective_request, actions); });
   }
   void CancelWatch(std::uint64_t stream) override {
     if (!streams_.erase(stream) || !up()) return;
@@ -109,12 +109,12 @@
   }
   void RequestProgress(std::uint64_t stream) override {
     if (streams_.count(stream))
-      Act([&](auto* actions) { cache_->RequestProgress(world_.now(), stream, actions); });
+      CallCore([&](auto* actions) { cache_->RequestProgress(world_.now(), stream, actions); });
   }
   void SendPending(std::uint64_t stream) override {
     for (;;) {
       const auto found = streams_.find(stream);
-      if (found == streams_.end() || !up() || !found->second.can_take()) return;
+      if (found == streams_.end() || !up() || !found->second.can_send()) return;
       auto response = cache_->NextMessage(world_.now(), stream, kMaxFragmentBytes);
       if (!response) return;
       Tamper(stream, &*response);
@@ -129,9 +129,9 @@
     if (!up()) return;
     const Settings settings = CacheSettings();
     const WatchCache::Status status = cache_->status();
-    const auto expect_bound = [&](const char* what, std::size_t value, std::size_t bound) {
+    const auto expect_bound = [&](const char* name, std::size_t value, std::size_t bound) {
       if (value <= bound) return;
-      world_.AddViolation(std::string(what) + " is " + std::to_string(value) + ", bound " +
+      world_.AddViolation(std::string(name) + " is " + std::to_string(value) + ", bound " +
                           std::to_string(bound));
     };
     expect_bound("window_events", status.window_events, settings.max_window_events);
@@ -142,9 +142,9 @@
     expect_bound("waiting_reads", status.waiting_reads, replies_.size());
     expect_bound("keys", status.keys, kKeys);
     if (status.compact_revision > status.revision)
-      world_.AddViolation("the compact revision is in the future");
+      world_.AddViolation("the compact revision is above the current revision");
     if (status.upstream_rejections > 0)
-      world_.AddViolation("rejects its upstream: " + status.last_upstream_error);
+      world_.AddViolation("a cache rejects its upstream: " + status.last_upstream_error);
     slow_subscribers_seen_ += status.slow_subscribers;
   }
   void AddCounts(Counts* counts) const {
@@ -156,7 +156,7 @@
 
  private:
   template <typename Step>
-  void Act(Step step) {
+  void CallCore(Step step) {
     if (!up()) return;
     WatchCache::Actions actions;
     step(&actions);
@@ -168,12 +168,12 @@
   }
   void Perform(WatchCache::AnswerRead& action) {
     const auto found = replies_.find(action.read);
-    if (found == replies_.end()) return world_.AddViolation("answers a read twice");
+    if (found == replies_.end()) return world_.AddViolation("a read is answered twice");
     const Reply reply = std::move(found->second);
     replies_.erase(found);
     reply(action.status, action.response);
   }
-  // By another connection to the upstream that is followed. Its answer may be lost.
+  // Sent on another connection to the followed upstream. The response may be lost.
   void Perform(const WatchCache::ConfirmRevision& action) {
     Server* server = client_->server();
     const std::uint64_t incarnation = incarnation_;
@@ -183,7 +183,7 @@
       if (world_.faults_enabled() && world_.Chance(2)) return;
       world_.After(Time(world_.Draw(4)), [this, incarnation, confirmation, status, response] {
         if (!up() || incarnation != incarnation_) return;
-        Act([&](auto* actions) {
+        CallCore([&](auto* actions) {
           cache_->RevisionConfirmed(world_.now(), confirmation, status, response.header(), actions);
         });
       });
@@ -206,7 +206,7 @@
   }
   void Perform(const WatchCache::RequestUpstreamProgress&) { client_->RequestProgress(); }
   void Perform(const WatchCache::RejectUpstream& action) {
-    world_.AddViolation("rejects its upstream: " + action.reason);
+    world_.AddViolation("a cache rejects its upstream: " + action.reason);
   }
 
   void Snapshot(std::uint64_t cluster_id, std::int64_t revision, std::vector<pb::KeyValue> kvs) {
@@ -214,7 +214,7 @@
     if (before.cluster_id == cluster_id && before.revision > 0 && before.revision < revision) {
       ++world_.count().repeated_lists;
     }
-    Act([&](auto* actions) {
+    CallCore([&](auto* actions) {
       cache_->UpstreamSnapshot(world_.now(), cluster_id, revision, std::move(kvs), actions);
     });
   }
@@ -250,8 +250,8 @@
     ++world_.count().tampered_messages;
   }
 
-  // Merges the next message into one that has a drain, keeping the newest event of each key: the state at its
-  // end is right, but the drain may be hidden.
+  // Merges the next message into one with a drain, keeping the newest event of each key: the state at its end
+  // is correct, but the drain may be replaced.
   void MergeDrain(std::uint64_t stream, pb::WatchResponse* response) {
     const auto& events = response->events();
     if (response->fragment() || std::none_of(events.begin(), events.end(), MustBeDelivered)) return;
@@ -262,7 +262,7 @@
     for (const pb::WatchResponse* message : {static_cast<const pb::WatchResponse*>(response), &*next}) {
       for (const pb::Event& event : message->events()) newest[event.kv().key()] = event;
     }
-    // Counted whenever events are merged, because the hidden event may be in an earlier or later fragment.
+    // Counted whenever events are merged, because the replaced event may be in an earlier or later fragment.
     if (next->events_size() > 0) ++world_.count().tampered_messages;
     std::vector<pb::Event> sorted;
     for (const auto& [key, event] : newest) sorted.push_back(event);
--- a/tests/watch_cache/simulation_client.cpp
+++ b/tests/watch_cache/simulation_client.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Messages of a watch that its transport takes before the client has received them.
+// Messages of a watch that the transport accepts before the client has received them.
 constexpr int kMaxMessagesInFlight = 2;
 
 etcd::FollowerSettings ClientSettings(std::size_t endpoints) {
@@ -34,7 +34,7 @@
       follower_(ClientSettings(servers_.size()), seed) {}
 
 template <typename Step>
-void Client::Act(Step step) {
+void Client::CallFollower(Step step) {
   etcd::Follower::Actions actions;
   step(&actions);
   for (const auto& action : actions) std::visit([this](const auto& one) { Perform(one); }, action);
@@ -42,7 +42,7 @@
 
 void Client::Tick() {
   if (follower_.NextWake() > world_.now()) return;
-  Act([&](auto* actions) { follower_.Tick(world_.now(), actions); });
+  CallFollower([&](auto* actions) { follower_.Tick(world_.now(), actions); });
 }
 
 void Client::CancelWatch(const SessionPtr& session) {
@@ -53,7 +53,7 @@
 void Client::Drop() {
   if (!session_) return;
   session_->open = false;
-  session_->held.clear();  // they hold the session itself
+  session_->held.clear();  // their callbacks own the session
   CancelWatch(session_);
   session_.reset();
 }
@@ -62,7 +62,7 @@
   if (!session_) return;
   ++world_.count().cuts;
   Drop();
-  Act([&](auto* actions) {
+  CallFollower([&](auto* actions) {
     follower_.Closed(world_.now(), {etcd::ConnectionErrorCode::kClosed, "cut"}, actions);
   });
 }
@@ -72,9 +72,9 @@
   const SessionPtr session = session_;
   session->stalled = stalled;
   while (!session->stalled && session->open && !session->held.empty()) {
-    const auto what = std::move(session->held.front());
+    const auto task = std::move(session->held.front());
     session->held.pop_front();
-    what();
+    task();
   }
 }
 
@@ -85,20 +85,20 @@
   });
 }
 
-void Client::ToServer(const SessionPtr& session, std::function<void()> what) {
-  world_.After(Time(world_.Draw(3)), [session, what = std::move(what)] {
-    if (session->open && session->server->up()) what();
+void Client::ToServer(const SessionPtr& session, std::function<void()> task) {
+  world_.After(Time(world_.Draw(3)), [session, task = std::move(task)] {
+    if (session->open && session->server->up()) task();
   });
 }
 
-void Client::ToClient(const SessionPtr& session, std::function<void()> what) {
+void Client::ToClient(const SessionPtr& session, std::function<void()> task) {
   session->last_delivery = std::max(session->last_delivery, world_.now() + Time(world_.Draw(4)));
-  world_.After(session->last_delivery - world_.now(), [session, what = std::move(what)] {
+  world_.After(session->last_delivery - world_.now(), [session, task = std::move(task)] {
     if (!session->open) return;
     if (session->stalled) {
-      session->held.push_back(what);
+      session->held.push_back(task);
     } else {
-      what();
+      task();
     }
   });
 }
@@ -110,10 +110,10 @@
   session_->server = servers_[action.endpoint];
   ToClient(session_, [this, session = session_] {
     if (session->server->up() && !(world_.faults_enabled() && world_.Chance(5))) {
-      Act([&](auto* actions) { follower_.Opened(world_.now(), actions); });
+      CallFollower([&](auto* actions) { follower_.Opened(world_.now(), actions); });
     } else {
       Drop();
-      Act([&](auto* actions) {
+      CallFollower([&](auto* actions) {
         follower_.Closed(world_.now(), {etcd::ConnectionErrorCode::kClosed, "refused"}, actions);
       });
     }
@@ -125,7 +125,8 @@
     session->server->Range(request, [this, session](const Status& status, const pb::RangeResponse& response) {
       if (!session->open) return;
       ToClient(session, [this, status, response] {
-        Act([&](auto* actions) { follower_.RangeCompleted(world_.now(), status, response, actions); });
+        CallFollower(
+            [&](auto* actions) { follower_.RangeCompleted(world_.now(), status, response, actions); });
       });
     });
   });
@@ -139,7 +140,7 @@
     session->stream = id;
     Server::Stream stream;
     stream.id = id;
-    stream.can_take = [session] { return session->in_flight < kMaxMessagesInFlight; };
+    stream.can_send = [session] { return session->in_flight < kMaxMessagesInFlight; };
     stream.send = [this, session, id](const pb::WatchResponse& response) {
       if (!session->open || session->stream != id) return;
       ++session->in_flight;
@@ -147,7 +148,7 @@
         if (session->stream != id) return;
         --session->in_flight;
         events_.message(response);
-        Act([&](auto* actions) { follower_.WatchReceived(world_.now(), response, actions); });
+        CallFollower([&](auto* actions) { follower_.WatchReceived(world_.now(), response, actions); });
         if (session->open && session->stream == id) session->server->SendPending(id);
       });
     };
@@ -155,7 +156,7 @@
       if (!session->open || session->stream != id) return;
       session->stream = 0;
       ToClient(session, [this, status] {
-        Act([&](auto* actions) { follower_.WatchEnded(world_.now(), status, actions); });
+        CallFollower([&](auto* actions) { follower_.WatchEnded(world_.now(), status, actions); });
       });
     };
     session->server->Watch(std::move(stream), request);
@@ -163,7 +164,7 @@
 }
 
 void Client::Perform(const etcd::Follower::AddWatch&) {
-  world_.AddViolation("a follower without sections adds a watch");
+  world_.AddViolation("a follower without sections issues AddWatch");
 }
 
 void Client::Perform(const etcd::Follower::SnapshotPage& action) {
--- a/tests/watch_cache/simulation_client.h
+++ b/tests/watch_cache/simulation_client.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A follower in virtual time, and the interface of the servers that it connects to.
+/// A follower in virtual time, and the interface of simulated servers.
 #ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_CLIENT_H_
 #define BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_CLIENT_H_
 
@@ -19,14 +19,14 @@
 
 class World;
 
-/// Takes calls: the source, or a watch cache.
+/// A simulated server: the source or a watch cache.
 class Server {
  public:
   using Reply = std::function<void(const etcd::Status&, const pb::RangeResponse&)>;
-  /// Where a watch's messages go. Its owner calls SendPending once it can take more.
+  /// The transport of a watch's messages. Its owner calls SendPending when it accepts more messages.
   struct Stream {
     std::uint64_t id = 0;
-    std::function<bool()> can_take;
+    std::function<bool()> can_send;
     std::function<void(const pb::WatchResponse&)> send;
     std::function<void(const etcd::Status&)> end;
   };
@@ -40,10 +40,10 @@
   virtual void SendPending(std::uint64_t stream) = 0;
 };
 
-/// A Follower and its connection to one of several servers.
+/// An etcd::Follower and its connection to one of several servers.
 class Client {
  public:
-  /// Callbacks for what it learns.
+  /// Callbacks for data from the server.
   struct Events {
     std::function<void(std::uint64_t cluster, std::int64_t revision, std::vector<pb::KeyValue>)> snapshot;
     std::function<void(const etcd::Follower::Events&)> events;
@@ -58,9 +58,9 @@
   const etcd::Follower& follower() const { return follower_; }
   Server* server() const { return session_ ? session_->server : nullptr; }
   void Tick();
-  /// Loses the connection; both sides learn it.
+  /// Closes the connection; both sides are notified.
   void Cut();
-  /// While stalled, nothing is received, and the server does not learn it.
+  /// While stalled, the client receives nothing, and the server is not notified.
   void Stall(bool stalled);
   bool stalled() const { return session_ && session_->stalled; }
   void RequestProgress();
@@ -73,7 +73,7 @@
     bool stalled = false;
     Time last_delivery{0};
     int in_flight = 0;                       // messages of the watch
-    std::uint64_t stream = 0;                // the watch's; 0: none
+    std::uint64_t stream = 0;                // of the watch; 0: none
     std::deque<std::function<void()>> held;  // received while stalled
   };
   using SessionPtr = std::shared_ptr<Session>;
@@ -92,10 +92,10 @@
 
   void Drop();
   template <typename Step>
-  void Act(Step step);
-  // Run `what` at the server or at the client, after a delay and in order.
-  void ToServer(const SessionPtr& session, std::function<void()> what);
-  void ToClient(const SessionPtr& session, std::function<void()> what);
+  void CallFollower(Step step);
+  // Run the task at the server or at the client after a random delay; at the client, in order.
+  void ToServer(const SessionPtr& session, std::function<void()> task);
+  void ToClient(const SessionPtr& session, std::function<void()> task);
   void CancelWatch(const SessionPtr& session);
 
   World& world_;
--- a/tests/watch_cache/simulation_history.cpp
+++ b/tests/watch_cache/simulation_history.cpp
@@ -38,12 +38,12 @@
                                           const KeyTexts& held) const {
   const KeyTexts* state = At(cluster_id, revision);
   const std::string at = " at revision " + std::to_string(revision) + " of " + std::to_string(cluster_id);
-  if (!state) return "names a revision that never was," + at;
+  if (!state) return "has a revision that never existed," + at;
   if (held == *state) return std::nullopt;
-  return "holds" + Text(held) + at + ", the source held" + Text(*state);
+  return "holds" + Text(held) + at + ", but the source held" + Text(*state);
 }
 
-std::map<std::string, std::int64_t> History::EventsToBeSeen(std::uint64_t cluster_id, std::int64_t from,
+std::map<std::string, std::int64_t> History::RequiredEvents(std::uint64_t cluster_id, std::int64_t from,
                                                             std::int64_t to) const {
   std::map<std::string, std::int64_t> newest;
   const Cluster& cluster = clusters_.at(cluster_id);
--- a/tests/watch_cache/simulation_history.h
+++ b/tests/watch_cache/simulation_history.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// What the source held at each revision.
+/// The source's state and events by revision.
 #ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_HISTORY_H_
 #define BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_HISTORY_H_
 
@@ -21,14 +21,14 @@
   void RecordState(std::uint64_t cluster_id, std::int64_t revision, KeyTexts keys);
   void RecordEvent(std::uint64_t cluster_id, const pb::Event& event);
 
-  /// Null: there was no such state.
+  /// The state at a revision. Null: there was none.
   const KeyTexts* At(std::uint64_t cluster_id, std::int64_t revision) const;
-  /// Why `held` is not the source's state at this revision. Empty: it is.
+  /// Describes how `held` differs from the source's state at this revision. Empty: they are equal.
   std::optional<std::string> Check(std::uint64_t cluster_id, std::int64_t revision,
                                    const KeyTexts& held) const;
   /// By key, the revision of the newest event in (from, to] that must be delivered. Keys with a newer such
   /// event after `to` are left out, because that event may replace it.
-  std::map<std::string, std::int64_t> EventsToBeSeen(std::uint64_t cluster_id, std::int64_t from,
+  std::map<std::string, std::int64_t> RequiredEvents(std::uint64_t cluster_id, std::int64_t from,
                                                      std::int64_t to) const;
 
  private:
--- a/tests/watch_cache/simulation_keys.h
+++ b/tests/watch_cache/simulation_keys.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The keys of the simulation, and key values as texts that can be compared.
+/// The keys and settings of the simulation, and key values as comparable texts.
 #ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_KEYS_H_
 #define BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_KEYS_H_
 
@@ -19,7 +19,7 @@
 inline const std::string kPrefix = "/p/";
 inline const std::string kPrefixEnd = "/p0";
 
-/// Number of keys that are written, from kPrefix + "k0" on.
+/// Number of keys that are written, beginning with kPrefix + "k0".
 constexpr unsigned kKeys = 12;
 
 /// By key, "value@mod_revision".
@@ -57,7 +57,7 @@
   }
 }
 
-/// Small bounds, so that the runs reach them.
+/// Settings with small bounds, so that the runs reach them.
 inline Settings CacheSettings() {
   Settings settings;
   settings.prefix = kPrefix;
--- a/tests/watch_cache/simulation_reader.h
+++ b/tests/watch_cache/simulation_reader.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A reader of the simulation.
+/// A simulated reader.
 #ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_READER_H_
 #define BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_READER_H_
 
@@ -17,7 +17,7 @@
 
 namespace badgerbridge::watch_cache::simulation {
 
-/// A reader. It checks its state whenever it has applied a message.
+/// A reader that checks its state whenever it has applied a message.
 class Reader {
  public:
   Reader(World& world, std::string name, std::vector<Server*> servers)
@@ -48,13 +48,13 @@
       newest[event.kv().key()] = event.kv().mod_revision();
     }
     AdvanceTo(batch.cluster_id, batch.revision);
-    // A reader that takes only the newest event of each key in a message must still see each drain.
+    // A reader that applies only the newest event of each key in a message must still get each drain.
     for (const auto& [key, revision] :
-         world_.history().EventsToBeSeen(batch.cluster_id, before, batch.revision)) {
+         world_.history().RequiredEvents(batch.cluster_id, before, batch.revision)) {
       ++world_.count().checked_drains;
       const auto found = newest.find(key);
       if (found != newest.end() && found->second == revision) continue;
-      world_.AddViolation(name_ + " never sees what happened to " + key + " at revision " +
+      world_.AddViolation(name_ + " does not get the event of " + key + " at revision " +
                           std::to_string(revision) + ", within one message up to " +
                           std::to_string(batch.revision));
     }
@@ -63,7 +63,7 @@
   void AdvanceTo(std::uint64_t cluster_id, std::int64_t revision) {
     ++world_.count().applied;
     if (cluster_id < cluster_id_ || (cluster_id == cluster_id_ && revision < revision_)) {
-      world_.AddViolation(name_ + " is taken back from " + std::to_string(cluster_id_) + "/" +
+      world_.AddViolation(name_ + " went back from " + std::to_string(cluster_id_) + "/" +
                           std::to_string(revision_) + " to " + std::to_string(cluster_id) + "/" +
                           std::to_string(revision));
     }
--- a/tests/watch_cache/simulation_source.h
+++ b/tests/watch_cache/simulation_source.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The source of the simulation.
+/// The simulated source.
 #ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_SOURCE_H_
 #define BADGERBRIDGE_TESTS_WATCH_CACHE_SIMULATION_SOURCE_H_
 
@@ -21,7 +21,7 @@
 using etcd::Ending;
 using etcd::Status;
 
-/// The source: a stand-in for etcd.
+/// The source: a server with the store of the etcd stand-in.
 class Source : public Server {
  public:
   explicit Source(World& world) : world_(world) { RecordStates(0); }
@@ -36,7 +36,7 @@
     const std::int64_t before = store_.revision();
     pb::TxnResponse response;
     const Status status = store_.Txn(request, &response);
-    if (!status.ok()) return world_.AddViolation("the store refuses a write: " + status.ToString());
+    if (!status.ok()) return world_.AddViolation("the store rejects a write: " + status.ToString());
     RecordStates(before);
     SendPendingToAll();
   }
@@ -49,7 +49,7 @@
       ++world_.count().compactions;
   }
 
-  /// Replaces the cluster by a restored backup: another cluster id, a lower revision, watches ended.
+  /// Replaces the cluster by a restored backup with another cluster id and a lower revision. Watches end.
   void Restore() {
     store_ = standins::EtcdStore();
     ++cluster_id_;
@@ -87,7 +87,7 @@
   void RequestProgress(std::uint64_t stream) override {
     const auto found = watches_.find(stream);
     if (found == watches_.end() || found->second.next <= store_.revision())
-      return;  // only once all events were sent
+      return;  // progress is sent only after all events
     pb::WatchResponse response;
     SetHeader(&response);
     found->second.stream.send(response);
@@ -102,7 +102,7 @@
     const auto found = watches_.find(stream);
     if (found == watches_.end() || found->second.next > store_.revision()) return;
     WatchState& watch = found->second;
-    if (!watch.stream.can_take()) return;
+    if (!watch.stream.can_send()) return;
     pb::WatchResponse response;
     SetHeader(&response);
     if (watch.next <= store_.compacted()) {
@@ -112,7 +112,7 @@
       watches_.erase(found);
       return canceled.send(response);
     }
-    // All events at once, as etcd does for a watch that catches up, in fragments or not.
+    // All events at once, as etcd does for a watch that catches up, possibly in fragments.
     const auto events = store_.Events(kPrefix, kPrefixEnd, watch.next, false);
     watch.next = store_.revision() + 1;
     if (events.empty()) return;
@@ -161,7 +161,7 @@
     std::vector<std::uint64_t> ids;
     for (const auto& [id, watch] : watches_) ids.push_back(id);
     for (const std::uint64_t id : ids) {
-      if (!world_.Chance(30)) SendPending(id);  // or with the next write
+      if (!world_.Chance(30)) SendPending(id);  // otherwise they are sent after the next write
     }
   }
 
--- a/tests/watch_cache/slow_test.cpp
+++ b/tests/watch_cache/slow_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Slow subscribers: their backlog merged by key, what must not be merged away, and its bounds.
+/// Slow subscribers: the backlog merged by key, events that must be delivered, and bounds.
 #include <random>
 #include <set>
 
@@ -14,7 +14,7 @@
 using Strings = std::vector<std::string>;
 using Messages = std::vector<Strings>;
 
-/// A subscriber is slow as soon as two events wait for it.
+/// Settings with which a subscriber is slow as soon as two events are pending.
 Settings SlowSettings() {
   Settings settings = TestSettings();
   settings.max_backlog_bytes = 1;
@@ -42,7 +42,7 @@
   ASSERT_EQ(messages.size(), 1u);
   EXPECT_EQ(Text(messages[0]), (Strings{"PUT a=19@19", "PUT c=20@20"}));
   EXPECT_EQ(messages[0].header().revision(), 20);
-  EXPECT_EQ(status().slow_subscribers, 0u) << "it has caught up";
+  EXPECT_EQ(status().slow_subscribers, 0u) << "the subscriber has caught up";
   EXPECT_EQ(status().merged_events, 0u);
   harness_.Event(Put("/p/a", "next", 21));
   EXPECT_EQ(harness_.EventTexts(1), (Messages{{"PUT a=next@21"}}));
@@ -71,7 +71,7 @@
   const auto messages = harness_.AllMessages(1);
   ASSERT_EQ(messages.size(), 2u);
   EXPECT_EQ(Text(messages[0]), (Strings{"PUT c=early@11", "PUT a=drain@12", "PUT b=between@13"}))
-      << "all that makes the state at 13";
+      << "the complete state at revision 13";
   EXPECT_EQ(messages[0].header().revision(), 13);
   EXPECT_EQ(Text(messages[1]), (Strings{"PUT a=ready@14", "PUT c=late@15"}));
   EXPECT_EQ(messages[1].header().revision(), 15);
@@ -81,7 +81,7 @@
   for (std::int64_t revision = 11; revision < 1011; revision += 2) {
     harness_.Event(Put("/p/a", "drain", revision));
     harness_.Event(Put("/p/a", "ready", revision + 1));
-    ASSERT_LE(status().merged_events, 4u) << "a backend that flaps fills no backlog";
+    ASSERT_LE(status().merged_events, 4u) << "repeated drains of a backend must not grow the backlog";
   }
   EXPECT_EQ(harness_.EventTexts(1), (Messages{{"PUT a=drain@1009"}, {"PUT a=ready@1010"}}));
 }
@@ -120,7 +120,7 @@
   EXPECT_EQ(harness_.AllMessages(1, 2500).size(), 1u) << "a watch without fragments gets one message";
 }
 
-// Events that arrive while a merged response is being sent wait for the next: a response never changes.
+// Events that arrive while a merged response is being sent belong to the next response.
 TEST_F(WatchCacheSlowTest, EventBetweenFragmentsComesInNextResponse) {
   pb::WatchCreateRequest request = WatchAll();
   request.set_fragment(true);
@@ -186,20 +186,21 @@
     ASSERT_LE(status.merged_events, 50u);
     ASSERT_LE(status.window_bytes, 100000u);
     most = std::max(most, status.merged_events);
-    ASSERT_EQ(harness.EventTexts(2).size(), 1u) << "the other subscriber is on time";
+    ASSERT_EQ(harness.EventTexts(2).size(), 1u) << "the other subscriber is unaffected";
   }
   EXPECT_EQ(most, 50u);
   EXPECT_EQ(harness.cache().status().compacted, 1u);
   EXPECT_EQ(harness.cache().status().slow_subscribers, 0u);
-  const auto told = harness.NextMessage(1);
-  ASSERT_TRUE(told);
-  EXPECT_TRUE(told->canceled());
-  EXPECT_GE(told->compact_revision(), 60) << "a watch from there on would be served when it was told";
+  const auto canceled = harness.NextMessage(1);
+  ASSERT_TRUE(canceled);
+  EXPECT_TRUE(canceled->canceled());
+  EXPECT_GE(canceled->compact_revision(), 60)
+      << "a watch from that revision was in the window at the time of the cancellation";
   EXPECT_FALSE(harness.NextMessage(1));
   EXPECT_EQ(harness.cache().status().subscribers, 1u);
 }
 
-// A subscriber that stops within a large response is bounded, too.
+// A subscriber that stops reading within a large response must be bounded, too.
 TEST(WatchCacheSlowBoundsTest, SubscriberThatStopsBetweenFragmentsIsCanceled) {
   Settings settings = TestSettings();
   settings.max_merged_events = 50;
@@ -214,7 +215,7 @@
   harness.Events(11, events);
   auto message = harness.NextMessage(1, 1000);
   ASSERT_TRUE(message && message->fragment());
-  // The batch leaves the window, and its rest exceeds what the subscriber may hold.
+  // The batch is trimmed from the window, and its unsent events exceed max_merged_events.
   for (std::int64_t revision = 12; revision <= 200; ++revision) harness.Event(Put("/p/a", "y", revision));
   message = harness.NextMessage(1, 1000);
   ASSERT_TRUE(message);
@@ -250,8 +251,8 @@
   EXPECT_EQ(harness.ended.size(), 2u);
 }
 
-// The batch replaces the drain that blocked a join of two segments, and in the same revision another key
-// blocks it.
+// The batch replaces the drain that blocked the join of two segments, while another key of the same revision
+// still blocks it. The join must not happen.
 TEST_F(WatchCacheSlowTest, DeletionIsNotMergedWhenBatchReplacesDrainOfOtherKey) {
   harness_.Event(Put("/p/b", "drain", 11));
   harness_.Event(Deletion("/p/c", 12));
@@ -260,8 +261,8 @@
             (Messages{{"PUT b=drain@11", "DELETE c@12"}, {"PUT b=drain again@13", "PUT c=back@13"}}));
 }
 
-/// A backlog alone, compared with a state that applies every event: each segment's end is exact, events that
-/// must be delivered are seen, and the size is bounded by the number of keys.
+/// Compares a backlog with a state to which every event is applied: the state at each segment's end is exact,
+/// events that must be delivered are delivered, and the size is bounded by the number of keys.
 class BacklogComparison {
  public:
   explicit BacklogComparison(std::uint64_t seed) : random_(seed) {}
@@ -349,7 +350,7 @@
   Values subscriber_state_;
   std::map<std::int64_t, Values> states_;             // by revision
   std::map<std::string, std::int64_t> must_deliver_;  // by key, the newest revision that must be delivered
-  std::map<std::string, std::int64_t> delivered_;     // by key, the newest such revision that was
+  std::map<std::string, std::int64_t> delivered_;     // by key, the newest such revision that was delivered
   std::uint64_t taken_segments_ = 0;
 };
 
--- a/tests/watch_cache/upstream_test.cpp
+++ b/tests/watch_cache/upstream_test.cpp
@@ -30,7 +30,7 @@
     EXPECT_FALSE(harness_.cache().status().connected);
     EXPECT_EQ(harness_.cache().status().upstream_rejections, 1u);
     EXPECT_EQ(harness_.cache().status().last_upstream_error, reason);
-    // Nothing of it is applied, nor anything after it.
+    // Neither the rejected data nor any later data is applied.
     EXPECT_EQ(harness_.StateNow(), "a=1 b=2");
     EXPECT_FALSE(harness_.NextMessage(1));
     harness_.Event(Put("/p/a", "after the hole", 20));
@@ -38,7 +38,7 @@
     EXPECT_EQ(harness_.StateNow(), "a=1 b=2");
     EXPECT_FALSE(harness_.NextMessage(1));
     EXPECT_EQ(harness_.rejected.size(), 1u);
-    // A new list ends this state; watches are canceled.
+    // A new list is accepted; watches are canceled.
     harness_.Snapshot(30, {MakeKeyValue("/p/a", "now", 20, 3)});
     ExpectCompacted(1, 30);
     EXPECT_EQ(harness_.StateNow(), "a=now");
@@ -48,8 +48,8 @@
   Harness harness_;
 };
 
-// Keys that were added and deleted between two lists are in neither. So no subscriber gets events for the
-// gap, not even a current one, because a cache below would let others resume within them.
+// Keys that were added and deleted between two lists are in neither. So no subscriber may get events for the
+// gap, not even a current one, because a downstream cache would let its own readers resume within them.
 TEST_F(WatchCacheUpstreamTest, NewListCancelsWatchesAsCompacted) {
   harness_.Event(Put("/p/a", "11", 11));
   harness_.Watch(2, WatchAll(11));
@@ -57,7 +57,7 @@
   EXPECT_EQ(harness_.StateNow(), "a=new c=3");
   ExpectCompacted(1, 20);
   ExpectCompacted(2, 20);
-  EXPECT_TRUE(harness_.ended.empty()) << "etcd's way: canceled with the compacted revision";
+  EXPECT_TRUE(harness_.ended.empty()) << "as in etcd, watches are canceled with the compact revision";
   for (std::int64_t start = 10; start <= 20; ++start) {
     const auto id = static_cast<SubscriberId>(100 + start);
     harness_.Watch(id, WatchAll(start));
@@ -94,7 +94,7 @@
   ASSERT_EQ(harness_.ended.size(), 1u);
   EXPECT_EQ(harness_.ended.at(1).code, Code::kUnavailable);
   EXPECT_EQ(harness_.ended.at(1).message, "the source's history was replaced: read it again");
-  EXPECT_FALSE(harness_.NextMessage(1)) << "nothing of the old history";
+  EXPECT_FALSE(harness_.NextMessage(1)) << "no message of the old history";
   EXPECT_EQ(harness_.StateNow(), "a=1");
   const auto status = harness_.cache().status();
   EXPECT_EQ(status.revision, 6);
@@ -113,12 +113,12 @@
   EXPECT_EQ(harness_.cache().status().cluster_id, 78u);
   harness_.Watch(2, WatchAll(11));
   const auto message = harness_.NextMessage(2);
-  ASSERT_TRUE(message && message->canceled()) << "that revision was of the old history";
+  ASSERT_TRUE(message && message->canceled()) << "the revision belongs to the old history";
   EXPECT_EQ(message->compact_revision(), 50);
 }
 
-// The source was restored under the same id and written to until its revision was higher. Keys that the cache
-// should have show it.
+// The source was restored under the same cluster id and written to until its revision was higher. The cache
+// detects this by keys that it should already hold.
 TEST_F(WatchCacheUpstreamTest, SnapshotContradictingCacheReplacesHistory) {
   harness_.Snapshot(12, {MakeKeyValue("/p/a", "other", 9, 3), MakeKeyValue("/p/b", "2", 12)});
   EXPECT_EQ(harness_.ended.size(), 1u);
@@ -135,8 +135,8 @@
   EXPECT_EQ(harness_.ended.size(), 1u) << "another state at the same revision is another history";
 }
 
-// The upstream has compacted what this cache needs to resume. Its watches are canceled, and pending events
-// are not sent in part.
+// The upstream has compacted the events that this cache needs to resume. Watches are canceled, and none of
+// their pending events is sent.
 TEST_F(WatchCacheUpstreamTest, UpstreamCompactionCancelsSubscriberThatCatchesUp) {
   harness_.Event(Put("/p/a", "11", 11));
   harness_.Event(Put("/p/b", "12", 12));
@@ -206,11 +206,11 @@
   Harness other;
   other.Progress(13);
   EXPECT_EQ(other.rejected, Strings{"progress before a list"});
-  Harness lied_to;
-  lied_to.Snapshot(14, {MakeKeyValue("/q", "2", 13)});
-  EXPECT_EQ(lied_to.rejected, Strings{"a list: the key /q is outside the prefix /p/"});
-  EXPECT_FALSE(lied_to.cache().status().connected);
-  EXPECT_EQ(lied_to.ReadNow(ListAll()).status.message, "not answered");
+  Harness invalid_list;
+  invalid_list.Snapshot(14, {MakeKeyValue("/q", "2", 13)});
+  EXPECT_EQ(invalid_list.rejected, Strings{"a list: the key /q is outside the prefix /p/"});
+  EXPECT_FALSE(invalid_list.cache().status().connected);
+  EXPECT_EQ(invalid_list.ReadNow(ListAll()).status.message, "not answered");
 }
 
 }  // namespace
--- a/tests/watch_cache/watch_test.cpp
+++ b/tests/watch_cache/watch_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Watches that keep up: resuming, the window's floor, filters, fragments, progress, and the end.
+/// Watches that keep up: resuming, the window's floor, filters, fragments, progress and termination.
 #include <limits>
 
 #include "watch_cache/harness.h"
@@ -12,7 +12,7 @@
 using Strings = std::vector<std::string>;
 using Messages = std::vector<Strings>;
 
-const Time kGrace = Settings().upstream_grace;
+const Time kUpstreamGrace = Settings().upstream_grace;
 
 class WatchCacheWatchTest : public ::testing::Test {
  protected:
@@ -108,7 +108,7 @@
     ASSERT_LE(harness.cache().status().window_bytes, 10000u);
   }
   EXPECT_GE(harness.cache().status().window_events, 7u);
-  // A batch that is larger than the window is in the state, and in no window.
+  // A batch that is larger than the window is applied to the state, but not kept in the window.
   harness.Event(Put("/p/b", std::string(20000, 'y'), 101));
   EXPECT_EQ(harness.cache().status().window_bytes, 0u);
   EXPECT_EQ(harness.cache().status().compact_revision, 101);
@@ -125,7 +125,7 @@
   EXPECT_EQ(harness.AllMessages(1).size(), 1u);
 }
 
-// As etcd does: it says nothing until the revision is there.
+// As in etcd, a watch sends nothing until its start revision is reached.
 TEST_F(WatchCacheWatchTest, WatchFromFutureIsSilentUntilItsRevision) {
   LoadSnapshot();
   pb::WatchCreateRequest request = WatchAll(13);
@@ -206,13 +206,13 @@
   harness_.Events(11, events);
   harness_.Event(Put("/p/a", "after", 12));
   auto whole = harness_.AllMessages(1, 3000);
-  ASSERT_EQ(whole.size(), 2u) << "who did not ask for fragments gets the revision whole";
+  ASSERT_EQ(whole.size(), 2u) << "a watch without fragments gets the revision in one message";
   EXPECT_EQ(whole[0].events_size(), 10);
   const auto fragments = harness_.AllMessages(2, 3000);
   ASSERT_GE(fragments.size(), 5u);
   int given = 0;
   for (std::size_t i = 0; i + 1 < fragments.size(); ++i) {
-    EXPECT_EQ(fragments[i].fragment(), i + 2 < fragments.size()) << "all but the last of them";
+    EXPECT_EQ(fragments[i].fragment(), i + 2 < fragments.size()) << "all fragments but the last";
     EXPECT_EQ(fragments[i].header().revision(), 11);
     EXPECT_LT(fragments[i].ByteSizeLong(), 4500u);
     given += fragments[i].events_size();
@@ -221,7 +221,7 @@
   EXPECT_EQ(Text(fragments.back()), Strings{"PUT a=after@12"});
 }
 
-// What etcd sends to one who catches up may name a key more than once in one message.
+// etcd may send a key more than once in one message to a watch that catches up.
 TEST_F(WatchCacheWatchTest, ResponseWithRepeatedKeyIsSplitByRevision) {
   LoadSnapshot();
   harness_.Watch(1, WatchAll());
@@ -248,7 +248,7 @@
   EXPECT_EQ(message->events_size(), 0);
   EXPECT_EQ(message->header().revision(), 30);
   EXPECT_FALSE(harness_.NextMessage(1));
-  EXPECT_FALSE(harness_.NextMessage(2)) << "did not ask";
+  EXPECT_FALSE(harness_.NextMessage(2)) << "progress_notify is not set";
   harness_.Event(Put("/p/a", "2", 31));
   harness_.Advance(Time(500));
   EXPECT_EQ(Text(*harness_.NextMessage(1)), Strings{"PUT a=2@31"});
@@ -269,7 +269,8 @@
   EXPECT_EQ(message->events_size(), 0);
 }
 
-// Progress says "as of now": a relay that is cut off must not say it, so that its readers turn to another.
+// A progress notification states that the revision is current. A relay without its upstream must not send
+// one, so that its readers switch to another relay.
 TEST_F(WatchCacheWatchTest, ProgressIsNotNotifiedWhileUpstreamIsLost) {
   LoadSnapshot();
   pb::WatchCreateRequest request = WatchAll();
@@ -277,11 +278,11 @@
   harness_.Watch(1, request);
   ASSERT_FALSE(harness_.NextMessage(1));
   harness_.Lost();
-  harness_.Advance(kGrace - Time(1));
+  harness_.Advance(kUpstreamGrace - Time(1));
   harness_.RequestProgress(1);
   EXPECT_FALSE(harness_.NextMessage(1));
   EXPECT_FALSE(harness_.cache().status().connected);
-  EXPECT_EQ(harness_.StateNow(), "a=1 b=2") << "the last known state is served on";
+  EXPECT_EQ(harness_.StateNow(), "a=1 b=2") << "the last known state is still served";
   harness_.woken.clear();
   harness_.Progress(10);
   EXPECT_EQ(harness_.woken, std::vector<SubscriberId>{1});
@@ -293,12 +294,12 @@
   harness_.Watch(1, WatchAll());
   harness_.Watch(2, WatchAll());
   harness_.Lost();
-  harness_.Advance(kGrace / 2);
-  harness_.Lost();  // the next endpoint failed too: the time goes on from the first loss
-  harness_.Advance(kGrace - kGrace / 2 - Time(1));
+  harness_.Advance(kUpstreamGrace / 2);
+  harness_.Lost();  // the next endpoint fails, too; the grace period counts from the first loss
+  harness_.Advance(kUpstreamGrace - kUpstreamGrace / 2 - Time(1));
   EXPECT_TRUE(harness_.ended.empty());
   harness_.Subscribe(3, WatchAll());
-  EXPECT_TRUE(harness_.NextMessage(3)) << "a loss that may be over in a moment refuses nobody";
+  EXPECT_TRUE(harness_.NextMessage(3)) << "a loss shorter than the grace period rejects no watch";
   harness_.Advance(Time(1));
   ASSERT_EQ(harness_.ended.size(), 3u);
   for (const auto& [subscriber, status] : harness_.ended) {
@@ -309,7 +310,7 @@
   harness_.Subscribe(4, WatchAll());
   EXPECT_EQ(harness_.ended.count(4), 1u);
   EXPECT_EQ(harness_.cache().status().rejected, 1u);
-  EXPECT_EQ(harness_.StateNow(), "a=1 b=2") << "what was last known can still be read";
+  EXPECT_EQ(harness_.StateNow(), "a=1 b=2") << "the last known state can still be read";
   harness_.Progress(10);
   harness_.Watch(5, WatchAll(11));
   harness_.Event(Put("/p/c", "3", 11));
@@ -321,9 +322,9 @@
   harness_.Watch(1, WatchAll());
   for (int i = 0; i < 3; ++i) {
     harness_.Lost();
-    harness_.Advance(kGrace - Time(1));
+    harness_.Advance(kUpstreamGrace - Time(1));
     harness_.Progress(10);
-    harness_.Advance(kGrace);
+    harness_.Advance(kUpstreamGrace);
   }
   EXPECT_TRUE(harness_.ended.empty());
 }
@@ -338,13 +339,13 @@
   const auto status = harness_.cache().status();
   EXPECT_EQ(status.subscribers, 1000u);
   EXPECT_EQ(status.resumed, 1000u);
-  EXPECT_EQ(status.merged_events, 0u) << "they share the window";
+  EXPECT_EQ(status.merged_events, 0u) << "the subscribers share the window";
   EXPECT_EQ(harness_.confirmations.size(), 0u);
   for (SubscriberId id = 1; id <= 1000; ++id) {
     ASSERT_TRUE(harness_.NextMessage(id)->created());
     ASSERT_EQ(harness_.EventTexts(id).size(), 50 - id % 50) << id;
   }
-  // And a thousand linearizable reads take two confirmations.
+  // A thousand linearizable reads need two confirmations.
   for (ReadId read = 1; read <= 1000; ++read) harness_.Read(read, Get("/p/a"));
   harness_.Confirm(harness_.confirmations[0], Header(60));
   harness_.Confirm(harness_.confirmations[1], Header(60));
@@ -372,7 +373,7 @@
   for (SubscriberId id = 1; id <= 30; ++id) harness_.Watch(id, WatchAll());
   harness_.Read(1, Get("/p/a"));
   harness_.Drain();
-  EXPECT_TRUE(harness_.ended.empty()) << "not at once";
+  EXPECT_TRUE(harness_.ended.empty()) << "no subscriber is ended at once";
   EXPECT_FALSE(harness_.cache().drained());
   harness_.Subscribe(31, WatchAll());
   EXPECT_EQ(harness_.ended.at(31).code, Code::kUnavailable);
@@ -386,7 +387,7 @@
     EXPECT_EQ(harness_.ended.size() - before, 1u) << step;
     before = harness_.ended.size();
   }
-  EXPECT_TRUE(harness_.cache().drained()) << "the read has ended, too";
+  EXPECT_TRUE(harness_.cache().drained()) << "the read has failed, too";
   for (const auto& [id, status] : harness_.ended) EXPECT_EQ(status.code, Code::kUnavailable) << id;
   EXPECT_EQ(harness_.ended.at(1).message, "the relay is shutting down: use another");
 }
--- a/tests/watch_cache/world.cpp
+++ b/tests/watch_cache/world.cpp
@@ -20,28 +20,28 @@
   Server* const first = add_cache({source_.get()}, mutation);
   Server* const second = add_cache({source_.get()}, Mutation::kNone);
   Server* const third = add_cache({first, second}, Mutation::kNone);
-  const std::vector<std::vector<Server*>> served_by = {
+  const std::vector<std::vector<Server*>> reader_servers = {
       {first, second}, {third}, {third, first}, {second, third, first}};
   constexpr std::size_t kReaders = 16;
   for (std::size_t i = 0; i < kReaders; ++i) {
-    readers_.push_back(
-        std::make_unique<Reader>(*this, "reader " + std::to_string(i), served_by[i % served_by.size()]));
+    readers_.push_back(std::make_unique<Reader>(*this, "reader " + std::to_string(i),
+                                                reader_servers[i % reader_servers.size()]));
   }
 }
 
-// A client uses its server until it is destroyed: readers go before caches, and caches before their
-// upstreams.
+// A client uses its server until the client is destroyed, so readers are destroyed before caches, and caches
+// before their upstreams.
 World::~World() {
   readers_.clear();
   while (!caches_.empty()) caches_.pop_back();
 }
 
-void World::After(Time delay, std::function<void()> what) {
-  queue_.push({now_ + delay, next_order_++, std::move(what)});
+void World::After(Time delay, std::function<void()> task) {
+  queue_.push({now_ + delay, next_order_++, std::move(task)});
 }
 
-void World::AddViolation(std::string what) {
-  violations_.push_back("step " + std::to_string(counts_.steps) + ": " + std::move(what));
+void World::AddViolation(std::string description) {
+  violations_.push_back("step " + std::to_string(counts_.steps) + ": " + std::move(description));
 }
 
 void World::Advance(Time by) {
@@ -57,9 +57,9 @@
     if (!next || *next > until) break;
     now_ = std::max(now_, *next);
     if (!queue_.empty() && queue_.top().at <= now_) {
-      const auto what = queue_.top().what;
+      const auto task = queue_.top().task;
       queue_.pop();
-      what();
+      task();
       continue;
     }
     for (const auto& cache : caches_) cache->Tick();
@@ -80,13 +80,13 @@
     case 1: {
       auto* op = request.add_success()->mutable_request_delete_range();
       op->set_key(kPrefix + "k" + std::to_string(Draw(kKeys)));
-      if (Chance(20)) op->set_range_end(kPrefix + "k5");  // several at once
+      if (Chance(20)) op->set_range_end(kPrefix + "k5");  // several keys in one request
       break;
     }
     case 2:  // outside the prefix
       request.add_success()->mutable_request_put()->set_key("/elsewhere");
       break;
-    case 3:  // several in one revision
+    case 3:  // several keys in one revision
       for (unsigned key = Draw(kKeys); key < kKeys; key += 1 + Draw(3)) put(key);
       break;
     default:
@@ -95,15 +95,15 @@
   source_->Txn(request);
 }
 
-Client& World::AnyClient() {
+Client& World::RandomClient() {
   const unsigned i = Draw(static_cast<unsigned>(readers_.size() + caches_.size()));
   if (i < readers_.size()) return readers_[i]->client();
   CacheNode& cache = *caches_[i - readers_.size()];
   return cache.up() ? cache.upstream() : readers_[0]->client();
 }
 
-// A linearizable read of all keys: it must see everything written before it began.
-void World::ReadSomewhere() {
+// A linearizable read of all keys, which must include all writes before it began.
+void World::ReadFromRandomCache() {
   CacheNode& cache = *caches_[Draw(3)];
   if (!cache.up()) return;
   const std::uint64_t cluster_id = source_->cluster_id();
@@ -133,11 +133,11 @@
   if (kind < 350) {
     Write();
   } else if (kind < 390) {
-    ReadSomewhere();
+    ReadFromRandomCache();
   } else if (kind < 400) {
-    AnyClient().Cut();
+    RandomClient().Cut();
   } else if (kind < 425) {
-    Client& client = AnyClient();
+    Client& client = RandomClient();
     ++counts_.stalls;
     client.Stall(!client.stalled());
   } else if (kind < 430) {
--- a/tests/watch_cache/world.h
+++ b/tests/watch_cache/world.h
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A source, three watch caches in two tiers and sixteen readers in virtual time, from a seed. The core of
-/// the watch cache and etcd::Follower are the product's, the source is the stand-in's store, and the links
-/// are queues of messages. Faults occur on the links, at the caches and at the source. Whenever a reader
-/// applies a message, its state is compared with the source's state at the revision that the reader has.
+/// A simulation of a source, three watch caches in two tiers and sixteen readers in virtual time, from a
+/// seed. The core of the watch cache and etcd::Follower are production code, the source is the store of the
+/// etcd stand-in, and connections are queues of messages. Faults occur on the connections, at the caches and
+/// at the source. Whenever a reader applies a message, its state is compared with the source's state at the
+/// reader's revision.
 #ifndef BADGERBRIDGE_TESTS_WATCH_CACHE_WORLD_H_
 #define BADGERBRIDGE_TESTS_WATCH_CACHE_WORLD_H_
 
@@ -25,16 +26,16 @@
 class CacheNode;
 class Reader;
 
-/// A fault in the messages of one watch cache, which the checks must find.
+/// A fault in the messages of one watch cache, which the checks must detect.
 enum class Mutation {
   kNone,           ///< No fault.
   kLostDelete,     ///< A deletion is left out.
   kMergedDrain,    ///< A drain and the event that replaces it become one message, without the drain.
-  kWrongResume,    ///< A watch starts one revision later than it asked.
-  kEarlyProgress,  ///< A progress notification names a revision whose events have not been sent.
+  kWrongResume,    ///< A watch starts one revision later than requested.
+  kEarlyProgress,  ///< A progress notification has a revision whose events were not sent.
 };
 
-/// How often the runs met what they must meet.
+/// Numbers of faults and events in a run.
 struct Counts {
   std::uint64_t steps = 0;
   std::uint64_t applied = 0;
@@ -61,7 +62,7 @@
   explicit World(std::uint64_t seed, Mutation mutation = Mutation::kNone);
   ~World();
 
-  /// One random event.
+  /// Performs one random write, read, fault or advance of the time.
   void Step();
   /// Ends all faults. Returns whether all readers reach the source's state.
   bool Converge();
@@ -74,8 +75,8 @@
   unsigned Draw(unsigned n) { return static_cast<unsigned>(random_() % n); }
   bool Chance(unsigned percent) { return Draw(100) < percent; }
   bool faults_enabled() const { return faults_enabled_; }
-  void After(Time delay, std::function<void()> what);
-  void AddViolation(std::string what);
+  void After(Time delay, std::function<void()> task);
+  void AddViolation(std::string description);
   std::uint64_t NextId() { return next_id_++; }
   History& history() { return history_; }
   Counts& count() { return counts_; }
@@ -84,7 +85,7 @@
   struct Scheduled {
     Time at;
     std::uint64_t order;
-    std::function<void()> what;
+    std::function<void()> task;
     bool operator>(const Scheduled& other) const {
       return at != other.at ? at > other.at : order > other.order;
     }
@@ -96,8 +97,8 @@
   void ToggleRandomCache();
   void StartAllCaches();
   bool HaveAllConverged() const;
-  void ReadSomewhere();
-  Client& AnyClient();
+  void ReadFromRandomCache();
+  Client& RandomClient();
 
   std::mt19937_64 random_;
   Time now_{1000};
