--- a/src/etcd/http2_client.h
+++ b/src/etcd/http2_client.h
@@ -36,8 +36,8 @@
 
 /// Limits of a client's connection.
 struct Http2Limits {
-  std::size_t max_message_bytes = 4 << 20;  ///< Of one response message.
-  std::size_t max_unsent_bytes = 8 << 20;   ///< Of all messages that wait for flow control.
+  std::size_t max_message_bytes = 4 << 20;  ///< Limit for one response message.
+  std::size_t max_unsent_bytes = 8 << 20;   ///< Limit for all messages that wait for flow control.
   std::size_t max_concurrent_calls = 64;    ///< BeginCall fails at this limit.
 };
 
--- a/src/etcd/http2_session.h
+++ b/src/etcd/http2_session.h
@@ -44,7 +44,7 @@
 
 /// Output of a session.
 struct Http2Output {
-  std::string bytes;                     ///< Bytes to send; after an error, those before it.
+  std::string bytes;                     ///< Bytes to send, up to the failure if there is one.
   std::optional<ConnectionError> error;  ///< Set if the session failed.
 };
 /// Takes whole frames until there are at least `min_bytes` bytes or no more output.
--- a/src/membership/ledger.cpp
+++ b/src/membership/ledger.cpp
@@ -55,7 +55,8 @@
   return changes;
 }
 
-// Retains the members that the authority no longer lists if they exceed the limit of a mass departure.
+// Retains the ready members that the authority no longer lists if their departure exceeds the thresholds of a
+// mass departure. Stops retaining members that the authority lists again.
 void Ledger::GuardMassDeparture(Time now, const SourceList::Names& changed) {
   guard_.DropOldDepartures(now);
   std::vector<MemberPtr> leaving;
--- a/src/membership/registration.h
+++ b/src/membership/registration.h
@@ -128,7 +128,7 @@
   Time next_keep_alive_{0};
   std::int64_t lease_ = 0;
   std::uint64_t grants_ = 0;
-  bool is_written_ = false;  // with the current lease
+  bool is_written_ = false;  // the key was written, or found unchanged, with the current lease
   bool is_missing_ = false;  // the last read did not find the key although it was written
   std::optional<etcdserverpb::KeyValue> last_read_key_;  // nullopt: no key was found
   std::optional<Time> stopped_at_;
--- a/src/membership/source_list.cpp
+++ b/src/membership/source_list.cpp
@@ -87,8 +87,8 @@
   }
   for (; at != end; ++at) {
     const MemberPtr& member = at->second;
-    const bool is_of_service = member->service == report.service && IsListed(*member);
-    if (is_of_service && listed.count(member->name) == 0) list.unlisted.push_back(member);
+    const bool was_listed = member->service == report.service && IsListed(*member);
+    if (was_listed && listed.count(member->name) == 0) list.unlisted.push_back(member);
   }
 }
 
--- a/src/operator_config/operator_file.h
+++ b/src/operator_config/operator_file.h
@@ -52,7 +52,9 @@
   std::string services_prefix = "/badgerbridge/services/";  ///< of the services' keys
   /// True: etcd decides which members join. False: discovery does, and etcd only adds drains and departures.
   bool is_authoritative = true;
-  int max_departures_percent = 50;  ///< of the members at a time; more wait for confirmation
+  /// Largest percentage of the ready members that may depart within a short window. Members whose departure
+  /// exceeds it are retained until it is confirmed.
+  int max_departures_percent = 50;
 };
 
 /// The [regions] table: zone failover, which distributes load over the zones in coordination with all proxies
--- a/src/proxy_main/load_header.h
+++ b/src/proxy_main/load_header.h
@@ -10,7 +10,7 @@
 namespace badgerbridge::proxy_main {
 
 /// The utilization in a value such as "inflight=7,queue=2,util=0.61" (PROTOCOL, X-Backend-Load);
-/// std::nullopt if the field is absent or not a number from 0 to 1.
+/// std::nullopt if `util` is absent or not a number from 0 to 1.
 std::optional<double> ParseUtilization(std::string_view load_header);
 
 }  // namespace badgerbridge::proxy_main
